--- a/direct/allowance.go
+++ b/direct/allowance.go
@@ -65,7 +65,7 @@
 	for _, t := range m.teams {
 		offered := t.offeredRate(now)
 		bounds := m.boundsOf(t)
-		if bounds.level <= 0 || offered <= bounds.base || !m.uses(Allowances) {
+		if bounds.level <= 0 || offered <= bounds.base || !m.uses(TokenBuckets) {
 			t.allowance = allowance{}
 			continue
 		}
--- a/direct/allowance_test.go
+++ b/direct/allowance_test.go
@@ -32,7 +32,7 @@
 		for _, c := range cmds {
 			if c, ok := c.(SendCmd); ok {
 				got[teams[i][c.ID]] += tokenCost(4000, 100)
-				fleet[i].m.Update(FirstMsg{Now: fleet[i].now, ID: c.ID})
+				fleet[i].m.Update(FirstEventMsg{Now: fleet[i].now, ID: c.ID})
 				fleet[i].end(c.ID, Done, false)
 			}
 		}
@@ -53,7 +53,7 @@
 					ask(i, "one")
 				}
 			}
-			run(i, b.pass(TickEvery))
+			run(i, b.pass(TickInterval))
 		}
 		if tick%8 == 0 {
 			exchange(fleet)
@@ -82,14 +82,14 @@
 			if j == i {
 				continue
 			}
-			b.m.Update(PeerMsg{Now: b.now, Peer: fmt.Sprint(j), Report: fleet[j].m.Report(b.now)})
+			b.m.Update(PeerReportMsg{Now: b.now, Peer: fmt.Sprint(j), Report: fleet[j].m.Report(b.now)})
 			for _, u := range sees[j] {
 				all := sum[u.Team]
 				sum[u.Team] = loads.TeamUse{Team: u.Team, Offered: all.Offered + u.Offered, Recent: all.Recent + u.Recent, Served: all.Served + u.Served}
 			}
 		}
-		b.m.Update(TeamsMsg{Now: b.now, Teams: slices.Collect(maps.Values(sum))})
-		b.m.Update(PeersMsg{Now: b.now, Routers: len(fleet), Hold: time.Second})
+		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: slices.Collect(maps.Values(sum))})
+		b.m.Update(MembershipMsg{Now: b.now, Routers: len(fleet), ReportTTL: time.Second})
 	}
 }
 
@@ -110,13 +110,13 @@
 				for range 6 {
 					r := b.request(team)
 					if c, ok := find[SendCmd](b.arrive(r)); ok {
-						b.m.Update(FirstMsg{Now: b.now, ID: c.ID})
+						b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
 						b.end(c.ID, Done, false)
 					}
 				}
 			}
 			for _, b := range fleet {
-				b.pass(TickEvery)
+				b.pass(TickInterval)
 			}
 			if tick%8 == 0 {
 				exchange(fleet)
@@ -145,7 +145,7 @@
 		for _, c := range cmds {
 			if c, ok := c.(SendCmd); ok {
 				sent[late[c.ID]]++
-				b.m.Update(FirstMsg{Now: b.now, ID: c.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
 				b.end(c.ID, Done, false)
 			}
 		}
@@ -161,13 +161,13 @@
 			ask("flood", 0)
 			ask("flood", 2*time.Second)
 		}
-		run(b.pass(TickEvery))
+		run(b.pass(TickInterval))
 	}
 	require.Greater(t, sent[false], 10*sent[true])
 	clear(sent)
 	for range 20 {
 		ask("small", 2*time.Second)
-		run(b.pass(TickEvery))
+		run(b.pass(TickInterval))
 	}
 	require.Equal(t, 20, sent[true])
 }
@@ -178,17 +178,17 @@
 func TestShedTeamsAreUnsatisfied(t *testing.T) {
 	b := newBench(t, 20)
 	b.m.limits.TokensPerSecond = 200_000
-	b.m.Update(PeersMsg{Now: b.now, Routers: 2, Hold: time.Second})
+	b.m.Update(MembershipMsg{Now: b.now, Routers: 2, ReportTTL: time.Second})
 	for range 400 {
-		b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "elsewhere", Offered: 2e6, Recent: 2e6, Served: 250_000}}})
-		b.m.Update(PeerMsg{Now: b.now, Peer: "other", Report: Report{
+		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "elsewhere", Offered: 2e6, Recent: 2e6, Served: 250_000}}})
+		b.m.Update(PeerReportMsg{Now: b.now, Peer: "other", Report: Report{
 			Headroom: 3,
 		}})
 		for range 20 {
 			b.m.Update(ShedMsg{Now: b.now, Team: "shed", PromptTokens: 2000})
 		}
 		b.m.team("shed").served.add(b.now, 1000) // 40,000 a second
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 	require.Greater(t, b.m.team("shed").offeredRate(b.now), 1e6)
 	require.LessOrEqual(t, b.m.even, max(evenWithin*41_000, evenShares*b.m.base))
@@ -203,10 +203,10 @@
 	later := func(cmds []Cmd) {
 		for _, c := range cmds {
 			if s, ok := c.(SendCmd); ok {
-				if s.Basis.Waited > 0 {
+				if s.PlacementBasis.QueueWait > 0 {
 					sentLater++
 				}
-				b.m.Update(FirstMsg{Now: b.now, ID: s.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: s.ID})
 				b.end(s.ID, Done, false)
 			}
 		}
@@ -217,12 +217,12 @@
 			cmds := b.arrive(r)
 			later(cmds)
 			if c, ok := find[RefuseCmd](cmds); ok && c.ID == r.ID {
-				require.Equal(t, ReasonShare, c.Reason)
-				require.Positive(t, c.After)
+				require.Equal(t, ReasonOverShare, c.Reason)
+				require.Positive(t, c.RetryAfter)
 				refused++
 			}
 		}
-		cmds := b.pass(TickEvery)
+		cmds := b.pass(TickInterval)
 		later(cmds)
 		for _, c := range cmds {
 			if _, ok := c.(RefuseCmd); ok {
@@ -242,7 +242,7 @@
 func TestDoorRefusesWhatTheAllowanceCannotCover(t *testing.T) {
 	b := newBench(t, 8)
 	door := func(team string) (RefuseCmd, bool) {
-		return find[RefuseCmd](b.m.Update(DoorMsg{Now: b.now, Request: b.request(team)}))
+		return find[RefuseCmd](b.m.Update(AdmissionCheckMsg{Now: b.now, Request: b.request(team)}))
 	}
 	_, refused := door("flood")
 	require.False(t, refused, "nothing is known of the team yet")
@@ -250,7 +250,7 @@
 	finish := func(cmds []Cmd) {
 		for _, c := range cmds {
 			if s, ok := c.(SendCmd); ok {
-				b.m.Update(FirstMsg{Now: b.now, ID: s.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: s.ID})
 				b.end(s.ID, Done, false)
 			}
 		}
@@ -262,7 +262,7 @@
 			}
 		}
 		finish(b.arrive(b.request("small")))
-		finish(b.pass(TickEvery))
+		finish(b.pass(TickInterval))
 	}
 	cmd, refused := door("flood")
 	for range 20 {
@@ -272,13 +272,13 @@
 		}
 	}
 	require.True(t, refused)
-	require.Equal(t, ReasonShare, cmd.Reason)
-	require.Positive(t, cmd.After)
+	require.Equal(t, ReasonOverShare, cmd.Reason)
+	require.Positive(t, cmd.RetryAfter)
 	_, refused = door("small")
 	require.False(t, refused)
 	offered := b.m.team("flood").offeredRate(b.now)
 	require.InDelta(t, 10*40*2200, offered, 0.15*10*40*2200, "what is refused at the door is asked for all the same")
-	require.Less(t, b.m.WeightOf(b.now, "flood"), 6*b.m.WeightOf(b.now, "small"), "it fills the router only with what enters, not with ten times as much")
+	require.Less(t, b.m.TeamWeight(b.now, "flood"), 6*b.m.TeamWeight(b.now, "small"), "it fills the router only with what enters, not with ten times as much")
 }
 
 // TestSurplusReadsNothingAgain has a team above its share ask for a prompt whose
@@ -286,7 +286,7 @@
 // have to read the prompt's shared part, also where this router does not know who
 // keeps it. A team within its share is.
 func TestSurplusReadsNothingAgain(t *testing.T) {
-	shared, own := Part{ID: 7, Tokens: 2000}, Part{ID: 8, Tokens: 500}
+	shared, own := PromptPart{ID: 7, Tokens: 2000}, PromptPart{ID: 8, Tokens: 500}
 	busy := func(over float64) (*bench, *run, string) {
 		b := newBench(t, 4)
 		p := b.m.pool("llm")
@@ -363,7 +363,7 @@
 	got, most := 0.0, 0.0
 	for tick := range warmUp + measured {
 		for i, b := range fleet {
-			cmds := b.pass(TickEvery)
+			cmds := b.pass(TickInterval)
 			for range 6 {
 				for _, team := range []string{"flood", "other"} {
 					r := b.request(team)
@@ -376,7 +376,7 @@
 				if !ok {
 					continue
 				}
-				b.m.Update(FirstMsg{Now: b.now, ID: c.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
 				b.end(c.ID, Done, false)
 				if tick >= warmUp && teams[i][c.ID] == "flood" {
 					got += tokenCost(2000, 100)
@@ -391,7 +391,7 @@
 			most += min(fleet[0].m.level, fleet[0].m.even)
 		}
 	}
-	perSecond := got / measured / TickEvery.Seconds()
+	perSecond := got / measured / TickInterval.Seconds()
 	require.Less(t, perSecond, 1.8*most/measured, "three times without a correction")
 	require.Greater(t, perSecond, 0.5*most/measured)
 }
@@ -412,7 +412,7 @@
 	b := newBench(t, 2)
 	b.m.level, b.m.even = 100_000, 100_000
 	after := func(offered, served float32) time.Duration {
-		b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "red", Offered: offered, Served: served}}})
+		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "red", Offered: offered, Served: served}}})
 		return b.m.overdue(b.now, "red")
 	}
 	require.Equal(t, time.Second, after(110_000, 100_000))
--- a/direct/arrive.go
+++ b/direct/arrive.go
@@ -3,7 +3,7 @@
 import "time"
 
 // arrive takes a request in and tries to place it.
-func (m *Machine) arrive(msg ArriveMsg) {
+func (m *Machine) arrive(msg RequestMsg) {
 	r := m.newRun(msg.Now, msg.Request)
 	m.runs[r.ID] = r
 	p := m.pool(r.Service)
@@ -33,7 +33,7 @@
 
 // door refuses a request whose team has no allowance left for it, or that may run nowhere.
 // The router asks before it reads the body, so that a flood costs it little.
-func (m *Machine) door(msg DoorMsg) {
+func (m *Machine) door(msg AdmissionCheckMsg) {
 	r := m.newRun(msg.Now, msg.Request)
 	p := m.pool(r.Service)
 	if r.Regions.None() {
@@ -47,7 +47,7 @@
 		return
 	}
 	m.count(msg.Now, p, r)
-	m.giveUp(msg.Now, p, r, ReasonShare)
+	m.giveUp(msg.Now, p, r, ReasonOverShare)
 }
 
 // hopeless tells whether a request would wait in vain: its team's allowance cannot
--- a/direct/bench_test.go
+++ b/direct/bench_test.go
@@ -17,7 +17,7 @@
 }
 
 func newBench(t *testing.T, servers int) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Budget: BudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
+	b := &bench{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}, {Name: "app"}},
@@ -39,7 +39,7 @@
 }
 
 // request returns one of a team, with parts as given.
-func (b *bench) request(team string, parts ...Part) Request {
+func (b *bench) request(team string, parts ...PromptPart) Request {
 	b.next++
 	return Request{
 		ID: b.next, Team: team, Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Priority: 1,
@@ -48,17 +48,17 @@
 }
 
 func (b *bench) arrive(r Request) []Cmd {
-	return append([]Cmd(nil), b.m.Update(ArriveMsg{Now: b.now, Request: r})...)
+	return append([]Cmd(nil), b.m.Update(RequestMsg{Now: b.now, Request: r})...)
 }
 
 func (b *bench) end(id RequestID, o Outcome, retry bool) []Cmd {
-	return append([]Cmd(nil), b.m.Update(EndMsg{Now: b.now, ID: id, Outcome: o, Retry: retry})...)
+	return append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: id, Outcome: o, Retry: retry})...)
 }
 
 func (b *bench) pass(d time.Duration) []Cmd {
 	var out []Cmd
 	for end := b.now + d; b.now < end; {
-		b.now += TickEvery
+		b.now += TickInterval
 		out = append(out, b.m.Update(TickMsg{Now: b.now})...)
 	}
 	return out
--- a/direct/blame.go
+++ b/direct/blame.go
@@ -102,7 +102,7 @@
 // blameEnded takes in what a probe tells of a server at which attempts broke off. Only a host
 // that answers says that the server has crashed: where nothing answers, the network may have
 // failed. It tells whether the server has crashed.
-func (m *Machine) blameEnded(msg ProbeMsg, s *server) bool {
+func (m *Machine) blameEnded(msg ProbeResultMsg, s *server) bool {
 	b := &s.blamed
 	if len(b.contents) == 0 {
 		return false
@@ -114,7 +114,7 @@
 	}
 	contents := b.contents
 	b.contents, b.reachedAt = nil, 0
-	if !msg.Refused {
+	if !msg.ConnRefused {
 		return false
 	}
 	b.crashed, b.crashedAt = true, msg.Now
--- a/direct/blame_test.go
+++ b/direct/blame_test.go
@@ -13,14 +13,14 @@
 
 // with returns a request of a content.
 func (b *bench) with(c quarantine.Content) Request {
-	r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 1000})
+	r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 1000})
 	r.Content = c
 	return r
 }
 
 // crash has the attempt of a request break off, with its server's host answering the probe as
 // said, and returns what the request gets next.
-func (b *bench) crash(id RequestID, probed ProbeMsg) []Cmd {
+func (b *bench) crash(id RequestID, probed ProbeResultMsg) []Cmd {
 	cmds := b.end(id, Broken, true)
 	if probe, ok := find[ProbeCmd](cmds); ok {
 		probed.Now, probed.Server = b.now, probe.Server.ID
@@ -36,7 +36,7 @@
 	b.sent(b.arrive(r))
 	r.Attempts = 1
 	b.m.runs[r.ID].Attempts = 1
-	b.crash(r.ID, ProbeMsg{Refused: true})
+	b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
 	b.pass(5 * time.Second) // others are there meanwhile
 }
 
@@ -47,25 +47,25 @@
 	b := newBench(t, 8)
 	first := b.with(harmful)
 	b.sent(b.arrive(first))
-	b.sent(b.crash(first.ID, ProbeMsg{Refused: true}))
-	failed, ok := find[FailCmd](b.crash(first.ID, ProbeMsg{Refused: true}))
+	b.sent(b.crash(first.ID, ProbeResultMsg{ConnRefused: true}))
+	failed, ok := find[FailCmd](b.crash(first.ID, ProbeResultMsg{ConnRefused: true}))
 	require.True(t, ok)
 	require.Equal(t, ReasonAttempts, failed.Reason)
 
 	second := b.with(harmful)
 	b.sent(b.arrive(second))
-	cmds := b.crash(second.ID, ProbeMsg{Refused: true})
+	cmds := b.crash(second.ID, ProbeResultMsg{ConnRefused: true})
 	failed, ok = find[FailCmd](cmds)
 	require.True(t, ok, "no further server: %v", cmds)
-	require.Equal(t, ReasonCrashes, failed.Reason)
+	require.Equal(t, ReasonQuarantined, failed.Reason)
 	began, ok := find[QuarantineCmd](cmds)
 	require.True(t, ok)
 	require.Equal(t, quarantine.Change{Content: harmful, Barred: true, Crashes: 3}, began.Change)
 
 	refused, ok := find[RefuseCmd](b.arrive(b.with(harmful)))
 	require.True(t, ok)
-	require.Equal(t, ReasonCrashes, refused.Reason)
-	require.Equal(t, quarantine.Hold, refused.After)
+	require.Equal(t, ReasonQuarantined, refused.Reason)
+	require.Equal(t, quarantine.Hold, refused.RetryAfter)
 	b.sent(b.arrive(b.with(harmful + 1)))
 	b.sent(b.arrive(b.with(0)))
 }
@@ -73,7 +73,7 @@
 // TestBrokenConnectionIsNoCrash has attempts break off at servers that live, or of which
 // nobody knows: that blames nobody.
 func TestBrokenConnectionIsNoCrash(t *testing.T) {
-	for _, probed := range []ProbeMsg{{Reached: true}, {}, {Slow: true}} {
+	for _, probed := range []ProbeResultMsg{{Reached: true}, {}, {RouterLate: true}} {
 		b := newBench(t, 8)
 		for range 4 {
 			r := b.with(harmful)
@@ -92,13 +92,13 @@
 		b := newBench(t, 2)
 		r := b.with(harmful)
 		b.sent(b.arrive(r))
-		b.crash(r.ID, ProbeMsg{Reached: true})
+		b.crash(r.ID, ProbeResultMsg{Reached: true})
 		require.Zero(t, b.m.suspects.Crashes(harmful))
-		_, early := find[ProbeCmd](b.pass(probeAgainAfter - TickEvery))
+		_, early := find[ProbeCmd](b.pass(probeAgainAfter - TickInterval))
 		require.False(t, early)
-		probe, again := find[ProbeCmd](b.pass(2 * TickEvery))
+		probe, again := find[ProbeCmd](b.pass(2 * TickInterval))
 		require.True(t, again)
-		b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: !refused, Refused: refused})
+		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: !refused, ConnRefused: refused})
 		require.Equal(t, crashes, b.m.suspects.Crashes(harmful))
 		_, more := find[ProbeCmd](b.pass(time.Second))
 		require.False(t, more)
@@ -108,15 +108,15 @@
 // TestSettledRequestIsNotBlamed has a server crash under a request that it has worked on for
 // long, and under one that has just begun.
 func TestSettledRequestIsNotBlamed(t *testing.T) {
-	for settled, crashes := range map[time.Duration]int{settledAfter: 0, settledAfter - TickEvery: 1} {
+	for settled, crashes := range map[time.Duration]int{settledAfter: 0, settledAfter - TickInterval: 1} {
 		b := newBench(t, 2)
 		r := b.with(harmful)
 		b.sent(b.arrive(r))
-		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 		b.pass(settled)
-		b.crash(r.ID, ProbeMsg{Refused: true})
+		b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
 		require.Equal(t, crashes, b.m.suspects.Crashes(harmful))
-		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 		b.end(r.ID, Done, false)
 		require.Zero(t, b.m.suspects.Crashes(harmful), "it was answered elsewhere")
 	}
@@ -137,7 +137,7 @@
 	require.True(t, ok)
 	_, ok = find[ProbeCmd](b.end(all[1].ID, Broken, true))
 	require.False(t, ok, "one probe is enough")
-	crashed, ok := find[CrashCmd](b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Refused: true}))
+	crashed, ok := find[CrashCmd](b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true}))
 	require.True(t, ok)
 	require.Len(t, crashed.Suspects, 2)
 	_, ok = find[ProbeCmd](b.end(all[2].ID, Broken, true))
@@ -159,19 +159,19 @@
 	}
 	waits := there.with(harmful)
 	require.Empty(t, there.arrive(waits), "it waits")
-	there.m.Update(PeerMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
-	refused := there.pass(TickEvery)
+	there.m.Update(PeerReportMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
+	refused := there.pass(TickInterval)
 	found := false
 	for _, c := range refused {
 		if c, ok := c.(RefuseCmd); ok && c.ID == waits.ID {
 			found = true
-			require.Equal(t, ReasonCrashes, c.Reason)
+			require.Equal(t, ReasonQuarantined, c.Reason)
 		}
 	}
 	require.True(t, found)
 	cmd, ok := find[RefuseCmd](there.arrive(there.with(harmful)))
 	require.True(t, ok)
-	require.Equal(t, ReasonCrashes, cmd.Reason)
+	require.Equal(t, ReasonQuarantined, cmd.Reason)
 }
 
 // TestCrashesAreToldAtOnce has servers crash at one router, which tells of the second and the third
@@ -184,10 +184,10 @@
 		r := here.with(harmful)
 		r.Attempts = 1
 		here.sent(here.arrive(r))
-		_, told := find[ReportCmd](here.crash(r.ID, ProbeMsg{Refused: true}))
+		_, told := find[ReportCmd](here.crash(r.ID, ProbeResultMsg{ConnRefused: true}))
 		require.Equal(t, crashes > 1, told, "crash %d", crashes)
 		if told {
-			heard = there.m.Update(PeerMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
+			heard = there.m.Update(PeerReportMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
 		}
 		here.pass(5 * time.Second)
 	}
@@ -195,7 +195,7 @@
 	require.True(t, toldOn)
 	refused, ok := find[RefuseCmd](there.arrive(there.with(harmful)))
 	require.True(t, ok)
-	require.Equal(t, ReasonCrashes, refused.Reason)
+	require.Equal(t, ReasonQuarantined, refused.Reason)
 }
 
 // TestAttemptGivenUpIsBlamed has a server crash after the attempt at it was given up: as it said
@@ -210,12 +210,12 @@
 		require.Equal(t, server, b.sent(b.arrive(other)))
 		probe, probed := find[ProbeCmd](b.end(r.ID, outcome, false))
 		require.Equal(t, probes, probed, outcome)
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 		if !probes {
 			probe, probed = find[ProbeCmd](b.end(other.ID, Broken, false))
 			require.True(t, probed)
 		}
-		b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Refused: true})
+		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true})
 		require.Equal(t, 1, b.m.suspects.Crashes(harmful), outcome)
 	}
 }
@@ -229,10 +229,10 @@
 		b.end(r.ID, GivenUp, false)
 	}
 	require.Len(t, b.m.byServer["e0"].blamed.left, leftMost)
-	b.pass(crashKnown + TickEvery)
+	b.pass(crashKnown + TickInterval)
 	r := b.with(harmful + 1000)
 	b.sent(b.arrive(r))
-	b.crash(r.ID, ProbeMsg{Refused: true})
+	b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
 	require.Equal(t, 1, b.m.suspects.Crashes(harmful+1000))
 	require.Zero(t, b.m.suspects.Crashes(harmful))
 }
--- a/direct/budget.go
+++ b/direct/budget.go
@@ -7,9 +7,9 @@
 	budgetBuckets = 64
 )
 
-// BudgetOptions bound the retries at a service over the whole fleet: in each
+// RetryBudgetOptions bound the retries at a service over the whole fleet: in each
 // Window at most Ratio of the requests, and Slack more.
-type BudgetOptions struct {
+type RetryBudgetOptions struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
@@ -43,7 +43,7 @@
 
 // spend takes one retry from this router's part of the budget, and tells
 // whether there was one.
-func (b *budget) spend(now time.Duration, o BudgetOptions, routers int) bool {
+func (b *budget) spend(now time.Duration, o RetryBudgetOptions, routers int) bool {
 	n := b.advance(now)
 	buckets := min(int64(o.Window/budgetBucket)+1, budgetBuckets-1)
 	firsts, retries := 0, 0
--- a/direct/cold.go
+++ b/direct/cold.go
@@ -58,7 +58,7 @@
 		if limit := m.pool(s.Service).cold; limit.PerSecond > 0 {
 			s.cold.next = max(s.cold.next, now+m.pacing.first(limit, s.key))
 		}
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefCold, Cause: cause, For: lasts})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusCold, Cause: cause, For: lasts})
 	}
 	s.cold.until = max(s.cold.until, now+lasts)
 }
--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -72,7 +72,7 @@
 func (f *coldFleet) meet(i, known int) {
 	r := f.routers[i]
 	r.knows = known
-	r.machine.Update(PeersMsg{Now: f.now - r.born, Routers: known, Hold: time.Second, Known: known, Rank: min(i, known-1)})
+	r.machine.Update(MembershipMsg{Now: f.now - r.born, Routers: known, ReportTTL: time.Second, Known: known, Rank: min(i, known-1)})
 }
 
 // list brings a router the list of servers as it is.
@@ -98,23 +98,23 @@
 	r := f.routers[i]
 	r.next++
 	now := f.now - r.born
-	cmds := r.machine.Update(ArriveMsg{Now: now, Request: Request{
+	cmds := r.machine.Update(RequestMsg{Now: now, Request: Request{
 		ID: r.next, Team: "red", Service: "llm", Objective: 400 * time.Millisecond, Deadline: now + time.Second,
-		Attempts: 1, PromptTokens: 10, OutputTokens: 1, Parts: []Part{{ID: uint64(r.next)*7919 + uint64(i), Tokens: 5}, {ID: 1, Tokens: 5}},
+		Attempts: 1, PromptTokens: 10, OutputTokens: 1, Parts: []PromptPart{{ID: uint64(r.next)*7919 + uint64(i), Tokens: 5}, {ID: 1, Tokens: 5}},
 	}})
 	if c, ok := find[SendCmd](cmds); ok {
 		f.sent[c.Server.ID] = append(f.sent[c.Server.ID], f.now)
-		r.machine.Update(FirstMsg{Now: now, ID: r.next})
-		r.machine.Update(EndMsg{Now: now, ID: r.next, Outcome: Done})
+		r.machine.Update(FirstEventMsg{Now: now, ID: r.next})
+		r.machine.Update(AttemptEndMsg{Now: now, ID: r.next, Outcome: Done})
 		return
 	}
-	r.machine.Update(LeaveMsg{Now: now, ID: r.next})
+	r.machine.Update(CancelMsg{Now: now, ID: r.next})
 }
 
 // pass lets time pass; every router gets some requests in each step.
 func (f *coldFleet) pass(d time.Duration, each int) {
 	for end := f.now + d; f.now < end; {
-		f.now += TickEvery
+		f.now += TickInterval
 		for i, r := range f.routers {
 			r.machine.Update(TickMsg{Now: f.now - r.born})
 			for range each {
@@ -238,17 +238,17 @@
 // and back to it afterwards.
 func TestColdServerKeepsItsParts(t *testing.T) {
 	b := twoHalls(t)
-	part := Part{ID: 4711, Tokens: 1000}
+	part := PromptPart{ID: 4711, Tokens: 1000}
 	ask := func() string {
-		r := b.request("red", part, Part{ID: uint64(b.next) << 20, Tokens: 100})
+		r := b.request("red", part, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
 		server := b.sent(b.arrive(r))
-		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 		b.end(r.ID, Done, false)
 		b.now += 10 * time.Millisecond
 		return server
 	}
 	home := ask()
-	b.m.Update(PeersMsg{Now: b.now, Routers: 20, Hold: time.Second, Known: 20, Rank: 19})
+	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 19})
 	d := hallDirectory(2)
 	for i := range d.Servers {
 		if d.Servers[i].ID == home {
--- a/direct/config.go
+++ b/direct/config.go
@@ -13,13 +13,13 @@
 
 // The kinds of requests.
 const (
-	Once       Kind = iota // at most once
+	AtMostOnce Kind = iota // at most once
 	Repeatable             // may run more than once
 	Stream                 // a series of events; repeatable where the route is resumable
 )
 
-// Weighted is one service of a route that is split between services.
-type Weighted struct {
+// WeightedService is one service of a route that is split between services.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -30,16 +30,16 @@
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Kind      Kind
-	Split     []Weighted    // at least one
-	Timeout   time.Duration // the longest that a request may be held
-	Objective time.Duration // an answer, or the first event, earns its full worth within it
-	Pause     time.Duration // longest pause between events that is still in time
-	Attempts  int           // servers that one request may be sent to
-	Priority  int           // 0 is the highest
-	Anonymous bool          // needs no key
-	Resumable bool          // a broken stream may go on at another server
-	Sticky    bool          // requests name the parts of their prompts
-	Regions   []string      // that its requests may be served in; empty: all
+	Split     []WeightedService // at least one
+	Timeout   time.Duration     // the longest that a request may be held
+	Objective time.Duration     // an answer, or the first event, earns its full worth within it
+	Pause     time.Duration     // longest pause between events that is still in time
+	Attempts  int               // servers that one request may be sent to
+	Priority  int               // 0 is the highest
+	Anonymous bool              // needs no key
+	Resumable bool              // a broken stream may go on at another server
+	Sticky    bool              // requests name the parts of their prompts
+	Regions   []string          // that its requests may be served in; empty: all
 }
 
 // MayRepeat tells whether a request of the route may run more than once.
@@ -105,16 +105,16 @@
 // incarnationMark stands between a server's name and its start. No name has one.
 const incarnationMark = "@"
 
-// ErrName says that a name can't be a server's.
-var ErrName = errors.New("a server's name has no @, which would be taken for the mark of its start")
+// ErrServerName says that a name can't be a server's.
+var ErrServerName = errors.New("a server's name has no @, which would be taken for the mark of its start")
 
-// Incarnation returns the id of one start of a server: its name, and when it started where
+// IncarnationID returns the id of one start of a server: its name, and when it started where
 // that is known. Whatever is remembered of a server is kept under it, so nothing of an earlier
 // start is taken for the next one's.
-func Incarnation(name string, started *int64) (string, error) {
+func IncarnationID(name string, started *int64) (string, error) {
 	switch {
 	case strings.Contains(name, incarnationMark):
-		return "", errors.Wrapf(ErrName, "%q", name)
+		return "", errors.Wrapf(ErrServerName, "%q", name)
 	case started == nil:
 		return name, nil
 	}
--- a/direct/copies.go
+++ b/direct/copies.go
@@ -55,7 +55,7 @@
 }
 
 // hearCopies takes in what other routers tell of copies.
-func (m *Machine) hearCopies(msg CopiesMsg) {
+func (m *Machine) hearCopies(msg PeerCopiesMsg) {
 	for _, c := range msg.Copies {
 		if s := m.byKey[c.Server]; s != nil {
 			m.holders.note(msg.Now, c.Part, s.ID)
--- a/direct/copies_test.go
+++ b/direct/copies_test.go
@@ -12,7 +12,7 @@
 // told once.
 func TestCopiesAreTold(t *testing.T) {
 	a, b := newBench(t, 4), newBench(t, 4)
-	shared, own := Part{ID: 7, Tokens: 500}, Part{ID: 8, Tokens: 1500}
+	shared, own := PromptPart{ID: 7, Tokens: 500}, PromptPart{ID: 8, Tokens: 1500}
 	first := a.sent(a.arrive(a.request("red", shared, own)))
 	require.Empty(t, a.m.TakeCopies(), "all routers try this server first")
 	copied := first
@@ -21,7 +21,7 @@
 		copied = a.sent(a.arrive(a.request("red", shared, own)))
 	}
 	require.NotEqual(t, first, copied)
-	b.m.Update(CopiesMsg{Now: b.now, Copies: a.m.TakeCopies()})
+	b.m.Update(PeerCopiesMsg{Now: b.now, Copies: a.m.TakeCopies()})
 	p := b.m.pool("llm")
 	for _, id := range []string{first, copied} {
 		require.True(t, b.m.holders.has(b.now, p.keeps, shared.ID, id), id)
@@ -32,7 +32,7 @@
 // TestCopiesOfUnknownServersAreIgnored hears of a server that is not listed.
 func TestCopiesOfUnknownServersAreIgnored(t *testing.T) {
 	b := newBench(t, 2)
-	b.m.Update(CopiesMsg{Now: b.now, Copies: []loads.Copy{{Part: 7, Server: 12345}}})
+	b.m.Update(PeerCopiesMsg{Now: b.now, Copies: []loads.Copy{{Part: 7, Server: 12345}}})
 	require.Empty(t, b.m.holders.of(7))
 }
 
--- a/direct/crashplay_test.go
+++ b/direct/crashplay_test.go
@@ -42,7 +42,7 @@
 		p.ended[content]++
 		p.crashed = append(p.crashed, send.Server.ID)
 		company := p.company(send.Server.ID)
-		cmds = b.crash(r.ID, ProbeMsg{Refused: true})
+		cmds = b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
 		p.breakOff(company)
 	}
 }
@@ -67,7 +67,7 @@
 		case sent && send.Server.ID == server:
 			there = append(there, harmless{b, r})
 		case sent:
-			b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			b.end(r.ID, Done, false)
 		}
 	}
@@ -78,17 +78,17 @@
 // and then at a server that crashes too.
 func (p *crashPlay) breakOff(company []harmless) {
 	for _, h := range company {
-		cmds := h.at.crash(h.r.ID, ProbeMsg{Refused: true})
+		cmds := h.at.crash(h.r.ID, ProbeResultMsg{ConnRefused: true})
 		for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
 			if p.random.IntN(4) > 0 {
-				h.at.m.Update(FirstMsg{Now: h.at.now, ID: h.r.ID})
+				h.at.m.Update(FirstEventMsg{Now: h.at.now, ID: h.r.ID})
 				h.at.end(h.r.ID, Done, false)
 				break
 			}
 			p.crashed = append(p.crashed, send.Server.ID)
-			cmds = h.at.crash(h.r.ID, ProbeMsg{Refused: true})
+			cmds = h.at.crash(h.r.ID, ProbeResultMsg{ConnRefused: true})
 		}
-		if failed, ok := find[FailCmd](cmds); ok && failed.Reason == ReasonCrashes {
+		if failed, ok := find[FailCmd](cmds); ok && failed.Reason == ReasonQuarantined {
 			p.refused++
 		}
 	}
@@ -112,7 +112,7 @@
 			report := from.m.Report(from.now)
 			for j, to := range p.fleet {
 				if i != j && p.random.IntN(3) > 0 {
-					to.m.Update(PeerMsg{Now: to.now, Peer: "x", Report: report})
+					to.m.Update(PeerReportMsg{Now: to.now, Peer: "x", Report: report})
 				}
 			}
 		}
@@ -144,7 +144,7 @@
 		p.endServers(running, ended)
 		var next []copyOf
 		for _, c := range running {
-			next = p.runs(next, c, c.at.crash(c.r.ID, ProbeMsg{Refused: true}))
+			next = p.runs(next, c, c.at.crash(c.r.ID, ProbeResultMsg{ConnRefused: true}))
 		}
 		running = next
 	}
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -19,7 +19,7 @@
 )
 
 // end takes in how an attempt ended, and decides whether there is another.
-func (m *Machine) end(msg EndMsg) {
+func (m *Machine) end(msg AttemptEndMsg) {
 	r := m.runs[msg.ID]
 	if r == nil || r.at == nil {
 		return
@@ -33,9 +33,9 @@
 	m.sawEnd(p, msg, r, s)
 	p.noteEnded(r, s, msg.Outcome)
 	switch {
-	case msg.Outcome == Unsent && msg.Refused && s.lapsedAt > 0:
+	case msg.Outcome == Unsent && msg.ConnRefused && s.lapsedAt > 0:
 		m.dropEnded(msg.Now, p, s)
-	case !msg.Slow || msg.Outcome == Done:
+	case !msg.RouterLate || msg.Outcome == Done:
 		m.judge(msg.Now, p, s, msg.Outcome)
 	}
 	if msg.Retry {
@@ -58,12 +58,12 @@
 	case Done:
 		if s.succeeded() {
 			s.pause /= 2
-			m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBack, Cause: "answered"})
+			m.emit(ServerStatusCmd{Server: s.Server, Status: StatusRestored, Cause: "answered"})
 		}
 	case NotRun:
 		s.fullUntil = now + fullPause
 	case Unsent, Elsewhere:
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.down(now)})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.down(now)})
 	case Failed, Broken:
 		m.failed(now, p, s, 1, o)
 	case Hung:
@@ -76,7 +76,7 @@
 	if !s.failed(weight, medianFailures(side)) || mostEjected(now, side) || !m.uses(Ejection) {
 		return
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.eject(now)})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.eject(now)})
 }
 
 // again decides on another attempt for a request whose last one brought no
@@ -96,22 +96,22 @@
 	default:
 		r.mayRan = true
 		if !r.MayRepeat {
-			m.giveUp(now, p, r, ReasonOnce)
+			m.giveUp(now, p, r, ReasonAtMostOnce)
 			return
 		}
 	}
 	switch {
 	// The probe that tells of a crash has not ended yet, and a fourth server would be lost.
 	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneMore(r.Content):
-		m.giveUp(now, p, r, ReasonCrashes)
+		m.giveUp(now, p, r, ReasonQuarantined)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
 	case r.attempt >= r.Attempts:
 		m.giveUp(now, p, r, ReasonAttempts)
 	case o == Moved && r.placement.moving: // the budget was charged with the move
 		m.enqueue(now, p, r)
-	case !p.budget.spend(now, m.options.Budget, m.routers):
-		m.giveUp(now, p, r, ReasonBudget)
+	case !p.budget.spend(now, m.options.RetryBudget, m.routers):
+		m.giveUp(now, p, r, ReasonRetryBudget)
 	default:
 		m.enqueue(now, p, r)
 	}
@@ -125,7 +125,7 @@
 	case len(p.order) == 0:
 		reason = ReasonNoServers
 	case r.above:
-		reason = ReasonShare
+		reason = ReasonOverShare
 	}
 	m.giveUp(now, p, r, reason)
 }
@@ -138,7 +138,7 @@
 		m.emit(FailCmd{ID: r.ID, Reason: reason})
 		return
 	}
-	m.emit(RefuseCmd{ID: r.ID, Reason: reason, After: m.comeBack(now, p, r, reason), Share: r.over})
+	m.emit(RefuseCmd{ID: r.ID, Reason: reason, RetryAfter: m.comeBack(now, p, r, reason), Share: r.over})
 }
 
 // comeBack says when a refused request would find room: when the servers have
@@ -146,7 +146,7 @@
 // over half an objective so that not all come at once. A team above its share is
 // told to wait for its allowance too.
 func (m *Machine) comeBack(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
-	if reason == ReasonCrashes {
+	if reason == ReasonQuarantined {
 		return quarantine.Hold
 	}
 	backlog, n := 0.0, 0
@@ -170,7 +170,7 @@
 		soonest, _ := p.backoffEnds(now, r.Regions)
 		after += soonest
 	}
-	if reason == ReasonShare {
+	if reason == ReasonOverShare {
 		after += m.overdue(now, r.Team)
 	}
 	return after
--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -16,7 +16,7 @@
 		b.sent(b.arrive(r))
 		fail, ok := find[FailCmd](b.end(r.ID, o, true))
 		require.True(t, ok, o.String())
-		require.Equal(t, ReasonOnce, fail.Reason)
+		require.Equal(t, ReasonAtMostOnce, fail.Reason)
 	}
 }
 
@@ -49,7 +49,7 @@
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 4} {
 		b := newBench(t, 4)
-		b.m.Update(PeersMsg{Now: b.now, Routers: routers, Hold: time.Second})
+		b.m.Update(MembershipMsg{Now: b.now, Routers: routers, ReportTTL: time.Second})
 		retries := 0
 		for range 100 {
 			r := b.request("red")
@@ -80,7 +80,7 @@
 		if server == "e0" {
 			outcome = Failed
 		}
-		if belief, ok := find[BeliefCmd](b.end(r.ID, outcome, false)); ok && belief.Belief == BeliefEjected {
+		if belief, ok := find[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && belief.Status == StatusEjected {
 			ejected = belief.Server.ID
 		}
 	}
@@ -90,13 +90,13 @@
 		require.NotEqual(t, "e0", b.sent(b.arrive(r)))
 		b.end(r.ID, Done, false)
 	}
-	b.pass(ejectShortest + TickEvery)
+	b.pass(ejectShortest + TickInterval)
 	back := false
 	for i := 0; i < 100 && !back; i++ {
-		r := b.request("red", Part{ID: uint64(i), Tokens: 1}, Part{ID: 9, Tokens: 1})
+		r := b.request("red", PromptPart{ID: uint64(i), Tokens: 1}, PromptPart{ID: 9, Tokens: 1})
 		b.sent(b.arrive(r))
-		belief, ok := find[BeliefCmd](b.end(r.ID, Done, false))
-		back = ok && belief.Belief == BeliefBack
+		belief, ok := find[ServerStatusCmd](b.end(r.ID, Done, false))
+		back = ok && belief.Status == StatusRestored
 	}
 	require.True(t, back)
 }
@@ -125,8 +125,8 @@
 	for range 50 {
 		r := b.request("red")
 		b.sent(b.arrive(r))
-		for _, c := range b.m.Update(EndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, Slow: true}) {
-			_, belief := c.(BeliefCmd)
+		for _, c := range b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, RouterLate: true}) {
+			_, belief := c.(ServerStatusCmd)
 			require.False(t, belief)
 		}
 	}
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -55,6 +55,6 @@
 				servers++
 			}
 		}
-		m.emit(HallCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsAt, Servers: servers})
+		m.emit(EvacuationCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsAt, Servers: servers})
 	}
 }
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -11,7 +11,7 @@
 // twoHalls returns a bench with three servers in hall a and three in hall b, which bear
 // few requests while they are cold.
 func twoHalls(t *testing.T) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Budget: BudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
+	b := &bench{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}, Cold: ColdLimit{PerSecond: 20, Lasts: 3 * time.Second}}},
@@ -39,13 +39,13 @@
 func (b *bench) sentTo(d time.Duration) map[string]int {
 	halls := make(map[string]int)
 	for end := b.now + d; b.now < end; {
-		r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 100})
+		r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
 		if c, ok := find[SendCmd](b.arrive(r)); ok {
 			halls[c.Server.Zone]++
-			b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			b.end(r.ID, Done, false)
 		}
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 	return halls
 }
@@ -56,9 +56,9 @@
 	both := b.sentTo(time.Second)
 	require.NotZero(t, both["a"])
 	require.NotZero(t, both["b"])
-	told, ok := find[HallCmd](b.evacuate(2, "b"))
+	told, ok := find[EvacuationCmd](b.evacuate(2, "b"))
 	require.True(t, ok)
-	require.Equal(t, HallCmd{Hall: "b", Evacuated: true, Revision: 2, Servers: 3}, told)
+	require.Equal(t, EvacuationCmd{Hall: "b", Evacuated: true, Revision: 2, Servers: 3}, told)
 	require.Zero(t, b.sentTo(time.Second)["b"])
 	b.evacuate(3, "a")
 	require.Zero(t, b.sentTo(time.Second)["a"], "another hall")
@@ -102,7 +102,7 @@
 // say that they are cold, they get no more than a cold server bears.
 func TestReturnedServersCountAsCold(t *testing.T) {
 	b := twoHalls(t)
-	b.m.Update(PeersMsg{Now: b.now, Routers: 20, Hold: time.Second, Known: 20, Rank: 3})
+	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 3})
 	b.evacuate(2, "b")
 	b.pass(time.Second)
 	b.evacuate(3)
--- a/direct/even.go
+++ b/direct/even.go
@@ -26,7 +26,7 @@
 // teams that are not bound to regions, and for each group of those that are.
 func (m *Machine) boundEven(now time.Duration) {
 	m.even = math.Inf(1)
-	if !m.uses(EvenBound) {
+	if !m.uses(EvenCap) {
 		return
 	}
 	free := m.leastServed(now)
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -78,7 +78,7 @@
 }
 
 // sawEnd takes in how an attempt ended.
-func (m *Machine) sawEnd(p *pool, msg EndMsg, r *run, s *server) {
+func (m *Machine) sawEnd(p *pool, msg AttemptEndMsg, r *run, s *server) {
 	if p.gate == nil {
 		return
 	}
@@ -87,7 +87,7 @@
 	case msg.Outcome == Failed:
 		m.tellFailure(msg.Now, p, r, s)
 	case msg.Outcome == Hung:
-		if !msg.Slow && seen.firstAt == 0 && s.answeredOthers(r.sentAt, msg.Now) {
+		if !msg.RouterLate && seen.firstAt == 0 && s.answeredOthers(r.sentAt, msg.Now) {
 			m.tell(msg.Now, r, s, false, true)
 		}
 	case msg.Outcome != Done:
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -67,7 +67,7 @@
 			w.events = w.events[1:]
 			w.happen(e)
 		}
-		if w.b.now%TickEvery == 0 {
+		if w.b.now%TickInterval == 0 {
 			w.take(w.b.m.Update(TickMsg{Now: w.b.now}))
 		}
 	}
@@ -80,18 +80,18 @@
 		shared, own, output int
 	}{{"plan", 5400, 6600, 55}, {"chat", 200, 630, 42}, {"tag", 570, 1800, 3}}[w.random.IntN(3)]
 	part := uint64(w.random.IntN(200))*10 + uint64(len(route.name))
-	r := w.b.request("red", Part{ID: part, Tokens: route.shared}, Part{ID: uint64(w.b.next) << 32, Tokens: route.own})
+	r := w.b.request("red", PromptPart{ID: part, Tokens: route.shared}, PromptPart{ID: uint64(w.b.next) << 32, Tokens: route.own})
 	r.Route, r.PromptTokens, r.OutputTokens, r.Objective = route.name, route.shared+route.own, route.output, 800*time.Millisecond
 	return r
 }
 
 func (w *workload) happen(e modelEvent) {
 	if e.first {
-		w.take(w.b.m.Update(FirstMsg{Now: w.b.now, ID: e.id}))
+		w.take(w.b.m.Update(FirstEventMsg{Now: w.b.now, ID: e.id}))
 		return
 	}
 	e.server.running--
-	w.take(w.b.m.Update(EndMsg{Now: w.b.now, ID: e.id, Outcome: Done}))
+	w.take(w.b.m.Update(AttemptEndMsg{Now: w.b.now, ID: e.id, Outcome: Done}))
 }
 
 func (w *workload) take(cmds []Cmd) {
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -40,12 +40,12 @@
 	c, ok := find[SendCmd](cmds)
 	require.True(b.t, ok)
 	times, read := slow.old, r.ownTokens()
-	if c.Basis.Target {
+	if c.PlacementBasis.Target {
 		times = slow.target
 		read += anew
 	}
 	b.now += milliseconds(times * (10 + float64(read)/60))
-	cmds = append(cmds, b.m.Update(FirstMsg{Now: b.now, ID: r.ID})...)
+	cmds = append(cmds, b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})...)
 	cmds = append(cmds, b.pass(milliseconds(times*5*float64(r.OutputTokens)))...)
 	return answers(append(cmds, b.end(r.ID, Done, false)...))
 }
@@ -106,11 +106,11 @@
 		var got tally
 		for range 200 {
 			r := b.one("stock")
-			r.Service, r.Kind = "app", Once
+			r.Service, r.Kind = "app", AtMostOnce
 			c, ok := find[SendCmd](b.arrive(r))
 			require.True(t, ok)
 			took := 60 * time.Millisecond
-			if c.Basis.Target {
+			if c.PlacementBasis.Target {
 				took *= times
 			}
 			b.now += took
@@ -133,7 +133,7 @@
 	const shared = 12000
 	b := newMove(t, trial(0))
 	request := func(i int) Request {
-		r := b.request("red", Part{ID: uint64(i + 1), Tokens: shared}, Part{ID: uint64(b.next) << 32, Tokens: 500})
+		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.next) << 32, Tokens: 500})
 		r.PromptTokens = shared + 500
 		return r
 	}
@@ -221,7 +221,7 @@
 	b.rateOld("chat")
 	whole := b.one("chat")
 	b.sent(b.arrive(whole))
-	b.m.Update(FirstMsg{Now: b.now, ID: whole.ID})
+	b.m.Update(FirstEventMsg{Now: b.now, ID: whole.ID})
 	got := answers(b.end(whole.ID, Failed, false))
 	require.Len(t, got, 1)
 	require.False(t, got[0].Later)
@@ -229,8 +229,8 @@
 
 	stream := b.one("chat")
 	b.sent(b.arrive(stream))
-	b.m.Update(FirstMsg{Now: b.now, ID: stream.ID})
-	got = append(answers(b.pass(TickEvery)), answers(b.end(stream.ID, Failed, false))...)
+	b.m.Update(FirstEventMsg{Now: b.now, ID: stream.ID})
+	got = append(answers(b.pass(TickInterval)), answers(b.end(stream.ID, Failed, false))...)
 	require.Len(t, got, 2)
 	require.Equal(t, []bool{false, true}, []bool{got[0].Bad, got[1].Bad})
 	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
--- a/direct/flood_bench_test.go
+++ b/direct/flood_bench_test.go
@@ -61,11 +61,11 @@
 	id := RequestID(0)
 	for i := 0; b.Loop(); i++ {
 		if i%perTick == 0 {
-			now += TickEvery
+			now += TickInterval
 			take(m.Update(TickMsg{Now: now}))
 			for len(open) > 0 && now-open[0].at > answered {
-				m.Update(FirstMsg{Now: now, ID: open[0].id})
-				take(m.Update(EndMsg{Now: now, ID: open[0].id, Outcome: Done}))
+				m.Update(FirstEventMsg{Now: now, ID: open[0].id})
+				take(m.Update(AttemptEndMsg{Now: now, ID: open[0].id, Outcome: Done}))
 				open = open[1:]
 			}
 		}
@@ -74,10 +74,10 @@
 		if i%perTick == 0 {
 			team = "small"
 		}
-		take(m.Update(ArriveMsg{Now: now, Request: Request{
+		take(m.Update(RequestMsg{Now: now, Request: Request{
 			ID: id, Team: team, Service: "llm", Kind: Stream, Attempts: 1, Objective: 400 * time.Millisecond,
 			Deadline: now + 10*time.Second, PromptTokens: 5000, OutputTokens: 200,
-			Parts: []Part{{ID: 1, Tokens: 500}, {ID: uint64(i%800) + 2, Tokens: 2000}, {ID: uint64(id) + 10_000, Tokens: 2500}},
+			Parts: []PromptPart{{ID: 1, Tokens: 500}, {ID: uint64(i%800) + 2, Tokens: 2000}, {ID: uint64(id) + 10_000, Tokens: 2500}},
 		}}))
 	}
 }
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -78,7 +78,7 @@
 // start adds a router; it knows the gate, or hears of it later.
 func (s *site) start() {
 	r := &siteRouter{waiting: make(map[RequestID]Request), m: NewMachine(Options{
-		Zone: "a", Gated: true, Budget: BudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
+		Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
 	})}
 	s.routers = append(s.routers, r)
 	s.update(r, ConfigMsg{Now: s.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 1e6}, Services: []Service{{
@@ -172,7 +172,7 @@
 		for len(r.running) > 0 {
 			s.endOf(r, 0, Done, false)
 		}
-		s.now += TickEvery
+		s.now += TickInterval
 		s.update(r, TickMsg{Now: s.now})
 	}
 }
@@ -187,10 +187,10 @@
 	if shared {
 		// The first of them is hot.
 		part := max(rapid.IntRange(-6, 12).Draw(s.t, "part"), 1)
-		request.Parts = []Part{{ID: uint64(part), Tokens: 500}, {ID: uint64(request.ID) << 32, Tokens: 100}}
+		request.Parts = []PromptPart{{ID: uint64(part), Tokens: 500}, {ID: uint64(request.ID) << 32, Tokens: 100}}
 	}
 	r.waiting[request.ID] = request
-	s.update(r, ArriveMsg{Now: s.now, Request: request})
+	s.update(r, RequestMsg{Now: s.now, Request: request})
 }
 
 func (s *site) update(r *siteRouter, msg Msg) {
@@ -214,16 +214,16 @@
 	require.NotEqual(s.t, "v3", c.Server.Version, "a version that was never ordered gets a request")
 	require.NotEmpty(s.t, r.gate.Service, "sent without a gate")
 	target := c.Server.Version == "v2"
-	require.Equal(s.t, target, c.Basis.Target)
+	require.Equal(s.t, target, c.PlacementBasis.Target)
 	require.False(s.t, target && r.gate.Part == 0, "no part of the requests is the target's")
 	require.False(s.t, !target && r.gate.OldClosed, "old versions are closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
 		seen := s.parts[part.ID]
 		switch {
-		case c.Basis.Side == SideOld:
+		case c.PlacementBasis.Side == SideOld:
 			seen.old = max(seen.old, r.gate.Part)
-		case c.Basis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Part < seen.target):
+		case c.PlacementBasis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Part < seen.target):
 			seen.target = r.gate.Part
 		}
 		s.parts[part.ID] = seen
@@ -257,7 +257,7 @@
 	for _, q := range r.running {
 		if q.reached && !q.begun {
 			q.begun = true
-			s.update(r, FirstMsg{Now: s.now, ID: q.ID})
+			s.update(r, FirstEventMsg{Now: s.now, ID: q.ID})
 			return
 		}
 	}
@@ -290,12 +290,12 @@
 		o = Broken
 	}
 	r.running = append(r.running[:i:i], r.running[i+1:]...)
-	s.update(r, EndMsg{Now: s.now, ID: q.ID, Outcome: o, Retry: retry})
+	s.update(r, AttemptEndMsg{Now: s.now, ID: q.ID, Outcome: o, Retry: retry})
 }
 
 func (s *site) tick() {
 	for range rapid.IntRange(1, 20).Draw(s.t, "ticks") {
-		s.now += TickEvery
+		s.now += TickInterval
 		for _, r := range s.routers {
 			s.update(r, TickMsg{Now: s.now})
 		}
@@ -322,8 +322,8 @@
 // gate that lets the only version through: both decide alike.
 func TestRolloutGateWithOneVersionIsNoGate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := BudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
-		plain, gated := NewMachine(Options{Zone: "a", Budget: budget}), NewMachine(Options{Zone: "a", Budget: budget, Gated: true})
+		budget := RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+		plain, gated := NewMachine(Options{Zone: "a", RetryBudget: budget}), NewMachine(Options{Zone: "a", RetryBudget: budget, Gated: true})
 		update := func(msg Msg) []Cmd {
 			cmds := append([]Cmd(nil), plain.Update(msg)...)
 			require.Equal(t, cmds, append([]Cmd(nil), gated.Update(msg)...))
@@ -340,18 +340,18 @@
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step < 3:
 				next++
-				cmds = update(ArriveMsg{Now: now, Request: Request{
+				cmds = update(RequestMsg{Now: now, Request: Request{
 					ID: next, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
-					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []Part{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
+					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
 				}})
 			case step == 3 && len(running) > 0:
 				id := running[0]
 				running = running[1:]
-				update(FirstMsg{Now: now, ID: id})
+				update(FirstEventMsg{Now: now, ID: id})
 				o := rapid.SampledFrom([]Outcome{Done, Failed, Broken, NotRun, Unsent}).Draw(t, "outcome")
-				cmds = update(EndMsg{Now: now, ID: id, Outcome: o, Retry: o != Done})
+				cmds = update(AttemptEndMsg{Now: now, ID: id, Outcome: o, Retry: o != Done})
 			default:
-				now += TickEvery
+				now += TickInterval
 				cmds = update(TickMsg{Now: now})
 			}
 			for _, c := range cmds {
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -13,7 +13,7 @@
 // newMove returns a bench with six old and six new servers in three halls, whose service
 // moves from v1 to v2 by the gate, and which has run long enough for them to settle.
 func newMove(t *testing.T, g rollout.Gate) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Gated: true, Budget: BudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
+	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}},
@@ -48,14 +48,14 @@
 
 // one returns a request of a route with a shared part of its own.
 func (b *bench) one(route string) Request {
-	r := b.request("red", Part{ID: uint64(b.next)*7919 + 1, Tokens: 100}, Part{ID: uint64(b.next) << 32, Tokens: 100})
+	r := b.request("red", PromptPart{ID: uint64(b.next)*7919 + 1, Tokens: 100}, PromptPart{ID: uint64(b.next) << 32, Tokens: 100})
 	r.Route = route
 	return r
 }
 
 // answer lets a running request end well.
 func (b *bench) answer(id RequestID) []Cmd {
-	out := append([]Cmd(nil), b.m.Update(FirstMsg{Now: b.now, ID: id})...)
+	out := append([]Cmd(nil), b.m.Update(FirstEventMsg{Now: b.now, ID: id})...)
 	return append(out, b.end(id, Done, false)...)
 }
 
@@ -70,9 +70,9 @@
 			b.answer(r.ID)
 		} else {
 			counts["none"]++
-			b.m.Update(LeaveMsg{Now: b.now, ID: r.ID})
+			b.m.Update(CancelMsg{Now: b.now, ID: r.ID})
 		}
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 	return counts
 }
@@ -123,8 +123,8 @@
 	d.Servers = d.Servers[1:]
 	cmds := b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	for _, c := range cmds {
-		if belief, ok := c.(BeliefCmd); ok {
-			require.Equal(t, BeliefGone, belief.Belief, belief.Server.ID)
+		if belief, ok := c.(ServerStatusCmd); ok {
+			require.Equal(t, StatusGone, belief.Status, belief.Server.ID)
 		}
 	}
 	require.Len(t, b.m.pool("llm").order, 6, "gone servers are forgotten later")
@@ -192,14 +192,14 @@
 	sent := 0
 	for range 1000 {
 		r := b.one("chat")
-		r.Parts = []Part{{ID: unmoved, Tokens: 50}, {ID: uint64(r.ID) << 32, Tokens: 50}}
+		r.Parts = []PromptPart{{ID: unmoved, Tokens: 50}, {ID: uint64(r.ID) << 32, Tokens: 50}}
 		if c, ok := find[SendCmd](b.arrive(r)); ok {
 			if c.Server.Version == "v2" {
 				sent++
 			}
 			b.answer(r.ID)
 		}
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 	require.Greater(t, sent, 10)
 	require.LessOrEqual(t, sent, 50)
@@ -233,7 +233,7 @@
 			require.Equal(t, "v1", c.Server.Version)
 			b.end(r.ID, Hung, false)
 		}
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 }
 
@@ -248,12 +248,12 @@
 		for i := range 6 {
 			full = append(full, loads.Load{Server: loads.Key(fmt.Sprint("v2-", i)), Running: 48})
 		}
-		b.m.Update(LoadsMsg{Now: b.now, Loads: full})
+		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: full})
 		c, sent := find[SendCmd](b.arrive(b.one("chat")))
 		require.Equal(t, !closed, sent)
 		if sent {
 			require.Equal(t, "v1", c.Server.Version)
-			require.Equal(t, SideFull, c.Basis.Side)
+			require.Equal(t, SideFull, c.PlacementBasis.Side)
 		}
 	}
 }
@@ -279,13 +279,13 @@
 	r := b.one("chat")
 	c, _ := find[SendCmd](b.arrive(r))
 	require.Equal(t, "v2", c.Server.Version)
-	require.True(t, c.Basis.Target)
-	require.Equal(t, SideTarget, c.Basis.Side)
+	require.True(t, c.PlacementBasis.Target)
+	require.Equal(t, SideTarget, c.PlacementBasis.Side)
 	c, ok := find[SendCmd](b.end(r.ID, Failed, true))
 	require.True(t, ok)
 	require.Equal(t, "v1", c.Server.Version)
-	require.False(t, c.Basis.Target)
-	require.Equal(t, SideRetry, c.Basis.Side)
+	require.False(t, c.PlacementBasis.Target)
+	require.Equal(t, SideRetry, c.PlacementBasis.Side)
 }
 
 // TestRolloutRetryWithOldClosed repeats at the target where old servers are closed.
@@ -349,7 +349,7 @@
 		r := b.one("chat")
 		c, ok := find[SendCmd](b.arrive(r))
 		require.True(t, ok)
-		if c.Basis.Target {
+		if c.PlacementBasis.Target {
 			b.end(r.ID, Failed, false)
 		} else {
 			b.answer(r.ID)
--- a/direct/geography.go
+++ b/direct/geography.go
@@ -32,7 +32,7 @@
 }
 
 // placeHalls puts in force in which regions data halls lie.
-func (m *Machine) placeHalls(msg RegionsMsg) {
+func (m *Machine) placeHalls(msg HallRegionsMsg) {
 	m.geography = newGeography(m.options.Region, m.options.Zone, msg.Halls)
 	for _, s := range m.byServer {
 		s.region = m.geography.regionOf(s.Zone)
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -11,14 +11,14 @@
 		p := m.pools[name]
 		unlisted := p.unlisted(listed)
 		went := serving(unlisted)
-		lapsed := m.uses(LapseHold) && went >= lapseLeast && float64(went) >= lapseShare*float64(p.present())
+		lapsed := m.uses(LapseGrace) && went >= lapseLeast && float64(went) >= lapseShare*float64(p.present())
 		for _, s := range unlisted {
 			switch {
 			case !lapsed || s.Draining || s.barred:
 				m.dropServer(now, s, "not listed")
 			case s.lapsedAt == 0:
 				s.lapsedAt = now
-				m.emit(BeliefCmd{Server: s.Server, Belief: BeliefLapsed, Cause: "not listed, with many others", For: m.lapsedFor()})
+				m.emit(ServerStatusCmd{Server: s.Server, Status: StatusLapsed, Cause: "not listed, with many others", For: m.lapsedFor()})
 			}
 		}
 	}
@@ -54,7 +54,7 @@
 		// It has been leaving since then: it is no last resort for longer.
 		s.leavingAt, s.lapsedAt = s.lapsedAt, 0
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefGone, Cause: cause})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusGone, Cause: cause})
 }
 
 // unlisted returns the servers that are known and not listed, but for those that
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -10,10 +10,10 @@
 // services and ids, not in that of a map.
 func TestLapsesAreToldInOrder(t *testing.T) {
 	b := newBench(t, 6)
-	order := func(cmds []Cmd, belief Belief) []string {
+	order := func(cmds []Cmd, belief Status) []string {
 		var ids []string
 		for _, c := range cmds {
-			if c, ok := c.(BeliefCmd); ok && c.Belief == belief {
+			if c, ok := c.(ServerStatusCmd); ok && c.Status == belief {
 				ids = append(ids, c.Server.ID)
 			}
 		}
@@ -21,8 +21,8 @@
 	}
 	all := []string{"p0", "p1", "p2", "p3", "p4", "p5", "e0", "e1", "e2", "e3", "e4", "e5"}
 	lapsed := b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 2}})
-	require.Equal(t, all, order(lapsed, BeliefLapsed))
-	require.Equal(t, all, order(b.pass(lapseHold), BeliefGone))
+	require.Equal(t, all, order(lapsed, StatusLapsed))
+	require.Equal(t, all, order(b.pass(lapseHold), StatusGone))
 }
 
 // TestLapsedServersThatRefuse has three of six servers end at once, as a request that crashes
@@ -44,11 +44,11 @@
 				break
 			}
 			gone[send.Server.ID] = true
-			cmds = append([]Cmd(nil), b.m.Update(EndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, Refused: true, Retry: true})...)
-			_, lost := find[ReachCmd](cmds)
+			cmds = append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, ConnRefused: true, Retry: true})...)
+			_, lost := find[HallReachabilityCmd](cmds)
 			require.False(t, lost)
-			belief, _ := find[BeliefCmd](cmds)
-			require.Equal(t, BeliefGone, belief.Belief)
+			belief, _ := find[ServerStatusCmd](cmds)
+			require.Equal(t, StatusGone, belief.Status)
 		}
 	}
 	require.Len(t, gone, 3, "each was tried")
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -52,7 +52,7 @@
 		s.evacuated = m.evacuated[listed.Zone]
 		s.hallLost = m.reachOf(listed.Zone).lost
 		m.noteCold(now, s, listed.ColdFor, "listed as cold")
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefListed, Cause: "listed"})
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusListed, Cause: "listed"})
 		return true
 	}
 	s.lapsedAt = 0
@@ -65,11 +65,11 @@
 	switch {
 	case listed.Draining && !wasDraining:
 		s.leave(now)
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefDrain, Cause: "listed as draining"})
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusDraining, Cause: "listed as draining"})
 	case !listed.Draining && s.leaving && !s.notices.leaving: // its own word outlasts the list's
 		s.leaving = false
 		s.listedAt = now
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefListed, Cause: "listed again"})
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusListed, Cause: "listed again"})
 	}
 	return false
 }
--- a/direct/listing_test.go
+++ b/direct/listing_test.go
@@ -23,7 +23,7 @@
 	r := b.request("red")
 	b.sent(b.arrive(r))
 	b.end(r.ID, Done, false)
-	b.pass(max(lastResortTime, lapseHold) + TickEvery)
+	b.pass(max(lastResortTime, lapseHold) + TickInterval)
 	r = b.request("red")
 	_, sent := find[SendCmd](b.arrive(r))
 	require.False(t, sent)
--- a/direct/loads.go
+++ b/direct/loads.go
@@ -10,7 +10,7 @@
 const loadsHold = 500 * time.Millisecond
 
 // takeLoads takes in what all other routers have at the servers.
-func (m *Machine) takeLoads(msg LoadsMsg) {
+func (m *Machine) takeLoads(msg PeerLoadsMsg) {
 	m.loadsAt = msg.Now
 	others := make(map[uint32]loads.Load, len(msg.Loads))
 	for _, l := range msg.Loads {
@@ -24,7 +24,7 @@
 // dropLoads forgets the others' loads where nothing new has come for too long.
 func (m *Machine) dropLoads(now time.Duration) {
 	if m.loadsAt > 0 && now-m.loadsAt > loadsHold {
-		m.takeLoads(LoadsMsg{})
+		m.takeLoads(PeerLoadsMsg{})
 	}
 }
 
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -26,13 +26,13 @@
 
 // Options are what a machine is told once.
 type Options struct {
-	Zone        string
-	Region      string            // of this router
-	HallRegions map[string]string // the region of each data hall that is known
-	Budget      BudgetOptions
-	Drain       time.Duration // most that a server that leaves may get requests after its word; 0: unknown
-	Gated       bool          // services without a GateMsg serve nobody
-	Without     Without       // mechanisms that are switched off in experiments
+	Zone               string
+	Region             string            // of this router
+	HallRegions        map[string]string // the region of each data hall that is known
+	RetryBudget        RetryBudgetOptions
+	Drain              time.Duration      // most that a server that leaves may get requests after its word; 0: unknown
+	Gated              bool               // services without a GateMsg serve nobody
+	DisabledMechanisms DisabledMechanisms // mechanisms that are switched off in experiments
 }
 
 // Machine decides for the requests of one router. Its zero value is not of use;
@@ -110,13 +110,13 @@
 	switch msg := msg.(type) {
 	case ConfigMsg:
 		m.configure(msg)
-	case BudgetMsg:
-		m.options.Budget = msg.Budget
+	case RetryBudgetMsg:
+		m.options.RetryBudget = msg.RetryBudget
 	case DrainMsg:
 		m.options.Drain = msg.Drain
 	case ServersMsg:
 		m.list(msg)
-	case RegionsMsg:
+	case HallRegionsMsg:
 		m.placeHalls(msg)
 	case EvacuationsMsg:
 		m.evacuate(msg)
@@ -124,37 +124,37 @@
 		m.suspects.Record(msg.Now, msg.Listed)
 	case GateMsg:
 		m.takeGate(msg)
-	case ArriveMsg:
+	case RequestMsg:
 		m.arrive(msg)
-	case DoorMsg:
+	case AdmissionCheckMsg:
 		m.door(msg)
 	case ShedMsg:
 		team, cost := m.team(msg.Team), tokenCost(msg.PromptTokens, msg.OutputTokens)
 		team.offered.add(msg.Now, cost)
 		team.entered.add(msg.Now, cost)
-	case FirstMsg:
+	case FirstEventMsg:
 		m.first(msg)
 	case NoticeMsg:
 		m.notice(msg)
-	case EndMsg:
+	case AttemptEndMsg:
 		m.end(msg)
-	case ProbeMsg:
+	case ProbeResultMsg:
 		m.probeEnded(msg)
-	case LeaveMsg:
+	case CancelMsg:
 		m.leave(msg)
-	case PeerMsg:
+	case PeerReportMsg:
 		m.peer(msg)
-	case LoadsMsg:
-		if m.uses(Loads) {
+	case PeerLoadsMsg:
+		if m.uses(SharedLoads) {
 			m.takeLoads(msg)
 		}
-	case TeamsMsg:
+	case PeerTeamsMsg:
 		m.takeTeams(msg)
-	case CopiesMsg:
+	case PeerCopiesMsg:
 		m.hearCopies(msg)
-	case PeersMsg:
-		m.routers, m.hold = max(msg.Routers, 1), msg.Hold
-		m.takeQuiet(msg.Quiet)
+	case MembershipMsg:
+		m.routers, m.hold = max(msg.Routers, 1), msg.ReportTTL
+		m.takeQuiet(msg.SilentHalls)
 		m.pacing = coldPacing{routers: max(msg.Known, msg.Routers, 1), rank: msg.Rank}
 	case TickMsg:
 		m.tick(msg.Now)
@@ -164,7 +164,7 @@
 }
 
 // uses tells whether a mechanism is not switched off.
-func (m *Machine) uses(w Mechanism) bool { return m.options.Without.Uses(w) }
+func (m *Machine) uses(w Mechanism) bool { return m.options.DisabledMechanisms.Enabled(w) }
 
 func (m *Machine) emit(c Cmd) { m.out = append(m.out, c) }
 
@@ -193,7 +193,7 @@
 	return p
 }
 
-func (m *Machine) leave(msg LeaveMsg) {
+func (m *Machine) leave(msg CancelMsg) {
 	r := m.runs[msg.ID]
 	if r == nil || !r.waiting {
 		return
--- a/direct/machine_test.go
+++ b/direct/machine_test.go
@@ -18,13 +18,13 @@
 	for part := range uint64(20) {
 		var home string
 		for range 4 {
-			r := b.request("red", Part{ID: 1000 + part, Tokens: 1000}, Part{ID: uint64(b.next) << 20, Tokens: 1000})
+			r := b.request("red", PromptPart{ID: 1000 + part, Tokens: 1000}, PromptPart{ID: uint64(b.next) << 20, Tokens: 1000})
 			server := b.sent(b.arrive(r))
 			if home == "" {
 				home = server
 			}
 			require.Equal(t, home, server, "part %d", part)
-			b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			b.end(r.ID, Done, false)
 			b.now += 50 * time.Millisecond
 		}
@@ -38,7 +38,7 @@
 func TestRoutersAgreeOnHomes(t *testing.T) {
 	one, other := newBench(t, 8), newBench(t, 8)
 	for part := range uint64(30) {
-		parts := []Part{{ID: 77 + part, Tokens: 4000}, {ID: 5, Tokens: 10}}
+		parts := []PromptPart{{ID: 77 + part, Tokens: 4000}, {ID: 5, Tokens: 10}}
 		require.Equal(t, one.sent(one.arrive(one.request("red", parts...))), other.sent(other.arrive(other.request("blue", parts...))))
 		one.end(one.next, Done, false)
 		other.end(other.next, Done, false)
@@ -55,11 +55,11 @@
 		}
 	}
 	waiting := b.next
-	cmds := b.pass(time.Duration(waitShare*400)*time.Millisecond + 2*TickEvery)
+	cmds := b.pass(time.Duration(waitShare*400)*time.Millisecond + 2*TickInterval)
 	refused, ok := find[RefuseCmd](cmds)
 	require.True(t, ok)
 	require.Equal(t, waiting, refused.ID)
-	require.Positive(t, refused.After)
+	require.Positive(t, refused.RetryAfter)
 }
 
 // TestTeamsAboveTheirShares lets a team that stays within its share in while one
@@ -77,14 +77,14 @@
 		r := b.request(team)
 		cmds := b.arrive(r)
 		if i%4 == 0 {
-			cmds = append(cmds, b.pass(TickEvery)...)
+			cmds = append(cmds, b.pass(TickInterval)...)
 		}
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case SendCmd:
 				running = append(running, c.ID)
 				sent[teamOf(c.ID)]++
-				b.m.Update(FirstMsg{Now: b.now, ID: c.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
 			case RefuseCmd:
 				refused[teamOf(c.ID)]++
 			}
@@ -121,15 +121,15 @@
 	at := b.sent(b.arrive(b.request("red")))
 	require.Equal(t, "e0", at)
 	for range 3 {
-		b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9, Pending: 900}, {Server: loads.Key("unknown"), Running: 1}}})
+		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9, Pending: 900}, {Server: loads.Key("unknown"), Running: 1}}})
 	}
-	b.pass(TickEvery)
+	b.pass(TickInterval)
 	require.Equal(t, 10, b.m.byServer["e0"].allRunning())
 	require.Equal(t, 2900, b.m.byServer["e0"].allPending())
 	require.Equal(t, []loads.Load{{Server: loads.Key("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only its own")
-	b.m.Update(LoadsMsg{Now: b.now})
+	b.m.Update(PeerLoadsMsg{Now: b.now})
 	require.Equal(t, 1, b.m.byServer["e0"].allRunning(), "the newest list is whole")
-	b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9}}})
+	b.m.Update(PeerLoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9}}})
 	b.pass(2 * time.Second)
 	require.Equal(t, 1, b.m.byServer["e0"].allRunning())
 }
@@ -139,8 +139,8 @@
 func TestHeadroomIsCommon(t *testing.T) {
 	b := newBench(t, 1)
 	b.m.ownHeadroom = 3
-	b.m.Update(PeerMsg{Now: b.now, Peer: "x", Report: Report{Headroom: 1.2}})
-	b.m.Update(PeerMsg{Now: b.now, Peer: "y", Report: Report{Headroom: 1.4}})
+	b.m.Update(PeerReportMsg{Now: b.now, Peer: "x", Report: Report{Headroom: 1.2}})
+	b.m.Update(PeerReportMsg{Now: b.now, Peer: "y", Report: Report{Headroom: 1.4}})
 	require.InDelta(t, 1.4, b.m.commonHeadroom(), 0.001)
 }
 
@@ -157,7 +157,7 @@
 			charged := b.m.team("red").servedRate(b.now)
 			require.Positive(t, charged)
 			if begun {
-				b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			}
 			b.end(r.ID, o, false)
 			want, left := 0.0, 1e6
@@ -181,7 +181,7 @@
 	hears := func(far loads.TeamUse, rounds int) {
 		far.Team = "far"
 		for range rounds {
-			b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{far, near}})
+			b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{far, near}})
 			b.pass(shareEvery)
 		}
 	}
@@ -199,7 +199,7 @@
 // them is forgotten, and their demand a while later.
 func TestNoNewsOfTeams(t *testing.T) {
 	b := newBench(t, 2)
-	b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
+	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
 	b.pass(loads.TeamsHold)
 	require.EqualValues(t, 40000, b.m.team("far").others.Served)
 	b.pass(time.Second)
@@ -263,8 +263,8 @@
 		for _, s := range b.m.byServer {
 			all = append(all, loads.Load{Server: loads.Key(s.ID), Running: 4, Pending: 600})
 		}
-		b.m.Update(LoadsMsg{Now: b.now, Loads: all})
-		b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "large", Offered: 400_000, Recent: 400_000, Served: 200_000}}})
+		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: all})
+		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "large", Offered: 400_000, Recent: 400_000, Served: 200_000}}})
 		b.pass(shareEvery)
 	}
 	for range 20 {
--- a/direct/mechanism_test.go
+++ b/direct/mechanism_test.go
@@ -10,15 +10,15 @@
 // wrong.
 func TestParseWithout(t *testing.T) {
 	for _, m := range mechanisms {
-		w, err := ParseWithout(string(m))
+		w, err := ParseDisabledMechanisms(string(m))
 		require.NoError(t, err)
-		require.False(t, w.Uses(m))
+		require.False(t, w.Enabled(m))
 	}
-	w, err := ParseWithout("loads, ejection")
+	w, err := ParseDisabledMechanisms("loads, ejection")
 	require.NoError(t, err)
 	require.Equal(t, "loads,ejection", w.String())
-	require.True(t, w.Uses(Locality))
-	_, err = ParseWithout("lods")
-	require.ErrorIs(t, err, ErrMechanism)
+	require.True(t, w.Enabled(Locality))
+	_, err = ParseDisabledMechanisms("lods")
+	require.ErrorIs(t, err, ErrUnknownMechanism)
 	require.ErrorContains(t, err, "ejection")
 }
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -18,8 +18,8 @@
 	Config Config
 }
 
-// BudgetMsg changes the budget for retries.
-type BudgetMsg struct{ Budget BudgetOptions }
+// RetryBudgetMsg changes the budget for retries.
+type RetryBudgetMsg struct{ RetryBudget RetryBudgetOptions }
 
 // DrainMsg changes how long a server that leaves may get requests after its word; see Options.
 type DrainMsg struct{ Drain time.Duration }
@@ -30,8 +30,8 @@
 	Directory Directory
 }
 
-// RegionsMsg says in which region each data hall lies that is known.
-type RegionsMsg struct {
+// HallRegionsMsg says in which region each data hall lies that is known.
+type HallRegionsMsg struct {
 	Now   time.Duration
 	Halls map[string]string
 }
@@ -54,16 +54,16 @@
 	Gate rollout.Gate
 }
 
-// ArriveMsg brings a request.
-type ArriveMsg struct {
+// RequestMsg brings a request.
+type RequestMsg struct {
 	Now     time.Duration
 	Request Request
 }
 
-// DoorMsg asks whether a request would be refused as soon as it came, before its
+// AdmissionCheckMsg asks whether a request would be refused as soon as it came, before its
 // router has read the body. A RefuseCmd says so, and the request has been counted;
 // without one it has not, and comes as an ArriveMsg.
-type DoorMsg struct {
+type AdmissionCheckMsg struct {
 	Now     time.Duration
 	Request Request
 }
@@ -77,8 +77,8 @@
 	OutputTokens int
 }
 
-// FirstMsg says that the first event of an attempt, or its whole answer, came.
-type FirstMsg struct {
+// FirstEventMsg says that the first event of an attempt, or its whole answer, came.
+type FirstEventMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
@@ -91,98 +91,98 @@
 	Notice Notice
 }
 
-// EndMsg says how an attempt ended. Retry asks for another one; the machine
+// AttemptEndMsg says how an attempt ended. Retry asks for another one; the machine
 // answers with a Send, or with a Refuse or Fail.
-type EndMsg struct {
-	Now     time.Duration
-	ID      RequestID
-	Outcome Outcome
-	Retry   bool
-	Refused bool // of what is Unsent: the server's host says that nothing listens there
-	Slow    bool // the router itself was late; a silence says nothing of the server
+type AttemptEndMsg struct {
+	Now         time.Duration
+	ID          RequestID
+	Outcome     Outcome
+	Retry       bool
+	ConnRefused bool // of what is Unsent: the server's host says that nothing listens there
+	RouterLate  bool // the router itself was late; a silence says nothing of the server
 }
 
-// ProbeMsg says whether a server could be reached; see ProbeCmd.
-type ProbeMsg struct {
-	Now     time.Duration
-	Server  string
-	Reached bool
-	Refused bool // its host says that nothing listens there
-	Slow    bool // the router itself was late; a silence says nothing of the server
+// ProbeResultMsg says whether a server could be reached; see ProbeCmd.
+type ProbeResultMsg struct {
+	Now         time.Duration
+	Server      string
+	Reached     bool
+	ConnRefused bool // its host says that nothing listens there
+	RouterLate  bool // the router itself was late; a silence says nothing of the server
 }
 
-// LeaveMsg says that a waiting request is no longer wanted.
-type LeaveMsg struct {
+// CancelMsg says that a waiting request is no longer wanted.
+type CancelMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
 
-// PeerMsg brings what another router does at the moment.
-type PeerMsg struct {
+// PeerReportMsg brings what another router does at the moment.
+type PeerReportMsg struct {
 	Now    time.Duration
 	Peer   string
 	Report Report
 }
 
-// LoadsMsg brings what all other routers have at the servers; see package loads.
-type LoadsMsg struct {
+// PeerLoadsMsg brings what all other routers have at the servers; see package loads.
+type PeerLoadsMsg struct {
 	Now   time.Duration
 	Loads []loads.Load
 }
 
-// TeamsMsg brings what all other routers see of teams; see package loads.
-type TeamsMsg struct {
+// PeerTeamsMsg brings what all other routers see of teams; see package loads.
+type PeerTeamsMsg struct {
 	Now   time.Duration
 	Teams []loads.TeamUse
 }
 
-// CopiesMsg brings copies of prompts' parts that other routers have made; see package loads.
-type CopiesMsg struct {
+// PeerCopiesMsg brings copies of prompts' parts that other routers have made; see package loads.
+type PeerCopiesMsg struct {
 	Now    time.Duration
 	Copies []loads.Copy
 }
 
-// PeersMsg tells how many routers there are, this one included, and how long a
+// MembershipMsg tells how many routers there are, this one included, and how long a
 // report of one holds.
-type PeersMsg struct {
-	Now     time.Duration
-	Routers int
-	Hold    time.Duration
+type MembershipMsg struct {
+	Now       time.Duration
+	Routers   int
+	ReportTTL time.Duration
 	// Known counts all routers that may be there, those not heard for a while
 	// included, and Rank this router's place among them by address, from 0.
 	Known, Rank int
-	// Quiet are the data halls of which routers were heard, and none any more.
-	Quiet []string
+	// SilentHalls are the data halls of which routers were heard, and none any more.
+	SilentHalls []string
 }
 
 // TickMsg lets time pass; send it every TickEvery.
 type TickMsg struct{ Now time.Duration }
 
-// TickEvery is the time between two ticks.
-const TickEvery = 25 * time.Millisecond
-
-func (ConfigMsg) isMsg()      {}
-func (BudgetMsg) isMsg()      {}
-func (DrainMsg) isMsg()       {}
-func (ServersMsg) isMsg()     {}
-func (RegionsMsg) isMsg()     {}
-func (EvacuationsMsg) isMsg() {}
-func (QuarantineMsg) isMsg()  {}
-func (GateMsg) isMsg()        {}
-func (ArriveMsg) isMsg()      {}
-func (DoorMsg) isMsg()        {}
-func (ShedMsg) isMsg()        {}
-func (FirstMsg) isMsg()       {}
-func (EndMsg) isMsg()         {}
-func (NoticeMsg) isMsg()      {}
-func (ProbeMsg) isMsg()       {}
-func (LeaveMsg) isMsg()       {}
-func (PeerMsg) isMsg()        {}
-func (LoadsMsg) isMsg()       {}
-func (TeamsMsg) isMsg()       {}
-func (CopiesMsg) isMsg()      {}
-func (PeersMsg) isMsg()       {}
-func (TickMsg) isMsg()        {}
+// TickInterval is the time between two ticks.
+const TickInterval = 25 * time.Millisecond
+
+func (ConfigMsg) isMsg()         {}
+func (RetryBudgetMsg) isMsg()    {}
+func (DrainMsg) isMsg()          {}
+func (ServersMsg) isMsg()        {}
+func (HallRegionsMsg) isMsg()    {}
+func (EvacuationsMsg) isMsg()    {}
+func (QuarantineMsg) isMsg()     {}
+func (GateMsg) isMsg()           {}
+func (RequestMsg) isMsg()        {}
+func (AdmissionCheckMsg) isMsg() {}
+func (ShedMsg) isMsg()           {}
+func (FirstEventMsg) isMsg()     {}
+func (AttemptEndMsg) isMsg()     {}
+func (NoticeMsg) isMsg()         {}
+func (ProbeResultMsg) isMsg()    {}
+func (CancelMsg) isMsg()         {}
+func (PeerReportMsg) isMsg()     {}
+func (PeerLoadsMsg) isMsg()      {}
+func (PeerTeamsMsg) isMsg()      {}
+func (PeerCopiesMsg) isMsg()     {}
+func (MembershipMsg) isMsg()     {}
+func (TickMsg) isMsg()           {}
 
 // Report is what one router tells the others of itself.
 type Report struct {
--- a/direct/move.go
+++ b/direct/move.go
@@ -26,7 +26,7 @@
 	most := max(int(movesPart*float64(len(left))), movesLeast)
 	most = min(most, len(left), g.room(now))
 	for _, r := range left[:most] {
-		if !p.budget.spend(now, m.options.Budget, m.routers) {
+		if !p.budget.spend(now, m.options.RetryBudget, m.routers) {
 			return
 		}
 		r.placement.moving = true
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -42,7 +42,7 @@
 		c, ok := find[SendCmd](b.end(id, Moved, true))
 		require.True(t, ok)
 		require.Equal(t, "v2", c.Server.Version)
-		require.Equal(t, SideMoved, c.Basis.Side)
+		require.Equal(t, SideMoved, c.PlacementBasis.Side)
 	}
 	require.Equal(t, map[string]int{"llm": 20}, b.m.AllOldRunning())
 	require.Equal(t, map[string]int{"llm": 60}, b.m.AllAsked(), "40, and 20 once more")
@@ -53,7 +53,7 @@
 // others run on.
 func TestRolloutMovesKeepToTheBudget(t *testing.T) {
 	b := newMove(t, trial(0))
-	b.m.Update(BudgetMsg{Budget: BudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
+	b.m.Update(RetryBudgetMsg{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
 	for range 50 {
 		b.sent(b.arrive(b.one("chat")))
 	}
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -43,7 +43,7 @@
 // requests that were under way does not end that.
 func (m *Machine) noticeBackoff(now time.Duration, s *server, backoff time.Duration) {
 	if !s.backsOff(now) {
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBackoff, Cause: "said so in an answer", For: backoff})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusBackoff, Cause: "said so in an answer", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
 	m.serve(now, m.pool(s.Service), maxQueued)
@@ -86,7 +86,7 @@
 	if known {
 		return
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefDrain, Cause: "said so in an answer"})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "said so in an answer"})
 	p := m.pool(s.Service)
 	p.admit()
 	m.serve(now, p, maxQueued)
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -39,7 +39,7 @@
 			t: t, now: time.Second, at: make(map[RequestID]string),
 			leftAt: make(map[string]time.Duration), backoffs: make(map[string]time.Duration),
 			resort: lastResortTime, m: NewMachine(Options{
-				Zone: "a", Drain: drain, Gated: rapid.Bool().Draw(t, "gated"), Budget: BudgetOptions{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
+				Zone: "a", Drain: drain, Gated: rapid.Bool().Draw(t, "gated"), RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
 			}),
 		}
 		if drain > 0 {
@@ -113,10 +113,10 @@
 
 func (h *noticeHistory) arrive() {
 	h.next++
-	h.update(ArriveMsg{Now: h.now, Request: Request{
+	h.update(RequestMsg{Now: h.now, Request: Request{
 		ID: h.next, Team: "red", Route: "r", Service: "llm", Kind: Stream, MayRepeat: rapid.Bool().Draw(h.t, "repeat"), Attempts: 3,
 		Objective: 400 * time.Millisecond, Deadline: h.now + 10*time.Second, PromptTokens: 100, OutputTokens: 10,
-		Parts: []Part{{ID: rapid.Uint64Range(1, 6).Draw(h.t, "part"), Tokens: 50}, {ID: uint64(h.next) << 32, Tokens: 50}},
+		Parts: []PromptPart{{ID: rapid.Uint64Range(1, 6).Draw(h.t, "part"), Tokens: 50}, {ID: uint64(h.next) << 32, Tokens: 50}},
 	}})
 }
 
@@ -145,14 +145,14 @@
 	id := h.running[0]
 	h.running = h.running[1:]
 	o := rapid.SampledFrom([]Outcome{Done, Unsent, NotRun, Elsewhere, Failed, Broken, Hung, GivenUp, Withheld}).Draw(h.t, "outcome")
-	h.update(EndMsg{Now: h.now, ID: id, Outcome: o, Retry: o != Done && o != GivenUp})
+	h.update(AttemptEndMsg{Now: h.now, ID: id, Outcome: o, Retry: o != Done && o != GivenUp})
 }
 
 // pass lets time pass, at times longer than a server that has gone is remembered.
 func (h *noticeHistory) pass() {
-	d := rapid.SampledFrom([]time.Duration{TickEvery, lastResortTime, lapseHold, 3 * time.Second, 2 * goneMemory}).Draw(h.t, "time")
+	d := rapid.SampledFrom([]time.Duration{TickInterval, lastResortTime, lapseHold, 3 * time.Second, 2 * goneMemory}).Draw(h.t, "time")
 	for end := h.now + d; h.now < end; {
-		h.now += TickEvery
+		h.now += TickInterval
 		h.update(TickMsg{Now: h.now})
 	}
 }
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -74,7 +74,7 @@
 		b.end(id, Done, false)
 	}
 	for _, id := range waiting {
-		b.m.Update(LeaveMsg{Now: b.now, ID: id})
+		b.m.Update(CancelMsg{Now: b.now, ID: id})
 	}
 	return got
 }
@@ -96,7 +96,7 @@
 func TestLeavingOutlastsEntries(t *testing.T) {
 	b := newNoticeBench(t, "p0", "p1", "p2")
 	require.Positive(t, b.chosen(9)["p1"])
-	_, told := find[BeliefCmd](b.notice("p1", Notice{Leaving: true}))
+	_, told := find[ServerStatusCmd](b.notice("p1", Notice{Leaving: true}))
 	require.True(t, told, "the log tells of it")
 	require.Empty(t, b.notice("p1", Notice{Leaving: true}), "it is told once")
 	require.Zero(t, b.chosen(9)["p1"])
@@ -123,7 +123,7 @@
 		b.notice("p0", Notice{Leaving: true})
 		b.notice("p1", Notice{Leaving: true})
 		require.Zero(t, b.chosen(2)[""], name)
-		b.pass(lastResortTime + TickEvery)
+		b.pass(lastResortTime + TickInterval)
 		after(b)
 		require.Equal(t, map[string]int{"": 2}, b.chosen(2), name)
 		b.pass(lapseHold)
@@ -142,8 +142,8 @@
 func TestBackoff(t *testing.T) {
 	const backoff = 30 * time.Second
 	b := newNoticeBench(t, "p0", "p1", "p2")
-	told, _ := find[BeliefCmd](b.notice("p1", Notice{Backoff: backoff}))
-	require.Equal(t, BeliefBackoff, told.Belief)
+	told, _ := find[ServerStatusCmd](b.notice("p1", Notice{Backoff: backoff}))
+	require.Equal(t, StatusBackoff, told.Status)
 	end := b.now + backoff
 	require.Zero(t, b.chosen(9)["p1"])
 
@@ -170,8 +170,8 @@
 	refused, ok := find[RefuseCmd](b.arrive(b.plain()))
 	require.True(t, ok)
 	require.Equal(t, ReasonBackoff, refused.Reason)
-	require.Greater(t, refused.After, time.Second, "not before the first of them wants requests again")
-	require.Less(t, refused.After, 2*time.Second)
+	require.Greater(t, refused.RetryAfter, time.Second, "not before the first of them wants requests again")
+	require.Less(t, refused.RetryAfter, 2*time.Second)
 	b.notice("p0", Notice{Leaving: true})
 	_, sent := find[SendCmd](b.arrive(b.plain()))
 	require.False(t, sent)
@@ -209,7 +209,7 @@
 		r.Attempts = 1
 		server := b.sent(b.arrive(r))
 		require.False(t, b.m.Withheld(b.now, r.ID), name)
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 		b.notice(server, n)
 		require.True(t, b.m.Withheld(b.now, r.ID), name)
 		require.NotEqual(t, server, b.sent(b.end(r.ID, Withheld, true)), name)
@@ -217,7 +217,7 @@
 	}
 	b := newNoticeBench(t, "p0")
 	b.notice("p0", Notice{Leaving: true})
-	b.pass(TickEvery)
+	b.pass(TickInterval)
 	last := b.plain()
 	b.sent(b.arrive(last))
 	require.False(t, b.m.Withheld(b.now, last.ID))
--- a/direct/oracle_test.go
+++ b/direct/oracle_test.go
@@ -42,7 +42,7 @@
 // go test ./direct -run TestRules -rapid.checks=10000 -rapid.steps=100
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{t: t, m: NewMachine(Options{Zone: "a", Budget: BudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
+		o := &oracle{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
 			requests: make(map[RequestID]*watched), draining: make(map[string]bool), now: time.Second}
 		o.update(ConfigMsg{Now: o.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}, {Name: "app"}}}})
@@ -69,7 +69,7 @@
 			w := o.requests[c.ID]
 			require.False(o.t, w.mayRan, "refused, yet it may have run")
 			require.False(o.t, w.running, "refused while it runs")
-			require.Positive(o.t, c.After)
+			require.Positive(o.t, c.RetryAfter)
 			w.ended = true
 		case FailCmd:
 			w := o.requests[c.ID]
@@ -117,10 +117,10 @@
 		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(o.t, "attempts"),
 		Priority: rapid.IntRange(0, 2).Draw(o.t, "priority"), Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
 		PromptTokens: rapid.IntRange(1, 60000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []Part{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
 	}
 	o.requests[r.ID] = &watched{Request: r, arrived: o.now, queued: o.now, visited: make(map[string]bool)}
-	o.update(ArriveMsg{Now: o.now, Request: r})
+	o.update(RequestMsg{Now: o.now, Request: r})
 }
 
 func (o *oracle) pick() (RequestID, bool) {
@@ -132,7 +132,7 @@
 
 func (o *oracle) firstEvent() {
 	if id, ok := o.pick(); ok {
-		o.update(FirstMsg{Now: o.now, ID: id})
+		o.update(FirstEventMsg{Now: o.now, ID: id})
 	}
 }
 
@@ -163,12 +163,12 @@
 		w.ended = true
 	}
 	w.queued = o.now
-	o.update(EndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry, Slow: rapid.Bool().Draw(o.t, "slow")})
+	o.update(AttemptEndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry, RouterLate: rapid.Bool().Draw(o.t, "slow")})
 }
 
 func (o *oracle) tick(n int) {
 	for range n {
-		o.now += TickEvery
+		o.now += TickInterval
 		o.update(TickMsg{Now: o.now})
 	}
 }
@@ -188,11 +188,11 @@
 }
 
 func (o *oracle) peer() {
-	o.update(PeerMsg{Now: o.now, Peer: "other", Report: Report{
+	o.update(PeerReportMsg{Now: o.now, Peer: "other", Report: Report{
 		Headroom: rapid.Float64Range(0, 5).Draw(o.t, "room"),
 	}})
-	o.update(TeamsMsg{Now: o.now, Teams: []loads.TeamUse{{Team: "red", Offered: 90000, Served: rapid.Float32Range(0, 90000).Draw(o.t, "served")}}})
-	o.update(LoadsMsg{Now: o.now, Loads: []loads.Load{{
+	o.update(PeerTeamsMsg{Now: o.now, Teams: []loads.TeamUse{{Team: "red", Offered: 90000, Served: rapid.Float32Range(0, 90000).Draw(o.t, "served")}}})
+	o.update(PeerLoadsMsg{Now: o.now, Loads: []loads.Load{{
 		Server: loads.Key("llm1"), Running: rapid.Int32Range(0, 9).Draw(o.t, "load"), Pending: 4000,
 	}}})
 }
@@ -201,7 +201,7 @@
 	for id, w := range o.requests {
 		if !w.running && !w.ended {
 			w.ended = true
-			o.update(LeaveMsg{Now: o.now, ID: id})
+			o.update(CancelMsg{Now: o.now, ID: id})
 			return
 		}
 	}
@@ -219,7 +219,7 @@
 	}
 	for id, w := range o.requests {
 		if !w.ended && !w.running {
-			limit := time.Duration(waitShare*float64(w.Objective)) + 2*TickEvery
+			limit := time.Duration(waitShare*float64(w.Objective)) + 2*TickInterval
 			require.LessOrEqual(o.t, o.now-w.queued, limit, "request %d is held", id)
 		}
 	}
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -9,7 +9,7 @@
 )
 
 // peer takes in what another router does at the moment.
-func (m *Machine) peer(msg PeerMsg) {
+func (m *Machine) peer(msg PeerReportMsg) {
 	m.peers[msg.Peer] = peerReport{at: msg.Now, report: msg.Report}
 	m.hearSuspects(msg.Now, msg.Report)
 }
@@ -24,7 +24,7 @@
 }
 
 // takeTeams takes in what all other routers see of teams.
-func (m *Machine) takeTeams(msg TeamsMsg) {
+func (m *Machine) takeTeams(msg PeerTeamsMsg) {
 	m.teamsAt = msg.Now
 	for _, t := range m.teams {
 		t.others = loads.TeamUse{}
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -76,7 +76,7 @@
 		h.since = now
 	}
 	h.unreached[s.ID] = true
-	if !h.lost && len(h.unreached) >= min(lostAfter, m.serversIn(s.Zone)) && m.uses(HallReach) {
+	if !h.lost && len(h.unreached) >= min(lostAfter, m.serversIn(s.Zone)) && m.uses(HallReachability) {
 		m.setLost(now, s.Zone, h, true)
 	}
 }
@@ -105,7 +105,7 @@
 		}
 	}
 	m.admitAll()
-	m.emit(ReachCmd{Hall: hall, Lost: lost, Unreached: len(h.unreached), Servers: servers})
+	m.emit(HallReachabilityCmd{Hall: hall, Lost: lost, Unreached: len(h.unreached), Servers: servers})
 }
 
 // takeQuiet takes in of which halls no router is heard any more.
@@ -124,7 +124,7 @@
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
 		suspected := h.quiet && now-h.answeredAt > answerFresh
-		if now < h.probeAt || !m.uses(HallReach) || (!h.lost && !suspected) {
+		if now < h.probeAt || !m.uses(HallReachability) || (!h.lost && !suspected) {
 			continue
 		}
 		h.pause = min(max(2*h.pause, probeFirst), probeLongest)
@@ -150,7 +150,7 @@
 }
 
 // probeEnded takes in whether a probed server could be reached.
-func (m *Machine) probeEnded(msg ProbeMsg) {
+func (m *Machine) probeEnded(msg ProbeResultMsg) {
 	s := m.byServer[msg.Server]
 	switch {
 	case s == nil:
@@ -158,7 +158,7 @@
 		// Its process has ended, which says nothing of the others of its hall.
 	case msg.Reached:
 		m.answered(msg.Now, s)
-	case !msg.Slow:
+	case !msg.RouterLate:
 		m.outOfReach(msg.Now, s)
 	}
 }
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -47,7 +47,7 @@
 					hung = append(hung, call{at: b.now + dial, id: c.ID})
 					continue
 				}
-				b.m.Update(FirstMsg{Now: b.now, ID: c.ID})
+				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
 				b.end(c.ID, Done, false)
 			case ProbeCmd:
 				probes++
@@ -55,20 +55,20 @@
 					hung = append(hung, call{at: b.now + dial, server: c.Server.ID})
 					continue
 				}
-				take(append([]Cmd(nil), b.m.Update(ProbeMsg{Now: b.now, Server: c.Server.ID, Reached: true})...))
+				take(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.Server.ID, Reached: true})...))
 			}
 		}
 	}
 	for end := b.now + d; b.now < end; {
-		take(b.arrive(b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 100})))
-		take(b.pass(TickEvery))
+		take(b.arrive(b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})))
+		take(b.pass(TickInterval))
 		kept := hung[:0]
 		for _, c := range hung {
 			switch {
 			case c.at > b.now:
 				kept = append(kept, c)
 			case c.server != "":
-				take(append([]Cmd(nil), b.m.Update(ProbeMsg{Now: b.now, Server: c.server})...))
+				take(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.server})...))
 			default:
 				take(b.end(c.id, Unsent, true))
 			}
@@ -99,7 +99,7 @@
 	b := hallsOf(t, 60)
 	lost := 0
 	for range 400 {
-		r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 100})
+		r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
 		for cmds := b.arrive(r); ; {
 			c, ok := find[SendCmd](cmds)
 			if !ok {
@@ -110,16 +110,16 @@
 			require.NoError(t, err)
 			if n%12 == 1 {
 				cmds = b.end(r.ID, Unsent, true)
-				if reach, told := find[ReachCmd](cmds); told && reach.Lost {
+				if reach, told := find[HallReachabilityCmd](cmds); told && reach.Lost {
 					lost++
 				}
 				continue
 			}
-			b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
+			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			b.end(r.ID, Done, false)
 			break
 		}
-		b.pass(TickEvery)
+		b.pass(TickInterval)
 	}
 	require.Zero(t, lost)
 }
@@ -129,12 +129,12 @@
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
 	b := hallsOf(t, 60)
 	for i := range lostAfter {
-		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
+		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
 	require.Zero(t, b.sentTo(100 * time.Millisecond)["b"])
 	probe, ok := find[ProbeCmd](b.pass(probeFirst))
 	require.True(t, ok)
-	b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
+	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
 }
 
@@ -143,17 +143,17 @@
 func TestQuietHallIsProbed(t *testing.T) {
 	b := hallsOf(t, 60)
 	b.pass(time.Second)
-	b.m.Update(PeersMsg{Now: b.now, Routers: 9, Hold: time.Second, Known: 9, Quiet: []string{"b"}})
-	probes := b.pass(TickEvery)
+	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9, SilentHalls: []string{"b"}})
+	probes := b.pass(TickInterval)
 	require.Len(t, probes, probesEach)
 	for _, c := range probes {
-		b.m.Update(ProbeMsg{Now: b.now, Server: c.(ProbeCmd).Server.ID})
+		b.m.Update(ProbeResultMsg{Now: b.now, Server: c.(ProbeCmd).Server.ID})
 	}
 	require.Zero(t, b.sentTo(time.Second)["b"])
-	b.m.Update(PeersMsg{Now: b.now, Routers: 9, Hold: time.Second, Known: 9})
+	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9})
 	probe, ok := find[ProbeCmd](b.pass(probeLongest))
 	require.True(t, ok, "a lost hall is probed on")
-	b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
+	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
 }
 
@@ -161,7 +161,7 @@
 func TestLateRouterLosesNoHall(t *testing.T) {
 	b := hallsOf(t, 60)
 	for i := range 2 * lostAfter {
-		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), Slow: true})
+		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), RouterLate: true})
 	}
 	require.NotZero(t, b.sentTo(time.Second)["b"])
 }
--- a/direct/region_oracle_test.go
+++ b/direct/region_oracle_test.go
@@ -51,7 +51,7 @@
 			halls: map[string]string{"a": "east", "b": "east", "c": "west"},
 		}
 		o.m = NewMachine(Options{
-			Zone: "a", Region: "east", HallRegions: o.halls, Budget: BudgetOptions{Ratio: 1, Slack: 50, Window: 10 * time.Second},
+			Zone: "a", Region: "east", HallRegions: o.halls, RetryBudget: RetryBudgetOptions{Ratio: 1, Slack: 50, Window: 10 * time.Second},
 		})
 		o.configure()
 		o.list()
@@ -146,7 +146,7 @@
 			o.halls[hall] = region
 		}
 	}
-	o.update(RegionsMsg{Now: o.now, Halls: o.halls})
+	o.update(HallRegionsMsg{Now: o.now, Halls: o.halls})
 }
 
 func (o *regionOracle) arrive() {
@@ -154,12 +154,12 @@
 	team := rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "who")
 	r := &regionRequest{route: o.regions("route"), team: o.teams[team]}
 	o.requests[o.next] = r
-	o.update(ArriveMsg{Now: o.now, Request: Request{
+	o.update(RequestMsg{Now: o.now, Request: Request{
 		ID: o.next, Team: team, Service: "llm", Kind: Stream, Regions: RegionsOf(r.route, r.team),
 		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 4).Draw(o.t, "attempts"),
 		Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
 		PromptTokens: rapid.IntRange(1, 20_000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []Part{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
 	}})
 }
 
@@ -177,7 +177,7 @@
 
 func (o *regionOracle) first() {
 	if running := o.running(); len(running) > 0 {
-		o.update(FirstMsg{Now: o.now, ID: rapid.SampledFrom(running).Draw(o.t, "first")})
+		o.update(FirstEventMsg{Now: o.now, ID: rapid.SampledFrom(running).Draw(o.t, "first")})
 	}
 }
 
@@ -192,13 +192,13 @@
 	if o.requests[id].sent = false; !retry {
 		delete(o.requests, id)
 	}
-	o.update(EndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry})
+	o.update(AttemptEndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry})
 }
 
 // tick lets time pass. No bound request waits afterwards for servers that are not there.
 func (o *regionOracle) tick(n int) {
 	for range n {
-		o.now += TickEvery
+		o.now += TickInterval
 		o.update(TickMsg{Now: o.now})
 		for id, r := range o.requests {
 			if r.bound() && !r.sent {
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -14,7 +14,7 @@
 func newRegionBench(t *testing.T, config Config, each int) *bench {
 	b := &bench{t: t, now: 3 * time.Second, m: NewMachine(Options{
 		Zone: "a", Region: "east", HallRegions: map[string]string{"a": "east", "b": "east", "c": "west"},
-		Budget: BudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
+		RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	})}
 	config.Services = []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900_000}}}
 	b.m.Update(ConfigMsg{Now: b.now, Config: config})
@@ -30,7 +30,7 @@
 
 // in returns a request that may be served in some regions.
 func (b *bench) in(regions ...string) Request {
-	r := b.request("red", Part{ID: 1, Tokens: 1000}, Part{ID: 1 << 20, Tokens: 1000})
+	r := b.request("red", PromptPart{ID: 1, Tokens: 1000}, PromptPart{ID: 1 << 20, Tokens: 1000})
 	r.Regions = RegionsOf(regions)
 	return r
 }
@@ -61,8 +61,8 @@
 	r := b.in()
 	r.Regions = RegionsOf([]string{"east"}, []string{"west"})
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(r)))
-	require.Equal(t, ReasonRegion, b.refused(b.m.Update(DoorMsg{Now: b.now, Request: r})))
-	require.Empty(t, b.m.Update(DoorMsg{Now: b.now, Request: b.in("east")}))
+	require.Equal(t, ReasonRegion, b.refused(b.m.Update(AdmissionCheckMsg{Now: b.now, Request: r})))
+	require.Empty(t, b.m.Update(AdmissionCheckMsg{Now: b.now, Request: b.in("east")}))
 }
 
 // TestRegionRefusedWhileItWaits has the last server of a waiting request's regions go.
@@ -83,7 +83,7 @@
 	b.evacuate(1, "a", "b", "c")
 	require.Equal(t, "d0", b.sent(b.arrive(b.in())))
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(b.in("west", "east"))))
-	b.m.Update(RegionsMsg{Now: b.now, Halls: map[string]string{"d": "west"}})
+	b.m.Update(HallRegionsMsg{Now: b.now, Halls: map[string]string{"d": "west"}})
 	require.Equal(t, "d0", b.sent(b.arrive(b.in("west"))))
 }
 
@@ -162,9 +162,9 @@
 		return out
 	}
 	require.Equal(t, []float64{0, zoneCost, regionCost, regionCost}, distances())
-	b.m.Update(RegionsMsg{Now: b.now, Halls: map[string]string{"a": "east", "b": "east"}})
+	b.m.Update(HallRegionsMsg{Now: b.now, Halls: map[string]string{"a": "east", "b": "east"}})
 	require.Equal(t, []float64{0, zoneCost, zoneCost, zoneCost}, distances())
-	b.m.Update(RegionsMsg{Now: b.now})
+	b.m.Update(HallRegionsMsg{Now: b.now})
 	require.Equal(t, []float64{0, zoneCost, zoneCost, zoneCost}, distances())
 }
 
--- a/direct/request.go
+++ b/direct/request.go
@@ -9,8 +9,8 @@
 // RequestID names a request within one life of a router.
 type RequestID uint64
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a piece of a prompt that other requests may share.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -31,7 +31,7 @@
 	Deadline     time.Duration // when the caller or the route gives it up
 	PromptTokens int           // of the whole prompt
 	OutputTokens int           // expected
-	Parts        []Part        // of the prompt, in order; the last is the request's own
+	Parts        []PromptPart  // of the prompt, in order; the last is the request's own
 	Content      quarantine.Content
 }
 
@@ -45,9 +45,9 @@
 }
 
 // lastShared returns the last part of the prompt that other requests may share.
-func (r *Request) lastShared() (Part, bool) {
+func (r *Request) lastShared() (PromptPart, bool) {
 	if len(r.Parts) < 2 {
-		return Part{}, false
+		return PromptPart{}, false
 	}
 	return r.Parts[len(r.Parts)-2], true
 }
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -13,9 +13,9 @@
 	r.firstAt = 0
 	r.attempt++
 	r.tried = append(r.tried, s.ID)
-	basis := Basis{
-		Running: s.allRunning(), Pending: s.allPending(), Miss: c.miss,
-		Estimate: c.estimate, Waited: now - r.arrivedAt, Share: r.over,
+	basis := PlacementBasis{
+		Running: s.allRunning(), Pending: s.allPending(), MissTokens: c.miss,
+		Estimate: c.estimate, QueueWait: now - r.arrivedAt, Share: r.over,
 		Target: s.target, Side: r.placement.side,
 	}
 	s.running++
@@ -27,13 +27,13 @@
 	}
 	m.watch(now, p, r, s)
 	m.charge(now, r)
-	if p.engine != nil && c.miss > 0 && m.uses(Copies) {
+	if p.engine != nil && c.miss > 0 && m.uses(SharedCopies) {
 		m.tellCopies(now, p, r, s)
 	}
 	for i := 0; i+1 < len(r.Parts) && m.uses(Locality); i++ {
 		m.holders.note(now, r.Parts[i].ID, s.ID)
 	}
-	m.emit(SendCmd{ID: r.ID, Server: s.Server, Far: !m.geography.near(s.region), Attempt: r.attempt, Basis: basis})
+	m.emit(SendCmd{ID: r.ID, Server: s.Server, CrossRegion: !m.geography.near(s.region), Attempt: r.attempt, PlacementBasis: basis})
 }
 
 // charge counts a request for its team when it is sent, so that those sent at
@@ -64,7 +64,7 @@
 }
 
 // first takes in that an attempt's first event came.
-func (m *Machine) first(msg FirstMsg) {
+func (m *Machine) first(msg FirstEventMsg) {
 	r := m.runs[msg.ID]
 	if r == nil || r.at == nil {
 		return
--- a/direct/serve.go
+++ b/direct/serve.go
@@ -8,7 +8,7 @@
 	r.waitUntil = now + waitTime(r)
 	// What crashes servers crashes the next one too, in this try or in another.
 	if m.suspects.Barred(now, r.Content) {
-		m.giveUp(now, p, r, ReasonCrashes)
+		m.giveUp(now, p, r, ReasonQuarantined)
 		return
 	}
 	if m.trySend(now, p, r) {
@@ -20,7 +20,7 @@
 	}
 	if m.hopeless(now, p, r) {
 		// Waiting would only hold its caller up.
-		m.giveUp(now, p, r, ReasonShare)
+		m.giveUp(now, p, r, ReasonOverShare)
 		return
 	}
 	if !p.anyUsable(now, r.Regions) || p.noSideUsable(now, r) {
@@ -97,7 +97,7 @@
 		case i >= most:
 			kept = append(kept, r)
 		case m.suspects.Barred(now, r.Content):
-			m.giveUp(now, p, r, ReasonCrashes)
+			m.giveUp(now, p, r, ReasonQuarantined)
 		case m.trySend(now, p, r):
 			// Those before it may have taken what its team may have.
 		case p.unservable(now, r):
--- a/direct/share.go
+++ b/direct/share.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// WeightOf returns how much of what this router is asked for is a team's, so
+// TeamWeight returns how much of what this router is asked for is a team's, so
 // that the average over what it is asked for is 1.
-func (m *Machine) WeightOf(now time.Duration, team string) float64 {
+func (m *Machine) TeamWeight(now time.Duration, team string) float64 {
 	t := m.teams[team]
 	if t == nil {
 		return 0
--- a/direct/share_bench_test.go
+++ b/direct/share_bench_test.go
@@ -35,13 +35,13 @@
 	now := shareEvery
 	m.Update(ConfigMsg{Now: now, Config: config})
 	halls := map[string]string{"a": "east", "b": "west", "c": "north"}
-	m.Update(RegionsMsg{Now: now, Halls: halls})
+	m.Update(HallRegionsMsg{Now: now, Halls: halls})
 	dir := Directory{Revision: 1}
 	for i := range 45 {
 		dir.Servers = append(dir.Servers, Server{ID: fmt.Sprint("e", i), Service: "llm", Zone: string("abc"[i%3]), Slots: 64})
 	}
 	m.Update(ServersMsg{Now: now, Directory: dir})
-	m.Update(TeamsMsg{Now: now, Teams: uses})
+	m.Update(PeerTeamsMsg{Now: now, Teams: uses})
 	for b.Loop() {
 		now += shareEvery
 		m.share(now)
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -25,7 +25,7 @@
 
 // offer has other routers tell of what teams ask for and get.
 func (b *bench) offer(teams ...loads.TeamUse) {
-	b.m.Update(TeamsMsg{Now: b.now, Teams: teams})
+	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: teams})
 	b.now += shareEvery
 	b.m.share(b.now)
 }
@@ -86,9 +86,9 @@
 // TestRegionWithoutEvenBound switches the even bound off for bound teams too.
 func TestRegionWithoutEvenBound(t *testing.T) {
 	b := newRegionBench(t, boundConfig(map[string][]string{"bound": {"west"}}), 2)
-	without, err := ParseWithout(string(EvenBound))
+	without, err := ParseDisabledMechanisms(string(EvenCap))
 	require.NoError(t, err)
-	b.m.options.Without = without
+	b.m.options.DisabledMechanisms = without
 	b.offer(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000})
 	require.True(t, math.IsInf(b.m.boundsOf(b.m.team("bound")).even, 1))
 }
@@ -147,17 +147,17 @@
 
 // step lets one tick pass in which teams ask for tokens.
 func (w *work) step(rates map[string]float64, bound map[string]Regions, teams []string) {
-	w.take(w.pass(TickEvery))
+	w.take(w.pass(TickInterval))
 	for len(w.ends) > 0 && w.ends[0].at <= w.now {
 		id := w.ends[0].id
 		w.ends = w.ends[1:]
 		w.served[w.asked[id].Team] += float64(w.asked[id].PromptTokens)
-		w.take(slices.Clone(w.m.Update(FirstMsg{Now: w.now, ID: id})))
+		w.take(slices.Clone(w.m.Update(FirstEventMsg{Now: w.now, ID: id})))
 		w.take(w.end(id, Done, false))
 	}
 	for _, team := range teams {
 		const tokens = 400
-		for range int(rates[team] * TickEvery.Seconds() / tokens) {
+		for range int(rates[team] * TickInterval.Seconds() / tokens) {
 			r := w.request(team)
 			r.PromptTokens, r.OutputTokens, r.Regions = tokens, 0, bound[team]
 			w.asked[r.ID] = r
@@ -204,7 +204,7 @@
 		w.step(rates, bound, teams)
 	}
 	for team := range w.served {
-		w.served[team] /= measured * TickEvery.Seconds()
+		w.served[team] /= measured * TickInterval.Seconds()
 	}
 	return w.served
 }
--- a/explain/story_test.go
+++ b/explain/story_test.go
@@ -67,8 +67,8 @@
 // TestEveryReasonIsExplained has a sentence for each reason of the decisions.
 func TestEveryReasonIsExplained(t *testing.T) {
 	for _, reason := range []direct.Reason{
-		direct.ReasonNoServers, direct.ReasonOverload, direct.ReasonShare, direct.ReasonAttempts,
-		direct.ReasonBudget, direct.ReasonOnce, direct.ReasonDeadline, direct.ReasonRegion,
+		direct.ReasonNoServers, direct.ReasonOverload, direct.ReasonOverShare, direct.ReasonAttempts,
+		direct.ReasonRetryBudget, direct.ReasonAtMostOnce, direct.ReasonDeadline, direct.ReasonRegion,
 	} {
 		require.NotEmpty(t, reasons[string(reason)], reason)
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -158,14 +158,14 @@
 // tried elsewhere.
 func (a *attempt) patience(left time.Duration) (time.Duration, bool) {
 	route := a.x.route
-	if !a.mayGoOn() || !a.x.front.core.without.Uses(direct.Patience) {
+	if !a.mayGoOn() || !a.x.front.core.without.Enabled(direct.StallTimeout) {
 		return 0, false
 	}
 	part := firstPatience
 	if route.Kind == direct.Stream {
 		part = streamPatience
 	}
-	patience := max(time.Duration(part*float64(route.Objective)), estimateTimes*a.cmd.Basis.Estimate)
+	patience := max(time.Duration(part*float64(route.Objective)), estimateTimes*a.cmd.PlacementBasis.Estimate)
 	return patience, patience < left
 }
 
@@ -209,7 +209,7 @@
 
 // closeRun tells the machine that the attempt ended, before a panic.
 func (a *attempt) closeRun(o direct.Outcome) {
-	a.x.front.core.Update(direct.EndMsg{Now: a.x.front.core.Now(), ID: a.x.id, Outcome: o})
+	a.x.front.core.Update(direct.AttemptEndMsg{Now: a.x.front.core.Now(), ID: a.x.id, Outcome: o})
 }
 
 // discard drops an answer of which only the head counts.
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -109,12 +109,12 @@
 		l.parts.Stats.LoadsAge.RecordDuration(now - l.heardAt)
 	}
 	l.heardAt = now
-	l.parts.Decisions.Update(direct.LoadsMsg{Now: now, Loads: others.Loads})
+	l.parts.Decisions.Update(direct.PeerLoadsMsg{Now: now, Loads: others.Loads})
 	if len(others.Copies) > 0 {
-		l.parts.Decisions.Update(direct.CopiesMsg{Now: now, Copies: others.Copies})
+		l.parts.Decisions.Update(direct.PeerCopiesMsg{Now: now, Copies: others.Copies})
 	}
 	if others.HasTeams {
-		l.parts.Decisions.Update(direct.TeamsMsg{Now: now, Teams: others.Teams})
+		l.parts.Decisions.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
 		if l.parts.Rollouts != nil {
 			l.parts.Rollouts.Tell(rollout.OthersMsg{Now: now, Reports: others.Rollouts})
 		}
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -18,7 +18,7 @@
 }
 
 func (d *told) Update(msg direct.Msg) {
-	if msg, ok := msg.(direct.CopiesMsg); ok {
+	if msg, ok := msg.(direct.PeerCopiesMsg); ok {
 		d.copies = append(d.copies, msg.Copies...)
 	}
 	d.testMachine.Update(msg)
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -27,7 +27,7 @@
 	// patience is how long this router waits, as it starts, for others to bring what
 	// it would read from the source.
 	patience    time.Duration
-	without     direct.Without // mechanisms that are switched off
+	without     direct.DisabledMechanisms // mechanisms that are switched off
 	mu          sync.Mutex
 	wanted      feed.Revisions // newest that others knew at behindSince
 	behindSince time.Duration  // when this router was last known to know no less
@@ -120,9 +120,9 @@
 	if !p.parts.Pressure.Slow() {
 		p.parts.Pressure.SetHall(hall)
 	}
-	p.parts.Decisions.Update(direct.PeersMsg{
-		Now: now, Routers: max(len(there)+1, p.seeds), Hold: lasts,
-		Known: len(p.known) + 1, Rank: p.rank(), Quiet: p.quietHalls(now),
+	p.parts.Decisions.Update(direct.MembershipMsg{
+		Now: now, Routers: max(len(there)+1, p.seeds), ReportTTL: lasts,
+		Known: len(p.known) + 1, Rank: p.rank(), SilentHalls: p.quietHalls(now),
 	})
 	return targets, members
 }
@@ -162,7 +162,7 @@
 		cmds = append(cmds, p.detector.Update(detector.NewsMsg{Now: now, News: news})...)
 	}
 	p.mu.Unlock()
-	p.parts.Decisions.Update(direct.PeerMsg{Now: now, Peer: b.Address, Report: b.report()})
+	p.parts.Decisions.Update(direct.PeerReportMsg{Now: now, Peer: b.Address, Report: b.report()})
 	if !p.parts.Feeds.Revisions().Reaches(b.Knows) {
 		notify(p.behind)
 	}
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -35,7 +35,7 @@
 // read from the source. Seeds read themselves, so that those that start together read a
 // few times and not once each.
 func (p *Peers) Patience() time.Duration {
-	if p.isSeed || !p.without.Uses(direct.Followers) {
+	if p.isSeed || !p.without.Enabled(direct.StoreFollowers) {
 		return 0
 	}
 	return p.patience
@@ -63,7 +63,7 @@
 // Follows tells whether this router is one of the few that follow the source, or
 // knows less than another for too long.
 func (p *Peers) Follows() bool {
-	if p.stuck() || !p.without.Uses(direct.Followers) {
+	if p.stuck() || !p.without.Enabled(direct.StoreFollowers) {
 		return true
 	}
 	if p.parts.Decisions.Now() < settleTime {
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -18,7 +18,7 @@
 	Loads      string   // other routers' loads, as datagrams
 	Seeds      []string // control addresses of some routers
 	FirstStart bool     // the whole fleet starts for the first time
-	Without    direct.Without
+	Without    direct.DisabledMechanisms
 	life       int64 // start of the router, in nanoseconds since 1970
 }
 
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -26,7 +26,7 @@
 	answers func(rollout.Msg)     // must not block
 	// pressure tells how late this process runs.
 	pressure pressure.Gauge
-	without  direct.Without // mechanisms that are switched off
+	without  direct.DisabledMechanisms // mechanisms that are switched off
 }
 
 func newCore(o direct.Options, l *eventlog.Log) *core {
@@ -38,8 +38,8 @@
 		probe:    func(direct.ProbeCmd) {},
 		report:   func() {},
 		answers:  func(rollout.Msg) {},
-		without:  o.Without,
-		pressure: pressure.Gauge{Without: o.Without},
+		without:  o.DisabledMechanisms,
+		pressure: pressure.Gauge{Without: o.DisabledMechanisms},
 	}
 }
 
@@ -69,11 +69,11 @@
 			c.deliver(cmd.ID, cmd)
 		case direct.FailCmd:
 			c.deliver(cmd.ID, cmd)
-		case direct.BeliefCmd:
+		case direct.ServerStatusCmd:
 			c.log.Belief(cmd)
-		case direct.HallCmd:
+		case direct.EvacuationCmd:
 			c.log.Hall(cmd)
-		case direct.ReachCmd:
+		case direct.HallReachabilityCmd:
 			c.log.Reach(cmd)
 		case direct.CrashCmd:
 			c.log.Crash(cmd)
@@ -107,20 +107,20 @@
 	r.ID = c.next
 	w := &waiter{commands: make(chan direct.Cmd, 2)}
 	c.waiters[r.ID] = w
-	c.locked(direct.ArriveMsg{Now: c.Now(), Request: r})
+	c.locked(direct.RequestMsg{Now: c.Now(), Request: r})
 	return r.ID, w.commands
 }
 
 // door asks whether a request would be refused as soon as it came.
 func (c *core) door(r direct.Request) (direct.RefuseCmd, bool) {
-	if !c.without.Uses(direct.Door) {
+	if !c.without.Enabled(direct.EarlyRefusal) {
 		return direct.RefuseCmd{}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next++
 	r.ID = c.next
-	for _, cmd := range c.machine.Update(direct.DoorMsg{Now: c.Now(), Request: r}) {
+	for _, cmd := range c.machine.Update(direct.AdmissionCheckMsg{Now: c.Now(), Request: r}) {
 		if refuse, ok := cmd.(direct.RefuseCmd); ok {
 			return refuse, true
 		}
@@ -148,17 +148,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	c.locked(direct.LeaveMsg{Now: now, ID: id})
+	c.locked(direct.CancelMsg{Now: now, ID: id})
 	select {
 	case <-commands:
-		c.locked(direct.EndMsg{Now: now, ID: id, Outcome: direct.GivenUp})
+		c.locked(direct.AttemptEndMsg{Now: now, ID: id, Outcome: direct.GivenUp})
 	default:
 	}
 }
 
 // tick lets time pass until ctx ends.
 func (c *core) tick(ctx context.Context) error {
-	ticker := time.NewTicker(direct.TickEvery)
+	ticker := time.NewTicker(direct.TickInterval)
 	defer ticker.Stop()
 	last := c.Now()
 	waits := pressure.NewProbe(c.Now)
@@ -169,7 +169,7 @@
 		case <-ticker.C:
 			c.wake()
 			now := c.Now()
-			late := now - last - direct.TickEvery
+			late := now - last - direct.TickInterval
 			last = now
 			// A timer's goroutine runs before most others; requests wait longer.
 			c.pressure.Note(now, max(late, waits.Late()))
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -41,7 +41,7 @@
 func (c *core) weightOf(team string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.WeightOf(c.Now(), team)
+	return c.machine.TeamWeight(c.Now(), team)
 }
 
 // records returns which records of barred contents the store should get, and which it should lose.
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -14,7 +14,7 @@
 	Key          string
 	PromptTokens int
 	OutputTokens int
-	Parts        []direct.Part
+	Parts        []direct.PromptPart
 	AfterEvent   string // the last event that the caller has of a stream
 }
 
--- a/gateway/eventlog/beliefs.go
+++ b/gateway/eventlog/beliefs.go
@@ -6,7 +6,7 @@
 )
 
 // Hall logs that a data hall is evacuated, or no longer.
-func (l *Log) Hall(c direct.HallCmd) {
+func (l *Log) Hall(c direct.EvacuationCmd) {
 	name := "hall_returned"
 	if c.Evacuated {
 		name = "hall_evacuated"
@@ -15,7 +15,7 @@
 }
 
 // Reach logs that the servers of a data hall can't be reached, or can again.
-func (l *Log) Reach(c direct.ReachCmd) {
+func (l *Log) Reach(c direct.HallReachabilityCmd) {
 	name := "hall_reached"
 	if c.Lost {
 		name = "hall_lost"
@@ -24,9 +24,9 @@
 }
 
 // Belief logs what the router takes a server to be.
-func (l *Log) Belief(b direct.BeliefCmd) {
+func (l *Log) Belief(b direct.ServerStatusCmd) {
 	if l.AllowBelief() {
-		l.Event("server_"+string(b.Belief)).Str("server", b.Server.ID).Str("service", b.Server.Service).
+		l.Event("server_"+string(b.Status)).Str("server", b.Server.ID).Str("service", b.Server.Service).
 			Str("address", b.Server.Address).Str("cause", b.Cause).Dur("for", b.For).Msg("")
 	}
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -111,8 +111,8 @@
 		a := attempt{x: x, cmd: cmd}
 		began := x.front.core.Now()
 		outcome, ended := a.run()
-		x.front.core.Update(direct.EndMsg{
-			Now: x.front.core.Now(), ID: x.id, Outcome: outcome, Retry: !ended, Refused: a.refused, Slow: a.overdue || x.front.core.pressure.Slow(),
+		x.front.core.Update(direct.AttemptEndMsg{
+			Now: x.front.core.Now(), ID: x.id, Outcome: outcome, Retry: !ended, ConnRefused: a.refused, RouterLate: a.overdue || x.front.core.pressure.Slow(),
 		})
 		x.front.stats.Attempt(outcome, x.front.core.Now()-began)
 		if ended {
@@ -120,8 +120,8 @@
 		}
 		x.logRetry(outcome)
 	case direct.RefuseCmd:
-		x.last.Basis.Share = cmd.Share
-		x.refuse(string(cmd.Reason), cmd.After)
+		x.last.PlacementBasis.Share = cmd.Share
+		x.refuse(string(cmd.Reason), cmd.RetryAfter)
 		return true
 	case direct.FailCmd:
 		x.fail(string(cmd.Reason))
@@ -187,7 +187,7 @@
 // finish logs and counts how the request ended.
 func (x *exchange) finish(result string, status int, reason string) {
 	x.count(result, reason)
-	if result == resultServed && x.last.Basis.Share < withinShare {
+	if result == resultServed && x.last.PlacementBasis.Share < withinShare {
 		x.front.ages.learn(x.route.Name, x.envelope.Left)
 	}
 	x.front.accounts.note(x, result, x.front.core.Now())
@@ -200,7 +200,7 @@
 	stats.Request(result, reason)
 	stats.Total.RecordDuration(x.front.core.Now() - x.start)
 	if x.attempts > 0 {
-		stats.Wait.RecordDuration(x.last.Basis.Waited)
+		stats.Wait.RecordDuration(x.last.PlacementBasis.QueueWait)
 	}
 	if x.firstAt > 0 {
 		stats.First.RecordDuration(x.firstAt - x.start)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -82,8 +82,8 @@
 		return
 	}
 	if cmd, hopeless := f.core.door(x.request()); hopeless {
-		x.last.Basis.Share = cmd.Share
-		x.refuse(string(cmd.Reason), cmd.After)
+		x.last.PlacementBasis.Share = cmd.Share
+		x.refuse(string(cmd.Reason), cmd.RetryAfter)
 		return
 	}
 	defer f.queues.Close(&x.memory)
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -66,7 +66,7 @@
 	}
 	feeds.Config.Offer(&direct.Config{
 		Version:  1,
-		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.Weighted{{Service: "llm", Weight: 1}}, Objective: time.Second}},
+		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.WeightedService{{Service: "llm", Weight: 1}}, Objective: time.Second}},
 		Services: []direct.Service{{Name: "llm", Engine: &direct.Engine{Slots: 8, KVTokens: 100000}}},
 		Teams:    []direct.Team{{Name: "flood", Keys: []string{"key"}}},
 		Limits:   direct.Limits{TokensPerSecond: 100},
@@ -74,7 +74,7 @@
 	feeds.Servers.OfferAll(&direct.Directory{Servers: []direct.Server{{ID: "i-1", Service: "llm", Slots: 8}}}, "bench")
 	request := direct.Request{Team: "flood", Service: "llm", Objective: time.Second, PromptTokens: 5000}
 	first, _ := c.arrive(request)
-	c.Update(direct.FirstMsg{Now: c.Now(), ID: first})
+	c.Update(direct.FirstEventMsg{Now: c.Now(), ID: first})
 	c.Update(direct.TickMsg{Now: 150 * time.Millisecond})
 	c.arrive(request)
 	return f
@@ -99,7 +99,7 @@
 	// Without a configured total there are no shares; the only place is taken.
 	f.feeds.Config.Offer(&direct.Config{
 		Version:  2,
-		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.Weighted{{Service: "llm", Weight: 1}}, Objective: time.Hour}},
+		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.WeightedService{{Service: "llm", Weight: 1}}, Objective: time.Hour}},
 		Services: []direct.Service{{Name: "llm", Engine: &direct.Engine{Slots: 1, KVTokens: 100000}}},
 		Teams:    []direct.Team{{Name: "flood", Keys: []string{"key"}}},
 		Limits:   direct.Limits{BodyBytes: 100},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,7 +64,7 @@
 	g := &Gateway{settings: s, source: source, dialect: dialect, log: eventlog.New(out, s.Name)}
 	g.grace.Store(int64(s.Grace))
 	g.core = newCore(direct.Options{
-		Zone: s.Zone, Region: s.Region, HallRegions: s.HallRegions, Budget: s.Budget, Drain: s.Drain, Without: s.Without,
+		Zone: s.Zone, Region: s.Region, HallRegions: s.HallRegions, RetryBudget: s.Budget, Drain: s.Drain, DisabledMechanisms: s.Without,
 		Gated: s.Rollout.On(),
 	}, g.log)
 	g.admin = admin.New(admin.Source{Ready: g.ready, State: g.dump})
@@ -143,7 +143,7 @@
 	for _, f := range g.feeds.Followed() {
 		duties = append(duties, func(ctx context.Context) error { return g.feeds.Follow(ctx, f, g.cluster.Peers) })
 	}
-	if g.core.without.Uses(direct.Quarantine) {
+	if g.core.without.Enabled(direct.Quarantine) {
 		duties = append(duties, newKeeper(g.core, g.source, g.cluster.Peers.Leads, g.log).run)
 	}
 	if g.rollouts != nil {
--- a/gateway/keeper_test.go
+++ b/gateway/keeper_test.go
@@ -68,7 +68,7 @@
 		for i := range quarantine.Server(quarantine.CrashesMost) {
 			crashes.Crashes = append(crashes.Crashes, quarantine.CrashReport{Server: i})
 		}
-		core.Update(direct.PeerMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{crashes}}})
+		core.Update(direct.PeerReportMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{crashes}}})
 		time.Sleep(5 * time.Second)
 		require.Zero(t, store.calls, "another router leads")
 		mu.Lock()
@@ -85,7 +85,7 @@
 		core.Update(direct.QuarantineMsg{Now: core.Now(), Listed: []quarantine.Content{7}})
 		time.Sleep(time.Minute)
 		require.LessOrEqual(t, store.calls, 2)
-		core.Update(direct.PeerMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
+		core.Update(direct.PeerReportMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
 		time.Sleep(2 * time.Second)
 		require.False(t, store.has(7), "it isn't barred any more")
 		stop()
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -10,7 +10,7 @@
 	switch {
 	case cmd.Server.Zone == f.hall:
 		return traffic.WithinHall
-	case cmd.Far:
+	case cmd.CrossRegion:
 		return traffic.BetweenRegions
 	}
 	return traffic.BetweenHalls
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -49,7 +49,7 @@
 	yields atomic.Bool
 	hall   atomic.Pointer[Hall]
 	// Without are the mechanisms that are switched off.
-	Without direct.Without
+	Without direct.DisabledMechanisms
 }
 
 // Note takes in how late a tick came.
@@ -59,7 +59,7 @@
 	p.lag.Store(int64(lag))
 	p.now.Store(int64(late))
 	part := 0.0
-	if p.Without.Uses(direct.Shedding) {
+	if p.Without.Enabled(direct.LoadShedding) {
 		part = p.shed.note(late)
 	}
 	p.part.Store(math.Float64bits(part))
@@ -67,10 +67,10 @@
 	if known := p.hall.Load(); known != nil {
 		hall = *known
 	}
-	p.yields.Store(p.Without.Uses(direct.Yielding) && p.yield.note(now, part, hall))
+	p.yields.Store(p.Without.Enabled(direct.UnreadyUnderLoad) && p.yield.note(now, part, hall))
 	switch {
 	case lag >= lagFull:
-		p.score = min(p.score+scoreLate*max(1, float64(late)/float64(direct.TickEvery)), scoreMost)
+		p.score = min(p.score+scoreLate*max(1, float64(late)/float64(direct.TickInterval)), scoreMost)
 	case lag < lagKeeps:
 		p.score = max(p.score-scoreKept, 0)
 	}
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -22,9 +22,9 @@
 		if err == nil {
 			conn.Close()
 		}
-		p.core.Update(direct.ProbeMsg{
-			Now: p.core.Now(), Server: cmd.Server.ID, Reached: err == nil, Refused: errors.Is(err, syscall.ECONNREFUSED),
-			Slow: errors.Is(err, backend.ErrOverdue) || p.core.pressure.Slow(),
+		p.core.Update(direct.ProbeResultMsg{
+			Now: p.core.Now(), Server: cmd.Server.ID, Reached: err == nil, ConnRefused: errors.Is(err, syscall.ECONNREFUSED),
+			RouterLate: errors.Is(err, backend.ErrOverdue) || p.core.pressure.Slow(),
 		})
 	}()
 }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -13,9 +13,9 @@
 func (g *Gateway) Reload(s Settings) {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
 	g.grace.Store(int64(s.Grace))
-	g.core.Update(direct.BudgetMsg{Budget: s.Budget})
+	g.core.Update(direct.RetryBudgetMsg{RetryBudget: s.Budget})
 	g.core.Update(direct.DrainMsg{Drain: s.Drain})
-	g.core.Update(direct.RegionsMsg{Now: g.core.Now(), Halls: s.HallRegions})
+	g.core.Update(direct.HallRegionsMsg{Now: g.core.Now(), Halls: s.HallRegions})
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
 			g.cluster.Peers.Add(host)
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -39,14 +39,14 @@
 	e.Str("request", x.envelope.ID).Str("team", x.team).Str("route", x.route.Name).Str("service", x.service).
 		Dur("age", x.age).Dur("left", x.envelope.Left).
 		Int("attempts", x.attempts).Uint64("config", feeds.Config.Revision()).Uint64("servers", feeds.Servers.Revision()).Uint64("evacuations", feeds.Evacuations.Revision()).
-		Dur("config_age", feeds.Config.Age()).Float64("share", x.last.Basis.Share)
+		Dur("config_age", feeds.Config.Age()).Float64("share", x.last.PlacementBasis.Share)
 	if x.content != 0 {
 		e.Str("content", x.content.String())
 	}
 	if x.attempts > 0 {
-		b := x.last.Basis
+		b := x.last.PlacementBasis
 		e.Str("server", x.last.Server.ID).Int("running", b.Running).Int("pending_tokens", b.Pending).
-			Int("miss_tokens", b.Miss).Dur("estimate", b.Estimate).Dur("waited", b.Waited)
+			Int("miss_tokens", b.MissTokens).Dur("estimate", b.Estimate).Dur("waited", b.QueueWait)
 		if b.Side != "" {
 			e.Str("version", x.last.Server.Version).Str("side", string(b.Side))
 		}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -36,9 +36,9 @@
 	Evacuate time.Duration
 	// HallRegions is the region of each data hall that is known.
 	HallRegions map[string]string
-	Budget      direct.BudgetOptions
-	Rollout     rollout.Bounds // of roll-outs, which are on where there are any
-	Without     direct.Without // mechanisms that are switched off in experiments
+	Budget      direct.RetryBudgetOptions
+	Rollout     rollout.Bounds            // of roll-outs, which are on where there are any
+	Without     direct.DisabledMechanisms // mechanisms that are switched off in experiments
 }
 
 // ownRegion returns the region of this router, or an empty one where it is not known.
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -55,7 +55,7 @@
 			a.x.callerLeft(http.StatusOK)
 			return direct.GivenUp, true
 		}
-		if last && a.x.front.core.without.Uses(direct.Gathering) {
+		if last && a.x.front.core.without.Enabled(direct.EventBatching) {
 			time.Sleep(pressure.GatherFor(a.x.front.core.Now(), a.x.front.core.pressure.Late(), a.x.front.eventDelay))
 		}
 	}
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -73,7 +73,7 @@
 	if a.x.firstAt == 0 {
 		a.x.firstAt = now
 	}
-	a.x.front.core.Update(direct.FirstMsg{Now: now, ID: a.x.id})
+	a.x.front.core.Update(direct.FirstEventMsg{Now: now, ID: a.x.id})
 }
 
 // sound tells whether an answer may be forwarded: a success must be vouched
