--- /dev/null
+++ b/direct/arrival.go
@@ -0,0 +1,57 @@
+package direct
+
+import "time"
+
+// handleArrival takes a request in and tries to place it.
+func (m *Machine) handleArrival(msg RequestMsg) {
+	r := m.newRequestState(msg.Now, msg.Request)
+	m.requests[r.ID] = r
+	p := m.pool(r.Service)
+	m.recordDemand(msg.Now, p, r)
+	m.team(r.Team).admitted.add(msg.Now, r.cost())
+	m.enqueue(msg.Now, p, r)
+}
+
+func (m *Machine) newRequestState(now time.Duration, request Request) *requestState {
+	r := &requestState{Request: request, arrivedAt: now}
+	r.late = m.enabled(NewFirst) && float64(r.Age) > lateAgeFraction*float64(r.Objective)
+	return r
+}
+
+// recordDemand takes in that a request was asked for.
+func (m *Machine) recordDemand(now time.Duration, p *pool, r *requestState) {
+	p.retryWindow.addRequest(now)
+	if p.gate != nil {
+		p.gate.exposure.asked++
+	}
+	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
+	p.objectiveMS += objectiveWeight * (objectiveMS - p.objectiveMS)
+	team := m.team(r.Team)
+	team.offered.add(now, r.cost())
+	team.recent.add(now, r.cost())
+}
+
+// checkAdmission refuses a request whose team has no allowance left for it, or that may run nowhere.
+// The router asks before it reads the body, so that a flood costs it little.
+func (m *Machine) checkAdmission(msg AdmissionCheckMsg) {
+	r := m.newRequestState(msg.Now, msg.Request)
+	p := m.pool(r.Service)
+	if r.Regions.None() {
+		m.recordDemand(msg.Now, p, r)
+		m.giveUp(msg.Now, p, r, ReasonRegion)
+		return
+	}
+	m.updateTeamState(msg.Now, p, r)
+	r.waitUntil = msg.Now + maxWait(r)
+	if p.noServerInRegions(msg.Now, r) || !m.wouldExpire(msg.Now, p, r) {
+		return
+	}
+	m.recordDemand(msg.Now, p, r)
+	m.giveUp(msg.Now, p, r, ReasonOverShare)
+}
+
+// wouldExpire tells whether a request would wait in vain: its team's allowance cannot
+// cover it before its time in the queue is over.
+func (m *Machine) wouldExpire(now time.Duration, p *pool, r *requestState) bool {
+	return r.attempt == 0 && r.throttled && !m.team(r.Team).tokenBucket.covers(p.queue.queuedTokens(r.Team, r.waitUntil), r.waitUntil-now)
+}
--- a/direct/baseline.go
+++ b/direct/baseline.go
@@ -33,28 +33,28 @@
 
 // learnRate takes in the time to a first event at an old server.
 func (b *baseline) learnRate(ahead int, elapsed, first float64) {
-	if ahead < learnFromTokens {
+	if ahead < minRateSampleTokens {
 		return
 	}
 	if b.rate == 0 {
 		b.rate = first
 	}
-	b.rate += learnStep / 4 * (readingRate(ahead, elapsed) - b.rate)
+	b.rate += rateWeight / 4 * (measuredTokenRate(ahead, elapsed) - b.rate)
 }
 
 // expected returns the milliseconds to the first event of a request that is sent now, or
 // to its whole answer, before it is known how far answers lie from that.
-func (p *pool) expected(r *run, s *server) float64 {
+func (p *pool) expected(r *requestState, s *server) float64 {
 	if p.engine == nil {
 		slots := max(s.Slots, 1)
-		excess := max(s.allRunning()-slots, 0)
-		return plainLatencyInit * (1 + float64(excess)/float64(slots))
+		excess := max(s.totalRunning()-slots, 0)
+		return initialPlainLatencyMS * (1 + float64(excess)/float64(slots))
 	}
 	rate := p.baseline.rate
 	if rate == 0 {
 		rate = p.tokenRate
 	}
-	return float64(firstEventBase/time.Millisecond) + float64(r.ahead)/max(rate, 1)
+	return float64(firstEventOverhead/time.Millisecond) + float64(r.tokensAhead)/max(rate, 1)
 }
 
 // geometric is a running average of logarithms, which a few very late answers hardly
--- a/direct/blame.go
+++ b/direct/blame.go
@@ -66,34 +66,36 @@
 }
 
 // noteContent takes in how an attempt ended, for what it says of its content.
-func (m *Machine) noteContent(now time.Duration, r *run, s *server, o Outcome) {
-	if r.Content == 0 || !m.uses(Quarantine) {
+func (m *Machine) noteContent(now time.Duration, r *requestState, s *server, o Outcome) {
+	if r.Fingerprint == 0 || !m.enabled(Quarantine) {
 		return
 	}
 	switch {
 	case o == Done:
-		m.suspects.Answered(now, r.Content)
+		m.suspects.Answered(now, r.Fingerprint)
 	case r.settled(now): // what crashes servers does so sooner
 	case o == Broken, o == Hung:
 		// An attempt that was given up may crash its server after that: a busy server begins
 		// to run it late.
 		m.blameFor(now, r, s)
 	case o == GivenUp, o == Moved:
-		s.blamed.callerLeft(now, r.Content)
+		s.blamed.callerLeft(now, r.Fingerprint)
 	}
 }
 
 // settled tells whether the attempt has run for so long that it is not what crashes its server.
-func (r *run) settled(now time.Duration) bool { return r.firstAt > 0 && now-r.firstAt >= settledAfter }
+func (r *requestState) settled(now time.Duration) bool {
+	return r.firstEventAt > 0 && now-r.firstEventAt >= settledAfter
+}
 
 // blameFor has an attempt that broke off be suspected if its server has crashed.
-func (m *Machine) blameFor(now time.Duration, r *run, s *server) {
+func (m *Machine) blameFor(now time.Duration, r *requestState, s *server) {
 	b := &s.blamed
 	if b.crashed && now-b.crashedAt < crashKnown {
-		m.suspects.Crashed(now, r.Content, quarantine.Server(s.key))
+		m.suspects.Crashed(now, r.Fingerprint, quarantine.Server(s.loadKey))
 		return
 	}
-	b.contents = append(b.contents, r.Content)
+	b.contents = append(b.contents, r.Fingerprint)
 	if len(b.contents) == 1 {
 		m.emit(ProbeCmd{Server: s.Server})
 	}
@@ -109,7 +111,7 @@
 	}
 	if msg.Reached && b.reachedAt == 0 {
 		b.reachedAt = msg.Now
-		m.reprobed = append(m.reprobed, s)
+		m.pendingReprobes = append(m.pendingReprobes, s)
 		return false
 	}
 	contents := b.contents
@@ -120,7 +122,7 @@
 	b.crashed, b.crashedAt = true, msg.Now
 	contents = append(contents, b.takeLeft(msg.Now)...)
 	for _, c := range contents {
-		m.suspects.Crashed(msg.Now, c, quarantine.Server(s.key))
+		m.suspects.Crashed(msg.Now, c, quarantine.Server(s.loadKey))
 	}
 	m.emit(CrashCmd{Server: s.Server, Suspects: contents})
 	return true
@@ -128,8 +130,8 @@
 
 // probeAgain probes servers again that could still be reached a moment ago.
 func (m *Machine) probeAgain(now time.Duration) {
-	kept := m.reprobed[:0]
-	for _, s := range m.reprobed {
+	kept := m.pendingReprobes[:0]
+	for _, s := range m.pendingReprobes {
 		switch {
 		case len(s.blamed.contents) == 0:
 		case now-s.blamed.reachedAt < probeAgainAfter:
@@ -138,13 +140,13 @@
 			m.emit(ProbeCmd{Server: s.Server})
 		}
 	}
-	clear(m.reprobed[len(kept):])
-	m.reprobed = kept
+	clear(m.pendingReprobes[len(kept):])
+	m.pendingReprobes = kept
 }
 
 // hearSuspects takes in what another router tells of suspects.
 func (m *Machine) hearSuspects(now time.Duration, told Report) {
-	if !m.uses(Quarantine) {
+	if !m.enabled(Quarantine) {
 		return
 	}
 	m.suspects.Hear(now, told.Suspects)
@@ -153,10 +155,10 @@
 
 // dropSuspects forgets old suspects, now and then.
 func (m *Machine) dropSuspects(now time.Duration) {
-	if now-m.suspectsDroppedAt < suspectsDropEvery {
+	if now-m.suspectsPrunedAt < suspectsDropEvery {
 		return
 	}
-	m.suspectsDroppedAt = now
+	m.suspectsPrunedAt = now
 	m.suspects.Drop(now)
 }
 
--- a/direct/blame_test.go
+++ b/direct/blame_test.go
@@ -12,17 +12,17 @@
 const harmful quarantine.Content = 99
 
 // with returns a request of a content.
-func (b *bench) with(c quarantine.Content) Request {
-	r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 1000})
-	r.Content = c
+func (b *harness) with(c quarantine.Content) Request {
+	r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 1000})
+	r.Fingerprint = c
 	return r
 }
 
 // crash has the attempt of a request break off, with its server's host answering the probe as
 // said, and returns what the request gets next.
-func (b *bench) crash(id RequestID, probed ProbeResultMsg) []Cmd {
+func (b *harness) crash(id RequestID, probed ProbeResultMsg) []Cmd {
 	cmds := b.end(id, Broken, true)
-	if probe, ok := find[ProbeCmd](cmds); ok {
+	if probe, ok := findCmd[ProbeCmd](cmds); ok {
 		probed.Now, probed.Server = b.now, probe.Server.ID
 		cmds = append(cmds, b.m.Update(probed)...)
 	}
@@ -30,39 +30,39 @@
 }
 
 // crashOnce sends a request once, which crashes its server.
-func (b *bench) crashOnce(c quarantine.Content) {
+func (b *harness) crashOnce(c quarantine.Content) {
 	b.t.Helper()
 	r := b.with(c)
 	b.sent(b.arrive(r))
 	r.Attempts = 1
-	b.m.runs[r.ID].Attempts = 1
+	b.m.requests[r.ID].Attempts = 1
 	b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
-	b.pass(5 * time.Second) // others are there meanwhile
+	b.advance(5 * time.Second) // others are there meanwhile
 }
 
 // TestThirdCrashIsTheLast has servers crash under one content: its third crash ends the
 // request, though it has attempts left, and who asks for it again is refused at once.
 // Requests of other contents are sent.
 func TestThirdCrashIsTheLast(t *testing.T) {
-	b := newBench(t, 8)
+	b := newHarness(t, 8)
 	first := b.with(harmful)
 	b.sent(b.arrive(first))
 	b.sent(b.crash(first.ID, ProbeResultMsg{ConnRefused: true}))
-	failed, ok := find[FailCmd](b.crash(first.ID, ProbeResultMsg{ConnRefused: true}))
+	failed, ok := findCmd[FailCmd](b.crash(first.ID, ProbeResultMsg{ConnRefused: true}))
 	require.True(t, ok)
 	require.Equal(t, ReasonAttempts, failed.Reason)
 
 	second := b.with(harmful)
 	b.sent(b.arrive(second))
 	cmds := b.crash(second.ID, ProbeResultMsg{ConnRefused: true})
-	failed, ok = find[FailCmd](cmds)
+	failed, ok = findCmd[FailCmd](cmds)
 	require.True(t, ok, "no further server: %v", cmds)
 	require.Equal(t, ReasonQuarantined, failed.Reason)
-	began, ok := find[QuarantineCmd](cmds)
+	began, ok := findCmd[QuarantineCmd](cmds)
 	require.True(t, ok)
 	require.Equal(t, quarantine.Change{Content: harmful, Barred: true, Crashes: 3}, began.Change)
 
-	refused, ok := find[RefuseCmd](b.arrive(b.with(harmful)))
+	refused, ok := findCmd[RefuseCmd](b.arrive(b.with(harmful)))
 	require.True(t, ok)
 	require.Equal(t, ReasonQuarantined, refused.Reason)
 	require.Equal(t, quarantine.Hold, refused.RetryAfter)
@@ -74,12 +74,12 @@
 // nobody knows: that blames nobody.
 func TestBrokenConnectionIsNoCrash(t *testing.T) {
 	for _, probed := range []ProbeResultMsg{{Reached: true}, {}, {RouterLate: true}} {
-		b := newBench(t, 8)
+		b := newHarness(t, 8)
 		for range 4 {
 			r := b.with(harmful)
 			b.sent(b.arrive(r))
 			b.crash(r.ID, probed)
-			b.pass(5 * time.Second)
+			b.advance(5 * time.Second)
 		}
 		require.Zero(t, b.m.suspects.Crashes(harmful))
 	}
@@ -89,18 +89,18 @@
 // listening: the first probe still reaches it, the second doesn't.
 func TestEndingServerIsProbedAgain(t *testing.T) {
 	for refused, crashes := range map[bool]int{true: 1, false: 0} {
-		b := newBench(t, 2)
+		b := newHarness(t, 2)
 		r := b.with(harmful)
 		b.sent(b.arrive(r))
 		b.crash(r.ID, ProbeResultMsg{Reached: true})
 		require.Zero(t, b.m.suspects.Crashes(harmful))
-		_, early := find[ProbeCmd](b.pass(probeAgainAfter - TickInterval))
+		_, early := findCmd[ProbeCmd](b.advance(probeAgainAfter - TickInterval))
 		require.False(t, early)
-		probe, again := find[ProbeCmd](b.pass(2 * TickInterval))
+		probe, again := findCmd[ProbeCmd](b.advance(2 * TickInterval))
 		require.True(t, again)
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: !refused, ConnRefused: refused})
 		require.Equal(t, crashes, b.m.suspects.Crashes(harmful))
-		_, more := find[ProbeCmd](b.pass(time.Second))
+		_, more := findCmd[ProbeCmd](b.advance(time.Second))
 		require.False(t, more)
 	}
 }
@@ -109,11 +109,11 @@
 // long, and under one that has just begun.
 func TestSettledRequestIsNotBlamed(t *testing.T) {
 	for settled, crashes := range map[time.Duration]int{settledAfter: 0, settledAfter - TickInterval: 1} {
-		b := newBench(t, 2)
+		b := newHarness(t, 2)
 		r := b.with(harmful)
 		b.sent(b.arrive(r))
 		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-		b.pass(settled)
+		b.advance(settled)
 		b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
 		require.Equal(t, crashes, b.m.suspects.Crashes(harmful))
 		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
@@ -125,7 +125,7 @@
 // TestAllThatBrokeOffAreBlamed has a server crash with several requests: one probe tells of
 // all, also of those that are looked at after it.
 func TestAllThatBrokeOffAreBlamed(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	var all []Request
 	for i := range quarantine.Content(3) {
 		r := b.with(harmful + i)
@@ -133,14 +133,14 @@
 		b.sent(b.arrive(r))
 		all = append(all, r)
 	}
-	probe, ok := find[ProbeCmd](b.end(all[0].ID, Broken, true))
+	probe, ok := findCmd[ProbeCmd](b.end(all[0].ID, Broken, true))
 	require.True(t, ok)
-	_, ok = find[ProbeCmd](b.end(all[1].ID, Broken, true))
+	_, ok = findCmd[ProbeCmd](b.end(all[1].ID, Broken, true))
 	require.False(t, ok, "one probe is enough")
-	crashed, ok := find[CrashCmd](b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true}))
+	crashed, ok := findCmd[CrashCmd](b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true}))
 	require.True(t, ok)
 	require.Len(t, crashed.Suspects, 2)
-	_, ok = find[ProbeCmd](b.end(all[2].ID, Broken, true))
+	_, ok = findCmd[ProbeCmd](b.end(all[2].ID, Broken, true))
 	require.False(t, ok)
 	for i := range quarantine.Content(3) {
 		require.Equal(t, 1, b.m.suspects.Crashes(harmful+i))
@@ -150,7 +150,7 @@
 // TestQuarantineReachesAllRouters has servers crash at one router: another one refuses what
 // crashes them, also a request that waits in its queue.
 func TestQuarantineReachesAllRouters(t *testing.T) {
-	here, there := newBench(t, 8), newBench(t, 1)
+	here, there := newHarness(t, 8), newHarness(t, 1)
 	for range quarantine.CrashesMost {
 		here.crashOnce(harmful)
 	}
@@ -160,7 +160,7 @@
 	waits := there.with(harmful)
 	require.Empty(t, there.arrive(waits), "it waits")
 	there.m.Update(PeerReportMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
-	refused := there.pass(TickInterval)
+	refused := there.advance(TickInterval)
 	found := false
 	for _, c := range refused {
 		if c, ok := c.(RefuseCmd); ok && c.ID == waits.ID {
@@ -169,7 +169,7 @@
 		}
 	}
 	require.True(t, found)
-	cmd, ok := find[RefuseCmd](there.arrive(there.with(harmful)))
+	cmd, ok := findCmd[RefuseCmd](there.arrive(there.with(harmful)))
 	require.True(t, ok)
 	require.Equal(t, ReasonQuarantined, cmd.Reason)
 }
@@ -178,22 +178,22 @@
 // crash without waiting for its next heartbeat, as does another router that hears of the third: copies
 // of a request ended four servers more at routers that were not yet told.
 func TestCrashesAreToldAtOnce(t *testing.T) {
-	here, there := newBench(t, 8), newBench(t, 8)
+	here, there := newHarness(t, 8), newHarness(t, 8)
 	var heard []Cmd
 	for crashes := 1; crashes <= quarantine.CrashesMost; crashes++ {
 		r := here.with(harmful)
 		r.Attempts = 1
 		here.sent(here.arrive(r))
-		_, told := find[ReportCmd](here.crash(r.ID, ProbeResultMsg{ConnRefused: true}))
+		_, told := findCmd[ReportCmd](here.crash(r.ID, ProbeResultMsg{ConnRefused: true}))
 		require.Equal(t, crashes > 1, told, "crash %d", crashes)
 		if told {
 			heard = there.m.Update(PeerReportMsg{Now: there.now, Peer: "here", Report: here.m.Report(here.now)})
 		}
-		here.pass(5 * time.Second)
+		here.advance(5 * time.Second)
 	}
-	_, toldOn := find[ReportCmd](heard)
+	_, toldOn := findCmd[ReportCmd](heard)
 	require.True(t, toldOn)
-	refused, ok := find[RefuseCmd](there.arrive(there.with(harmful)))
+	refused, ok := findCmd[RefuseCmd](there.arrive(there.with(harmful)))
 	require.True(t, ok)
 	require.Equal(t, ReasonQuarantined, refused.Reason)
 }
@@ -203,16 +203,16 @@
 // reason for one, but counts when others break off with the server.
 func TestAttemptGivenUpIsBlamed(t *testing.T) {
 	for outcome, probes := range map[Outcome]bool{Hung: true, GivenUp: false, Moved: false} {
-		b := newBench(t, 1)
+		b := newHarness(t, 1)
 		r := b.with(harmful)
 		server := b.sent(b.arrive(r))
 		other := b.with(harmful + 1)
 		require.Equal(t, server, b.sent(b.arrive(other)))
-		probe, probed := find[ProbeCmd](b.end(r.ID, outcome, false))
+		probe, probed := findCmd[ProbeCmd](b.end(r.ID, outcome, false))
 		require.Equal(t, probes, probed, outcome)
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 		if !probes {
-			probe, probed = find[ProbeCmd](b.end(other.ID, Broken, false))
+			probe, probed = findCmd[ProbeCmd](b.end(other.ID, Broken, false))
 			require.True(t, probed)
 		}
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true})
@@ -222,14 +222,14 @@
 
 // TestCallersThatLeftLongAgo are not blamed for what a server does later.
 func TestCallersThatLeftLongAgo(t *testing.T) {
-	b := newBench(t, 1)
+	b := newHarness(t, 1)
 	for i := range leftMost + 10 {
 		r := b.with(harmful + quarantine.Content(i))
 		b.sent(b.arrive(r))
 		b.end(r.ID, GivenUp, false)
 	}
 	require.Len(t, b.m.byServer["e0"].blamed.left, leftMost)
-	b.pass(crashKnown + TickInterval)
+	b.advance(crashKnown + TickInterval)
 	r := b.with(harmful + 1000)
 	b.sent(b.arrive(r))
 	b.crash(r.ID, ProbeResultMsg{ConnRefused: true})
--- a/direct/cold.go
+++ b/direct/cold.go
@@ -9,22 +9,22 @@
 	Lasts     time.Duration // how long a server is cold after its start
 }
 
-// coldSettle is how long a router leaves cold servers to others after its start: it has
+// coldStartDelay is how long a router leaves cold servers to others after its start: it has
 // not heard of all routers yet, and what it sent to a server in an earlier life still
 // counts. The rate is counted by the second, and heartbeats name all others within
 // about two.
-const coldSettle = 2 * time.Second
+const coldStartDelay = 2 * time.Second
 
 // coldState is what a router knows of a server's being cold. Its zero value is a
 // server that is not.
 type coldState struct {
 	until time.Duration
-	// next is when this router may send the next request.
-	next time.Duration
+	// nextSend is when this router may send the next request.
+	nextSend time.Duration
 }
 
-// at tells whether the server is cold at a time.
-func (c *coldState) at(now time.Duration) bool { return now < c.until }
+// active tells whether the server is cold at a time.
+func (c *coldState) active(now time.Duration) bool { return now < c.until }
 
 // coldPacing divides the rate of cold servers between routers. Each has an even part,
 // by the number of all routers that may be there, so that no cut between routers lets
@@ -39,42 +39,42 @@
 	return time.Duration(float64(max(c.routers, 1)) / limit.PerSecond * float64(time.Second))
 }
 
-// first is how long after a server turned cold this router may send it the first
+// firstDelay is how long after a server turned cold this router may send it the first
 // request. Routers begin one after the other, each server with another one, since all
 // hear of it at about the same time.
-func (c coldPacing) first(limit ColdLimit, key uint32) time.Duration {
+func (c coldPacing) firstDelay(limit ColdLimit, key uint32) time.Duration {
 	routers := max(c.routers, 1)
 	turn := (c.rank + int(key%uint32(routers))) % routers
 	return time.Duration(float64(turn) / limit.PerSecond * float64(time.Second))
 }
 
-// noteCold takes in that a server is cold for some time more. It is never taken for
+// markCold takes in that a server is cold for some time more. It is never taken for
 // warm sooner than it once said: a list may be older than what it replaces seems.
-func (m *Machine) noteCold(now time.Duration, s *server, lasts time.Duration, cause string) {
+func (m *Machine) markCold(now time.Duration, s *server, lasts time.Duration, cause string) {
 	if lasts <= 0 {
 		return
 	}
-	if !s.cold.at(now) {
+	if !s.cold.active(now) {
 		if limit := m.pool(s.Service).cold; limit.PerSecond > 0 {
-			s.cold.next = max(s.cold.next, now+m.pacing.first(limit, s.key))
+			s.cold.nextSend = max(s.cold.nextSend, now+m.pacing.firstDelay(limit, s.loadKey))
 		}
 		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusCold, Cause: cause, For: lasts})
 	}
 	s.cold.until = max(s.cold.until, now+lasts)
 }
 
-// coldReady tells whether this router may send a request to a server as far as its being
+// coldSendAllowed tells whether this router may send a request to a server as far as its being
 // cold goes.
-func (m *Machine) coldReady(now time.Duration, p *pool, s *server) bool {
-	if p.cold.PerSecond <= 0 || !s.cold.at(now) {
+func (m *Machine) coldSendAllowed(now time.Duration, p *pool, s *server) bool {
+	if p.cold.PerSecond <= 0 || !s.cold.active(now) {
 		return true
 	}
-	return now >= coldSettle && now >= s.cold.next
+	return now >= coldStartDelay && now >= s.cold.nextSend
 }
 
-// coldSent counts a request that was sent to a server.
-func (m *Machine) coldSent(now time.Duration, p *pool, s *server) {
-	if p.cold.PerSecond > 0 && s.cold.at(now) {
-		s.cold.next = now + m.pacing.interval(p.cold)
+// recordColdSend counts a request that was sent to a server.
+func (m *Machine) recordColdSend(now time.Duration, p *pool, s *server) {
+	if p.cold.PerSecond > 0 && s.cold.active(now) {
+		s.cold.nextSend = now + m.pacing.interval(p.cold)
 	}
 }
--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -13,44 +13,44 @@
 const (
 	// The bounds of the shifted deployment's sheet: what a cold server bears, and what it
 	// may get at the most in any second.
-	coldRate    = 21.0
-	coldOverrun = 1.5
-	coldSlack   = 5
-	coldLasts   = 3 * time.Second
+	coldPerSecond   = 21.0
+	coldBurstFactor = 1.5
+	coldBurstSlack  = 5
+	coldLasts       = 3 * time.Second
 )
 
 // coldFleet is a model fleet: routers that come and go, know of one another in part, and
 // all want to send to few servers; it counts what each server gets.
 type coldFleet struct {
-	t       require.TestingT
-	now     time.Duration
-	routers []*coldRouter
-	cold    map[string]time.Duration   // until when each server is cold
-	began   map[string]time.Duration   // when it turned cold
-	sent    map[string][]time.Duration // to each server
-	listed  uint64
+	t         require.TestingT
+	now       time.Duration
+	routers   []*coldRouter
+	coldUntil map[string]time.Duration   // until when each server is cold
+	coldSince map[string]time.Duration   // when it turned cold
+	sent      map[string][]time.Duration // to each server
+	revision  uint64
 }
 
 // coldRouter is one router; its machine's clock begins with its life.
 type coldRouter struct {
-	machine *Machine
-	born    time.Duration
-	next    RequestID
-	knows   int // routers that it knows of, itself included
+	machine      *Machine
+	startedAt    time.Duration
+	lastID       RequestID
+	knownRouters int // routers that it knows of, itself included
 }
 
 func newColdFleet(t require.TestingT, routers, servers int) *coldFleet {
 	f := &coldFleet{
-		t: t, now: time.Minute, cold: make(map[string]time.Duration), began: make(map[string]time.Duration),
+		t: t, now: time.Minute, coldUntil: make(map[string]time.Duration), coldSince: make(map[string]time.Duration),
 		sent: make(map[string][]time.Duration),
 	}
 	for i := range servers {
-		f.cold[fmt.Sprint("e", i)] = 0
+		f.coldUntil[fmt.Sprint("e", i)] = 0
 	}
 	for i := range routers {
 		f.routers = append(f.routers, &coldRouter{})
 		f.start(i, 0)
-		f.meet(i, routers)
+		f.setKnownRouters(i, routers)
 	}
 	return f
 }
@@ -58,89 +58,89 @@
 // start begins a new life of a router.
 func (f *coldFleet) start(i int, since time.Duration) {
 	r := f.routers[i]
-	r.born = since
+	r.startedAt = since
 	r.machine = NewMachine(Options{Zone: "a"})
-	r.machine.Update(ConfigMsg{Now: f.now - r.born, Config: Config{
+	r.machine.Update(ConfigMsg{Now: f.now - r.startedAt, Config: Config{
 		Version:  1,
-		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 640, KVTokens: 900000}, Cold: ColdLimit{PerSecond: coldRate, Lasts: coldLasts}}},
+		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 640, KVTokens: 900000}, Cold: ColdLimit{PerSecond: coldPerSecond, Lasts: coldLasts}}},
 		Limits:   Limits{TokensPerSecond: 1e9},
 	}})
-	f.list(i)
+	f.sendList(i)
 }
 
-// meet tells a router of how many routers it knows.
-func (f *coldFleet) meet(i, known int) {
+// setKnownRouters tells a router of how many routers it knows.
+func (f *coldFleet) setKnownRouters(i, known int) {
 	r := f.routers[i]
-	r.knows = known
-	r.machine.Update(MembershipMsg{Now: f.now - r.born, Routers: known, ReportTTL: time.Second, Known: known, Rank: min(i, known-1)})
+	r.knownRouters = known
+	r.machine.Update(MembershipMsg{Now: f.now - r.startedAt, Routers: known, ReportTTL: time.Second, Known: known, Rank: min(i, known-1)})
 }
 
-// list brings a router the list of servers as it is.
-func (f *coldFleet) list(i int) {
-	f.listed++
-	d := Directory{Revision: f.listed}
-	for n := range len(f.cold) {
+// sendList brings a router the list of servers as it is.
+func (f *coldFleet) sendList(i int) {
+	f.revision++
+	d := Directory{Revision: f.revision}
+	for n := range len(f.coldUntil) {
 		id := fmt.Sprint("e", n)
-		d.Servers = append(d.Servers, Server{ID: id, Service: "llm", Zone: "a", Slots: 640, ColdFor: max(f.cold[id]-f.now, 0)})
+		d.Servers = append(d.Servers, Server{ID: id, Service: "llm", Zone: "a", Slots: 640, ColdFor: max(f.coldUntil[id]-f.now, 0)})
 	}
 	r := f.routers[i]
-	r.machine.Update(ServersMsg{Now: f.now - r.born, Directory: d})
+	r.machine.Update(ServersMsg{Now: f.now - r.startedAt, Directory: d})
 }
 
-// turn has a server turn cold; routers hear of it by their next list.
-func (f *coldFleet) turn(server string) {
-	f.cold[server] = f.now + coldLasts
-	f.began[server] = f.now
+// turnCold has a server turn cold; routers hear of it by their next list.
+func (f *coldFleet) turnCold(server string) {
+	f.coldUntil[server] = f.now + coldLasts
+	f.coldSince[server] = f.now
 }
 
-// ask has one router get a request, which it may send.
-func (f *coldFleet) ask(i int) {
+// sendRequest has one router get a request, which it may send.
+func (f *coldFleet) sendRequest(i int) {
 	r := f.routers[i]
-	r.next++
-	now := f.now - r.born
+	r.lastID++
+	now := f.now - r.startedAt
 	cmds := r.machine.Update(RequestMsg{Now: now, Request: Request{
-		ID: r.next, Team: "red", Service: "llm", Objective: 400 * time.Millisecond, Deadline: now + time.Second,
-		Attempts: 1, PromptTokens: 10, OutputTokens: 1, Parts: []PromptPart{{ID: uint64(r.next)*7919 + uint64(i), Tokens: 5}, {ID: 1, Tokens: 5}},
+		ID: r.lastID, Team: "red", Service: "llm", Objective: 400 * time.Millisecond, Deadline: now + time.Second,
+		Attempts: 1, PromptTokens: 10, OutputTokens: 1, Parts: []PromptPart{{ID: uint64(r.lastID)*7919 + uint64(i), Tokens: 5}, {ID: 1, Tokens: 5}},
 	}})
-	if c, ok := find[SendCmd](cmds); ok {
+	if c, ok := findCmd[SendCmd](cmds); ok {
 		f.sent[c.Server.ID] = append(f.sent[c.Server.ID], f.now)
-		r.machine.Update(FirstEventMsg{Now: now, ID: r.next})
-		r.machine.Update(AttemptEndMsg{Now: now, ID: r.next, Outcome: Done})
+		r.machine.Update(FirstEventMsg{Now: now, ID: r.lastID})
+		r.machine.Update(AttemptEndMsg{Now: now, ID: r.lastID, Outcome: Done})
 		return
 	}
-	r.machine.Update(CancelMsg{Now: now, ID: r.next})
+	r.machine.Update(CancelMsg{Now: now, ID: r.lastID})
 }
 
-// pass lets time pass; every router gets some requests in each step.
-func (f *coldFleet) pass(d time.Duration, each int) {
+// advance lets time pass; every router gets some requests in each step.
+func (f *coldFleet) advance(d time.Duration, perTick int) {
 	for end := f.now + d; f.now < end; {
 		f.now += TickInterval
 		for i, r := range f.routers {
-			r.machine.Update(TickMsg{Now: f.now - r.born})
-			for range each {
-				f.ask(i)
+			r.machine.Update(TickMsg{Now: f.now - r.startedAt})
+			for range perTick {
+				f.sendRequest(i)
 			}
 		}
 	}
 }
 
-// most returns the most requests that a server got in a second while it was cold, after
+// maxPerSecond returns the most requests that a server got in a second while it was cold, after
 // all had heard of it.
-func (f *coldFleet) most(server string, from time.Duration) int {
-	most, sent := 0, f.sent[server]
+func (f *coldFleet) maxPerSecond(server string, from time.Duration) int {
+	maxPerSecond, sent := 0, f.sent[server]
 	for i, at := range sent {
-		if at <= from || at >= f.cold[server] {
+		if at <= from || at >= f.coldUntil[server] {
 			continue
 		}
 		n := 0
 		for _, other := range sent[i:] {
-			if other < at+time.Second && other < f.cold[server] {
+			if other < at+time.Second && other < f.coldUntil[server] {
 				n++
 			}
 		}
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
-	return most
+	return maxPerSecond
 }
 
 // TestColdServersGetTheirRate floods a fleet whose servers turn cold: no server gets much
@@ -148,19 +148,19 @@
 func TestColdServersGetTheirRate(t *testing.T) {
 	for _, routers := range []int{1, 4, 22, 100, 300} {
 		f := newColdFleet(t, routers, 3)
-		f.pass(250*time.Millisecond, 1)
-		for s := range f.cold {
-			f.turn(s)
+		f.advance(250*time.Millisecond, 1)
+		for s := range f.coldUntil {
+			f.turnCold(s)
 		}
 		for i := range f.routers {
-			f.list(i)
+			f.sendList(i)
 		}
 		began := f.now
-		f.pass(coldLasts, 2)
-		for s := range f.cold {
-			most := f.most(s, began)
-			require.LessOrEqual(t, float64(most), coldRate*1.2, "%d routers", routers)
-			require.GreaterOrEqual(t, float64(most), coldRate*0.6, "%d routers", routers)
+		f.advance(coldLasts, 2)
+		for s := range f.coldUntil {
+			maxPerSecond := f.maxPerSecond(s, began)
+			require.LessOrEqual(t, float64(maxPerSecond), coldPerSecond*1.2, "%d routers", routers)
+			require.GreaterOrEqual(t, float64(maxPerSecond), coldPerSecond*0.6, "%d routers", routers)
 		}
 	}
 }
@@ -172,34 +172,34 @@
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.SampledFrom([]int{2, 4, 9, 22, 30}).Draw(t, "routers")
 		f := newColdFleet(t, routers, 2)
-		f.pass(100*time.Millisecond, 1)
-		heard := make([]int, routers) // rounds until each hears of it
+		f.advance(100*time.Millisecond, 1)
+		listRound := make([]int, routers) // rounds until each hears of it
 		for i := range f.routers {
-			heard[i] = rapid.IntRange(0, 6).Draw(t, "heard")
+			listRound[i] = rapid.IntRange(0, 6).Draw(t, "heard")
 		}
-		for s := range f.cold {
-			f.turn(s)
+		for s := range f.coldUntil {
+			f.turnCold(s)
 		}
 		began := f.now
 		for round := range int(coldLasts / (50 * time.Millisecond)) {
 			for i := range f.routers {
 				switch {
-				case heard[i] == round:
-					f.list(i)
+				case listRound[i] == round:
+					f.sendList(i)
 				case rapid.IntRange(0, 99).Draw(t, "trouble") == 0:
 					// Its new life knows a part of the others; nobody forgets it for a minute.
 					f.start(i, f.now)
-					f.meet(i, rapid.IntRange(1, routers).Draw(t, "knows"))
-					heard[i] = -1
+					f.setKnownRouters(i, rapid.IntRange(1, routers).Draw(t, "knows"))
+					listRound[i] = -1
 				case rapid.IntRange(0, 39).Draw(t, "hears") == 0:
-					f.meet(i, rapid.IntRange(f.routers[i].knows, routers).Draw(t, "knows more"))
+					f.setKnownRouters(i, rapid.IntRange(f.routers[i].knownRouters, routers).Draw(t, "knows more"))
 				}
 			}
-			f.pass(50*time.Millisecond, 1)
+			f.advance(50*time.Millisecond, 1)
 		}
-		all := began + 350*time.Millisecond // by then every list has come
-		for s := range f.cold {
-			require.LessOrEqual(t, float64(f.most(s, all)), math.Floor(coldRate*coldOverrun)+coldSlack, "server %s", s)
+		allListed := began + 350*time.Millisecond // by then every list has come
+		for s := range f.coldUntil {
+			require.LessOrEqual(t, float64(f.maxPerSecond(s, allListed)), math.Floor(coldPerSecond*coldBurstFactor)+coldBurstSlack, "server %s", s)
 		}
 	})
 }
@@ -208,9 +208,9 @@
 // cold server, and go to others.
 func TestYoungRoutersLeaveColdServers(t *testing.T) {
 	f := newColdFleet(t, 1, 2)
-	f.turn("e0")
+	f.turnCold("e0")
 	f.start(0, f.now)
-	f.pass(time.Second, 1)
+	f.advance(time.Second, 1)
 	require.Empty(t, f.sent["e0"])
 	require.NotEmpty(t, f.sent["e1"])
 }
@@ -219,19 +219,19 @@
 // cold as long as it once said.
 func TestListThatSaysWarm(t *testing.T) {
 	f := newColdFleet(t, 22, 1)
-	f.turn("e0")
+	f.turnCold("e0")
 	for i := range f.routers {
-		f.list(i)
+		f.sendList(i)
 	}
-	until := f.cold["e0"]
-	f.cold["e0"] = f.now
+	until := f.coldUntil["e0"]
+	f.coldUntil["e0"] = f.now
 	for i := range f.routers {
-		f.list(i)
+		f.sendList(i)
 	}
 	began := f.now
-	f.pass(time.Second, 2)
-	f.cold["e0"] = until
-	require.LessOrEqual(t, float64(f.most("e0", began)), coldRate*1.2)
+	f.advance(time.Second, 2)
+	f.coldUntil["e0"] = until
+	require.LessOrEqual(t, float64(f.maxPerSecond("e0", began)), coldPerSecond*1.2)
 }
 
 // TestColdServerKeepsItsParts sends a part's requests elsewhere while its server is cold
@@ -239,32 +239,32 @@
 func TestColdServerKeepsItsParts(t *testing.T) {
 	b := twoHalls(t)
 	part := PromptPart{ID: 4711, Tokens: 1000}
-	ask := func() string {
-		r := b.request("red", part, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
+	sendRequest := func() string {
+		r := b.request("red", part, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
 		server := b.sent(b.arrive(r))
 		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 		b.end(r.ID, Done, false)
 		b.now += 10 * time.Millisecond
 		return server
 	}
-	home := ask()
+	first := sendRequest()
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 19})
 	d := hallDirectory(2)
 	for i := range d.Servers {
-		if d.Servers[i].ID == home {
+		if d.Servers[i].ID == first {
 			d.Servers[i].ColdFor = coldLasts
 		}
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	away := 0
+	elsewhere := 0
 	for range 20 {
-		if ask() != home {
-			away++
+		if sendRequest() != first {
+			elsewhere++
 		}
 	}
-	require.GreaterOrEqual(t, away, 18)
-	b.pass(coldLasts)
+	require.GreaterOrEqual(t, elsewhere, 18)
+	b.advance(coldLasts)
 	for range 5 {
-		require.Equal(t, home, ask())
+		require.Equal(t, first, sendRequest())
 	}
 }
--- a/direct/commands.go
+++ b/direct/commands.go
@@ -90,15 +90,15 @@
 // ProbeMsg tells how it ended.
 type ProbeCmd struct{ Server Server }
 
-// AnswerCmd tells of an answer from a server of a service that is being rolled out, for
+// ResponseCmd tells of an answer from a server of a service that is being rolled out, for
 // the judging of its version.
-type AnswerCmd struct{ Answer rollout.AnswerMsg }
+type ResponseCmd struct{ Response rollout.AnswerMsg }
 
 // MoveCmd breaks off a stream that runs at a server of an old version, so that it goes on
 // at one of the target's. An EndMsg with the outcome Moved follows.
 type MoveCmd struct{ ID RequestID }
 
-func (AnswerCmd) isCmd()           {}
+func (ResponseCmd) isCmd()         {}
 func (MoveCmd) isCmd()             {}
 func (HallReachabilityCmd) isCmd() {}
 func (CrashCmd) isCmd()            {}
--- a/direct/config.go
+++ b/direct/config.go
@@ -102,8 +102,8 @@
 	ColdFor time.Duration
 }
 
-// incarnationMark stands between a server's name and its start. No name has one.
-const incarnationMark = "@"
+// incarnationSeparator stands between a server's name and its start. No name has one.
+const incarnationSeparator = "@"
 
 // ErrServerName says that a name can't be a server's.
 var ErrServerName = errors.New("a server's name has no @, which would be taken for the mark of its start")
@@ -113,18 +113,18 @@
 // start is taken for the next one's.
 func IncarnationID(name string, started *int64) (string, error) {
 	switch {
-	case strings.Contains(name, incarnationMark):
+	case strings.Contains(name, incarnationSeparator):
 		return "", errors.Wrapf(ErrServerName, "%q", name)
 	case started == nil:
 		return name, nil
 	}
-	return name + incarnationMark + strconv.FormatInt(*started, 10), nil
+	return name + incarnationSeparator + strconv.FormatInt(*started, 10), nil
 }
 
 // Name is that by which the server knows itself; its next incarnation may have it too. It is
 // not a field of its own, since lists of servers are most of what routers pull.
 func (s *Server) Name() string {
-	name, _, _ := strings.Cut(s.ID, incarnationMark)
+	name, _, _ := strings.Cut(s.ID, incarnationSeparator)
 	return name
 }
 
--- a/direct/crashplay_test.go
+++ b/direct/crashplay_test.go
@@ -13,7 +13,7 @@
 // crashPlay is routers in memory, and servers that crash under some contents and are followed by
 // others.
 type crashPlay struct {
-	fleet   []*bench
+	fleet   []*harness
 	random  *rand.Rand
 	servers Directory
 	crashed []string // servers that are to be followed by others
@@ -25,10 +25,10 @@
 
 func newCrashPlay(t *testing.T, seed uint64) *crashPlay {
 	p := &crashPlay{
-		random: rand.New(rand.NewPCG(seed, 1)), servers: directory(1, 12), ended: make(map[quarantine.Content]int), content: 1 << 32,
+		random: rand.New(rand.NewPCG(seed, 1)), servers: newDirectory(1, 12), ended: make(map[quarantine.Content]int), content: 1 << 32,
 	}
 	for range 4 {
-		p.fleet = append(p.fleet, newBench(t, 12))
+		p.fleet = append(p.fleet, newHarness(t, 12))
 	}
 	return p
 }
@@ -38,7 +38,7 @@
 	b := p.fleet[p.random.IntN(len(p.fleet))]
 	r := b.with(content)
 	cmds := b.arrive(r)
-	for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
+	for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
 		p.ended[content]++
 		p.crashed = append(p.crashed, send.Server.ID)
 		company := p.company(send.Server.ID)
@@ -49,7 +49,7 @@
 
 // harmless is a request that does no harm, at a router.
 type harmless struct {
-	at *bench
+	at *harness
 	r  Request
 }
 
@@ -62,7 +62,7 @@
 		p.asked++
 		b := p.fleet[p.random.IntN(len(p.fleet))]
 		r := b.with(p.content)
-		send, sent := find[SendCmd](b.arrive(r))
+		send, sent := findCmd[SendCmd](b.arrive(r))
 		switch {
 		case sent && send.Server.ID == server:
 			there = append(there, harmless{b, r})
@@ -79,7 +79,7 @@
 func (p *crashPlay) breakOff(company []harmless) {
 	for _, h := range company {
 		cmds := h.at.crash(h.r.ID, ProbeResultMsg{ConnRefused: true})
-		for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
+		for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
 			if p.random.IntN(4) > 0 {
 				h.at.m.Update(FirstEventMsg{Now: h.at.now, ID: h.r.ID})
 				h.at.end(h.r.ID, Done, false)
@@ -88,7 +88,7 @@
 			p.crashed = append(p.crashed, send.Server.ID)
 			cmds = h.at.crash(h.r.ID, ProbeResultMsg{ConnRefused: true})
 		}
-		if failed, ok := find[FailCmd](cmds); ok && failed.Reason == ReasonQuarantined {
+		if failed, ok := findCmd[FailCmd](cmds); ok && failed.Reason == ReasonQuarantined {
 			p.refused++
 		}
 	}
@@ -117,14 +117,14 @@
 			}
 		}
 		for _, b := range p.fleet {
-			b.pass(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 		}
 	}
 }
 
 // copyOf is one of several requests of the same content, at a router.
 type copyOf struct {
-	at     *bench
+	at     *harness
 	r      Request
 	server string // that it was last sent to
 }
@@ -159,10 +159,10 @@
 	}
 	seen := make(map[end]bool)
 	for _, c := range running {
-		one := end{c.r.Content, c.server}
+		one := end{c.r.Fingerprint, c.server}
 		if !seen[one] {
 			seen[one] = true
-			ended[c.r.Content]++
+			ended[c.r.Fingerprint]++
 		}
 		p.crashed = append(p.crashed, c.server)
 	}
@@ -171,7 +171,7 @@
 // runs adds a request to those that servers run, if some commands of its router bring it to one.
 // Servers that have ended refuse its connection.
 func (p *crashPlay) runs(running []copyOf, c copyOf, cmds []Cmd) []copyOf {
-	for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
+	for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
 		listed := slices.ContainsFunc(p.servers.Servers, func(s Server) bool { return s.ID == send.Server.ID })
 		if listed && !slices.Contains(p.crashed, send.Server.ID) {
 			c.server = send.Server.ID
@@ -252,6 +252,6 @@
 
 // restart replaces a router by one that knows nothing.
 func (p *crashPlay) restart(t *testing.T, router int) {
-	p.fleet[router] = newBench(t, 12)
+	p.fleet[router] = newHarness(t, 12)
 	p.fleet[router].m.Update(ServersMsg{Now: p.fleet[router].now, Directory: p.servers})
 }
--- a/direct/drain.go
+++ b/direct/drain.go
@@ -12,11 +12,11 @@
 
 // lastResortFor is how long a server that leaves is used where no other is there.
 func (m *Machine) lastResortFor() time.Duration {
-	return m.withinDrain(lastResortTime, lastResortPart)
+	return m.withinDrain(maxLastResortTime, lastResortPart)
 }
 
 // lapsedFor is how long servers are used whose entries went together with many others.
-func (m *Machine) lapsedFor() time.Duration { return m.withinDrain(lapseHold, lapsePart) }
+func (m *Machine) lapsedFor() time.Duration { return m.withinDrain(maxLapseGrace, lapsePart) }
 
 // withinDrain returns a time, or a part of the drain time where that is known and shorter.
 func (m *Machine) withinDrain(most time.Duration, part float64) time.Duration {
--- a/direct/drain_test.go
+++ b/direct/drain_test.go
@@ -25,7 +25,7 @@
 		b.m.Update(DrainMsg{Drain: drain})
 		leave(b)
 		require.Zero(t, b.chosen(2)[""], name)
-		b.pass(drain)
+		b.advance(drain)
 		require.Equal(t, map[string]int{"": 2}, b.chosen(2), name)
 	}
 }
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -20,13 +20,13 @@
 
 // end takes in how an attempt ended, and decides whether there is another.
 func (m *Machine) end(msg AttemptEndMsg) {
-	r := m.runs[msg.ID]
-	if r == nil || r.at == nil {
+	r := m.requests[msg.ID]
+	if r == nil || r.currentServer == nil {
 		return
 	}
 	p := m.pool(r.Service)
-	s := r.at
-	r.at = nil
+	s := r.currentServer
+	r.currentServer = nil
 	s.release(r)
 	m.refund(msg.Now, r, msg.Outcome)
 	m.noteContent(msg.Now, r, s, msg.Outcome)
@@ -41,9 +41,9 @@
 	if msg.Retry {
 		m.again(msg.Now, p, r, msg.Outcome)
 	} else {
-		delete(m.runs, r.ID)
+		delete(m.requests, r.ID)
 	}
-	m.serve(msg.Now, p, serveEach)
+	m.serveQueue(msg.Now, p, serveBatch)
 }
 
 // judge takes in what an outcome says of a server.
@@ -56,14 +56,14 @@
 	}
 	switch o {
 	case Done:
-		if s.succeeded() {
-			s.pause /= 2
+		if s.recordSuccess() {
+			s.lastPause /= 2
 			m.emit(ServerStatusCmd{Server: s.Server, Status: StatusRestored, Cause: "answered"})
 		}
 	case NotRun:
-		s.fullUntil = now + fullPause
+		s.fullUntil = now + defaultFullPause
 	case Unsent, Elsewhere:
-		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.down(now)})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.markDown(now)})
 	case Failed, Broken:
 		m.failed(now, p, s, 1, o)
 	case Hung:
@@ -73,7 +73,7 @@
 
 func (m *Machine) failed(now time.Duration, p *pool, s *server, weight int, o Outcome) {
 	side := p.sameSide(s)
-	if !s.failed(weight, medianFailures(side)) || mostEjected(now, side) || !m.uses(Ejection) {
+	if !s.recordFailure(weight, medianFailureRate(side)) || ejectionCapReached(now, side) || !m.enabled(Ejection) {
 		return
 	}
 	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.eject(now)})
@@ -81,12 +81,12 @@
 
 // again decides on another attempt for a request whose last one brought no
 // answer.
-func (m *Machine) again(now time.Duration, p *pool, r *run, o Outcome) {
+func (m *Machine) again(now time.Duration, p *pool, r *requestState, o Outcome) {
 	switch o {
 	case Unsent, Withheld:
 		r.attempt--
-		r.unsent++
-		if r.unsent >= unsentTries {
+		r.unsentAttempts++
+		if r.unsentAttempts >= maxUnsentAttempts {
 			m.giveUp(now, p, r, ReasonNoServers)
 			return
 		}
@@ -94,7 +94,7 @@
 		return
 	case NotRun, Elsewhere:
 	default:
-		r.mayRan = true
+		r.mayHaveRun = true
 		if !r.MayRepeat {
 			m.giveUp(now, p, r, ReasonAtMostOnce)
 			return
@@ -102,7 +102,7 @@
 	}
 	switch {
 	// The probe that tells of a crash has not ended yet, and a fourth server would be lost.
-	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneMore(r.Content):
+	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneMore(r.Fingerprint):
 		m.giveUp(now, p, r, ReasonQuarantined)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
@@ -110,7 +110,7 @@
 		m.giveUp(now, p, r, ReasonAttempts)
 	case o == Moved && r.placement.moving: // the budget was charged with the move
 		m.enqueue(now, p, r)
-	case !p.budget.spend(now, m.options.RetryBudget, m.routers):
+	case !p.retryWindow.trySpend(now, m.options.RetryBudget, m.routers):
 		m.giveUp(now, p, r, ReasonRetryBudget)
 	default:
 		m.enqueue(now, p, r)
@@ -118,46 +118,46 @@
 }
 
 // refuse ends a request that waits.
-func (m *Machine) refuse(now time.Duration, p *pool, r *run) {
+func (m *Machine) refuse(now time.Duration, p *pool, r *requestState) {
 	p.queue.remove(r)
 	reason := ReasonOverload
 	switch {
-	case len(p.order) == 0:
+	case len(p.admitted) == 0:
 		reason = ReasonNoServers
-	case r.above:
+	case r.throttled:
 		reason = ReasonOverShare
 	}
 	m.giveUp(now, p, r, reason)
 }
 
 // giveUp ends a request: it is refused where it has certainly not run.
-func (m *Machine) giveUp(now time.Duration, p *pool, r *run, reason Reason) {
+func (m *Machine) giveUp(now time.Duration, p *pool, r *requestState, reason Reason) {
 	r.waiting = false
-	delete(m.runs, r.ID)
-	if r.mayRan {
+	delete(m.requests, r.ID)
+	if r.mayHaveRun {
 		m.emit(FailCmd{ID: r.ID, Reason: reason})
 		return
 	}
-	m.emit(RefuseCmd{ID: r.ID, Reason: reason, RetryAfter: m.comeBack(now, p, r, reason), Share: r.over})
+	m.emit(RefuseCmd{ID: r.ID, Reason: reason, RetryAfter: m.comeBack(now, p, r, reason), Share: r.shareRatio})
 }
 
 // comeBack says when a refused request would find room: when the servers have
 // read what they have now, or the first of them wants requests again, and spread
 // over half an objective so that not all come at once. A team above its share is
 // told to wait for its allowance too.
-func (m *Machine) comeBack(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
+func (m *Machine) comeBack(now time.Duration, p *pool, r *requestState, reason Reason) time.Duration {
 	if reason == ReasonQuarantined {
 		return quarantine.Hold
 	}
 	backlog, n := 0.0, 0
-	for _, s := range p.order {
-		if !s.takes(now, r.Regions) {
+	for _, s := range p.admitted {
+		if !s.accepts(now, r.Regions) {
 			continue
 		}
 		if p.engine != nil {
-			backlog += float64(s.allPending()) / p.rateOf(s)
+			backlog += float64(s.totalPending()) / p.tokenRateOf(s)
 		} else {
-			backlog += s.latency * float64(s.allRunning()) / float64(max(s.Slots, 1))
+			backlog += s.latencyMS * float64(s.totalRunning()) / float64(max(s.Slots, 1))
 		}
 		n++
 	}
@@ -180,12 +180,12 @@
 // and not got: a caller that comes back sooner finds others of its team before it.
 func (m *Machine) overdue(now time.Duration, name string) time.Duration {
 	t := m.team(name)
-	bounds := m.boundsOf(t)
-	most := min(bounds.level, bounds.even)
+	bounds := m.limitsOf(t)
+	most := min(bounds.level, bounds.evenCap)
 	if most <= 0 || math.IsInf(most, 0) {
 		return overdueLeast
 	}
-	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * useWindow.Seconds()
+	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * usageWindow.Seconds()
 	seconds := min(unserved/most, overdueMost.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), overdueLeast)
 }
--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -10,11 +10,11 @@
 // TestWhatMayHaveRun is never repeated where it may not be, and never refused.
 func TestWhatMayHaveRun(t *testing.T) {
 	for _, o := range []Outcome{Failed, Broken, Hung} {
-		b := newBench(t, 3)
+		b := newHarness(t, 3)
 		r := b.request("red")
 		r.MayRepeat = false
 		b.sent(b.arrive(r))
-		fail, ok := find[FailCmd](b.end(r.ID, o, true))
+		fail, ok := findCmd[FailCmd](b.end(r.ID, o, true))
 		require.True(t, ok, o.String())
 		require.Equal(t, ReasonAtMostOnce, fail.Reason)
 	}
@@ -23,20 +23,20 @@
 // TestNotRunGoesElsewhere sends what has not run to another server, as often as
 // the route allows; then it is refused.
 func TestNotRunGoesElsewhere(t *testing.T) {
-	b := newBench(t, 3)
+	b := newHarness(t, 3)
 	r := b.request("red")
 	r.MayRepeat = false
 	first := b.sent(b.arrive(r))
 	second := b.sent(b.end(r.ID, NotRun, true))
 	require.NotEqual(t, first, second)
-	refused, ok := find[RefuseCmd](b.end(r.ID, NotRun, true))
+	refused, ok := findCmd[RefuseCmd](b.end(r.ID, NotRun, true))
 	require.True(t, ok)
 	require.Equal(t, ReasonAttempts, refused.Reason)
 }
 
 // TestUnsentCostsNoAttempt goes on to other servers where nothing was sent.
 func TestUnsentCostsNoAttempt(t *testing.T) {
-	b := newBench(t, 4)
+	b := newHarness(t, 4)
 	r := b.request("red")
 	r.Attempts = 1
 	b.sent(b.arrive(r))
@@ -48,17 +48,17 @@
 // of the window, for one router's part of it.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 4} {
-		b := newBench(t, 4)
+		b := newHarness(t, 4)
 		b.m.Update(MembershipMsg{Now: b.now, Routers: routers, ReportTTL: time.Second})
 		retries := 0
 		for range 100 {
 			r := b.request("red")
 			r.Service = "app"
-			if _, ok := find[SendCmd](b.arrive(r)); !ok {
-				b.pass(time.Second)
+			if _, ok := findCmd[SendCmd](b.arrive(r)); !ok {
+				b.advance(time.Second)
 				continue
 			}
-			if _, ok := find[SendCmd](b.end(r.ID, Failed, true)); ok {
+			if _, ok := findCmd[SendCmd](b.end(r.ID, Failed, true)); ok {
 				retries++
 				b.end(r.ID, Done, false)
 			}
@@ -71,7 +71,7 @@
 // TestEjection takes a server out that fails where others do not, and brings it
 // back with one request that may be repeated.
 func TestEjection(t *testing.T) {
-	b := newBench(t, 4)
+	b := newHarness(t, 4)
 	ejected := ""
 	for i := 0; i < 200 && ejected == ""; i++ {
 		r := b.request("red")
@@ -80,7 +80,7 @@
 		if server == "e0" {
 			outcome = Failed
 		}
-		if belief, ok := find[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && belief.Status == StatusEjected {
+		if belief, ok := findCmd[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && belief.Status == StatusEjected {
 			ejected = belief.Server.ID
 		}
 	}
@@ -90,12 +90,12 @@
 		require.NotEqual(t, "e0", b.sent(b.arrive(r)))
 		b.end(r.ID, Done, false)
 	}
-	b.pass(ejectShortest + TickInterval)
+	b.advance(minEjection + TickInterval)
 	back := false
 	for i := 0; i < 100 && !back; i++ {
 		r := b.request("red", PromptPart{ID: uint64(i), Tokens: 1}, PromptPart{ID: 9, Tokens: 1})
 		b.sent(b.arrive(r))
-		belief, ok := find[ServerStatusCmd](b.end(r.ID, Done, false))
+		belief, ok := findCmd[ServerStatusCmd](b.end(r.ID, Done, false))
 		back = ok && belief.Status == StatusRestored
 	}
 	require.True(t, back)
@@ -103,14 +103,14 @@
 
 // TestFaultOfAllEjectsFew keeps at least half of the servers when all fail.
 func TestFaultOfAllEjectsFew(t *testing.T) {
-	b := newBench(t, 6)
+	b := newHarness(t, 6)
 	for range 300 {
 		r := b.request("red")
 		b.sent(b.arrive(r))
 		b.end(r.ID, Failed, false)
 	}
 	in := 0
-	for _, s := range b.m.pool("llm").order {
+	for _, s := range b.m.pool("llm").admitted {
 		if s.usable(b.now) {
 			in++
 		}
@@ -121,7 +121,7 @@
 // TestSlowRouterJudgesNobody does not hold others for dead while this router is
 // late itself: one starved router would eject all servers.
 func TestSlowRouterJudgesNobody(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	for range 50 {
 		r := b.request("red")
 		b.sent(b.arrive(r))
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -10,10 +10,10 @@
 // hall get no new requests; what runs there is left to run. The routers of the hall go
 // on: only its servers are out of use.
 func (m *Machine) evacuate(msg EvacuationsMsg) {
-	if msg.Evacuations.Revision < m.evacuationsAt {
+	if msg.Evacuations.Revision < m.evacuationsRevision {
 		return
 	}
-	m.evacuationsAt = msg.Evacuations.Revision
+	m.evacuationsRevision = msg.Evacuations.Revision
 	halls := make(map[string]bool, len(msg.Evacuations.Halls))
 	for _, hall := range msg.Evacuations.Halls {
 		halls[hall] = true
@@ -30,7 +30,7 @@
 			}
 		}
 		p.admit()
-		m.serve(msg.Now, p, maxQueued)
+		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
 
@@ -38,7 +38,7 @@
 // turned cold shortly before, and its entry says so only after its next heartbeat. The
 // price is a few seconds at the cold rate where it has not.
 func (m *Machine) returned(now time.Duration, p *pool, s *server) {
-	m.noteCold(now, s, p.cold.Lasts, "its data hall was evacuated")
+	m.markCold(now, s, p.cold.Lasts, "its data hall was evacuated")
 }
 
 // tellHalls emits what has changed since an earlier set of evacuated halls.
@@ -55,6 +55,6 @@
 				servers++
 			}
 		}
-		m.emit(EvacuationCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsAt, Servers: servers})
+		m.emit(EvacuationCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsRevision, Servers: servers})
 	}
 }
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -10,8 +10,8 @@
 
 // twoHalls returns a bench with three servers in hall a and three in hall b, which bear
 // few requests while they are cold.
-func twoHalls(t *testing.T) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
+func twoHalls(t *testing.T) *harness {
+	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}, Cold: ColdLimit{PerSecond: 20, Lasts: 3 * time.Second}}},
@@ -31,21 +31,21 @@
 
 func hallOf(server int) string { return [...]string{"a", "b"}[server%2] }
 
-func (b *bench) evacuate(revision uint64, halls ...string) []Cmd {
+func (b *harness) evacuate(revision uint64, halls ...string) []Cmd {
 	return append([]Cmd(nil), b.m.Update(EvacuationsMsg{Now: b.now, Evacuations: Evacuations{Revision: revision, Halls: halls}})...)
 }
 
 // sentTo sends requests for some time and counts them by hall.
-func (b *bench) sentTo(d time.Duration) map[string]int {
+func (b *harness) sentTo(d time.Duration) map[string]int {
 	halls := make(map[string]int)
 	for end := b.now + d; b.now < end; {
-		r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
-		if c, ok := find[SendCmd](b.arrive(r)); ok {
+		r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
+		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
 			halls[c.Server.Zone]++
 			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 			b.end(r.ID, Done, false)
 		}
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 	}
 	return halls
 }
@@ -56,7 +56,7 @@
 	both := b.sentTo(time.Second)
 	require.NotZero(t, both["a"])
 	require.NotZero(t, both["b"])
-	told, ok := find[EvacuationCmd](b.evacuate(2, "b"))
+	told, ok := findCmd[EvacuationCmd](b.evacuate(2, "b"))
 	require.True(t, ok)
 	require.Equal(t, EvacuationCmd{Hall: "b", Evacuated: true, Revision: 2, Servers: 3}, told)
 	require.Zero(t, b.sentTo(time.Second)["b"])
@@ -91,10 +91,10 @@
 	before := b.request("red")
 	b.sent(b.arrive(before))
 	b.evacuate(2, "a", "b")
-	refused, ok := find[RefuseCmd](b.arrive(b.request("red")))
+	refused, ok := findCmd[RefuseCmd](b.arrive(b.request("red")))
 	require.True(t, ok, "it does not wait for what cannot come")
 	require.Equal(t, ReasonNoServers, refused.Reason)
-	require.Empty(t, b.pass(time.Second))
+	require.Empty(t, b.advance(time.Second))
 	require.Empty(t, b.end(before.ID, Done, false))
 }
 
@@ -104,11 +104,11 @@
 	b := twoHalls(t)
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 3})
 	b.evacuate(2, "b")
-	b.pass(time.Second)
+	b.advance(time.Second)
 	b.evacuate(3)
 	cold := b.sentTo(2 * time.Second)
 	require.LessOrEqual(t, cold["b"], 3*3, "three servers, one request a second each, and one at first")
-	b.pass(time.Second)
+	b.advance(time.Second)
 	warm := b.sentTo(2 * time.Second)
 	require.Greater(t, warm["b"], 20)
 }
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -39,12 +39,12 @@
 }
 
 // watch begins the observation of an attempt that has just been sent.
-func (m *Machine) watch(now time.Duration, p *pool, r *run, s *server) {
+func (m *Machine) watch(now time.Duration, p *pool, r *requestState, s *server) {
 	if p.gate == nil {
 		return
 	}
 	r.observed = observation{
-		counts:   !s.cold.at(now) && now-s.listedAt >= settleTime,
+		counts:   !s.cold.active(now) && now-s.listedAt >= settleTime,
 		expected: p.expected(r, s),
 	}
 }
@@ -52,33 +52,33 @@
 // sawFirst takes in that the first event of an attempt came. How a stream began is
 // reported at the next tick, not here: a failure may follow at once, and then it counts
 // in place of the good beginning.
-func (m *Machine) sawFirst(now time.Duration, p *pool, r *run) {
+func (m *Machine) sawFirst(now time.Duration, p *pool, r *requestState) {
 	if p.gate == nil || r.observed.firstAt > 0 {
 		return
 	}
 	p.gate.exposure.reached(r)
-	r.at.answeredAt = now
+	r.currentServer.respondedAt = now
 	if r.Kind != Stream {
 		return
 	}
 	r.observed.firstAt = now
-	r.observed.first = m.firstSpeed(now, p, r, r.at)
-	m.begun = append(m.begun, r)
+	r.observed.first = m.firstSpeed(now, p, r, r.currentServer)
+	m.startedRequests = append(m.startedRequests, r)
 }
 
 // tellBegun reports how those streams began whose first events came since the last tick.
 func (m *Machine) tellBegun(now time.Duration) {
-	for i, r := range m.begun {
-		if r.at != nil && r.observed.firstAt > 0 && !r.observed.told {
-			m.tellSpeed(now, m.pool(r.Service), r, r.at, false, r.observed.first)
+	for i, r := range m.startedRequests {
+		if r.currentServer != nil && r.observed.firstAt > 0 && !r.observed.told {
+			m.tellSpeed(now, m.pool(r.Service), r, r.currentServer, false, r.observed.first)
 		}
-		m.begun[i] = nil
+		m.startedRequests[i] = nil
 	}
-	m.begun = m.begun[:0]
+	m.startedRequests = m.startedRequests[:0]
 }
 
 // sawEnd takes in how an attempt ended.
-func (m *Machine) sawEnd(p *pool, msg AttemptEndMsg, r *run, s *server) {
+func (m *Machine) sawEnd(p *pool, msg AttemptEndMsg, r *requestState, s *server) {
 	if p.gate == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 		m.tellSpeed(msg.Now, p, r, s, false, m.firstSpeed(msg.Now, p, r, s))
 	}
 	if msg.Outcome == Done || msg.Outcome == Failed {
-		s.answeredAt = msg.Now
+		s.respondedAt = msg.Now
 	}
 }
 
@@ -111,22 +111,22 @@
 // the time that one request waited for it. A server that answers nobody has stopped, which
 // is not evidence on its version.
 func (s *server) answeredOthers(since, now time.Duration) bool {
-	return s.answeredAt > since+(now-since)/2
+	return s.respondedAt > since+(now-since)/2
 }
 
 // tellSpeed emits an answer that did not fail; one of the target that can't be compared waits
 // for a failure.
-func (m *Machine) tellSpeed(now time.Duration, p *pool, r *run, s *server, later bool, is speed) {
+func (m *Machine) tellSpeed(now time.Duration, p *pool, r *requestState, s *server, later bool, is speed) {
 	if s.target && is == unknownSpeed && r.observed.counts {
 		r.observed.told = true
-		p.gate.unrated.hold(unratedKey{r.Route, s.cohort, later})
+		p.gate.unrated.add(unratedKey{r.Route, s.cohort, later})
 		return
 	}
 	m.tell(now, r, s, later, is == slowSpeed)
 }
 
 // tellFailure emits a failure, and before it the answers that it is to be weighed with.
-func (m *Machine) tellFailure(now time.Duration, p *pool, r *run, s *server) {
+func (m *Machine) tellFailure(now time.Duration, p *pool, r *requestState, s *server) {
 	later := r.observed.told
 	if s.target && r.observed.counts {
 		for _, of := range []bool{false, true} {
@@ -139,22 +139,22 @@
 }
 
 // tell emits one answer as evidence on the version of its server.
-func (m *Machine) tell(now time.Duration, r *run, s *server, later, bad bool) {
+func (m *Machine) tell(now time.Duration, r *requestState, s *server, later, bad bool) {
 	g := m.pool(r.Service).gate
 	r.observed.told = true
 	if g.Target == "" || !r.observed.counts || (!s.target && !g.Uses(s.Version)) {
 		return
 	}
-	m.emit(AnswerCmd{Answer: rollout.AnswerMsg{
+	m.emit(ResponseCmd{Response: rollout.AnswerMsg{
 		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: later, Bad: bad,
 	}})
 }
 
 // firstSpeed compares how soon a first event, or a whole answer, came with what is expected
 // from the speed of old servers. Answers of old servers then update that speed.
-func (m *Machine) firstSpeed(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) firstSpeed(now time.Duration, p *pool, r *requestState, s *server) speed {
 	elapsed := inMilliseconds(now - r.sentAt)
-	delay := &p.baseline.routes.of(r.Route).delay
+	delay := &p.baseline.routes.get(r.Route).delay
 	usual := delay.value() * r.observed.expected
 	is := compare(delay, elapsed > slowTimes*usual+inMilliseconds(slowFirst))
 	if !s.target && r.observed.counts {
@@ -176,21 +176,21 @@
 
 // learnFirst updates the baseline by the time, in milliseconds, that an old server took to
 // a first event or a whole answer.
-func (p *pool) learnFirst(r *run, elapsed float64) {
-	p.baseline.routes.of(r.Route).delay.add(elapsed/r.observed.expected, fastestFirst/r.observed.expected)
+func (p *pool) learnFirst(r *requestState, elapsed float64) {
+	p.baseline.routes.get(r.Route).delay.add(elapsed/r.observed.expected, fastestFirst/r.observed.expected)
 	if p.engine != nil {
-		p.baseline.learnRate(r.ahead, elapsed, p.tokenRate)
+		p.baseline.learnRate(r.tokensAhead, elapsed, p.tokenRate)
 	}
 }
 
 // tokenSpeed compares how long a stream took for its tokens with streams of old servers.
-func (m *Machine) tokenSpeed(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) tokenSpeed(now time.Duration, p *pool, r *requestState, s *server) speed {
 	if r.OutputTokens <= 0 {
 		return usualSpeed
 	}
 	tokens := float64(r.OutputTokens)
 	elapsed := inMilliseconds(now - r.observed.firstAt)
-	token := &p.baseline.routes.of(r.Route).token
+	token := &p.baseline.routes.get(r.Route).token
 	usual := token.value() * tokens
 	is := compare(token, elapsed > slowTimes*usual && elapsed > usual+inMilliseconds(slowStream))
 	if !s.target && r.observed.counts {
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -13,7 +13,7 @@
 // workload plays a mix of routes against servers that read one prompt after the other,
 // keep shared parts, and write slower the more runs there.
 type workload struct {
-	b       *bench
+	b       *harness
 	random  *rand.Rand
 	slow    float64 // times that the target's servers take
 	servers map[string]*modelServer
@@ -42,7 +42,7 @@
 	g.Servers = 0.1
 	b := newMove(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 30, "v1", "v2")})
-	b.pass(2 * settleTime)
+	b.advance(2 * settleTime)
 	w := &workload{
 		b: b, random: rand.New(rand.NewPCG(1, 2)), slow: slow, servers: make(map[string]*modelServer),
 		bad: map[bool]*tally{false: {}, true: {}},
@@ -80,7 +80,7 @@
 		shared, own, output int
 	}{{"plan", 5400, 6600, 55}, {"chat", 200, 630, 42}, {"tag", 570, 1800, 3}}[w.random.IntN(3)]
 	part := uint64(w.random.IntN(200))*10 + uint64(len(route.name))
-	r := w.b.request("red", PromptPart{ID: part, Tokens: route.shared}, PromptPart{ID: uint64(w.b.next) << 32, Tokens: route.own})
+	r := w.b.request("red", PromptPart{ID: part, Tokens: route.shared}, PromptPart{ID: uint64(w.b.lastID) << 32, Tokens: route.own})
 	r.Route, r.PromptTokens, r.OutputTokens, r.Objective = route.name, route.shared+route.own, route.output, 800*time.Millisecond
 	return r
 }
@@ -98,15 +98,15 @@
 	for _, c := range slices.Clone(cmds) {
 		switch c := c.(type) {
 		case SendCmd:
-			w.send(c, w.b.m.runs[c.ID])
-		case AnswerCmd:
-			w.bad[c.Answer.Target].add(c.Answer.Bad)
+			w.send(c, w.b.m.requests[c.ID])
+		case ResponseCmd:
+			w.bad[c.Response.Target].add(c.Response.Bad)
 		}
 	}
 }
 
 // send has a server read the prompt and write the answer.
-func (w *workload) send(c SendCmd, r *run) {
+func (w *workload) send(c SendCmd, r *requestState) {
 	s := w.servers[c.Server.ID]
 	times := 1.0
 	if s.target {
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -12,8 +12,8 @@
 func answers(cmds []Cmd) []rollout.AnswerMsg {
 	var out []rollout.AnswerMsg
 	for _, c := range cmds {
-		if a, ok := c.(AnswerCmd); ok {
-			out = append(out, a.Answer)
+		if a, ok := c.(ResponseCmd); ok {
+			out = append(out, a.Response)
 		}
 	}
 	return out
@@ -35,9 +35,9 @@
 
 // stream runs one request to its end at a server that reads 60 tokens a millisecond and
 // writes one token in 5, times its slowness, and returns the evidence.
-func (b *bench) stream(r Request, slow speeds, anew int) []rollout.AnswerMsg {
+func (b *harness) stream(r Request, slow speeds, anew int) []rollout.AnswerMsg {
 	cmds := b.arrive(r)
-	c, ok := find[SendCmd](cmds)
+	c, ok := findCmd[SendCmd](cmds)
 	require.True(b.t, ok)
 	times, read := slow.old, r.ownTokens()
 	if c.PlacementBasis.Target {
@@ -46,12 +46,12 @@
 	}
 	b.now += milliseconds(times * (10 + float64(read)/60))
 	cmds = append(cmds, b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})...)
-	cmds = append(cmds, b.pass(milliseconds(times*5*float64(r.OutputTokens)))...)
+	cmds = append(cmds, b.advance(milliseconds(times*5*float64(r.OutputTokens)))...)
 	return answers(append(cmds, b.end(r.ID, Done, false)...))
 }
 
 // streams runs requests one after the other and counts the evidence on the target.
-func (b *bench) streams(n int, slow speeds) (begun, later, old tally) {
+func (b *harness) streams(n int, slow speeds) (begun, later, old tally) {
 	for range n {
 		for _, a := range b.stream(b.one("chat"), slow, 0) {
 			switch {
@@ -102,12 +102,12 @@
 			d.Servers[i].ID += "-app"
 		}
 		b.m.Update(ServersMsg{Now: b.now, Directory: d})
-		b.pass(2 * settleTime)
+		b.advance(2 * settleTime)
 		var got tally
 		for range 200 {
 			r := b.one("stock")
 			r.Service, r.Kind = "app", AtMostOnce
-			c, ok := find[SendCmd](b.arrive(r))
+			c, ok := findCmd[SendCmd](b.arrive(r))
 			require.True(t, ok)
 			took := 60 * time.Millisecond
 			if c.PlacementBasis.Target {
@@ -133,7 +133,7 @@
 	const shared = 12000
 	b := newMove(t, trial(0))
 	request := func(i int) Request {
-		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.next) << 32, Tokens: 500})
+		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 500})
 		r.PromptTokens = shared + 500
 		return r
 	}
@@ -153,8 +153,8 @@
 }
 
 // rateOld lets the router know how fast old servers answer a route.
-func (b *bench) rateOld(route string) {
-	pace := b.m.pool("llm").baseline.routes.of(route)
+func (b *harness) rateOld(route string) {
+	pace := b.m.pool("llm").baseline.routes.get(route)
 	for range baselineLeast {
 		pace.delay.add(1, fastestFirst)
 		pace.token.add(5, fastestToken)
@@ -230,7 +230,7 @@
 	stream := b.one("chat")
 	b.sent(b.arrive(stream))
 	b.m.Update(FirstEventMsg{Now: b.now, ID: stream.ID})
-	got = append(answers(b.pass(TickInterval)), answers(b.end(stream.ID, Failed, false))...)
+	got = append(answers(b.advance(TickInterval)), answers(b.end(stream.ID, Failed, false))...)
 	require.Len(t, got, 2)
 	require.Equal(t, []bool{false, true}, []bool{got[0].Bad, got[1].Bad})
 	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
@@ -242,11 +242,11 @@
 	for _, answering := range []bool{false, true} {
 		b := newMove(t, trial(1))
 		b.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 1, "v2")})
-		b.pass(2 * lapseHold)
+		b.advance(2 * maxLapseGrace)
 		silent, other := b.one("chat"), b.one("chat")
 		b.sent(b.arrive(silent))
 		b.sent(b.arrive(other))
-		b.pass(time.Second)
+		b.advance(time.Second)
 		if answering {
 			b.answer(other.ID)
 		}
@@ -288,7 +288,7 @@
 // TestRolloutCohorts are the halls; where the target is in one hall only, its servers
 // are told apart.
 func TestRolloutCohorts(t *testing.T) {
-	cohorts := func(b *bench) map[string]bool {
+	cohorts := func(b *harness) map[string]bool {
 		out := make(map[string]bool)
 		b.rateOld("chat")
 		for range 200 {
@@ -312,7 +312,7 @@
 		}
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	b.pass(2 * settleTime)
+	b.advance(2 * settleTime)
 	require.Len(t, b.taking(), trialLeast)
 	require.Len(t, cohorts(b), cohortsInHall)
 }
--- a/direct/exposure.go
+++ b/direct/exposure.go
@@ -37,7 +37,7 @@
 
 // allows tells whether one more request of a route may go to the target.
 func (e *exposure) allows(route string, limit float64) bool {
-	return limit >= 1 || (e.routes.of(route).allows(limit, routeAhead) && e.total.allows(limit, 0))
+	return limit >= 1 || (e.routes.get(route).allows(limit, routeAhead) && e.total.allows(limit, 0))
 }
 
 // allows tells whether one more may go to the target where some may be ahead of the limit.
@@ -48,24 +48,24 @@
 // behind tells whether much less of a route goes to the target than the limit allows: of a
 // few parts of prompts that most of its requests share, none may have moved yet.
 func (e *exposure) behind(route string, limit float64) bool {
-	one := e.routes.of(route)
+	one := e.routes.get(route)
 	allowed := limit * float64(one.reached)
 	return limit < 1 && allowed >= behindFrom && float64(one.target) < behindPart*allowed
 }
 
 // sentTarget counts an attempt at a server of the target.
 func (e *exposure) sentTarget(route string) {
-	e.routes.of(route).target++
+	e.routes.get(route).target++
 	e.total.target++
 }
 
 // reached counts an attempt of which it is known that it came to a server.
-func (e *exposure) reached(r *run) {
+func (e *exposure) reached(r *requestState) {
 	if r.placement.reached || r.placement.epoch != e.epoch {
 		return
 	}
 	r.placement.reached = true
-	e.routes.of(r.Route).reached++
+	e.routes.get(r.Route).reached++
 	e.total.reached++
 }
 
--- a/direct/flood_bench_test.go
+++ b/direct/flood_bench_test.go
@@ -13,7 +13,7 @@
 // answers of what was sent, by the number of servers.
 func BenchmarkFlood(b *testing.B) {
 	for _, servers := range []int{54, 1000, 10_000} {
-		b.Run(fmt.Sprint(servers), func(b *testing.B) { flood(b, servers, nil) })
+		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkFlood(b, servers, nil) })
 	}
 }
 
@@ -22,11 +22,11 @@
 func BenchmarkRolloutFlood(b *testing.B) {
 	for _, servers := range []int{54, 1000, 10_000} {
 		gate := &rollout.Gate{Service: "llm", InUse: []string{"v0"}, Target: "v1", Part: 0.1, Limit: 0.1, Servers: 0.1}
-		b.Run(fmt.Sprint(servers), func(b *testing.B) { flood(b, servers, gate) })
+		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkFlood(b, servers, gate) })
 	}
 }
 
-func flood(b *testing.B, servers int, gate *rollout.Gate) {
+func benchmarkFlood(b *testing.B, servers int, gate *rollout.Gate) {
 	const (
 		perTick  = 20 // requests of the flood in one tick
 		answered = 100 * time.Millisecond
@@ -50,11 +50,11 @@
 		id RequestID
 		at time.Duration
 	}
-	var open []sent
-	take := func(cmds []Cmd) {
+	var running []sent
+	execute := func(cmds []Cmd) {
 		for _, c := range cmds {
 			if s, ok := c.(SendCmd); ok {
-				open = append(open, sent{s.ID, now})
+				running = append(running, sent{s.ID, now})
 			}
 		}
 	}
@@ -62,11 +62,11 @@
 	for i := 0; b.Loop(); i++ {
 		if i%perTick == 0 {
 			now += TickInterval
-			take(m.Update(TickMsg{Now: now}))
-			for len(open) > 0 && now-open[0].at > answered {
-				m.Update(FirstEventMsg{Now: now, ID: open[0].id})
-				take(m.Update(AttemptEndMsg{Now: now, ID: open[0].id, Outcome: Done}))
-				open = open[1:]
+			execute(m.Update(TickMsg{Now: now}))
+			for len(running) > 0 && now-running[0].at > answered {
+				m.Update(FirstEventMsg{Now: now, ID: running[0].id})
+				execute(m.Update(AttemptEndMsg{Now: now, ID: running[0].id, Outcome: Done}))
+				running = running[1:]
 			}
 		}
 		id++
@@ -74,7 +74,7 @@
 		if i%perTick == 0 {
 			team = "small"
 		}
-		take(m.Update(RequestMsg{Now: now, Request: Request{
+		execute(m.Update(RequestMsg{Now: now, Request: Request{
 			ID: id, Team: team, Service: "llm", Kind: Stream, Attempts: 1, Objective: 400 * time.Millisecond,
 			Deadline: now + 10*time.Second, PromptTokens: 5000, OutputTokens: 200,
 			Parts: []PromptPart{{ID: 1, Tokens: 500}, {ID: uint64(i%800) + 2, Tokens: 2000}, {ID: uint64(id) + 10_000, Tokens: 2500}},
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -31,7 +31,7 @@
 	p.gate.Gate = msg.Gate
 	p.gate.movePending = msg.Gate.Move
 	p.admit()
-	m.serve(msg.Now, p, maxQueued)
+	m.serveQueue(msg.Now, p, maxQueued)
 	m.move(msg.Now, p)
 }
 
@@ -47,7 +47,7 @@
 func (p *pool) admit() {
 	g := p.gate
 	if g == nil {
-		p.order = p.all
+		p.admitted = p.all
 		return
 	}
 	g.old, g.target = nil, nil
@@ -58,14 +58,14 @@
 		}
 	}
 	g.target = g.openTargets(p.all)
-	p.order = make([]*server, 0, len(g.old)+len(g.target))
-	p.order = append(append(p.order, g.old...), g.target...)
-	sortByID(p.order)
+	p.admitted = make([]*server, 0, len(g.old)+len(g.target))
+	p.admitted = append(append(p.admitted, g.old...), g.target...)
+	sortByID(p.admitted)
 	for _, s := range p.all {
-		s.barred = true
+		s.versionBarred = true
 	}
-	for _, s := range p.order {
-		s.barred = false
+	for _, s := range p.admitted {
+		s.versionBarred = false
 	}
 	p.nameCohorts()
 }
@@ -81,7 +81,7 @@
 func (p *pool) side(target bool) []*server {
 	switch {
 	case p.gate == nil:
-		return p.order
+		return p.admitted
 	case target:
 		return p.gate.target
 	}
@@ -89,7 +89,7 @@
 }
 
 // reachable returns the servers of the side that a request is being placed on.
-func (p *pool) reachable(r *run) []*server { return p.side(r.placement.target) }
+func (p *pool) reachable(r *requestState) []*server { return p.side(r.placement.target) }
 
 // sameSide returns the servers that a server is compared with for ejection: those of its
 // own side. Among the old servers, each server of a bad version would stand out and be
@@ -97,7 +97,7 @@
 func (p *pool) sameSide(s *server) []*server { return p.side(s.target) }
 
 // noSideUsable tells whether a request finds no usable server on any side that it may go to.
-func (p *pool) noSideUsable(now time.Duration, r *run) bool {
+func (p *pool) noSideUsable(now time.Duration, r *requestState) bool {
 	if p.gate == nil {
 		return false
 	}
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -204,8 +204,8 @@
 			delete(r.waiting, c.ID)
 		case MoveCmd:
 			s.move(r, c)
-		case AnswerCmd:
-			require.NotEqual(s.t, c.Answer.Cohort, "", "evidence of no cohort")
+		case ResponseCmd:
+			require.NotEqual(s.t, c.Response.Cohort, "", "evidence of no cohort")
 		}
 	}
 }
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -12,8 +12,8 @@
 
 // newMove returns a bench with six old and six new servers in three halls, whose service
 // moves from v1 to v2 by the gate, and which has run long enough for them to settle.
-func newMove(t *testing.T, g rollout.Gate) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
+func newMove(t *testing.T, g rollout.Gate) *harness {
+	b := &harness{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}},
@@ -21,7 +21,7 @@
 	}})
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(1, 6, "v1", "v2")})
 	b.gate(g)
-	b.pass(2 * settleTime)
+	b.advance(2 * settleTime)
 	return b
 }
 
@@ -42,37 +42,37 @@
 	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: part, Limit: 1, Servers: 1}
 }
 
-func (b *bench) gate(g rollout.Gate) []Cmd {
+func (b *harness) gate(g rollout.Gate) []Cmd {
 	return append([]Cmd(nil), b.m.Update(GateMsg{Now: b.now, Gate: g})...)
 }
 
 // one returns a request of a route with a shared part of its own.
-func (b *bench) one(route string) Request {
-	r := b.request("red", PromptPart{ID: uint64(b.next)*7919 + 1, Tokens: 100}, PromptPart{ID: uint64(b.next) << 32, Tokens: 100})
+func (b *harness) one(route string) Request {
+	r := b.request("red", PromptPart{ID: uint64(b.lastID)*7919 + 1, Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 100})
 	r.Route = route
 	return r
 }
 
 // answer lets a running request end well.
-func (b *bench) answer(id RequestID) []Cmd {
+func (b *harness) answer(id RequestID) []Cmd {
 	out := append([]Cmd(nil), b.m.Update(FirstEventMsg{Now: b.now, ID: id})...)
 	return append(out, b.end(id, Done, false)...)
 }
 
 // byVersion sends requests of a route one by one and counts them by version; none
 // counts those that were not sent.
-func (b *bench) byVersion(route string, n int) map[string]int {
+func (b *harness) byVersion(route string, n int) map[string]int {
 	counts := make(map[string]int)
 	for range n {
 		r := b.one(route)
-		if c, ok := find[SendCmd](b.arrive(r)); ok {
+		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
 			counts[c.Server.Version]++
 			b.answer(r.ID)
 		} else {
 			counts["none"]++
 			b.m.Update(CancelMsg{Now: b.now, ID: r.ID})
 		}
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 	}
 	return counts
 }
@@ -81,7 +81,7 @@
 // holds nobody up.
 func TestRolloutGatedWithoutAGate(t *testing.T) {
 	b := newMove(t, rollout.Gate{Service: "llm"})
-	refused, ok := find[RefuseCmd](b.arrive(b.one("chat")))
+	refused, ok := findCmd[RefuseCmd](b.arrive(b.one("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
@@ -92,7 +92,7 @@
 	b := newMove(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	require.Equal(t, map[string]int{"v1": 100}, b.byVersion("chat", 100))
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 6, "v2")})
-	b.pass(2 * lapseHold)
+	b.advance(2 * maxLapseGrace)
 	require.Equal(t, map[string]int{"none": 20}, b.byVersion("chat", 20))
 }
 
@@ -105,9 +105,9 @@
 		for range 150 {
 			b.arrive(b.one("chat"))
 		}
-		b.pass(time.Second)
+		b.advance(time.Second)
 		p := b.m.pool("llm")
-		return b.m.Shares(b.now, 0).Busy, b.m.Shares(b.now, 0).Headroom, b.m.comeBack(b.now, p, &run{Request: Request{Team: "red"}}, ReasonOverload)
+		return b.m.Shares(b.now, 0).Busy, b.m.Shares(b.now, 0).Headroom, b.m.comeBack(b.now, p, &requestState{Request: Request{Team: "red"}}, ReasonOverload)
 	}
 	aloneBusy, aloneHeadroom, aloneAfter := busy("v1")
 	besideBusy, besideHeadroom, besideAfter := busy("v1", "v3")
@@ -127,7 +127,7 @@
 			require.Equal(t, StatusGone, belief.Status, belief.Server.ID)
 		}
 	}
-	require.Len(t, b.m.pool("llm").order, 6, "gone servers are forgotten later")
+	require.Len(t, b.m.pool("llm").admitted, 6, "gone servers are forgotten later")
 	require.False(t, b.m.byServer["v1-0"].usable(b.now))
 }
 
@@ -193,13 +193,13 @@
 	for range 1000 {
 		r := b.one("chat")
 		r.Parts = []PromptPart{{ID: unmoved, Tokens: 50}, {ID: uint64(r.ID) << 32, Tokens: 50}}
-		if c, ok := find[SendCmd](b.arrive(r)); ok {
+		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
 			if c.Server.Version == "v2" {
 				sent++
 			}
 			b.answer(r.ID)
 		}
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 	}
 	require.Greater(t, sent, 10)
 	require.LessOrEqual(t, sent, 50)
@@ -228,12 +228,12 @@
 	for range 40 {
 		r := b.one("chat")
 		r.Attempts = 1
-		c, ok := find[SendCmd](b.arrive(r))
+		c, ok := findCmd[SendCmd](b.arrive(r))
 		if ok {
 			require.Equal(t, "v1", c.Server.Version)
 			b.end(r.ID, Hung, false)
 		}
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 	}
 }
 
@@ -249,7 +249,7 @@
 			full = append(full, loads.Load{Server: loads.Key(fmt.Sprint("v2-", i)), Running: 48})
 		}
 		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: full})
-		c, sent := find[SendCmd](b.arrive(b.one("chat")))
+		c, sent := findCmd[SendCmd](b.arrive(b.one("chat")))
 		require.Equal(t, !closed, sent)
 		if sent {
 			require.Equal(t, "v1", c.Server.Version)
@@ -266,9 +266,9 @@
 		d.Servers[i].Draining = d.Servers[i].Version == "v1"
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	b.pass(2 * lastResortTime)
+	b.advance(2 * maxLastResortTime)
 	require.Len(t, b.taking(), 6, "there are servers, for others")
-	refused, ok := find[RefuseCmd](b.arrive(b.one("chat")))
+	refused, ok := findCmd[RefuseCmd](b.arrive(b.one("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
@@ -277,11 +277,11 @@
 func TestRolloutRetryGoesToOldServers(t *testing.T) {
 	b := newMove(t, trial(1))
 	r := b.one("chat")
-	c, _ := find[SendCmd](b.arrive(r))
+	c, _ := findCmd[SendCmd](b.arrive(r))
 	require.Equal(t, "v2", c.Server.Version)
 	require.True(t, c.PlacementBasis.Target)
 	require.Equal(t, SideTarget, c.PlacementBasis.Side)
-	c, ok := find[SendCmd](b.end(r.ID, Failed, true))
+	c, ok := findCmd[SendCmd](b.end(r.ID, Failed, true))
 	require.True(t, ok)
 	require.Equal(t, "v1", c.Server.Version)
 	require.False(t, c.PlacementBasis.Target)
@@ -295,13 +295,13 @@
 	b := newMove(t, g)
 	r := b.one("chat")
 	b.arrive(r)
-	c, ok := find[SendCmd](b.end(r.ID, Failed, true))
+	c, ok := findCmd[SendCmd](b.end(r.ID, Failed, true))
 	require.True(t, ok)
 	require.Equal(t, "v2", c.Server.Version)
 }
 
 // taking returns the target's servers that get requests.
-func (b *bench) taking() []string {
+func (b *harness) taking() []string {
 	var out []string
 	for _, s := range b.m.Servers(b.now) {
 		if s.Version == "v2" && !s.Barred {
@@ -317,7 +317,7 @@
 	g := trial(0.02)
 	g.Servers = 0.02
 	b, other := newMove(t, g), newMove(t, g)
-	for _, router := range []*bench{b, other} {
+	for _, router := range []*harness{b, other} {
 		router.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 60, "v1", "v2")})
 	}
 	chosen := b.taking()
@@ -347,7 +347,7 @@
 	b := newMove(t, g)
 	for range 200 {
 		r := b.one("chat")
-		c, ok := find[SendCmd](b.arrive(r))
+		c, ok := findCmd[SendCmd](b.arrive(r))
 		require.True(t, ok)
 		if c.PlacementBasis.Target {
 			b.end(r.ID, Failed, false)
--- a/direct/bench_test.go
+++ b/direct/harness_test.go
@@ -8,26 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bench drives a machine by hand.
-type bench struct {
-	t    *testing.T
-	m    *Machine
-	now  time.Duration
-	next RequestID
+// harness drives a machine by hand.
+type harness struct {
+	t      *testing.T
+	m      *Machine
+	now    time.Duration
+	lastID RequestID
 }
 
-func newBench(t *testing.T, servers int) *bench {
-	b := &bench{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
+func newHarness(t *testing.T, servers int) *harness {
+	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}, {Name: "app"}},
 		Limits:   Limits{TokensPerSecond: 100000},
 	}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: directory(1, servers)})
+	b.m.Update(ServersMsg{Now: b.now, Directory: newDirectory(1, servers)})
 	return b
 }
 
-func directory(revision uint64, servers int) Directory {
+func newDirectory(revision uint64, servers int) Directory {
 	d := Directory{Revision: revision}
 	for i := range servers {
 		d.Servers = append(d.Servers,
@@ -39,23 +39,23 @@
 }
 
 // request returns one of a team, with parts as given.
-func (b *bench) request(team string, parts ...PromptPart) Request {
-	b.next++
+func (b *harness) request(team string, parts ...PromptPart) Request {
+	b.lastID++
 	return Request{
-		ID: b.next, Team: team, Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Priority: 1,
+		ID: b.lastID, Team: team, Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Priority: 1,
 		Objective: 400 * time.Millisecond, Deadline: b.now + 10*time.Second, PromptTokens: 2000, OutputTokens: 100, Parts: parts,
 	}
 }
 
-func (b *bench) arrive(r Request) []Cmd {
+func (b *harness) arrive(r Request) []Cmd {
 	return append([]Cmd(nil), b.m.Update(RequestMsg{Now: b.now, Request: r})...)
 }
 
-func (b *bench) end(id RequestID, o Outcome, retry bool) []Cmd {
+func (b *harness) end(id RequestID, o Outcome, retry bool) []Cmd {
 	return append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: id, Outcome: o, Retry: retry})...)
 }
 
-func (b *bench) pass(d time.Duration) []Cmd {
+func (b *harness) advance(d time.Duration) []Cmd {
 	var out []Cmd
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
@@ -65,7 +65,7 @@
 }
 
 // sent returns the server of the only command, which must be a send.
-func (b *bench) sent(cmds []Cmd) string {
+func (b *harness) sent(cmds []Cmd) string {
 	b.t.Helper()
 	for _, c := range cmds {
 		if s, ok := c.(SendCmd); ok {
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// find returns the first command of a kind.
-func find[C Cmd](cmds []Cmd) (C, bool) {
+// findCmd returns the first command of a kind.
+func findCmd[C Cmd](cmds []Cmd) (C, bool) {
 	for _, c := range cmds {
 		if c, ok := c.(C); ok {
 			return c, true
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -11,10 +11,10 @@
 		p := m.pools[name]
 		unlisted := p.unlisted(listed)
 		went := serving(unlisted)
-		lapsed := m.uses(LapseGrace) && went >= lapseLeast && float64(went) >= lapseShare*float64(p.present())
+		lapsed := m.enabled(LapseGrace) && went >= minMassLapse && float64(went) >= massLapseFraction*float64(p.present())
 		for _, s := range unlisted {
 			switch {
-			case !lapsed || s.Draining || s.barred:
+			case !lapsed || s.Draining || s.versionBarred:
 				m.dropServer(now, s, "not listed")
 			case s.lapsedAt == 0:
 				s.lapsedAt = now
@@ -73,7 +73,7 @@
 func serving(servers []*server) int {
 	n := 0
 	for _, s := range servers {
-		if !s.barred {
+		if !s.versionBarred {
 			n++
 		}
 	}
@@ -83,7 +83,7 @@
 // present counts the servers that are not gone.
 func (p *pool) present() int {
 	n := 0
-	for _, s := range p.order {
+	for _, s := range p.admitted {
 		if !s.gone {
 			n++
 		}
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -9,7 +9,7 @@
 // TestLapsesAreToldInOrder has entries of two services lapse: that is told in the order of
 // services and ids, not in that of a map.
 func TestLapsesAreToldInOrder(t *testing.T) {
-	b := newBench(t, 6)
+	b := newHarness(t, 6)
 	order := func(cmds []Cmd, belief Status) []string {
 		var ids []string
 		for _, c := range cmds {
@@ -22,7 +22,7 @@
 	all := []string{"p0", "p1", "p2", "p3", "p4", "p5", "e0", "e1", "e2", "e3", "e4", "e5"}
 	lapsed := b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 2}})
 	require.Equal(t, all, order(lapsed, StatusLapsed))
-	require.Equal(t, all, order(b.pass(lapseHold), StatusGone))
+	require.Equal(t, all, order(b.advance(maxLapseGrace), StatusGone))
 }
 
 // TestLapsedServersThatRefuse has three of six servers end at once, as a request that crashes
@@ -38,16 +38,16 @@
 		r := b.plain()
 		cmds := b.arrive(r)
 		for {
-			send, ok := find[SendCmd](cmds)
+			send, ok := findCmd[SendCmd](cmds)
 			require.True(t, ok, "%v", cmds)
 			if send.Server.ID > "p2" {
 				break
 			}
 			gone[send.Server.ID] = true
 			cmds = append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, ConnRefused: true, Retry: true})...)
-			_, lost := find[HallReachabilityCmd](cmds)
+			_, lost := findCmd[HallReachabilityCmd](cmds)
 			require.False(t, lost)
-			belief, _ := find[ServerStatusCmd](cmds)
+			belief, _ := findCmd[ServerStatusCmd](cmds)
 			require.Equal(t, StatusGone, belief.Status)
 		}
 	}
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -9,10 +9,10 @@
 
 // list takes in a newer list of servers.
 func (m *Machine) list(msg ServersMsg) {
-	if msg.Directory.Revision < m.revision {
+	if msg.Directory.Revision < m.serversRevision {
 		return
 	}
-	m.revision = msg.Directory.Revision
+	m.serversRevision = msg.Directory.Revision
 	listed := make(map[string]bool, len(msg.Directory.Servers))
 	changed := make(map[*pool]bool)
 	for _, s := range msg.Directory.Servers {
@@ -25,14 +25,14 @@
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		if changed[p] {
-			p.reorder()
+			p.refreshServers()
 		} else {
 			p.admit()
 		}
 		if service, ok := m.services[name]; ok {
 			p.configure(&service, m.limits)
 		}
-		m.serve(msg.Now, p, maxQueued)
+		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
 
@@ -40,28 +40,28 @@
 func (m *Machine) note(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
-		s = &server{Server: listed, key: loads.Key(listed.ID), hash: xxhash.Sum64String(listed.ID), listedAt: now}
+		s = &server{Server: listed, loadKey: loads.Key(listed.ID), idHash: xxhash.Sum64String(listed.ID), listedAt: now}
 		m.byServer[listed.ID] = s
-		m.byKey[s.key] = s
-		s.region = m.geography.regionOf(listed.Zone)
+		m.byKey[s.loadKey] = s
+		s.region = m.hallRegions.regionOf(listed.Zone)
 		m.pool(listed.Service).servers[listed.ID] = s
 		m.recall(s)
 		if listed.Draining {
 			s.leave(now)
 		}
 		s.evacuated = m.evacuated[listed.Zone]
-		s.hallLost = m.reachOf(listed.Zone).lost
-		m.noteCold(now, s, listed.ColdFor, "listed as cold")
+		s.hallUnreachable = m.reachOf(listed.Zone).lost
+		m.markCold(now, s, listed.ColdFor, "listed as cold")
 		m.emit(ServerStatusCmd{Server: listed, Status: StatusListed, Cause: "listed"})
 		return true
 	}
 	s.lapsedAt = 0
 	wasDraining := s.Draining
 	s.Server = listed
-	s.region = m.geography.regionOf(listed.Zone)
+	s.region = m.hallRegions.regionOf(listed.Zone)
 	s.gone = false
 	s.evacuated = m.evacuated[listed.Zone]
-	m.noteCold(now, s, listed.ColdFor, "listed as cold")
+	m.markCold(now, s, listed.ColdFor, "listed as cold")
 	switch {
 	case listed.Draining && !wasDraining:
 		s.leave(now)
@@ -85,15 +85,15 @@
 func (m *Machine) forgetGone(now time.Duration, p *pool) {
 	dropped := false
 	for id, s := range p.servers {
-		if s.gone && s.running == 0 && now-s.leavingAt > goneMemory {
+		if s.gone && s.running == 0 && now-s.leavingAt > goneRetention {
 			m.oldNotices.keep(now, s)
 			delete(p.servers, id)
 			delete(m.byServer, id)
-			delete(m.byKey, s.key)
+			delete(m.byKey, s.loadKey)
 			dropped = true
 		}
 	}
 	if dropped {
-		p.reorder()
+		p.refreshServers()
 	}
 }
--- a/direct/listing_test.go
+++ b/direct/listing_test.go
@@ -10,8 +10,8 @@
 // TestLeavingServers get nothing new while others are there, and for a short
 // while where none is.
 func TestLeavingServers(t *testing.T) {
-	b := newBench(t, 2)
-	d := directory(2, 2)
+	b := newHarness(t, 2)
+	d := newDirectory(2, 2)
 	d.Servers[0].Draining = true // e0
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	for range 20 {
@@ -23,20 +23,20 @@
 	r := b.request("red")
 	b.sent(b.arrive(r))
 	b.end(r.ID, Done, false)
-	b.pass(max(lastResortTime, lapseHold) + TickInterval)
+	b.advance(max(maxLastResortTime, maxLapseGrace) + TickInterval)
 	r = b.request("red")
-	_, sent := find[SendCmd](b.arrive(r))
+	_, sent := findCmd[SendCmd](b.arrive(r))
 	require.False(t, sent)
 }
 
 // TestOlderListsAreNotTaken keeps to the newest list of servers.
 func TestOlderListsAreNotTaken(t *testing.T) {
-	b := newBench(t, 2)
+	b := newHarness(t, 2)
 	b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 9}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: directory(8, 2)})
-	_, sent := find[SendCmd](b.m.Update(TickMsg{Now: b.now}))
+	b.m.Update(ServersMsg{Now: b.now, Directory: newDirectory(8, 2)})
+	_, sent := findCmd[SendCmd](b.m.Update(TickMsg{Now: b.now}))
 	require.False(t, sent)
-	b.pass(lapseHold)
+	b.advance(maxLapseGrace)
 	require.True(t, b.m.byServer["e0"].gone)
 }
 
@@ -44,9 +44,9 @@
 // away: they are used until they are back, and taken for gone where they are not.
 // One that goes alone, or was leaving, is dropped at once.
 func TestLapsedEntries(t *testing.T) {
-	b := newBench(t, 6)
+	b := newHarness(t, 6)
 	usable := func() (n int) {
-		for _, s := range b.m.pools["llm"].order {
+		for _, s := range b.m.pools["llm"].admitted {
 			if s.usable(b.now) {
 				n++
 			}
@@ -54,7 +54,7 @@
 		return n
 	}
 	list := func(revision uint64, missing ...string) {
-		d := directory(revision, 6)
+		d := newDirectory(revision, 6)
 		kept := d.Servers[:0]
 		for _, s := range d.Servers {
 			if !slices.Contains(missing, s.ID) {
@@ -68,14 +68,14 @@
 	require.Equal(t, 5, usable(), "one alone")
 	list(3, "e0", "e1", "e2", "e3")
 	require.Equal(t, 5, usable(), "many at once")
-	b.pass(lapseHold / 2)
+	b.advance(maxLapseGrace / 2)
 	list(4, "e0", "e1", "e2")
 	require.Equal(t, 5, usable(), "one is back")
-	b.pass(lapseHold)
+	b.advance(maxLapseGrace)
 	require.Equal(t, 3, usable(), "the others are not")
 	list(5)
 	require.Equal(t, 6, usable(), "listed again")
-	d := directory(6, 6)
+	d := newDirectory(6, 6)
 	for i := range d.Servers {
 		d.Servers[i].Draining = d.Servers[i].ID == "e4"
 	}
--- a/direct/loads.go
+++ b/direct/loads.go
@@ -6,25 +6,25 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// loadsHold is how long the others' loads count without newer ones.
-const loadsHold = 500 * time.Millisecond
+// peerLoadsTTL is how long the others' loads count without newer ones.
+const peerLoadsTTL = 500 * time.Millisecond
 
-// takeLoads takes in what all other routers have at the servers.
-func (m *Machine) takeLoads(msg PeerLoadsMsg) {
-	m.loadsAt = msg.Now
-	others := make(map[uint32]loads.Load, len(msg.Loads))
+// setPeerLoads takes in what all other routers have at the servers.
+func (m *Machine) setPeerLoads(msg PeerLoadsMsg) {
+	m.peerLoadsAt = msg.Now
+	peerLoad := make(map[uint32]loads.Load, len(msg.Loads))
 	for _, l := range msg.Loads {
-		others[l.Server] = l
+		peerLoad[l.Server] = l
 	}
 	for _, s := range m.byServer {
-		s.others = others[s.key]
+		s.peerLoad = peerLoad[s.loadKey]
 	}
 }
 
-// dropLoads forgets the others' loads where nothing new has come for too long.
-func (m *Machine) dropLoads(now time.Duration) {
-	if m.loadsAt > 0 && now-m.loadsAt > loadsHold {
-		m.takeLoads(PeerLoadsMsg{})
+// expirePeerLoads forgets the others' loads where nothing new has come for too long.
+func (m *Machine) expirePeerLoads(now time.Duration) {
+	if m.peerLoadsAt > 0 && now-m.peerLoadsAt > peerLoadsTTL {
+		m.setPeerLoads(PeerLoadsMsg{})
 	}
 }
 
@@ -33,7 +33,7 @@
 	var out []loads.Load
 	for _, s := range m.byServer {
 		if s.running > 0 {
-			out = append(out, loads.Load{Server: s.key, Running: int32(s.running), Pending: int32(s.pending)})
+			out = append(out, loads.Load{Server: s.loadKey, Running: int32(s.running), Pending: int32(s.pendingTokens)})
 		}
 	}
 	return out
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// activeRate is the tokens a second from which a team counts as active.
-	activeRate = 1.0
-	// lateAge is the part of its objective after which a request that comes back
+	// minActiveRate is the tokens a second from which a team counts as active.
+	minActiveRate = 1.0
+	// lateAgeFraction is the part of its objective after which a request that comes back
 	// can hardly meet it.
-	lateAge = 0.6
-	// goneMemory is how long a server that left is remembered.
-	goneMemory = 10 * time.Second
-	// serveEach bounds the waiting requests that are looked at when a server has
+	lateAgeFraction = 0.6
+	// goneRetention is how long a server that left is remembered.
+	goneRetention = 10 * time.Second
+	// serveBatch bounds the waiting requests that are looked at when a server has
 	// begun or ended one: it has room for one more, and a few at the front may not
 	// fit there. The next tick looks at all.
-	serveEach = 4
-	// unsentTries bounds the servers that a request may fail to reach.
-	unsentTries = 4
+	serveBatch = 4
+	// maxUnsentAttempts bounds the servers that a request may fail to reach.
+	maxUnsentAttempts = 4
 )
 
 // Options are what a machine is told once.
@@ -38,44 +38,44 @@
 // Machine decides for the requests of one router. Its zero value is not of use;
 // make one with NewMachine.
 type Machine struct {
-	options   Options
-	geography geography
-	limits    Limits
-	services  map[string]Service
-	pools     map[string]*pool
-	byServer  map[string]*server
-	byKey     map[uint32]*server // see loads.Key
-	revision  uint64
-	runs      map[RequestID]*run
-	teams     map[string]*teamUse
-	bound     map[string]Regions // of the teams that are bound to some
-	groups    []*teamGroup       // of the teams, where some are bound
+	options         Options
+	hallRegions     hallRegions
+	limits          Limits
+	services        map[string]Service
+	pools           map[string]*pool
+	byServer        map[string]*server
+	byKey           map[uint32]*server // see loads.Key
+	serversRevision uint64
+	requests        map[RequestID]*requestState
+	teams           map[string]*teamUsage
+	teamRegions     map[string]Regions // of the teams that are bound to some
+	groups          []*teamGroup       // of the teams, where some are bound
 	// evacuated are the data halls whose servers get nothing, at evacuationsAt.
-	evacuated     map[string]bool
-	evacuationsAt uint64
-	pacing        coldPacing
-	reach         map[string]*hallReach // by data hall
-	bounds                              // of the teams that are not bound to regions
-	// weightUnit turns what a team asks of this router into its weight.
-	weightUnit        float64
-	ownHeadroom       float64 // what this router takes the headroom to be
-	headroom          float64 // what teams may have together, in parts of what is configured
-	busy              float64 // how busy the busiest pool of engines is
-	sharedAt          time.Duration
-	holders           holders
-	copies            copies        // made through this router, to be told
-	suspectsDroppedAt time.Duration // when suspects were last looked through for old ones
-	peers             map[string]peerReport
-	routers           int
-	hold              time.Duration
-	out               []Cmd
-	teamsAt           time.Duration // when the others' use of teams came; 0: it has been forgotten
-	scratch           []candidate
-	loadsAt           time.Duration // when the others' loads came
-	suspects          quarantine.Suspects
-	reprobed          []*server // that are to be probed again, see probeAgain
-	oldNotices        oldNotices
-	begun             []*run // whose first events came since the last tick, for the judging of versions
+	evacuated           map[string]bool
+	evacuationsRevision uint64
+	pacing              coldPacing
+	reach               map[string]*hallReach // by data hall
+	teamLimits                                // of the teams that are not bound to regions
+	// weightScale turns what a team asks of this router into its weight.
+	weightScale      float64
+	ownHeadroom      float64 // what this router takes the headroom to be
+	headroom         float64 // what teams may have together, in parts of what is configured
+	busy             float64 // how busy the busiest pool of engines is
+	sharesUpdatedAt  time.Duration
+	partHolders      partHolders
+	copyLog          copyLog       // made through this router, to be told
+	suspectsPrunedAt time.Duration // when suspects were last looked through for old ones
+	peerReports      map[string]peerReport
+	routers          int
+	reportTTL        time.Duration
+	cmds             []Cmd
+	peerTeamsAt      time.Duration // when the others' use of teams came; 0: it has been forgotten
+	candidateBuf     []candidate
+	peerLoadsAt      time.Duration // when the others' loads came
+	suspects         quarantine.Suspects
+	pendingReprobes  []*server // that are to be probed again, see probeAgain
+	oldNotices       oldNotices
+	startedRequests  []*requestState // whose first events came since the last tick, for the judging of versions
 }
 
 // peerReport is the last report of another router.
@@ -87,26 +87,26 @@
 // NewMachine returns a machine that knows no configuration and no servers.
 func NewMachine(o Options) *Machine {
 	return &Machine{
-		options:   o,
-		geography: newGeography(o.Region, o.Zone, o.HallRegions),
-		services:  make(map[string]Service),
-		pools:     make(map[string]*pool),
-		byServer:  make(map[string]*server),
-		byKey:     make(map[uint32]*server),
-		runs:      make(map[RequestID]*run),
-		teams:     make(map[string]*teamUse),
-		reach:     make(map[string]*hallReach),
-		evacuated: make(map[string]bool),
-		peers:     make(map[string]peerReport),
-		routers:   1,
-		hold:      time.Second,
+		options:     o,
+		hallRegions: newHallRegions(o.Region, o.Zone, o.HallRegions),
+		services:    make(map[string]Service),
+		pools:       make(map[string]*pool),
+		byServer:    make(map[string]*server),
+		byKey:       make(map[uint32]*server),
+		requests:    make(map[RequestID]*requestState),
+		teams:       make(map[string]*teamUsage),
+		reach:       make(map[string]*hallReach),
+		evacuated:   make(map[string]bool),
+		peerReports: make(map[string]peerReport),
+		routers:     1,
+		reportTTL:   time.Second,
 	}
 }
 
 // Update takes in what happened and returns what to do. The slice is valid
 // until the next call.
 func (m *Machine) Update(msg Msg) []Cmd {
-	m.out = m.out[:0]
+	m.cmds = m.cmds[:0]
 	switch msg := msg.(type) {
 	case ConfigMsg:
 		m.configure(msg)
@@ -117,23 +117,23 @@
 	case ServersMsg:
 		m.list(msg)
 	case HallRegionsMsg:
-		m.placeHalls(msg)
+		m.setHallRegions(msg)
 	case EvacuationsMsg:
 		m.evacuate(msg)
 	case QuarantineMsg:
-		m.suspects.Record(msg.Now, msg.Listed)
+		m.suspects.Record(msg.Now, msg.Fingerprints)
 	case GateMsg:
 		m.takeGate(msg)
 	case RequestMsg:
-		m.arrive(msg)
+		m.handleArrival(msg)
 	case AdmissionCheckMsg:
-		m.door(msg)
+		m.checkAdmission(msg)
 	case ShedMsg:
 		team, cost := m.team(msg.Team), tokenCost(msg.PromptTokens, msg.OutputTokens)
 		team.offered.add(msg.Now, cost)
-		team.entered.add(msg.Now, cost)
+		team.admitted.add(msg.Now, cost)
 	case FirstEventMsg:
-		m.first(msg)
+		m.handleFirstEvent(msg)
 	case NoticeMsg:
 		m.notice(msg)
 	case AttemptEndMsg:
@@ -141,32 +141,34 @@
 	case ProbeResultMsg:
 		m.probeEnded(msg)
 	case CancelMsg:
-		m.leave(msg)
+		m.cancel(msg)
 	case PeerReportMsg:
-		m.peer(msg)
+		m.recordPeerReport(msg)
 	case PeerLoadsMsg:
-		if m.uses(SharedLoads) {
-			m.takeLoads(msg)
+		if m.enabled(SharedLoads) {
+			m.setPeerLoads(msg)
 		}
 	case PeerTeamsMsg:
-		m.takeTeams(msg)
+		m.setPeerTeams(msg)
 	case PeerCopiesMsg:
-		m.hearCopies(msg)
+		m.recordPeerCopies(msg)
 	case MembershipMsg:
-		m.routers, m.hold = max(msg.Routers, 1), msg.ReportTTL
+		m.routers, m.reportTTL = max(msg.Routers, 1), msg.ReportTTL
 		m.takeQuiet(msg.SilentHalls)
 		m.pacing = coldPacing{routers: max(msg.Known, msg.Routers, 1), rank: msg.Rank}
 	case TickMsg:
 		m.tick(msg.Now)
 	}
 	m.tellQuarantine()
-	return m.out
+	return m.cmds
 }
 
-// uses tells whether a mechanism is not switched off.
-func (m *Machine) uses(w Mechanism) bool { return m.options.DisabledMechanisms.Enabled(w) }
+// enabled tells whether a mechanism is not switched off.
+func (m *Machine) enabled(mechanism Mechanism) bool {
+	return m.options.DisabledMechanisms.Enabled(mechanism)
+}
 
-func (m *Machine) emit(c Cmd) { m.out = append(m.out, c) }
+func (m *Machine) emit(c Cmd) { m.cmds = append(m.cmds, c) }
 
 func (m *Machine) configure(msg ConfigMsg) {
 	m.limits = msg.Config.Limits
@@ -175,7 +177,7 @@
 		m.services[s.Name] = s
 		m.pool(s.Name).configure(&s, m.limits)
 	}
-	m.bindTeams(msg.Config.Teams)
+	m.setTeamRegions(msg.Config.Teams)
 }
 
 func (m *Machine) pool(name string) *pool {
@@ -193,20 +195,20 @@
 	return p
 }
 
-func (m *Machine) leave(msg CancelMsg) {
-	r := m.runs[msg.ID]
+func (m *Machine) cancel(msg CancelMsg) {
+	r := m.requests[msg.ID]
 	if r == nil || !r.waiting {
 		return
 	}
 	m.pool(r.Service).queue.remove(r)
-	delete(m.runs, msg.ID)
+	delete(m.requests, msg.ID)
 }
 
-func (m *Machine) team(name string) *teamUse {
+func (m *Machine) team(name string) *teamUsage {
 	t := m.teams[name]
 	if t == nil {
-		t = newTeamUse()
-		t.regions = m.bound[name]
+		t = newTeamUsage()
+		t.regions = m.teamRegions[name]
 		m.teams[name] = t
 	}
 	return t
@@ -214,19 +216,19 @@
 
 // tick refuses what has waited too long and drops what is old.
 func (m *Machine) tick(now time.Duration) {
-	m.forgetPeers(now)
-	m.forgetTeams(now)
-	m.dropLoads(now)
+	m.expirePeerReports(now)
+	m.expirePeerTeams(now)
+	m.expirePeerLoads(now)
 	m.dropLapsed(now)
 	m.probeHalls(now)
 	m.tellBegun(now)
 	m.dropSuspects(now)
 	m.probeAgain(now)
-	m.share(now)
+	m.updateShares(now)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		m.move(now, p)
-		m.serve(now, p, maxQueued)
+		m.serveQueue(now, p, maxQueued)
 		for _, r := range p.queue.expired(now) {
 			m.refuse(now, p, r)
 		}
--- a/direct/maxmin.go
+++ b/direct/maxmin.go
@@ -6,20 +6,20 @@
 	"sort"
 )
 
-// unionsMost bounds the unions of allowed sets that are looked at: three regions have
+// maxUnions bounds the unions of allowed sets that are looked at: three regions have
 // seven at the most, and with as many as here a division still takes a small part of the
 // time between two. Beyond it only the sets themselves and all regions together bound
 // what teams get, which is exact where no two sets overlap in part.
-const unionsMost = 64
+const maxUnions = 64
 
-// regionsMost is how many regions a regionSet tells apart.
-const regionsMost = 64
+// maxRegions is how many regions a regionSet tells apart.
+const maxRegions = 64
 
 // regionSet is a set of regions, a bit each.
 type regionSet uint64
 
-func (s regionSet) within(other regionSet) bool { return s&^other == 0 }
-func (s regionSet) meets(other regionSet) bool  { return s&other != 0 }
+func (s regionSet) subsetOf(other regionSet) bool   { return s&^other == 0 }
+func (s regionSet) intersects(other regionSet) bool { return s&other != 0 }
 
 // demandSet is what the teams ask for that may use the same regions.
 type demandSet struct {
@@ -33,28 +33,28 @@
 func newDemandSet(allowed regionSet, demands []float64) *demandSet {
 	d := &demandSet{allowed: allowed, demands: slices.Sorted(slices.Values(demands))}
 	d.sums = make([]float64, len(demands)+1)
-	for i, one := range d.demands {
-		d.sums[i+1] = d.sums[i] + one
+	for i, demand := range d.demands {
+		d.sums[i+1] = d.sums[i] + demand
 	}
 	return d
 }
 
-// at returns what its teams get together where none gets more than a level, and how many
+// allocatedAt returns what its teams get together where none gets more than a level, and how many
 // of them want more than that.
-func (d *demandSet) at(level float64) (float64, int) {
+func (d *demandSet) allocatedAt(level float64) (float64, int) {
 	if d.settled {
 		level = d.level
 	}
-	met := sort.Search(len(d.demands), func(i int) bool { return d.demands[i] > level })
-	wanting := len(d.demands) - met
-	if wanting == 0 {
-		return d.sums[met], 0
+	satisfied := sort.Search(len(d.demands), func(i int) bool { return d.demands[i] > level })
+	unsatisfied := len(d.demands) - satisfied
+	if unsatisfied == 0 {
+		return d.sums[satisfied], 0
 	}
-	got := d.sums[met] + level*float64(wanting)
+	allocated := d.sums[satisfied] + level*float64(unsatisfied)
 	if d.settled {
-		wanting = 0
+		unsatisfied = 0
 	}
-	return got, wanting
+	return allocated, unsatisfied
 }
 
 // maxMin divides the capacity of regions so that the least that a team gets is as much as
@@ -69,10 +69,10 @@
 	unions := unionsOf(sets)
 	reached := 0.0
 	for {
-		lowest, full := math.Inf(1), regionSet(0)
+		lowest, saturated := math.Inf(1), regionSet(0)
 		for _, u := range unions {
-			if level := fillLevel(capacity, sets, u, reached, lowest); level < lowest {
-				lowest, full = level, u
+			if level := saturationLevel(capacity, sets, u, reached, lowest); level < lowest {
+				lowest, saturated = level, u
 			}
 		}
 		if math.IsInf(lowest, 1) {
@@ -80,52 +80,52 @@
 		}
 		reached = lowest
 		for _, d := range sets {
-			if !d.settled && d.allowed.within(full) {
+			if !d.settled && d.allowed.subsetOf(saturated) {
 				d.level, d.settled = lowest, true
 			}
 		}
 	}
 }
 
-// fillLevel returns the level from which the teams that may use no other regions than those
+// saturationLevel returns the level from which the teams that may use no other regions than those
 // of a union use up what these have: one between least and most, or an infinite one.
-func fillLevel(capacity []float64, sets []*demandSet, union regionSet, least, most float64) float64 {
-	room := capacityOf(capacity, union)
-	if got, _, open := gotWithin(sets, union, most); !open || got <= room {
+func saturationLevel(capacity []float64, sets []*demandSet, union regionSet, low, high float64) float64 {
+	available := capacityOf(capacity, union)
+	if allocated, _, open := allocatedWithin(sets, union, high); !open || allocated <= available {
 		return math.Inf(1)
 	}
 	// What they get rises ever more slowly with the level: steps along its slope come
 	// nearer from below, and the first that passes no demand ends there.
-	level, before := least, -1
+	level, previous := low, -1
 	for {
-		got, wanting, _ := gotWithin(sets, union, level)
-		if wanting == 0 || wanting == before || got >= room {
+		allocated, unsatisfied, _ := allocatedWithin(sets, union, level)
+		if unsatisfied == 0 || unsatisfied == previous || allocated >= available {
 			return level
 		}
-		level += (room - got) / float64(wanting)
-		before = wanting
+		level += (available - allocated) / float64(unsatisfied)
+		previous = unsatisfied
 	}
 }
 
-// gotWithin returns what the teams that may use no other regions than those of a union get
+// allocatedWithin returns what the teams that may use no other regions than those of a union get
 // at a level, how many want more, and whether the level of some is not settled.
-func gotWithin(sets []*demandSet, union regionSet, level float64) (got float64, wanting int, open bool) {
+func allocatedWithin(sets []*demandSet, union regionSet, level float64) (allocated float64, unsatisfied int, open bool) {
 	for _, d := range sets {
-		if !d.allowed.within(union) {
+		if !d.allowed.subsetOf(union) {
 			continue
 		}
-		one, more := d.at(level)
-		got += one
-		wanting += more
+		amount, more := d.allocatedAt(level)
+		allocated += amount
+		unsatisfied += more
 		open = open || !d.settled
 	}
-	return got, wanting, open
+	return allocated, unsatisfied, open
 }
 
 func capacityOf(capacity []float64, set regionSet) float64 {
 	sum := 0.0
 	for i, c := range capacity {
-		if set.meets(1 << i) {
+		if set.intersects(1 << i) {
 			sum += c
 		}
 	}
@@ -144,7 +144,7 @@
 		}
 		own = append(own, d.allowed)
 		for _, u := range slices.Clone(all) {
-			if u |= d.allowed; len(all) <= unionsMost && !slices.Contains(all, u) {
+			if u |= d.allowed; len(all) <= maxUnions && !slices.Contains(all, u) {
 				all = append(all, u)
 			}
 		}
@@ -152,7 +152,7 @@
 			all = append(all, d.allowed)
 		}
 	}
-	if len(all) <= unionsMost {
+	if len(all) <= maxUnions {
 		return all
 	}
 	if !slices.Contains(own, together) {
--- a/direct/maxmin_test.go
+++ b/direct/maxmin_test.go
@@ -29,8 +29,8 @@
 	return c
 }
 
-// divide returns what each team gets.
-func (c maxMinCase) divide() []float64 {
+// allocate returns what each team gets.
+func (c maxMinCase) allocate() []float64 {
 	var sets []*demandSet
 	for _, allowed := range c.allowed {
 		if slices.ContainsFunc(sets, func(d *demandSet) bool { return d.allowed == allowed }) {
@@ -56,7 +56,7 @@
 // feasible tells whether teams can get so much: it routes it from teams to regions, path by
 // path, and knows nothing of levels or unions.
 func (c maxMinCase) feasible(want []float64) bool {
-	const tiny = 1e-9
+	const epsilon = 1e-9
 	flow := make([][]float64, len(want))
 	for i := range flow {
 		flow[i] = make([]float64, len(c.capacity))
@@ -72,16 +72,16 @@
 	var free func(team int, amount float64, seen []bool) float64
 	free = func(team int, amount float64, seen []bool) float64 {
 		for region := range c.capacity {
-			if seen[region] || !c.allowed[team].meets(1<<region) {
+			if seen[region] || !c.allowed[team].intersects(1<<region) {
 				continue
 			}
 			seen[region] = true
-			if room := min(amount, c.capacity[region]-used(region)); room > tiny {
+			if room := min(amount, c.capacity[region]-used(region)); room > epsilon {
 				flow[team][region] += room
 				return room
 			}
 			for other := range flow {
-				if other == team || flow[other][region] <= tiny {
+				if other == team || flow[other][region] <= epsilon {
 					continue
 				}
 				if moved := free(other, min(amount, flow[other][region]), seen); moved > 0 {
@@ -111,7 +111,7 @@
 	const step = 1e-3
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawMaxMin(t)
-		got := c.divide()
+		got := c.allocate()
 		require.True(t, c.feasible(got), "%v of %v", got, c)
 		for i := range got {
 			if got[i] >= c.demands[i] {
--- a/direct/mechanism.go
+++ b/direct/mechanism.go
@@ -44,7 +44,7 @@
 
 // DisabledMechanisms is the set of mechanisms that are switched off. Its zero value
 // switches none off.
-type DisabledMechanisms struct{ off []Mechanism }
+type DisabledMechanisms struct{ disabled []Mechanism }
 
 // ParseDisabledMechanisms reads names separated by commas.
 func ParseDisabledMechanisms(names string) (DisabledMechanisms, error) {
@@ -57,18 +57,18 @@
 		if !slices.Contains(mechanisms, m) {
 			return DisabledMechanisms{}, errors.Wrapf(ErrUnknownMechanism, "%q; there are %v", name, mechanisms)
 		}
-		w.off = append(w.off, m)
+		w.disabled = append(w.disabled, m)
 	}
 	return w, nil
 }
 
 // Enabled tells whether a mechanism is not switched off.
-func (w DisabledMechanisms) Enabled(m Mechanism) bool { return !slices.Contains(w.off, m) }
+func (w DisabledMechanisms) Enabled(m Mechanism) bool { return !slices.Contains(w.disabled, m) }
 
 // String lists the mechanisms that are switched off.
 func (w DisabledMechanisms) String() string {
-	names := make([]string, len(w.off))
-	for i, m := range w.off {
+	names := make([]string, len(w.disabled))
+	for i, m := range w.disabled {
 		names[i] = string(m)
 	}
 	return strings.Join(names, ",")
--- a/direct/mechanism_test.go
+++ b/direct/mechanism_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParseWithout reads every mechanism, and names what there is where a name is
+// TestParseDisabledMechanisms reads every mechanism, and names what there is where a name is
 // wrong.
-func TestParseWithout(t *testing.T) {
+func TestParseDisabledMechanisms(t *testing.T) {
 	for _, m := range mechanisms {
 		w, err := ParseDisabledMechanisms(string(m))
 		require.NoError(t, err)
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -44,8 +44,8 @@
 
 // QuarantineMsg brings the contents that the store lists as barred.
 type QuarantineMsg struct {
-	Now    time.Duration
-	Listed []quarantine.Content
+	Now          time.Duration
+	Fingerprints []quarantine.Content
 }
 
 // GateMsg says which of a service's servers may get requests, by their version.
--- a/direct/move.go
+++ b/direct/move.go
@@ -26,7 +26,7 @@
 	most := max(int(movesPart*float64(len(left))), movesLeast)
 	most = min(most, len(left), g.room(now))
 	for _, r := range left[:most] {
-		if !p.budget.spend(now, m.options.RetryBudget, m.routers) {
+		if !p.retryWindow.trySpend(now, m.options.RetryBudget, m.routers) {
 			return
 		}
 		r.placement.moving = true
@@ -35,17 +35,17 @@
 }
 
 // movable returns the requests at old servers that may go on elsewhere, by id.
-func (m *Machine) movable(p *pool) []*run {
-	var out []*run
-	for _, r := range m.runs {
-		if r.at == nil || r.Service != p.name || r.at.target || r.placement.moving {
+func (m *Machine) movable(p *pool) []*requestState {
+	var out []*requestState
+	for _, r := range m.requests {
+		if r.currentServer == nil || r.Service != p.name || r.currentServer.target || r.placement.moving {
 			continue
 		}
 		if r.MayRepeat && r.attempt < r.Attempts {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b *requestState) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
@@ -54,7 +54,7 @@
 	room := 0
 	for _, s := range g.target {
 		if s.usable(now) && !s.probation {
-			room += max(s.Slots-s.allRunning(), 0)
+			room += max(s.Slots-s.totalRunning(), 0)
 		}
 	}
 	return room
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -34,19 +34,19 @@
 	g.OldClosed, g.Move = true, true
 	first := moves(b.gate(g))
 	require.LessOrEqual(t, len(first), movesLeast)
-	all := append(first, moves(b.pass(time.Second))...)
+	all := append(first, moves(b.advance(time.Second))...)
 	require.Len(t, all, 20)
 	for _, id := range all {
 		require.True(t, repeatable[id])
 		delete(repeatable, id)
-		c, ok := find[SendCmd](b.end(id, Moved, true))
+		c, ok := findCmd[SendCmd](b.end(id, Moved, true))
 		require.True(t, ok)
 		require.Equal(t, "v2", c.Server.Version)
 		require.Equal(t, SideMoved, c.PlacementBasis.Side)
 	}
 	require.Equal(t, map[string]int{"llm": 20}, b.m.AllOldRunning())
 	require.Equal(t, map[string]int{"llm": 60}, b.m.AllAsked(), "40, and 20 once more")
-	require.Empty(t, moves(b.pass(time.Second)))
+	require.Empty(t, moves(b.advance(time.Second)))
 }
 
 // TestRolloutMovesKeepToTheBudget moves no more streams than there are retries left: the
@@ -59,8 +59,8 @@
 	}
 	g := trial(1)
 	g.OldClosed, g.Move = true, true
-	all := append(moves(b.gate(g)), moves(b.pass(5*time.Second))...)
-	require.Len(t, all, int(budgetMargin*0.2*50))
+	all := append(moves(b.gate(g)), moves(b.advance(5*time.Second))...)
+	require.Len(t, all, int(retryBudgetMargin*0.2*50))
 }
 
 // TestRolloutMovedSaysNothingOfTheServer leaves an old server as it was.
@@ -70,7 +70,7 @@
 	id := b.sent(b.arrive(r))
 	b.end(r.ID, Moved, false)
 	s := b.m.byServer[id]
-	require.Zero(t, s.failures)
+	require.Zero(t, s.failureRate)
 	require.Zero(t, s.running)
 	require.True(t, s.usable(b.now))
 }
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -46,7 +46,7 @@
 		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusBackoff, Cause: "said so in an answer", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
-	m.serve(now, m.pool(s.Service), maxQueued)
+	m.serveQueue(now, m.pool(s.Service), maxQueued)
 }
 
 // backsOff tells whether a server has asked this router to send it nothing yet.
@@ -55,11 +55,11 @@
 // Withheld tells whether a request that was placed must not be sent any more, since its server
 // has said so meanwhile: a router that runs late may have placed many by then.
 func (m *Machine) Withheld(now time.Duration, id RequestID) bool {
-	r := m.runs[id]
-	if r == nil || r.at == nil {
+	r := m.requests[id]
+	if r == nil || r.currentServer == nil {
 		return false
 	}
-	s := r.at
+	s := r.currentServer
 	return s.backsOff(now) || (s.notices.leaving && s.notices.leavingAt > r.sentAt)
 }
 
@@ -67,7 +67,7 @@
 // these regions but for that, and whether there is one.
 func (p *pool) backoffEnds(now time.Duration, regions Regions) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
-	for _, s := range p.order {
+	for _, s := range p.admitted {
 		if !s.backsOff(now) || !s.available() || !regions.Allow(s.region) {
 			continue
 		}
@@ -89,7 +89,7 @@
 	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "said so in an answer"})
 	p := m.pool(s.Service)
 	p.admit()
-	m.serve(now, p, maxQueued)
+	m.serveQueue(now, p, maxQueued)
 }
 
 // recall gives a server that is listed anew what it said before it was forgotten.
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -38,7 +38,7 @@
 		h := &noticeHistory{
 			t: t, now: time.Second, at: make(map[RequestID]string),
 			leftAt: make(map[string]time.Duration), backoffs: make(map[string]time.Duration),
-			resort: lastResortTime, m: NewMachine(Options{
+			resort: maxLastResortTime, m: NewMachine(Options{
 				Zone: "a", Drain: drain, Gated: rapid.Bool().Draw(t, "gated"), RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second},
 			}),
 		}
@@ -150,7 +150,7 @@
 
 // pass lets time pass, at times longer than a server that has gone is remembered.
 func (h *noticeHistory) pass() {
-	d := rapid.SampledFrom([]time.Duration{TickInterval, lastResortTime, lapseHold, 3 * time.Second, 2 * goneMemory}).Draw(h.t, "time")
+	d := rapid.SampledFrom([]time.Duration{TickInterval, maxLastResortTime, maxLapseGrace, 3 * time.Second, 2 * goneRetention}).Draw(h.t, "time")
 	for end := h.now + d; h.now < end; {
 		h.now += TickInterval
 		h.update(TickMsg{Now: h.now})
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -9,13 +9,13 @@
 
 // noticeBench is a bench with plain servers, whose lists it counts.
 type noticeBench struct {
-	*bench
+	*harness
 	revision uint64
 }
 
 // newNoticeBench returns a bench with some servers.
 func newNoticeBench(t *testing.T, ids ...string) *noticeBench {
-	b := &noticeBench{bench: newBench(t, 0), revision: 1}
+	b := &noticeBench{harness: newHarness(t, 0), revision: 1}
 	b.list(ids...)
 	return b
 }
@@ -41,9 +41,9 @@
 
 // plain returns a request that may be repeated, of the service with plain servers.
 func (b *noticeBench) plain() Request {
-	b.next++
+	b.lastID++
 	return Request{
-		ID: b.next, Team: "red", Route: "r", Service: "app", Kind: Repeatable, MayRepeat: true, Attempts: 2,
+		ID: b.lastID, Team: "red", Route: "r", Service: "app", Kind: Repeatable, MayRepeat: true, Attempts: 2,
 		Objective: 300 * time.Millisecond, Deadline: b.now + 3*time.Second,
 	}
 }
@@ -60,13 +60,13 @@
 	for range n {
 		r := b.plain()
 		cmds := b.arrive(r)
-		if c, ok := find[SendCmd](cmds); ok {
+		if c, ok := findCmd[SendCmd](cmds); ok {
 			got[c.Server.ID]++
 			sent = append(sent, r.ID)
 			continue
 		}
 		got[""]++
-		if _, refused := find[RefuseCmd](cmds); !refused {
+		if _, refused := findCmd[RefuseCmd](cmds); !refused {
 			waiting = append(waiting, r.ID)
 		}
 	}
@@ -83,9 +83,9 @@
 // forgotten the server: p1 gets nothing all the same.
 func (b *noticeBench) staysOut(forgottenAfter time.Duration) {
 	b.t.Helper()
-	for _, away := range []time.Duration{goneMemory / 2, forgottenAfter} {
+	for _, away := range []time.Duration{goneRetention / 2, forgottenAfter} {
 		b.list("p0", "p2")
-		b.pass(away)
+		b.advance(away)
 		b.list("p0", "p1", "p2")
 		require.Zero(b.t, b.chosen(9)["p1"], "its entry came back after %s", away)
 	}
@@ -96,7 +96,7 @@
 func TestLeavingOutlastsEntries(t *testing.T) {
 	b := newNoticeBench(t, "p0", "p1", "p2")
 	require.Positive(t, b.chosen(9)["p1"])
-	_, told := find[ServerStatusCmd](b.notice("p1", Notice{Leaving: true}))
+	_, told := findCmd[ServerStatusCmd](b.notice("p1", Notice{Leaving: true}))
 	require.True(t, told, "the log tells of it")
 	require.Empty(t, b.notice("p1", Notice{Leaving: true}), "it is told once")
 	require.Zero(t, b.chosen(9)["p1"])
@@ -104,7 +104,7 @@
 	b.list("p0", "p1", "p2")
 	require.Zero(t, b.chosen(9)["p1"], "an entry that says ready came later")
 
-	b.staysOut(2 * goneMemory)
+	b.staysOut(2 * goneRetention)
 
 	b.list("p0", "p3", "p2")
 	require.Positive(t, b.chosen(9)["p3"], "its next life")
@@ -117,16 +117,16 @@
 		"entries stay":      func(*noticeBench) {},
 		"entries drain":     func(b *noticeBench) { b.listAs(draining("p0"), draining("p1")) },
 		"entries lapse":     func(b *noticeBench) { b.list() },
-		"entries came back": func(b *noticeBench) { b.list(); b.pass(2 * goneMemory); b.list("p0", "p1") },
+		"entries came back": func(b *noticeBench) { b.list(); b.advance(2 * goneRetention); b.list("p0", "p1") },
 	} {
 		b := newNoticeBench(t, "p0", "p1")
 		b.notice("p0", Notice{Leaving: true})
 		b.notice("p1", Notice{Leaving: true})
 		require.Zero(t, b.chosen(2)[""], name)
-		b.pass(lastResortTime + TickInterval)
+		b.advance(maxLastResortTime + TickInterval)
 		after(b)
 		require.Equal(t, map[string]int{"": 2}, b.chosen(2), name)
-		b.pass(lapseHold)
+		b.advance(maxLapseGrace)
 		require.Equal(t, map[string]int{"": 2}, b.chosen(2), name)
 	}
 }
@@ -142,22 +142,22 @@
 func TestBackoff(t *testing.T) {
 	const backoff = 30 * time.Second
 	b := newNoticeBench(t, "p0", "p1", "p2")
-	told, _ := find[ServerStatusCmd](b.notice("p1", Notice{Backoff: backoff}))
+	told, _ := findCmd[ServerStatusCmd](b.notice("p1", Notice{Backoff: backoff}))
 	require.Equal(t, StatusBackoff, told.Status)
 	end := b.now + backoff
 	require.Zero(t, b.chosen(9)["p1"])
 
 	b.notice("p1", Notice{Backoff: time.Second})
-	b.pass(2 * time.Second)
+	b.advance(2 * time.Second)
 	require.Zero(t, b.chosen(9)["p1"], "a later answer asked for less")
 
-	b.staysOut(goneMemory + time.Second)
+	b.staysOut(goneRetention + time.Second)
 	require.Less(t, b.now, end)
 
 	b.list("p0", "p3", "p2")
 	require.Positive(t, b.chosen(9)["p3"], "its next life")
 	b.list("p0", "p1", "p2")
-	b.pass(end - b.now)
+	b.advance(end - b.now)
 	require.Positive(t, b.chosen(9)["p1"], "that time is over")
 }
 
@@ -167,13 +167,13 @@
 	b := newNoticeBench(t, "p0", "p1")
 	b.notice("p0", Notice{Backoff: time.Second})
 	b.notice("p1", Notice{Backoff: 3 * time.Second, Leaving: true})
-	refused, ok := find[RefuseCmd](b.arrive(b.plain()))
+	refused, ok := findCmd[RefuseCmd](b.arrive(b.plain()))
 	require.True(t, ok)
 	require.Equal(t, ReasonBackoff, refused.Reason)
 	require.Greater(t, refused.RetryAfter, time.Second, "not before the first of them wants requests again")
 	require.Less(t, refused.RetryAfter, 2*time.Second)
 	b.notice("p0", Notice{Leaving: true})
-	_, sent := find[SendCmd](b.arrive(b.plain()))
+	_, sent := findCmd[SendCmd](b.arrive(b.plain()))
 	require.False(t, sent)
 }
 
@@ -187,12 +187,12 @@
 		"is gone":   func(b *noticeBench) []Cmd { return b.listAs() },
 	} {
 		b := newNoticeBench(t, "p0")
-		for range 4 + plainQueue {
+		for range 4 + maxPlainExcess {
 			b.sent(b.arrive(b.plain()))
 		}
 		waits := b.plain()
 		require.Empty(t, b.arrive(waits), "it waits")
-		refused, ok := find[RefuseCmd](goes(b))
+		refused, ok := findCmd[RefuseCmd](goes(b))
 		require.True(t, ok, name)
 		require.Equal(t, waits.ID, refused.ID)
 	}
@@ -209,7 +209,7 @@
 		r.Attempts = 1
 		server := b.sent(b.arrive(r))
 		require.False(t, b.m.Withheld(b.now, r.ID), name)
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 		b.notice(server, n)
 		require.True(t, b.m.Withheld(b.now, r.ID), name)
 		require.NotEqual(t, server, b.sent(b.end(r.ID, Withheld, true)), name)
@@ -217,7 +217,7 @@
 	}
 	b := newNoticeBench(t, "p0")
 	b.notice("p0", Notice{Leaving: true})
-	b.pass(TickInterval)
+	b.advance(TickInterval)
 	last := b.plain()
 	b.sent(b.arrive(last))
 	require.False(t, b.m.Withheld(b.now, last.ID))
@@ -227,11 +227,11 @@
 // wait for it: they are no reason to send it one more as a last resort.
 func TestLeavingAndBackoff(t *testing.T) {
 	b := newNoticeBench(t, "p0")
-	for range 4 + plainQueue {
+	for range 4 + maxPlainExcess {
 		b.sent(b.arrive(b.plain()))
 	}
 	require.Empty(t, b.arrive(b.plain()), "it waits")
-	_, sent := find[SendCmd](b.notice("p0", Notice{Leaving: true, Backoff: time.Second}))
+	_, sent := findCmd[SendCmd](b.notice("p0", Notice{Leaving: true, Backoff: time.Second}))
 	require.False(t, sent)
 }
 
--- a/direct/oracle_test.go
+++ b/direct/oracle_test.go
@@ -10,57 +10,57 @@
 	"pgregory.net/rapid"
 )
 
-// oracle holds the rules against a machine: what it may do with each request.
-type oracle struct {
+// ruleChecker holds the rules against a machine: what it may do with each request.
+type ruleChecker struct {
 	t        *rapid.T
 	m        *Machine
 	now      time.Duration
-	next     RequestID
-	requests map[RequestID]*watched
+	lastID   RequestID
+	requests map[RequestID]*trackedRequest
 	running  []RequestID
 	draining map[string]bool
 	revision uint64
-	first    int // requests that arrived
-	again    int // attempts past the first
+	arrivals int // requests that arrived
+	retries  int // attempts past the first
 }
 
-// watched is what the oracle knows of a request.
-type watched struct {
+// trackedRequest is what the oracle knows of a request.
+type trackedRequest struct {
 	Request
-	arrived  time.Duration
-	queued   time.Duration // since when it waits
-	sends    int
-	mayRan   bool
-	at       string
-	ended    bool
-	running  bool
-	visited  map[string]bool
-	unsentAt int
+	arrived      time.Duration
+	waitingSince time.Duration // since when it waits
+	sends        int
+	mayRan       bool
+	server       string
+	ended        bool
+	running      bool
+	visited      map[string]bool
+	unsent       int
 }
 
 // TestRules plays random days against the machine. By hand:
 // go test ./direct -run TestRules -rapid.checks=10000 -rapid.steps=100
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
-			requests: make(map[RequestID]*watched), draining: make(map[string]bool), now: time.Second}
+		o := &ruleChecker{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
+			requests: make(map[RequestID]*trackedRequest), draining: make(map[string]bool), now: time.Second}
 		o.update(ConfigMsg{Now: o.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}, {Name: "app"}}}})
-		o.list()
+		o.sendList()
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(*rapid.T) { o.arrive() },
-			"first":  func(*rapid.T) { o.firstEvent() },
-			"end":    func(*rapid.T) { o.endOne() },
+			"first":  func(*rapid.T) { o.sendFirstEvent() },
+			"end":    func(*rapid.T) { o.endAttempt() },
 			"tick":   func(*rapid.T) { o.tick(rapid.IntRange(1, 20).Draw(o.t, "ticks")) },
-			"list":   func(*rapid.T) { o.list() },
-			"peer":   func(*rapid.T) { o.peer() },
-			"leave":  func(*rapid.T) { o.leave() },
-			"":       func(*rapid.T) { o.check() },
+			"list":   func(*rapid.T) { o.sendList() },
+			"peer":   func(*rapid.T) { o.sendPeerReports() },
+			"leave":  func(*rapid.T) { o.cancelWaiting() },
+			"":       func(*rapid.T) { o.checkInvariants() },
 		})
 	})
 }
 
-func (o *oracle) update(msg Msg) {
+func (o *ruleChecker) update(msg Msg) {
 	for _, c := range o.m.Update(msg) {
 		switch c := c.(type) {
 		case SendCmd:
@@ -79,7 +79,7 @@
 	}
 }
 
-func (o *oracle) send(c SendCmd) {
+func (o *ruleChecker) send(c SendCmd) {
 	w := o.requests[c.ID]
 	require.False(o.t, w.ended, "sent after its end")
 	require.False(o.t, w.running, "sent twice at once")
@@ -92,14 +92,14 @@
 	w.sends++
 	require.LessOrEqual(o.t, w.sends, w.Attempts, "sent to more servers than its route allows")
 	if w.sends > 1 {
-		o.again++
+		o.retries++
 	}
 	w.visited[c.Server.ID] = true
-	w.running, w.at = true, c.Server.ID
+	w.running, w.server = true, c.Server.ID
 	o.running = append(o.running, c.ID)
 }
 
-func (o *oracle) allLeaving(service string) bool {
+func (o *ruleChecker) allLeaving(service string) bool {
 	for id, s := range o.m.byServer {
 		if s.Service == service && !o.draining[id] && !s.gone {
 			return false
@@ -108,36 +108,36 @@
 	return true
 }
 
-func (o *oracle) arrive() {
-	o.next++
-	o.first++
+func (o *ruleChecker) arrive() {
+	o.lastID++
+	o.arrivals++
 	r := Request{
-		ID: o.next, Team: rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "team"),
+		ID: o.lastID, Team: rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "team"),
 		Service: rapid.SampledFrom([]string{"llm", "app"}).Draw(o.t, "service"), Kind: Stream,
 		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(o.t, "attempts"),
 		Priority: rapid.IntRange(0, 2).Draw(o.t, "priority"), Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
 		PromptTokens: rapid.IntRange(1, 60000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.lastID) + 100, Tokens: 10}},
 	}
-	o.requests[r.ID] = &watched{Request: r, arrived: o.now, queued: o.now, visited: make(map[string]bool)}
+	o.requests[r.ID] = &trackedRequest{Request: r, arrived: o.now, waitingSince: o.now, visited: make(map[string]bool)}
 	o.update(RequestMsg{Now: o.now, Request: r})
 }
 
-func (o *oracle) pick() (RequestID, bool) {
+func (o *ruleChecker) pickRunning() (RequestID, bool) {
 	if len(o.running) == 0 {
 		return 0, false
 	}
 	return o.running[rapid.IntRange(0, len(o.running)-1).Draw(o.t, "running")], true
 }
 
-func (o *oracle) firstEvent() {
-	if id, ok := o.pick(); ok {
+func (o *ruleChecker) sendFirstEvent() {
+	if id, ok := o.pickRunning(); ok {
 		o.update(FirstEventMsg{Now: o.now, ID: id})
 	}
 }
 
-func (o *oracle) endOne() {
-	id, ok := o.pick()
+func (o *ruleChecker) endAttempt() {
+	id, ok := o.pickRunning()
 	if !ok {
 		return
 	}
@@ -154,7 +154,7 @@
 	switch outcome {
 	case Unsent:
 		w.sends--
-		w.unsentAt++
+		w.unsent++
 	case NotRun, Elsewhere:
 	default:
 		w.mayRan = true
@@ -162,18 +162,18 @@
 	if !retry {
 		w.ended = true
 	}
-	w.queued = o.now
+	w.waitingSince = o.now
 	o.update(AttemptEndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry, RouterLate: rapid.Bool().Draw(o.t, "slow")})
 }
 
-func (o *oracle) tick(n int) {
+func (o *ruleChecker) tick(n int) {
 	for range n {
 		o.now += TickInterval
 		o.update(TickMsg{Now: o.now})
 	}
 }
 
-func (o *oracle) list() {
+func (o *ruleChecker) sendList() {
 	o.revision++
 	clear(o.draining)
 	d := Directory{Revision: o.revision}
@@ -187,7 +187,7 @@
 	o.update(ServersMsg{Now: o.now, Directory: d})
 }
 
-func (o *oracle) peer() {
+func (o *ruleChecker) sendPeerReports() {
 	o.update(PeerReportMsg{Now: o.now, Peer: "other", Report: Report{
 		Headroom: rapid.Float64Range(0, 5).Draw(o.t, "room"),
 	}})
@@ -197,7 +197,7 @@
 	}}})
 }
 
-func (o *oracle) leave() {
+func (o *ruleChecker) cancelWaiting() {
 	for id, w := range o.requests {
 		if !w.running && !w.ended {
 			w.ended = true
@@ -207,21 +207,21 @@
 	}
 }
 
-// check holds what must be so at any moment.
-func (o *oracle) check() {
+// checkInvariants holds what must be so at any moment.
+func (o *ruleChecker) checkInvariants() {
 	running := make(map[string]int)
 	for _, id := range o.running {
-		running[o.requests[id].at]++
+		running[o.requests[id].server]++
 	}
 	for id, s := range o.m.byServer {
 		require.Equal(o.t, running[id], s.running, "running at %s", id)
-		require.GreaterOrEqual(o.t, s.pending, 0)
+		require.GreaterOrEqual(o.t, s.pendingTokens, 0)
 	}
 	for id, w := range o.requests {
 		if !w.ended && !w.running {
-			limit := time.Duration(waitShare*float64(w.Objective)) + 2*TickInterval
-			require.LessOrEqual(o.t, o.now-w.queued, limit, "request %d is held", id)
+			limit := time.Duration(maxWaitFraction*float64(w.Objective)) + 2*TickInterval
+			require.LessOrEqual(o.t, o.now-w.waitingSince, limit, "request %d is held", id)
 		}
 	}
-	require.LessOrEqual(o.t, float64(o.again), 0.2*float64(o.first)+20)
+	require.LessOrEqual(o.t, float64(o.retries), 0.2*float64(o.arrivals)+20)
 }
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -8,56 +8,56 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// peer takes in what another router does at the moment.
-func (m *Machine) peer(msg PeerReportMsg) {
-	m.peers[msg.Peer] = peerReport{at: msg.Now, report: msg.Report}
+// recordPeerReport takes in what another router does at the moment.
+func (m *Machine) recordPeerReport(msg PeerReportMsg) {
+	m.peerReports[msg.Peer] = peerReport{at: msg.Now, report: msg.Report}
 	m.hearSuspects(msg.Now, msg.Report)
 }
 
-// forgetPeers drops the reports that no longer hold.
-func (m *Machine) forgetPeers(now time.Duration) {
-	for name, p := range m.peers {
-		if now-p.at > m.hold {
-			delete(m.peers, name)
+// expirePeerReports drops the reports that no longer hold.
+func (m *Machine) expirePeerReports(now time.Duration) {
+	for name, p := range m.peerReports {
+		if now-p.at > m.reportTTL {
+			delete(m.peerReports, name)
 		}
 	}
 }
 
-// takeTeams takes in what all other routers see of teams.
-func (m *Machine) takeTeams(msg PeerTeamsMsg) {
-	m.teamsAt = msg.Now
+// setPeerTeams takes in what all other routers see of teams.
+func (m *Machine) setPeerTeams(msg PeerTeamsMsg) {
+	m.peerTeamsAt = msg.Now
 	for _, t := range m.teams {
-		t.others = loads.TeamUse{}
+		t.peers = loads.TeamUse{}
 	}
 	for _, u := range msg.Teams {
-		m.team(u.Team).others = u
+		m.team(u.Team).peers = u
 	}
 }
 
-// forgetTeams forgets the others' use of teams where nothing new has come for too long:
+// expirePeerTeams forgets the others' use of teams where nothing new has come for too long:
 // first what they got, and later their demand too.
-func (m *Machine) forgetTeams(now time.Duration) {
-	if m.teamsAt == 0 || now-m.teamsAt <= loads.TeamsHold {
+func (m *Machine) expirePeerTeams(now time.Duration) {
+	if m.peerTeamsAt == 0 || now-m.peerTeamsAt <= loads.TeamsHold {
 		return
 	}
-	demand := now-m.teamsAt <= loads.TeamsHold+loads.DemandHold
-	if !demand {
-		m.teamsAt = 0
+	keepDemand := now-m.peerTeamsAt <= loads.TeamsHold+loads.DemandHold
+	if !keepDemand {
+		m.peerTeamsAt = 0
 	}
 	for _, t := range m.teams {
-		left := loads.TeamUse{Team: t.others.Team}
-		if demand {
-			left.Offered = t.others.Offered
+		remaining := loads.TeamUse{Team: t.peers.Team}
+		if keepDemand {
+			remaining.Offered = t.peers.Offered
 		}
-		t.others = left
+		t.peers = remaining
 	}
 }
 
-// commonHeadroom returns the middle of what the routers that are heard take the
+// medianHeadroom returns the middle of what the routers that are heard take the
 // headroom to be: shares that differ between routers would not be even.
-func (m *Machine) commonHeadroom() float64 {
+func (m *Machine) medianHeadroom() float64 {
 	headrooms := []float64{max(m.ownHeadroom, 1)}
-	for _, p := range m.peers {
+	for _, p := range m.peerReports {
 		if p.report.Headroom > 0 {
 			headrooms = append(headrooms, p.report.Headroom)
 		}
@@ -79,7 +79,7 @@
 	var out []loads.TeamUse
 	for name, t := range m.teams {
 		offered := t.offered.decay(now)
-		if offered > activeRate {
+		if offered > minActiveRate {
 			out = append(out, loads.TeamUse{
 				Team: name, Offered: float32(offered), Recent: float32(t.recent.decay(now)), Served: float32(t.served.decay(now)),
 			})
--- a/direct/place.go
+++ b/direct/place.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	// fitWithin is the part of the objective that the expected first event may
+	// maxFirstEventFraction is the part of the objective that the expected first event may
 	// take; waitWithin the part that the server's backlog may take, for prompts
 	// so long that they cannot meet their objective anywhere.
-	fitWithin  = 0.85
-	waitWithin = 0.4
+	maxFirstEventFraction = 0.85
+	maxBacklogFraction    = 0.4
 	// A team that gets more than its share of what is configured has only what
 	// others leave: servers with a backlog of at most overWait of the average
 	// objective, the same for all its requests, and which keep its prompt where
 	// any does.
-	overWait = 0.2
+	overShareBacklogFraction = 0.2
 
 	// The costs of a choice, in milliseconds.
 	lateCost = 200.0 // for being late for certain
@@ -28,32 +28,32 @@
 	// apart which do not keep it, so that all routers copy it to the same one.
 	rankCost = 0.25
 
-	// certainFrom and certainTo bound the part of the objective, as expected,
+	// lateRiskFrom and certainTo bound the part of the objective, as expected,
 	// between which being late goes from unlikely to likely.
-	certainFrom = 0.4
-	certainTo   = 1.2
+	lateRiskFrom = 0.4
+	lateRiskTo   = 1.2
 
-	// trialWorth is what a trial of a server on probation may cost.
-	trialWorth = 500.0
+	// probationBonus is what a trial of a server on probation may cost.
+	probationBonus = 500.0
 
-	// lookEach is how many servers a request looks at before it is content with
+	// candidateBatch is how many servers a request looks at before it is content with
 	// one that is expected within goodTime of the objective, and laterTime for
 	// each server that it has looked at: where most servers are busy, not all
 	// routers take the one that is not.
-	lookEach  = 4
-	goodTime  = 0.5
-	laterTime = 0.025
+	candidateBatch       = 4
+	goodEstimateFraction = 0.5
+	goodEstimateStep     = 0.025
 
-	// plainQueue is how many requests a plain server may have beyond its slots.
-	plainQueue = 12
+	// maxPlainExcess is how many requests a plain server may have beyond its slots.
+	maxPlainExcess = 12
 )
 
 // choice is a server that was weighed for a request.
 type choice struct {
-	server   *server
-	miss     int
-	estimate time.Duration
-	cost     float64
+	server     *server
+	missTokens int
+	estimate   time.Duration
+	cost       float64
 }
 
 // place picks a server among those that would serve the request in time, or
@@ -63,29 +63,29 @@
 // all servers, they would take the same one at once. So each request looks at a
 // few servers first, which its prompt and chance give it, and at more only where
 // none of those would serve it in good time.
-func (m *Machine) place(now time.Duration, p *pool, r *run) (choice, bool) {
-	home := m.firstHolder(now, p, r)
+func (m *Machine) place(now time.Duration, p *pool, r *requestState) (choice, bool) {
+	preferred := m.preferredServer(now, p, r)
 	candidates := m.candidates(now, p, r)
 	best, found := choice{}, false
 	for i := range candidates {
-		if found && m.uses(FewCandidates) && i%lookEach == 0 && best.within(r, goodTime+laterTime*float64(i)) {
+		if found && m.enabled(FewCandidates) && i%candidateBatch == 0 && best.estimatedWithin(r, goodEstimateFraction+goodEstimateStep*float64(i)) {
 			break
 		}
-		if i == lookEach {
+		if i == candidateBatch {
 			sortRest(candidates)
 		}
 		c := candidates[i]
-		weighed, fits := m.weigh(now, p, c.server, r, home)
+		evaluated, fits := m.evaluate(now, p, c.server, r, preferred)
 		if !fits {
 			continue
 		}
 		if c.server.probation {
 			// Without a trial it would never come back: servers that keep
 			// parts always cost less.
-			weighed.cost -= trialWorth
+			evaluated.cost -= probationBonus
 		}
-		if !found || weighed.cost < best.cost {
-			best, found = weighed, true
+		if !found || evaluated.cost < best.cost {
+			best, found = evaluated, true
 		}
 	}
 	if !found {
@@ -94,15 +94,15 @@
 	return best, true
 }
 
-// within tells whether the first event is expected within a part of the
+// estimatedWithin tells whether the first event is expected within a part of the
 // objective.
-func (c choice) within(r *run, part float64) bool {
-	return float64(c.estimate) <= part*float64(r.Objective)
+func (c choice) estimatedWithin(r *requestState, fraction float64) bool {
+	return float64(c.estimate) <= fraction*float64(r.Objective)
 }
 
-// open tells whether a request may go to a server now.
-func (m *Machine) open(now time.Duration, p *pool, s *server, r *run) bool {
-	if !s.takes(now, r.Regions) || now < s.fullUntil || r.wasAt(s.ID) || !m.coldReady(now, p, s) {
+// eligible tells whether a request may go to a server now.
+func (m *Machine) eligible(now time.Duration, p *pool, s *server, r *requestState) bool {
+	if !s.accepts(now, r.Regions) || now < s.fullUntil || r.hasTried(s.ID) || !m.coldSendAllowed(now, p, s) {
 		return false
 	}
 	return !s.probation || (r.MayRepeat && r.attempt+1 < r.Attempts && s.running == 0)
@@ -110,7 +110,7 @@
 
 // lastResort picks a server that is leaving, where no other that the request may go to is
 // known.
-func (m *Machine) lastResort(now time.Duration, p *pool, r *run) (choice, bool) {
+func (m *Machine) lastResort(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	var best *server
 	for _, s := range p.reachable(r) {
 		if !r.Regions.Allow(s.region) {
@@ -122,73 +122,73 @@
 		if s.evacuated || now-s.leavingAt > m.lastResortFor() || now < s.downUntil || s.backsOff(now) {
 			continue
 		}
-		if r.wasAt(s.ID) || s.allRunning() >= s.Slots || !m.coldReady(now, p, s) {
+		if r.hasTried(s.ID) || s.totalRunning() >= s.Slots || !m.coldSendAllowed(now, p, s) {
 			continue
 		}
-		if best == nil || s.allRunning() < best.allRunning() {
+		if best == nil || s.totalRunning() < best.totalRunning() {
 			best = s
 		}
 	}
 	return choice{server: best}, best != nil
 }
 
-// weigh estimates what a request would cost at a server, and tells whether the
+// evaluate estimates what a request would cost at a server, and tells whether the
 // server would serve it in time.
-func (m *Machine) weigh(now time.Duration, p *pool, s *server, r *run, home *server) (choice, bool) {
+func (m *Machine) evaluate(now time.Duration, p *pool, s *server, r *requestState, preferred *server) (choice, bool) {
 	if p.engine == nil {
-		return m.weighPlain(s, r)
+		return m.evaluatePlain(s, r)
 	}
-	if s.allRunning() >= max(s.Slots, 1) {
+	if s.totalRunning() >= max(s.Slots, 1) {
 		return choice{}, false
 	}
-	perMS := p.rateOf(s)
-	miss := 0
-	if s != home {
-		miss = m.missing(now, p, s, r)
+	perMS := p.tokenRateOf(s)
+	missTokens := 0
+	if s != preferred {
+		missTokens = m.missingTokens(now, p, s, r)
 	}
-	wait := float64(s.allPending()) / perMS
-	own := float64(r.ownTokens()+miss) / perMS
-	first := float64(firstEventBase/time.Millisecond) + wait + own
-	objective := float64(r.Objective) / float64(time.Millisecond)
+	wait := float64(s.totalPending()) / perMS
+	own := float64(r.ownTokens()+missTokens) / perMS
+	first := float64(firstEventOverhead/time.Millisecond) + wait + own
+	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
 	// A request beyond its team's share goes only where no shared part must be read
 	// again. Where no server is known to keep the part, home is assumed to keep it.
-	surplus := r.over > 1 && r.attempt == 0 && m.uses(SurplusReads)
-	if !fits(r, first/objective, wait/objective, p.objective) || (surplus && miss > 0) {
+	surplus := r.shareRatio > 1 && r.attempt == 0 && m.enabled(SurplusReads)
+	if !fits(r, first/objectiveMS, wait/objectiveMS, p.objectiveMS) || (surplus && missTokens > 0) {
 		return choice{}, false
 	}
-	late := min(max((first/objective-certainFrom)/(certainTo-certainFrom), 0), 1)
-	cost := lateCost*late + missCost*float64(miss) + waitCost*wait + slotCost*float64(s.allRunning())
+	late := min(max((first/objectiveMS-lateRiskFrom)/(lateRiskTo-lateRiskFrom), 0), 1)
+	cost := lateCost*late + missCost*float64(missTokens) + waitCost*wait + slotCost*float64(s.totalRunning())
 	cost += m.distance(s)
-	if home != nil && s != home {
-		cost += spread(r, s, miss)
+	if preferred != nil && s != preferred {
+		cost += copyPlacementCost(r, s, missTokens)
 	}
-	return choice{server: s, miss: miss, estimate: milliseconds(first), cost: cost}, true
+	return choice{server: s, missTokens: missTokens, estimate: milliseconds(first), cost: cost}, true
 }
 
 // fits tells whether a server would serve a request in time. first and wait are
 // the expected first event and the backlog, in parts of the objective; average is
 // the objective of all requests, in milliseconds.
-func fits(r *run, first, wait, average float64) bool {
+func fits(r *requestState, first, wait, average float64) bool {
 	switch {
 	case r.attempt > 0:
 		return first <= 1 || wait <= 1
-	case r.over > 1:
-		return first <= fitWithin && wait*float64(r.Objective) <= overWait*average*float64(time.Millisecond)
+	case r.shareRatio > 1:
+		return first <= maxFirstEventFraction && wait*float64(r.Objective) <= overShareBacklogFraction*average*float64(time.Millisecond)
 	}
-	return first <= fitWithin || wait <= waitWithin
+	return first <= maxFirstEventFraction || wait <= maxBacklogFraction
 }
 
-func (m *Machine) weighPlain(s *server, r *run) (choice, bool) {
-	latency := s.latency
-	if latency == 0 {
-		latency = plainLatencyInit
+func (m *Machine) evaluatePlain(s *server, r *requestState) (choice, bool) {
+	latencyMS := s.latencyMS
+	if latencyMS == 0 {
+		latencyMS = initialPlainLatencyMS
 	}
 	slots := max(s.Slots, 1)
-	excess := max(s.allRunning()+1-slots, 0)
-	first := latency * (1 + float64(excess)/float64(slots))
-	objective := float64(r.Objective) / float64(time.Millisecond)
-	fits := excess == 0 || (excess <= plainQueue && first <= fitWithin*objective)
-	cost := first + latency*float64(s.allRunning())/float64(slots) + m.distance(s) + objective*s.failures
+	excess := max(s.totalRunning()+1-slots, 0)
+	first := latencyMS * (1 + float64(excess)/float64(slots))
+	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
+	fits := excess == 0 || (excess <= maxPlainExcess && first <= maxFirstEventFraction*objectiveMS)
+	cost := first + latencyMS*float64(s.totalRunning())/float64(slots) + m.distance(s) + objectiveMS*s.failureRate
 	return choice{server: s, estimate: milliseconds(first), cost: cost}, fits
 }
 
@@ -197,30 +197,30 @@
 	switch {
 	case s.Zone == m.options.Zone:
 		return 0
-	case m.geography.near(s.region):
+	case m.hallRegions.isLocal(s.region):
 		return zoneCost
 	}
 	return regionCost
 }
 
-// spread tells apart the servers other than the first that keeps a part: by the
+// copyPlacementCost tells apart the servers other than the first that keeps a part: by the
 // order of the part's rendezvous weights, so that all routers copy it to the
 // same one.
-func spread(r *run, s *server, miss int) float64 {
-	if miss == 0 {
+func copyPlacementCost(r *requestState, s *server, missTokens int) float64 {
+	if missTokens == 0 {
 		return copyCost
 	}
 	last := r.Parts[len(r.Parts)-2]
-	w := rank(last.ID, s)
-	return rankCost * missCost * float64(last.Tokens) * (1 - float64(w>>11)/float64(1<<53))
+	weight := rendezvousWeight(last.ID, s)
+	return rankCost * missCost * float64(last.Tokens) * (1 - float64(weight>>11)/float64(1<<53))
 }
 
-// missing returns the tokens of shared parts that a server would have to read.
+// missingTokens returns the tokens of shared parts that a server would have to read.
 // A part is of use only where everything before it is kept as well.
-func (m *Machine) missing(now time.Duration, p *pool, s *server, r *run) int {
+func (m *Machine) missingTokens(now time.Duration, p *pool, s *server, r *requestState) int {
 	miss := 0
 	for i := len(r.Parts) - 2; i >= 0; i-- {
-		if m.holders.has(now, p.keeps, r.Parts[i].ID, s.ID) {
+		if m.partHolders.isHolder(now, p.cacheTTL, r.Parts[i].ID, s.ID) {
 			return miss
 		}
 		miss += r.Parts[i].Tokens
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -8,23 +8,23 @@
 
 // pool holds the servers of one service and the requests that wait for them.
 type pool struct {
-	name      string
-	engine    *Engine
-	servers   map[string]*server
-	all       []*server     // by id
-	order     []*server     // those that may get requests, by id; see admit
-	gate      *gate         // nil: every version may get requests
-	baseline  baseline      // of the versions in use
-	tokenRate float64       // tokens a millisecond of a server, averaged
-	keeps     time.Duration // how long a server keeps a part of a prompt unused
-	objective float64       // milliseconds, averaged over requests
-	cold      ColdLimit
-	queue     queue
-	budget    budget
+	name        string
+	engine      *Engine
+	servers     map[string]*server
+	all         []*server     // by id
+	admitted    []*server     // those that may get requests, by id; see admit
+	gate        *gate         // nil: every version may get requests
+	baseline    baseline      // of the versions in use
+	tokenRate   float64       // tokens a millisecond of a server, averaged
+	cacheTTL    time.Duration // how long a server keeps a part of a prompt unused
+	objectiveMS float64       // milliseconds, averaged over requests
+	cold        ColdLimit
+	queue       queue
+	retryWindow retryWindow
 }
 
 func newPool(name string) *pool {
-	return &pool{name: name, servers: make(map[string]*server), keeps: holderMemory}
+	return &pool{name: name, servers: make(map[string]*server), cacheTTL: maxCacheTTL}
 }
 
 // configure takes in what the configuration says of the service.
@@ -32,30 +32,30 @@
 	p.engine = s.Engine
 	p.cold = s.Cold
 	if p.tokenRate == 0 && s.Engine != nil {
-		p.tokenRate = firstRate(limits.TokensPerSecond, len(p.order))
+		p.tokenRate = initialTokenRate(limits.TokensPerSecond, len(p.admitted))
 	}
 }
 
-// firstRate guesses how fast a server reads prompts before one was measured:
+// initialTokenRate guesses how fast a server reads prompts before one was measured:
 // twice its part of the tokens that all make and read together.
-func firstRate(tokensPerSecond float64, servers int) float64 {
+func initialTokenRate(tokensPerSecond float64, servers int) float64 {
 	if tokensPerSecond == 0 || servers == 0 {
 		return 60
 	}
 	return 2 * tokensPerSecond / 1000 / float64(servers)
 }
 
-// rateOf returns how many tokens a millisecond a server reads.
-func (p *pool) rateOf(s *server) float64 {
+// tokenRateOf returns how many tokens a millisecond a server reads.
+func (p *pool) tokenRateOf(s *server) float64 {
 	if s.tokenRate > 0 {
 		return max(s.tokenRate, 1)
 	}
 	return max(p.tokenRate, 1)
 }
 
-// reorder sorts the servers after a change, so that choices depend on no map
+// refreshServers sorts the servers after a change, so that choices depend on no map
 // order.
-func (p *pool) reorder() {
+func (p *pool) refreshServers() {
 	p.all = p.all[:0]
 	for _, s := range p.servers {
 		p.all = append(p.all, s)
@@ -68,14 +68,14 @@
 	slices.SortFunc(servers, func(a, b *server) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// medianFailures returns the failure average of the middle one of some servers.
-func medianFailures(servers []*server) float64 {
+// medianFailureRate returns the failure average of the middle one of some servers.
+func medianFailureRate(servers []*server) float64 {
 	if len(servers) == 0 {
 		return 0
 	}
 	all := make([]float64, 0, len(servers))
 	for _, s := range servers {
-		all = append(all, s.failures)
+		all = append(all, s.failureRate)
 	}
 	slices.Sort(all)
 	return all[(len(all)-1)/2]
@@ -83,35 +83,35 @@
 
 // anyUsable tells whether some server of some regions may get new requests.
 func (p *pool) anyUsable(now time.Duration, regions Regions) bool {
-	return slices.ContainsFunc(p.order, func(s *server) bool { return s.takes(now, regions) })
+	return slices.ContainsFunc(p.admitted, func(s *server) bool { return s.accepts(now, regions) })
 }
 
-// mostEjected tells whether one more ejection would leave less than half of
+// ejectionCapReached tells whether one more ejection would leave less than half of
 // some servers.
-func mostEjected(now time.Duration, servers []*server) bool {
-	in, all := 0, 0
+func ejectionCapReached(now time.Duration, servers []*server) bool {
+	inUse, all := 0, 0
 	for _, s := range servers {
 		if !s.available() {
 			continue
 		}
 		all++
 		if s.usable(now) {
-			in++
+			inUse++
 		}
 	}
-	return in-1 < (all+1)/2
+	return inUse-1 < (all+1)/2
 }
 
-// keepsShare is the part of an engine's memory that parts of prompts have.
-const keepsShare = 0.8
+// promptCacheFraction is the part of an engine's memory that parts of prompts have.
+const promptCacheFraction = 0.8
 
-// setKeeps works out how long a part is kept unused, from the tokens a second
+// updateCacheTTL works out how long a part is kept unused, from the tokens a second
 // that all servers read: the parts unused longest give way.
-func (p *pool) setKeeps(tokens float64) {
-	p.keeps = holderMemory
-	if p.engine == nil || tokens <= 0 || len(p.order) == 0 {
+func (p *pool) updateCacheTTL(tokens float64) {
+	p.cacheTTL = maxCacheTTL
+	if p.engine == nil || tokens <= 0 || len(p.admitted) == 0 {
 		return
 	}
-	seconds := keepsShare * float64(p.engine.KVTokens) * float64(len(p.order)) / tokens
-	p.keeps = min(holderMemory, time.Duration(seconds*float64(time.Second)))
+	seconds := promptCacheFraction * float64(p.engine.KVTokens) * float64(len(p.admitted)) / tokens
+	p.cacheTTL = min(maxCacheTTL, time.Duration(seconds*float64(time.Second)))
 }
--- a/direct/queue.go
+++ b/direct/queue.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// waitShare is the part of its objective that a request may wait in the queue
+	// maxWaitFraction is the part of its objective that a request may wait in the queue
 	// before it is refused.
-	waitShare = 0.2
+	maxWaitFraction = 0.2
 	// maxQueued bounds the waiting requests of a service at one router.
 	maxQueued = 64
 )
 
 // queue holds the requests of one service that wait for a server.
 type queue struct {
-	waiting []*run
+	waiting []*requestState
 }
 
-// waitTime is how long a request may wait in the queue.
-func waitTime(r *run) time.Duration { return time.Duration(waitShare * float64(r.Objective)) }
+// maxWait is how long a request may wait in the queue.
+func maxWait(r *requestState) time.Duration {
+	return time.Duration(maxWaitFraction * float64(r.Objective))
+}
 
 // add puts a request in the queue.
-func (q *queue) add(r *run) { q.waiting = append(q.waiting, r) }
+func (q *queue) add(r *requestState) { q.waiting = append(q.waiting, r) }
 
-// asked returns the tokens that the requests of a team in the queue ask for which are
+// queuedTokens returns the tokens that the requests of a team in the queue ask for which are
 // served before one that may wait until a time.
-func (q *queue) asked(team string, until time.Duration) float64 {
+func (q *queue) queuedTokens(team string, until time.Duration) float64 {
 	sum := 0.0
 	for _, r := range q.waiting {
 		if r.Team == team && r.waitUntil <= until {
@@ -38,7 +40,7 @@
 }
 
 // remove takes a request out.
-func (q *queue) remove(r *run) {
+func (q *queue) remove(r *requestState) {
 	if i := slices.Index(q.waiting, r); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
@@ -48,13 +50,13 @@
 // higher priority, teams within their share, those that are not late already, the
 // team that got least, the one that can wait least.
 func (q *queue) sort() {
-	slices.SortStableFunc(q.waiting, func(a, b *run) int {
+	slices.SortStableFunc(q.waiting, func(a, b *requestState) int {
 		return cmp.Or(
 			-cmp.Compare(min(a.attempt, 1), min(b.attempt, 1)),
 			cmp.Compare(a.Priority, b.Priority),
-			compareBool(a.over > 1, b.over > 1),
+			compareBool(a.shareRatio > 1, b.shareRatio > 1),
 			compareBool(a.late, b.late),
-			cmp.Compare(a.served, b.served),
+			cmp.Compare(a.teamServedRate, b.teamServedRate),
 			cmp.Compare(a.waitUntil, b.waitUntil),
 			cmp.Compare(a.ID, b.ID),
 		)
@@ -62,8 +64,8 @@
 }
 
 // expired returns the requests that have waited as long as they may.
-func (q *queue) expired(now time.Duration) []*run {
-	var out []*run
+func (q *queue) expired(now time.Duration) []*requestState {
+	var out []*requestState
 	for _, r := range q.waiting {
 		if now >= r.waitUntil {
 			out = append(out, r)
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -76,7 +76,7 @@
 		h.since = now
 	}
 	h.unreached[s.ID] = true
-	if !h.lost && len(h.unreached) >= min(lostAfter, m.serversIn(s.Zone)) && m.uses(HallReachability) {
+	if !h.lost && len(h.unreached) >= min(lostAfter, m.serversIn(s.Zone)) && m.enabled(HallReachability) {
 		m.setLost(now, s.Zone, h, true)
 	}
 }
@@ -85,7 +85,7 @@
 func (m *Machine) serversIn(hall string) int {
 	n := 0
 	for _, s := range m.byServer {
-		if s.Zone == hall && !s.gone && !s.barred {
+		if s.Zone == hall && !s.gone && !s.versionBarred {
 			n++
 		}
 	}
@@ -100,7 +100,7 @@
 	servers := 0
 	for _, s := range m.byServer {
 		if s.Zone == hall {
-			s.hallLost = lost
+			s.hallUnreachable = lost
 			servers++
 		}
 	}
@@ -124,7 +124,7 @@
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
 		suspected := h.quiet && now-h.answeredAt > answerFresh
-		if now < h.probeAt || !m.uses(HallReachability) || (!h.lost && !suspected) {
+		if now < h.probeAt || !m.enabled(HallReachability) || (!h.lost && !suspected) {
 			continue
 		}
 		h.pause = min(max(2*h.pause, probeFirst), probeLongest)
@@ -137,7 +137,7 @@
 func (m *Machine) probe(hall string, h *hallReach) {
 	var all []*server
 	for _, name := range m.poolNames() {
-		for _, s := range m.pools[name].order {
+		for _, s := range m.pools[name].admitted {
 			if s.Zone == hall && !s.leaving {
 				all = append(all, s)
 			}
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -9,7 +9,7 @@
 )
 
 // hallsOf returns a bench with many servers in halls a and b.
-func hallsOf(t *testing.T, servers int) *bench {
+func hallsOf(t *testing.T, servers int) *harness {
 	b := twoHalls(t)
 	d := Directory{Revision: 2}
 	for i := range servers {
@@ -22,7 +22,7 @@
 // dead plays callers of a router while no server of some halls can be reached: what is sent
 // there ends unsent after dial, and is tried elsewhere. It returns how many were sent in
 // vain and how many probes went out.
-func (b *bench) dead(d, dial time.Duration, halls ...string) (vain, probes int) {
+func (b *harness) dead(d, dial time.Duration, halls ...string) (vain, probes int) {
 	type call struct {
 		at     time.Duration
 		id     RequestID
@@ -60,8 +60,8 @@
 		}
 	}
 	for end := b.now + d; b.now < end; {
-		take(b.arrive(b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})))
-		take(b.pass(TickInterval))
+		take(b.arrive(b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})))
+		take(b.advance(TickInterval))
 		kept := hung[:0]
 		for _, c := range hung {
 			switch {
@@ -99,9 +99,9 @@
 	b := hallsOf(t, 60)
 	lost := 0
 	for range 400 {
-		r := b.request("red", PromptPart{ID: uint64(b.next), Tokens: 100}, PromptPart{ID: uint64(b.next) << 20, Tokens: 100})
+		r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
 		for cmds := b.arrive(r); ; {
-			c, ok := find[SendCmd](cmds)
+			c, ok := findCmd[SendCmd](cmds)
 			if !ok {
 				break
 			}
@@ -110,7 +110,7 @@
 			require.NoError(t, err)
 			if n%12 == 1 {
 				cmds = b.end(r.ID, Unsent, true)
-				if reach, told := find[HallReachabilityCmd](cmds); told && reach.Lost {
+				if reach, told := findCmd[HallReachabilityCmd](cmds); told && reach.Lost {
 					lost++
 				}
 				continue
@@ -119,7 +119,7 @@
 			b.end(r.ID, Done, false)
 			break
 		}
-		b.pass(TickInterval)
+		b.advance(TickInterval)
 	}
 	require.Zero(t, lost)
 }
@@ -132,7 +132,7 @@
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
 	require.Zero(t, b.sentTo(100 * time.Millisecond)["b"])
-	probe, ok := find[ProbeCmd](b.pass(probeFirst))
+	probe, ok := findCmd[ProbeCmd](b.advance(probeFirst))
 	require.True(t, ok)
 	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
@@ -142,16 +142,16 @@
 // that no caller has to find out that they are gone too.
 func TestQuietHallIsProbed(t *testing.T) {
 	b := hallsOf(t, 60)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9, SilentHalls: []string{"b"}})
-	probes := b.pass(TickInterval)
+	probes := b.advance(TickInterval)
 	require.Len(t, probes, probesEach)
 	for _, c := range probes {
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: c.(ProbeCmd).Server.ID})
 	}
 	require.Zero(t, b.sentTo(time.Second)["b"])
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9})
-	probe, ok := find[ProbeCmd](b.pass(probeLongest))
+	probe, ok := findCmd[ProbeCmd](b.advance(probeLongest))
 	require.True(t, ok, "a lost hall is probed on")
 	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -11,8 +11,8 @@
 
 // newRegionBench returns a router of hall a in region east, with engines in the halls a and
 // b of that region, c of region west, and d, whose region is not known.
-func newRegionBench(t *testing.T, config Config, each int) *bench {
-	b := &bench{t: t, now: 3 * time.Second, m: NewMachine(Options{
+func newRegionBench(t *testing.T, config Config, each int) *harness {
+	b := &harness{t: t, now: 3 * time.Second, m: NewMachine(Options{
 		Zone: "a", Region: "east", HallRegions: map[string]string{"a": "east", "b": "east", "c": "west"},
 		RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
 	})}
@@ -29,15 +29,15 @@
 }
 
 // in returns a request that may be served in some regions.
-func (b *bench) in(regions ...string) Request {
+func (b *harness) in(regions ...string) Request {
 	r := b.request("red", PromptPart{ID: 1, Tokens: 1000}, PromptPart{ID: 1 << 20, Tokens: 1000})
 	r.Regions = RegionsOf(regions)
 	return r
 }
 
-func (b *bench) refused(cmds []Cmd) Reason {
+func (b *harness) refused(cmds []Cmd) Reason {
 	b.t.Helper()
-	refuse, ok := find[RefuseCmd](cmds)
+	refuse, ok := findCmd[RefuseCmd](cmds)
 	require.True(b.t, ok, "%v", cmds)
 	return refuse.Reason
 }
@@ -93,13 +93,13 @@
 	b := newRegionBench(t, Config{}, 3)
 	p := b.m.pool("llm")
 	for part := range uint64(40) {
-		free, bound := &run{Request: b.in()}, &run{Request: b.in("west")}
+		free, bound := &requestState{Request: b.in()}, &requestState{Request: b.in("west")}
 		free.Parts[0].ID, bound.Parts[0].ID = part, part
-		inside := b.m.firstHolder(b.now, p, bound)
+		inside := b.m.preferredServer(b.now, p, bound)
 		require.Equal(t, "c", inside.Zone)
-		b.m.holders.note(b.now, part, "a0")
-		require.Equal(t, "a0", b.m.firstHolder(b.now, p, free).ID)
-		require.Equal(t, inside, b.m.firstHolder(b.now, p, bound), "what is kept outside is of no use")
+		b.m.partHolders.record(b.now, part, "a0")
+		require.Equal(t, "a0", b.m.preferredServer(b.now, p, free).ID)
+		require.Equal(t, inside, b.m.preferredServer(b.now, p, bound), "what is kept outside is of no use")
 	}
 }
 
@@ -112,10 +112,10 @@
 	first := b.sent(b.arrive(r))
 	second := b.sent(b.end(r.ID, Broken, true))
 	require.ElementsMatch(t, []string{"c0", "c1"}, []string{first, second})
-	cmds := append(b.end(r.ID, Broken, true), b.pass(r.Objective)...)
-	_, sent := find[SendCmd](cmds)
+	cmds := append(b.end(r.ID, Broken, true), b.advance(r.Objective)...)
+	_, sent := findCmd[SendCmd](cmds)
 	require.False(t, sent)
-	_, failed := find[FailCmd](cmds)
+	_, failed := findCmd[FailCmd](cmds)
 	require.True(t, failed)
 }
 
@@ -142,8 +142,8 @@
 func TestRegionComeBack(t *testing.T) {
 	after := func(busy string) time.Duration {
 		b := newRegionBench(t, Config{}, 1)
-		b.m.byServer[busy].pending = 1_000_000
-		r := &run{Request: b.in("west")}
+		b.m.byServer[busy].pendingTokens = 1_000_000
+		r := &requestState{Request: b.in("west")}
 		r.ID = 1
 		return b.m.comeBack(b.now, b.m.pool("llm"), r, ReasonOverload)
 	}
@@ -170,10 +170,10 @@
 
 // TestRegionOfRouter takes the router's region from its hall's where its own is not given.
 func TestRegionOfRouter(t *testing.T) {
-	g := newGeography("", "a", map[string]string{"a": "east", "c": "west"})
-	require.True(t, g.near("east"))
-	require.False(t, g.near("west"))
-	require.False(t, g.near(""))
+	g := newHallRegions("", "a", map[string]string{"a": "east", "c": "west"})
+	require.True(t, g.isLocal("east"))
+	require.False(t, g.isLocal("west"))
+	require.False(t, g.isLocal(""))
 }
 
 // TestRegionNearerFirst sends what is alike everywhere to the own region while it has room,
--- a/direct/server.go
+++ b/direct/server.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	failureStep      = 0.08 // weight of one answer in a server's failure average
-	minSamples       = 8    // answers before the average may eject
-	ejectStreak      = 4    // failures in a row that eject
-	ejectAbove       = 0.3  // failure average that ejects ...
-	ejectOverMedian  = 3.0  // ... where it is also so many times the pool's median
-	ejectShortest    = time.Second
-	ejectLongest     = 5 * time.Second
-	downShortest     = 250 * time.Millisecond
-	downLongest      = 2 * time.Second
-	lapseHold        = 1200 * time.Millisecond // most; see lapsedFor
-	lapseShare       = 0.3                     // of a service's servers, that go at once
-	lapseLeast       = 2
-	lastResortTime   = 800 * time.Millisecond // most; see lastResortFor
-	fullPause        = 60 * time.Millisecond  // after a server turned a request away and did not say for how long
-	learnStep        = 0.1
-	learnFromTokens  = 1500
-	slowestRate      = 4.0   // tokens a millisecond
-	fastestRate      = 600.0 // tokens a millisecond
-	firstEventBase   = 40 * time.Millisecond
-	plainLatencyInit = 40.0 // milliseconds
+	failureWeight         = 0.08 // weight of one answer in a server's failure average
+	minEjectSamples       = 8    // answers before the average may eject
+	ejectStreak           = 4    // failures in a row that eject
+	ejectFailureRate      = 0.3  // failure average that ejects ...
+	ejectMedianFactor     = 3.0  // ... where it is also so many times the pool's median
+	minEjection           = time.Second
+	maxEjection           = 5 * time.Second
+	minDownTime           = 250 * time.Millisecond
+	maxDownTime           = 2 * time.Second
+	maxLapseGrace         = 1200 * time.Millisecond // most; see lapsedFor
+	massLapseFraction     = 0.3                     // of a service's servers, that go at once
+	minMassLapse          = 2
+	maxLastResortTime     = 800 * time.Millisecond // most; see lastResortFor
+	defaultFullPause      = 60 * time.Millisecond  // after a server turned a request away and did not say for how long
+	rateWeight            = 0.1
+	minRateSampleTokens   = 1500
+	minTokenRate          = 4.0   // tokens a millisecond
+	maxTokenRate          = 600.0 // tokens a millisecond
+	firstEventOverhead    = 40 * time.Millisecond
+	initialPlainLatencyMS = 40.0 // milliseconds
 )
 
 // server is what the machine knows of one backend server.
@@ -41,34 +41,34 @@
 	// still used for lapsedFor. 0: it did not.
 	lapsedAt time.Duration
 
-	evacuated bool // its data hall must get nothing
-	hallLost  bool // no server of its data hall can be reached; see hallReach
-	cold      coldState
+	evacuated       bool // its data hall must get nothing
+	hallUnreachable bool // no server of its data hall can be reached; see hallReach
+	cold            coldState
 
-	listedAt   time.Duration // when it was first listed, or listed again
-	answeredAt time.Duration // when it last answered this router
-	target     bool          // of the version that its service moves to
-	barred     bool          // its version gets nothing at present; see admit
-	cohort     string        // that its answers count for; see cohortOf
+	listedAt      time.Duration // when it was first listed, or listed again
+	respondedAt   time.Duration // when it last answered this router
+	target        bool          // of the version that its service moves to
+	versionBarred bool          // its version gets nothing at present; see admit
+	cohort        string        // that its answers count for; see cohortOf
 
-	running int        // of this router
-	pending int        // tokens of this router
-	others  loads.Load // of all other routers
-	key     uint32     // of the server in loads
-	hash    uint64     // of its id
+	running       int        // of this router
+	pendingTokens int        // tokens of this router
+	peerLoad      loads.Load // of all other routers
+	loadKey       uint32     // of the server in loads
+	idHash        uint64     // of its id
 
 	tokenRate float64 // tokens a millisecond, 0 until measured
-	latency   float64 // milliseconds of a plain answer, 0 until measured
-
-	failures     float64 // average, 0 to 1
-	samples      int
-	streak       int
-	downUntil    time.Duration // nothing could be sent
-	ejectedUntil time.Duration // fails too often
-	pause        time.Duration // of the last ejection or down time
-	probation    bool          // must first answer one repeatable request
-	fullUntil    time.Duration
-	blamed       blame
+	latencyMS float64 // milliseconds of a plain answer, 0 until measured
+
+	failureRate   float64 // average, 0 to 1
+	samples       int
+	failureStreak int
+	downUntil     time.Duration // nothing could be sent
+	ejectedUntil  time.Duration // fails too often
+	lastPause     time.Duration // of the last ejection or down time
+	probation     bool          // must first answer one repeatable request
+	fullUntil     time.Duration
+	blamed        blame
 }
 
 // usable tells whether new requests may go to a server at all.
@@ -77,95 +77,95 @@
 }
 
 // available tells whether nothing keeps new requests from a server for long.
-func (s *server) available() bool { return !s.leaving && !s.evacuated && !s.hallLost }
+func (s *server) available() bool { return !s.leaving && !s.evacuated && !s.hallUnreachable }
 
-// takes tells whether new requests that may be served in some regions may go to a server.
-func (s *server) takes(now time.Duration, regions Regions) bool {
+// accepts tells whether new requests that may be served in some regions may go to a server.
+func (s *server) accepts(now time.Duration, regions Regions) bool {
 	return s.usable(now) && regions.Allow(s.region)
 }
 
-func (s *server) allRunning() int { return s.running + int(s.others.Running) }
-func (s *server) allPending() int { return s.pending + int(s.others.Pending) }
+func (s *server) totalRunning() int { return s.running + int(s.peerLoad.Running) }
+func (s *server) totalPending() int { return s.pendingTokens + int(s.peerLoad.Pending) }
 
 // release takes an attempt off the server's load.
-func (s *server) release(r *run) {
+func (s *server) release(r *requestState) {
 	s.running--
-	s.started(r)
+	s.promptRead(r)
 }
 
-// started says that an attempt's prompt has been read.
-func (s *server) started(r *run) {
-	s.pending -= r.pending
-	r.pending = 0
+// promptRead says that an attempt's prompt has been read.
+func (s *server) promptRead(r *requestState) {
+	s.pendingTokens -= r.pendingTokens
+	r.pendingTokens = 0
 }
 
-// learnFirst takes in the time to a first event.
-func (s *server) learnFirst(p *pool, r *run, elapsed time.Duration) {
+// recordFirstEvent takes in the time to a first event.
+func (s *server) recordFirstEvent(p *pool, r *requestState, elapsed time.Duration) {
 	ms := float64(elapsed) / float64(time.Millisecond)
 	if p.engine == nil {
-		s.latency = average(s.latency, ms, plainLatencyInit)
+		s.latencyMS = movingAverage(s.latencyMS, ms, initialPlainLatencyMS)
 		return
 	}
-	if r.ahead < learnFromTokens {
+	if r.tokensAhead < minRateSampleTokens {
 		return
 	}
-	seen := readingRate(r.ahead, ms)
-	s.tokenRate = average(s.tokenRate, seen, p.tokenRate)
-	p.tokenRate += learnStep / 4 * (seen - p.tokenRate)
+	measured := measuredTokenRate(r.tokensAhead, ms)
+	s.tokenRate = movingAverage(s.tokenRate, measured, p.tokenRate)
+	p.tokenRate += rateWeight / 4 * (measured - p.tokenRate)
 }
 
-// readingRate is how fast a server read some tokens, in tokens a millisecond.
-func readingRate(tokens int, elapsed float64) float64 {
-	spent := max(elapsed-float64(firstEventBase/time.Millisecond), 1)
-	return min(max(float64(tokens)/spent, slowestRate), fastestRate)
+// measuredTokenRate is how fast a server read some tokens, in tokens a millisecond.
+func measuredTokenRate(tokens int, elapsed float64) float64 {
+	spent := max(elapsed-float64(firstEventOverhead/time.Millisecond), 1)
+	return min(max(float64(tokens)/spent, minTokenRate), maxTokenRate)
 }
 
-// average moves an average, which starts at first, towards a value.
-func average(old, value, first float64) float64 {
+// movingAverage moves an average, which starts at first, towards a value.
+func movingAverage(old, value, first float64) float64 {
 	if old == 0 {
 		old = first
 	}
-	return old + learnStep*(value-old)
+	return old + rateWeight*(value-old)
 }
 
-// succeeded takes in a whole answer; it returns whether the server has come
+// recordSuccess takes in a whole answer; it returns whether the server has come
 // back by it.
-func (s *server) succeeded() bool {
-	s.failures -= failureStep * s.failures
+func (s *server) recordSuccess() bool {
+	s.failureRate -= failureWeight * s.failureRate
 	s.samples++
-	s.streak = 0
+	s.failureStreak = 0
 	if !s.probation {
 		return false
 	}
 	s.probation = false
-	s.failures = min(s.failures, ejectAbove*2/3)
+	s.failureRate = min(s.failureRate, ejectFailureRate*2/3)
 	return true
 }
 
-// failed takes in a failure and tells whether the server should be ejected.
-func (s *server) failed(weight int, median float64) bool {
+// recordFailure takes in a failure and tells whether the server should be ejected.
+func (s *server) recordFailure(weight int, median float64) bool {
 	for range weight {
-		s.failures += failureStep * (1 - s.failures)
+		s.failureRate += failureWeight * (1 - s.failureRate)
 	}
 	s.samples++
-	s.streak++
-	often := s.samples >= minSamples && s.failures > ejectAbove && s.failures > ejectOverMedian*median
-	return s.probation || s.streak >= ejectStreak || often
+	s.failureStreak++
+	failsOften := s.samples >= minEjectSamples && s.failureRate > ejectFailureRate && s.failureRate > ejectMedianFactor*median
+	return s.probation || s.failureStreak >= ejectStreak || failsOften
 }
 
 // eject takes the server out for a time that doubles.
 func (s *server) eject(now time.Duration) time.Duration {
-	s.pause = min(max(s.pause*2, ejectShortest), ejectLongest)
-	s.ejectedUntil = now + s.pause
+	s.lastPause = min(max(s.lastPause*2, minEjection), maxEjection)
+	s.ejectedUntil = now + s.lastPause
 	s.probation = true
-	s.streak = 0
-	return s.pause
+	s.failureStreak = 0
+	return s.lastPause
 }
 
-// down takes the server out after nothing could be sent to it.
-func (s *server) down(now time.Duration) time.Duration {
-	s.pause = min(max(s.pause*2, downShortest), downLongest)
-	s.downUntil = now + s.pause
+// markDown takes the server out after nothing could be sent to it.
+func (s *server) markDown(now time.Duration) time.Duration {
+	s.lastPause = min(max(s.lastPause*2, minDownTime), maxDownTime)
+	s.downUntil = now + s.lastPause
 	s.probation = true
-	return s.pause
+	return s.lastPause
 }
--- a/direct/share.go
+++ b/direct/share.go
@@ -3,101 +3,101 @@
 import "time"
 
 const (
-	// shareEvery is how often shares are worked out.
-	shareEvery = 100 * time.Millisecond
-	// busySlots is the part of the slots, and busyWait the backlog in parts of
+	// shareInterval is how often shares are worked out.
+	shareInterval = 100 * time.Millisecond
+	// busySlotFraction is the part of the slots, and busyWait the backlog in parts of
 	// the requests' objectives, at which engines count as busy.
-	busySlots = 0.55
-	busyWait  = 0.3
-	// busyStep is the weight of what engines have at one moment in how busy
+	busySlotFraction    = 0.55
+	busyBacklogFraction = 0.3
+	// busyWeight is the weight of what engines have at one moment in how busy
 	// they count: requests come in clumps, which engines work off.
-	busyStep = 0.1
-	// objectiveStep is the weight of one request in the average objective.
-	objectiveStep = 0.02
-	// headroomGrows and headroomShrinks change the headroom that teams get above their
+	busyWeight = 0.1
+	// objectiveWeight is the weight of one request in the average objective.
+	objectiveWeight = 0.02
+	// headroomGrowth and headroomShrinks change the headroom that teams get above their
 	// shares while engines are idle, or busy; headroomMost bounds it.
-	headroomGrows   = 1.05
-	headroomShrinks = 0.95
-	headroomMost    = 4.0
-	headroomFrom    = 0.8 // of busy: below, the headroom grows
+	headroomGrowth    = 1.05
+	headroomDecay     = 0.95
+	maxHeadroom       = 4.0
+	headroomGrowBelow = 0.8 // of busy: below, the headroom grows
 )
 
-// share works out how much a team may have. What all teams may have together is
+// updateShares works out how much a team may have. What all teams may have together is
 // what the configuration says that engines produce, and more of it while the
 // engines are seen to have room.
-func (m *Machine) share(now time.Duration) {
-	if now < m.sharedAt+shareEvery {
+func (m *Machine) updateShares(now time.Duration) {
+	if now < m.sharesUpdatedAt+shareInterval {
 		return
 	}
-	passed := now - m.sharedAt
-	m.sharedAt = now
+	elapsed := now - m.sharesUpdatedAt
+	m.sharesUpdatedAt = now
 	m.group()
 	demands, served := m.demands(now)
 	busy := 0.0
 	for _, p := range m.pools {
-		p.setKeeps(served)
+		p.updateCacheTTL(served)
 		busy = max(busy, p.busy(now))
 	}
-	m.busy += busyStep * (busy - m.busy)
+	m.busy += busyWeight * (busy - m.busy)
 	switch {
-	case !m.uses(Headroom):
+	case !m.enabled(Headroom):
 		m.ownHeadroom = 1
 	case m.busy > 1:
-		m.ownHeadroom = max(m.ownHeadroom*headroomShrinks, 1)
-	case m.busy < headroomFrom:
-		m.ownHeadroom = min(max(m.ownHeadroom, 1)*headroomGrows, headroomMost)
+		m.ownHeadroom = max(m.ownHeadroom*headroomDecay, 1)
+	case m.busy < headroomGrowBelow:
+		m.ownHeadroom = min(max(m.ownHeadroom, 1)*headroomGrowth, maxHeadroom)
 	}
-	m.headroom = m.commonHeadroom()
-	m.fill(demands)
-	m.boundEven(now)
-	m.allow(now, passed)
-	m.weighTeams(now)
+	m.headroom = m.medianHeadroom()
+	m.updateLevels(demands)
+	m.updateEvenCaps(now)
+	m.refillBuckets(now, elapsed)
+	m.updateTeamWeights(now)
 }
 
-// fill works out the levels up to which teams may get what they ask for; demands are those
+// updateLevels works out the levels up to which teams may get what they ask for; demands are those
 // of the teams that are not bound.
-func (m *Machine) fill(demands []float64) {
+func (m *Machine) updateLevels(demands []float64) {
 	m.level = 0
 	switch {
 	case m.limits.TokensPerSecond <= 0:
 	case len(m.groups) > 0:
-		m.fillGroups(demands)
+		m.updateGroupLevels(demands)
 	default:
-		m.base = waterLevel(demands, m.limits.TokensPerSecond)
+		m.baseLevel = waterLevel(demands, m.limits.TokensPerSecond)
 		m.level = waterLevel(demands, m.limits.TokensPerSecond*m.headroom)
 	}
 }
 
 // demands notes with each group what its active teams ask for, and returns that of the
 // teams that are not bound, and what all teams get.
-func (m *Machine) demands(now time.Duration) (free []float64, served float64) {
-	free = make([]float64, 0, len(m.teams))
+func (m *Machine) demands(now time.Duration) (unbound []float64, served float64) {
+	unbound = make([]float64, 0, len(m.teams))
 	for _, t := range m.teams {
 		served += t.servedRate(now)
 		d := t.offeredRate(now)
 		switch {
-		case d <= activeRate:
+		case d <= minActiveRate:
 		case t.group == nil:
-			free = append(free, d)
+			unbound = append(unbound, d)
 		default:
 			t.group.demands = append(t.group.demands, d)
 		}
 	}
-	return free, served
+	return unbound, served
 }
 
-// weighTeams adds up what teams ask of this router. What is refused at the door
+// updateTeamWeights adds up what teams ask of this router. What is refused at the door
 // does not count, since it takes little processor time.
-func (m *Machine) weighTeams(now time.Duration) {
+func (m *Machine) updateTeamWeights(now time.Duration) {
 	sum, squares := 0.0, 0.0
 	for _, t := range m.teams {
-		own := t.entered.decay(now)
+		own := t.admitted.decay(now)
 		sum += own
 		squares += own * own
 	}
-	m.weightUnit = 0
+	m.weightScale = 0
 	if squares > 0 {
-		m.weightUnit = sum / squares
+		m.weightScale = sum / squares
 	}
 }
 
@@ -108,7 +108,7 @@
 	if t == nil {
 		return 0
 	}
-	return t.entered.decay(now) * m.weightUnit
+	return t.admitted.decay(now) * m.weightScale
 }
 
 // busy tells how much the engines of a pool have to do; above 1 they are busy.
@@ -116,20 +116,20 @@
 	if p.engine == nil {
 		return 0
 	}
-	running, slots, wait, n := 0, 0, 0.0, 0
-	for _, s := range p.order {
-		if !s.usable(now) || s.cold.at(now) {
+	running, slots, backlogMS, servers := 0, 0, 0.0, 0
+	for _, s := range p.admitted {
+		if !s.usable(now) || s.cold.active(now) {
 			continue
 		}
-		running += s.allRunning()
+		running += s.totalRunning()
 		slots += s.Slots
-		wait += float64(s.allPending()) / p.rateOf(s)
-		n++
+		backlogMS += float64(s.totalPending()) / p.tokenRateOf(s)
+		servers++
 	}
-	if n == 0 || slots == 0 {
+	if servers == 0 || slots == 0 {
 		return 0
 	}
-	bySlots := float64(running) / float64(slots) / busySlots
-	byWait := wait / float64(n) / (busyWait * max(p.objective, 1))
-	return max(bySlots, byWait)
+	bySlots := float64(running) / float64(slots) / busySlotFraction
+	byBacklog := backlogMS / float64(servers) / (busyBacklogFraction * max(p.objectiveMS, 1))
+	return max(bySlots, byBacklog)
 }
--- a/direct/shares_test.go
+++ b/direct/shares_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSharesAreWritten shows the shares of a router where nobody is held back, as JSON.
-func TestSharesAreWritten(t *testing.T) {
-	b := newBench(t, 2)
+// TestSharesMarshalJSON shows the shares of a router where nobody is held back, as JSON.
+func TestSharesMarshalJSON(t *testing.T) {
+	b := newHarness(t, 2)
 	b.sent(b.arrive(b.request("red", PromptPart{ID: 1, Tokens: 500})))
-	b.pass(time.Second)
-	require.True(t, math.IsInf(b.m.even, 1))
+	b.advance(time.Second)
+	require.True(t, math.IsInf(b.m.evenCap, 1))
 	_, err := json.Marshal(b.m.Shares(b.now, 3))
 	require.NoError(t, err)
 }
--- a/direct/sharestate.go
+++ b/direct/sharestate.go
@@ -29,8 +29,8 @@
 	Most     []TeamShare
 }
 
-// finite returns a level for a dump: JSON has no infinite numbers, so 0 stands for no bound.
-func finite(level float64) float64 {
+// finiteOrZero returns a level for a dump: JSON has no infinite numbers, so 0 stands for no bound.
+func finiteOrZero(level float64) float64 {
 	if math.IsInf(level, 0) {
 		return 0
 	}
@@ -39,10 +39,10 @@
 
 // Shares returns the shares, with the n teams that ask for most.
 func (m *Machine) Shares(now time.Duration, n int) Shares {
-	s := Shares{Level: finite(m.level), Even: finite(m.even), Headroom: m.headroom, Busy: m.busy}
+	s := Shares{Level: finiteOrZero(m.level), Even: finiteOrZero(m.evenCap), Headroom: m.headroom, Busy: m.busy}
 	for _, g := range m.groups {
-		if g.level != m.level || g.even != m.even {
-			s.Bound = append(s.Bound, BoundShare{Regions: g.regions.Names(), Level: finite(g.level), Even: finite(g.even)})
+		if g.level != m.level || g.evenCap != m.evenCap {
+			s.Bound = append(s.Bound, BoundShare{Regions: g.regions.Names(), Level: finiteOrZero(g.level), Even: finiteOrZero(g.evenCap)})
 		}
 	}
 	for name, t := range m.teams {
--- a/direct/side.go
+++ b/direct/side.go
@@ -46,7 +46,7 @@
 )
 
 // sidesFor returns the sides that a request may go to, in order.
-func (g *gate) sidesFor(r *run) []candidateSide {
+func (g *gate) sidesFor(r *requestState) []candidateSide {
 	switch {
 	case r.placement.failed:
 		return sidesRetry
@@ -62,7 +62,7 @@
 
 // position is a request's place in the order in which parts move to another version,
 // from 0 to 1. It is the same in all routers.
-func position(r *run) float64 {
+func position(r *requestState) float64 {
 	if part, shared := r.lastShared(); shared {
 		return chance(part.ID)
 	}
@@ -82,7 +82,7 @@
 }
 
 // placeBySide picks a server on the first side that has a place for a request.
-func (m *Machine) placeBySide(now time.Duration, p *pool, r *run) (choice, bool) {
+func (m *Machine) placeBySide(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	g := p.gate
 	if g == nil || g.Target == "" {
 		r.placement.target, r.placement.side = false, ""
@@ -107,7 +107,7 @@
 
 // noteSent counts a request that is being sent against the exposure, before the load of
 // its server is counted.
-func (m *Machine) noteSent(now time.Duration, p *pool, r *run, c choice) choice {
+func (m *Machine) noteSent(now time.Duration, p *pool, r *requestState, c choice) choice {
 	if p.gate == nil {
 		return c
 	}
@@ -119,14 +119,14 @@
 		p.gate.exposure.sentTarget(r.Route)
 		if p.engine != nil {
 			// A new version's servers keep nothing yet, not even the first for the part.
-			c.miss = m.missing(now, p, c.server, r)
+			c.missTokens = m.missingTokens(now, p, c.server, r)
 		}
 	}
 	return c
 }
 
 // noteEnded takes in, for the exposure and for the next placement, how an attempt ended.
-func (p *pool) noteEnded(r *run, s *server, o Outcome) {
+func (p *pool) noteEnded(r *requestState, s *server, o Outcome) {
 	if p.gate == nil {
 		return
 	}
--- a/direct/state.go
+++ b/direct/state.go
@@ -26,8 +26,8 @@
 			out = append(out, ServerState{
 				ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Version: s.Version, Slots: s.Slots,
 				Usable: s.usable(now), Leaving: s.leaving, Probation: s.probation,
-				Evacuated: s.evacuated, HallLost: s.hallLost, Barred: s.barred, ColdFor: max(s.cold.until-now, 0), BackoffFor: max(s.notices.backoffUntil-now, 0),
-				Running: s.allRunning(), Pending: s.allPending(), TokensPerMS: s.tokenRate, Failures: s.failures,
+				Evacuated: s.evacuated, HallLost: s.hallUnreachable, Barred: s.versionBarred, ColdFor: max(s.cold.until-now, 0), BackoffFor: max(s.notices.backoffUntil-now, 0),
+				Running: s.totalRunning(), Pending: s.totalPending(), TokensPerMS: s.tokenRate, Failures: s.failureRate,
 			})
 		}
 	}
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -11,39 +11,39 @@
 // Only what binds a team as a whole counts here. A route's regions bind single requests: a
 // team sends on many routes, and its share is what it may get on all of them together.
 type teamGroup struct {
-	bounds
+	teamLimits
 	regions Regions
-	set     regionSet // see regionIndex
+	mask    regionSet // see regionIndex
 	demands []float64 // of its active teams
-	least   float64   // see leastServed
+	lowest  float64   // see leastServed
 }
 
-// meets tells whether two groups may use some of the same regions; nil may use all.
-func (g *teamGroup) meets(other *teamGroup) bool {
-	return g == other || g == nil || other == nil || g.set.meets(other.set)
+// intersects tells whether two groups may use some of the same regions; nil may use all.
+func (g *teamGroup) intersects(other *teamGroup) bool {
+	return g == other || g == nil || other == nil || g.mask.intersects(other.mask)
 }
 
-// leastLevel is the least, in tokens a second, that a bound team may get where its regions
+// minLevel is the least, in tokens a second, that a bound team may get where its regions
 // have no servers: the next one to come may serve it at once.
-const leastLevel = activeRate
+const minLevel = minActiveRate
 
-// bindTeams takes in the regions that the configuration binds teams to.
-func (m *Machine) bindTeams(teams []Team) {
-	m.bound = make(map[string]Regions)
+// setTeamRegions takes in the regions that the configuration binds teams to.
+func (m *Machine) setTeamRegions(teams []Team) {
+	m.teamRegions = make(map[string]Regions)
 	for _, t := range teams {
 		if regions := RegionsOf(t.Regions); regions.Bound() {
-			m.bound[t.Name] = regions
+			m.teamRegions[t.Name] = regions
 		}
 	}
 	for name, t := range m.teams {
-		t.regions = m.bound[name]
+		t.regions = m.teamRegions[name]
 	}
 }
 
 // group puts the teams into groups by the regions that bind them. Where none is bound, or
 // nothing says how much there is to divide, there are no groups.
 func (m *Machine) group() {
-	if len(m.bound) == 0 && len(m.groups) == 0 {
+	if len(m.teamRegions) == 0 && len(m.groups) == 0 {
 		return
 	}
 	m.groups = nil
@@ -56,7 +56,7 @@
 	slices.SortFunc(m.groups, func(a, b *teamGroup) int { return slices.Compare(a.regions.allowed, b.regions.allowed) })
 	index := newRegionIndex(m.groups)
 	for _, g := range m.groups {
-		g.set = index.setOf(g.regions)
+		g.mask = index.setOf(g.regions)
 	}
 }
 
@@ -66,7 +66,7 @@
 			return g
 		}
 	}
-	g := &teamGroup{regions: regions, bounds: bounds{even: math.Inf(1)}, least: math.Inf(1)}
+	g := &teamGroup{regions: regions, teamLimits: teamLimits{evenCap: math.Inf(1)}, lowest: math.Inf(1)}
 	m.groups = append(m.groups, g)
 	return g
 }
@@ -84,67 +84,67 @@
 	return regionIndex{names: slices.Compact(names)}
 }
 
-// numberOf returns the number of a region. Those beyond what a set tells apart share the
+// bitOf returns the number of a region. Those beyond what a set tells apart share the
 // last one: their teams then count as able to use more regions than they may.
-func (x regionIndex) numberOf(region string) int {
+func (x regionIndex) bitOf(region string) int {
 	i, found := slices.BinarySearch(x.names, region)
 	if !found || region == "" {
 		return 0
 	}
-	return min(i+1, regionsMost-1)
+	return min(i+1, maxRegions-1)
 }
 
 func (x regionIndex) setOf(regions Regions) regionSet {
 	set := regionSet(0)
 	for _, name := range regions.allowed {
-		set |= 1 << x.numberOf(name)
+		set |= 1 << x.bitOf(name)
 	}
 	return set
 }
 
 // size is how many numbers there are.
-func (x regionIndex) size() int { return min(len(x.names)+1, regionsMost) }
+func (x regionIndex) size() int { return min(len(x.names)+1, maxRegions) }
 
-// fillGroups works out the levels where some teams are bound: each draws only on its
+// updateGroupLevels works out the levels where some teams are bound: each draws only on its
 // regions.
-func (m *Machine) fillGroups(demands []float64) {
-	capacity := m.capacities(newRegionIndex(m.groups))
+func (m *Machine) updateGroupLevels(demands []float64) {
+	capacity := m.regionCapacities(newRegionIndex(m.groups))
 	everywhere := regionSet(1)<<len(capacity) - 1
-	free := newDemandSet(everywhere, demands)
-	sets := []*demandSet{free}
+	unbound := newDemandSet(everywhere, demands)
+	sets := []*demandSet{unbound}
 	for _, g := range m.groups {
-		sets = append(sets, newDemandSet(g.set, g.demands))
+		sets = append(sets, newDemandSet(g.mask, g.demands))
 	}
 	maxMin(capacity, sets)
-	m.base = free.level
+	m.baseLevel = unbound.level
 	for i, g := range m.groups {
-		g.base = max(sets[i+1].level, leastLevel)
+		g.baseLevel = max(sets[i+1].level, minLevel)
 	}
 	for i := range capacity {
 		capacity[i] *= m.headroom
 	}
 	maxMin(capacity, sets)
-	m.level = free.level
+	m.level = unbound.level
 	for i, g := range m.groups {
-		g.level = max(sets[i+1].level, leastLevel)
+		g.level = max(sets[i+1].level, minLevel)
 	}
 }
 
-// capacities splits what all engines have together between regions, by the slots of the
+// regionCapacities splits what all engines have together between regions, by the slots of the
 // servers that stay in use: all routers know these alike, and they don't change with each
 // answer, as measured rates do.
-func (m *Machine) capacities(index regionIndex) []float64 {
+func (m *Machine) regionCapacities(index regionIndex) []float64 {
 	slots := make([]float64, index.size())
 	sum := 0.0
 	for _, p := range m.pools {
 		if p.engine == nil {
 			continue
 		}
-		for _, s := range p.order {
+		for _, s := range p.admitted {
 			if !s.available() {
 				continue
 			}
-			slots[index.numberOf(s.region)] += float64(max(s.Slots, 1))
+			slots[index.bitOf(s.region)] += float64(max(s.Slots, 1))
 			sum += float64(max(s.Slots, 1))
 		}
 	}
--- a/direct/trial.go
+++ b/direct/trial.go
@@ -38,7 +38,7 @@
 		return out
 	}
 	slices.SortFunc(out, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(rank(trialSeed, b), rank(trialSeed, a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(rendezvousWeight(trialSeed, b), rendezvousWeight(trialSeed, a)), cmp.Compare(a.ID, b.ID))
 	})
 	out = spreadOut(out)[:most]
 	sortByID(out)
@@ -83,7 +83,7 @@
 	if !single {
 		return s.Zone
 	}
-	return fmt.Sprintf("%s/%d", s.Zone, s.key%cohortsInHall)
+	return fmt.Sprintf("%s/%d", s.Zone, s.loadKey%cohortsInHall)
 }
 
 // inOneHall tells whether there are servers, all of them in one data hall.
