--- a/direct/usage.go
+++ b/direct/usage.go
@@ -11,18 +11,18 @@
 // The times over which a team's tokens are averaged: all of them, and what it
 // asked for most recently, which tells where its callers are now.
 const (
-	useWindow    = 3 * time.Second
+	usageWindow  = 3 * time.Second
 	recentWindow = 500 * time.Millisecond
 )
 
-// rate is a decaying rate of tokens a second.
-type rate struct {
+// decayingRate is a decaying rate of tokens a second.
+type decayingRate struct {
 	window time.Duration
 	value  float64
 	at     time.Duration
 }
 
-func (r *rate) decay(now time.Duration) float64 {
+func (r *decayingRate) decay(now time.Duration) float64 {
 	if now > r.at {
 		r.value *= math.Exp(-float64(now-r.at) / float64(r.window))
 		r.at = now
@@ -30,64 +30,64 @@
 	return r.value
 }
 
-func (r *rate) add(now time.Duration, tokens float64) {
+func (r *decayingRate) add(now time.Duration, tokens float64) {
 	r.decay(now)
 	r.value += tokens / r.window.Seconds()
 }
 
-// take takes off tokens that were added some time ago.
-func (r *rate) take(now time.Duration, tokens float64, ago time.Duration) {
-	left := tokens * math.Exp(-float64(ago)/float64(r.window))
-	r.value = max(r.decay(now)-left/r.window.Seconds(), 0)
+// subtract takes off tokens that were added some time ago.
+func (r *decayingRate) subtract(now time.Duration, tokens float64, ago time.Duration) {
+	remaining := tokens * math.Exp(-float64(ago)/float64(r.window))
+	r.value = max(r.decay(now)-remaining/r.window.Seconds(), 0)
 }
 
-// teamUse is what a router knows of a team's tokens.
-type teamUse struct {
-	offered   rate
-	recent    rate // offered, most recently
-	entered   rate // offered, less what was refused before its body was read
-	served    rate
-	regions   Regions       // that the configuration binds it to
-	group     *teamGroup    // of the teams bound like it; nil: it may use all regions
-	allowance allowance     // of this router
-	others    loads.TeamUse // sum over the other routers
+// teamUsage is what a router knows of a team's tokens.
+type teamUsage struct {
+	offered     decayingRate
+	recent      decayingRate // offered, most recently
+	admitted    decayingRate // offered, less what was refused before its body was read
+	served      decayingRate
+	regions     Regions       // that the configuration binds it to
+	group       *teamGroup    // of the teams bound like it; nil: it may use all regions
+	tokenBucket tokenBucket   // of this router
+	peers       loads.TeamUse // sum over the other routers
 }
 
-func newTeamUse() *teamUse {
-	return &teamUse{
-		offered: rate{window: useWindow}, recent: rate{window: recentWindow},
-		entered: rate{window: useWindow}, served: rate{window: useWindow},
+func newTeamUsage() *teamUsage {
+	return &teamUsage{
+		offered: decayingRate{window: usageWindow}, recent: decayingRate{window: recentWindow},
+		admitted: decayingRate{window: usageWindow}, served: decayingRate{window: usageWindow},
 	}
 }
 
-// part returns how much of what a team asks for now is asked of this router.
-func (u *teamUse) part(now time.Duration) float64 {
+// localFraction returns how much of what a team asks for now is asked of this router.
+func (u *teamUsage) localFraction(now time.Duration) float64 {
 	own := u.recent.decay(now)
 	if own <= 0 {
 		return 0
 	}
-	return own / (own + float64(u.others.Recent))
+	return own / (own + float64(u.peers.Recent))
 }
 
-func (u *teamUse) servedRate(now time.Duration) float64 {
-	return u.served.decay(now) + float64(u.others.Served)
+func (u *teamUsage) servedRate(now time.Duration) float64 {
+	return u.served.decay(now) + float64(u.peers.Served)
 }
 
-func (u *teamUse) offeredRate(now time.Duration) float64 {
-	return u.offered.decay(now) + float64(u.others.Offered)
+func (u *teamUsage) offeredRate(now time.Duration) float64 {
+	return u.offered.decay(now) + float64(u.peers.Offered)
 }
 
 // waterLevel returns the most that a team may get when capacity is shared so
 // that the smallest demands are met first.
 func waterLevel(demands []float64, capacity float64) float64 {
 	slices.Sort(demands)
-	left := capacity
+	remaining := capacity
 	for i, d := range demands {
-		even := left / float64(len(demands)-i)
-		if d > even {
-			return even
+		equalShare := remaining / float64(len(demands)-i)
+		if d > equalShare {
+			return equalShare
 		}
-		left -= d
+		remaining -= d
 	}
 	return math.Inf(1)
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -83,8 +83,8 @@
 			c.report()
 		case direct.ProbeCmd:
 			c.probe(cmd)
-		case direct.AnswerCmd:
-			c.answers(cmd.Answer)
+		case direct.ResponseCmd:
+			c.answers(cmd.Response)
 		case direct.MoveCmd:
 			c.waiters[cmd.ID].move()
 		}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -72,7 +72,7 @@
 		PromptTokens: x.envelope.PromptTokens,
 		OutputTokens: x.envelope.OutputTokens,
 		Parts:        x.envelope.Parts,
-		Content:      x.content,
+		Fingerprint:  x.content,
 	}
 }
 
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -30,7 +30,7 @@
 func newQuarantine(o Options, changed func()) *Quarantine {
 	about := About{Name: "quarantine", SourceName: "source of quarantine", On: true, Brought: true, Optional: true, Wait: quarantineWait}
 	take := func(l Listing[quarantine.Content]) {
-		o.Decisions.Update(direct.QuarantineMsg{Now: o.Decisions.Now(), Listed: l.All})
+		o.Decisions.Update(direct.QuarantineMsg{Now: o.Decisions.Now(), Fingerprints: l.All})
 	}
 	return &Quarantine{newByName(o, about, sourceOf[quarantine.Content]{
 		read: func(ctx context.Context) ([]quarantine.Content, uint64, error) { return o.Source.ReadQuarantine(ctx) },
--- a/gateway/keeper_test.go
+++ b/gateway/keeper_test.go
@@ -82,7 +82,7 @@
 		store.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		require.True(t, store.has(7))
-		core.Update(direct.QuarantineMsg{Now: core.Now(), Listed: []quarantine.Content{7}})
+		core.Update(direct.QuarantineMsg{Now: core.Now(), Fingerprints: []quarantine.Content{7}})
 		time.Sleep(time.Minute)
 		require.LessOrEqual(t, store.calls, 2)
 		core.Update(direct.PeerReportMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
