--- a/direct/arrive.go
+++ b/direct/arrive.go
@@ -36,7 +36,7 @@
 func (m *Machine) door(msg DoorMsg) {
 	r := m.newRun(msg.Now, msg.Request)
 	p := m.pool(r.Service)
-	if r.Regions.None() {
+	if r.Regions.AllowsNone() {
 		m.count(msg.Now, p, r)
 		m.giveUp(msg.Now, p, r, ReasonRegion)
 		return
--- a/direct/blame.go
+++ b/direct/blame.go
@@ -170,13 +170,13 @@
 	}
 }
 
-// Records returns which records of barred contents the store should get, and which it should
+// PendingRecords returns which records of barred contents the store should get, and which it should
 // lose.
-func (m *Machine) Records() (add, remove []quarantine.Content) {
+func (m *Machine) PendingRecords() (add, remove []quarantine.Content) {
 	return m.suspects.Unrecorded(), m.suspects.Outdated()
 }
 
-// Suspects returns what is known of contents under which servers crashed, most at a time.
-func (m *Machine) Suspects(now time.Duration, most int) []quarantine.State {
+// QuarantineStates returns what is known of contents under which servers crashed, most at a time.
+func (m *Machine) QuarantineStates(now time.Duration, most int) []quarantine.State {
 	return m.suspects.States(now, most)
 }
--- a/direct/move.go
+++ b/direct/move.go
@@ -76,9 +76,9 @@
 	return running
 }
 
-// AllAsked counts, for each service that moves to another version, the requests that have come to
+// RequestCounts counts, for each service that moves to another version, the requests that have come to
 // this router since then, whether or not they could be sent, and attempts after their first.
-func (m *Machine) AllAsked() map[string]int {
+func (m *Machine) RequestCounts() map[string]int {
 	out := make(map[string]int)
 	for name, p := range m.pools {
 		if p.gate != nil && p.gate.Target != "" {
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -45,7 +45,7 @@
 		require.Equal(t, SideMoved, c.Basis.Side)
 	}
 	require.Equal(t, map[string]int{"llm": 20}, b.m.AllOldRunning())
-	require.Equal(t, map[string]int{"llm": 60}, b.m.AllAsked(), "40, and 20 once more")
+	require.Equal(t, map[string]int{"llm": 60}, b.m.RequestCounts(), "40, and 20 once more")
 	require.Empty(t, moves(b.pass(time.Second)))
 }
 
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -9,8 +9,8 @@
 	Backoff time.Duration // it turned a request away, and wants nothing from this router for so long
 }
 
-// None tells whether the server said nothing of itself.
-func (n Notice) None() bool { return n == Notice{} }
+// IsZero tells whether the server said nothing of itself.
+func (n Notice) IsZero() bool { return n == Notice{} }
 
 // notices are what a server has told this router of itself in its answers. They hold for the
 // rest of its life: the list may be older, or come from a source that the server can't reach,
@@ -52,9 +52,9 @@
 // backsOff tells whether a server has asked this router to send it nothing yet.
 func (s *server) backsOff(now time.Duration) bool { return now < s.notices.backoffUntil }
 
-// Withheld tells whether a request that was placed must not be sent any more, since its server
+// ShouldWithhold tells whether a request that was placed must not be sent any more, since its server
 // has said so meanwhile: a router that runs late may have placed many by then.
-func (m *Machine) Withheld(now time.Duration, id RequestID) bool {
+func (m *Machine) ShouldWithhold(now time.Duration, id RequestID) bool {
 	r := m.runs[id]
 	if r == nil || r.at == nil {
 		return false
@@ -68,7 +68,7 @@
 func (p *pool) backoffEnds(now time.Duration, regions Regions) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
 	for _, s := range p.order {
-		if !s.backsOff(now) || !s.available() || !regions.Allow(s.region) {
+		if !s.backsOff(now) || !s.available() || !regions.Allows(s.region) {
 			continue
 		}
 		if left := s.notices.backoffUntil - now; !found || left < soonest {
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -208,10 +208,10 @@
 		r := b.plain()
 		r.Attempts = 1
 		server := b.sent(b.arrive(r))
-		require.False(t, b.m.Withheld(b.now, r.ID), name)
+		require.False(t, b.m.ShouldWithhold(b.now, r.ID), name)
 		b.pass(TickEvery)
 		b.notice(server, n)
-		require.True(t, b.m.Withheld(b.now, r.ID), name)
+		require.True(t, b.m.ShouldWithhold(b.now, r.ID), name)
 		require.NotEqual(t, server, b.sent(b.end(r.ID, Withheld, true)), name)
 		require.False(t, b.m.byServer[server].probation, name)
 	}
@@ -220,7 +220,7 @@
 	b.pass(TickEvery)
 	last := b.plain()
 	b.sent(b.arrive(last))
-	require.False(t, b.m.Withheld(b.now, last.ID))
+	require.False(t, b.m.ShouldWithhold(b.now, last.ID))
 }
 
 // TestLeavingAndBackoff has the only server of a service say both with one answer, while requests
--- a/direct/place.go
+++ b/direct/place.go
@@ -113,7 +113,7 @@
 func (m *Machine) lastResort(now time.Duration, p *pool, r *run) (choice, bool) {
 	var best *server
 	for _, s := range p.reachable(r) {
-		if !r.Regions.Allow(s.region) {
+		if !r.Regions.Allows(s.region) {
 			continue
 		}
 		if !s.leaving {
--- a/direct/region.go
+++ b/direct/region.go
@@ -25,17 +25,17 @@
 	return r
 }
 
-// Allow tells whether a region is among them. An unknown region, the empty one, is outside
+// Allows tells whether a region is among them. An unknown region, the empty one, is outside
 // wherever a request is bound.
-func (r Regions) Allow(region string) bool {
+func (r Regions) Allows(region string) bool {
 	return !r.bound || (region != "" && slices.Contains(r.allowed, region))
 }
 
-// Bound tells whether not all regions are allowed.
-func (r Regions) Bound() bool { return r.bound }
+// Restricted tells whether not all regions are allowed.
+func (r Regions) Restricted() bool { return r.bound }
 
-// None tells whether no region is allowed.
-func (r Regions) None() bool { return r.bound && len(r.allowed) == 0 }
+// AllowsNone tells whether no region is allowed.
+func (r Regions) AllowsNone() bool { return r.bound && len(r.allowed) == 0 }
 
 // Names returns the allowed regions in order; nil where all are.
 func (r Regions) Names() []string { return slices.Clone(r.allowed) }
--- a/direct/serve.go
+++ b/direct/serve.go
@@ -62,14 +62,14 @@
 // unservable tells whether a request is bound to regions of which no server may get new
 // requests.
 func (p *pool) unservable(now time.Duration, r *run) bool {
-	return r.Regions.Bound() && !p.anyUsable(now, r.Regions)
+	return r.Regions.Restricted() && !p.anyUsable(now, r.Regions)
 }
 
 // reasonOutside says why a bound request is refused that no server may get: either no
 // server at all may get requests, or none of its regions.
 func (p *pool) reasonOutside(now time.Duration, r *run) Reason {
 	why := p.reasonNone(now, r)
-	if why == ReasonNoServers && (r.Regions.None() || p.anyUsable(now, Regions{})) {
+	if why == ReasonNoServers && (r.Regions.AllowsNone() || p.anyUsable(now, Regions{})) {
 		return ReasonRegion
 	}
 	return why
--- a/direct/server.go
+++ b/direct/server.go
@@ -81,7 +81,7 @@
 
 // takes tells whether new requests that may be served in some regions may go to a server.
 func (s *server) takes(now time.Duration, regions Regions) bool {
-	return s.usable(now) && regions.Allow(s.region)
+	return s.usable(now) && regions.Allows(s.region)
 }
 
 func (s *server) allRunning() int { return s.running + int(s.others.Running) }
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -31,7 +31,7 @@
 func (m *Machine) bindTeams(teams []Team) {
 	m.bound = make(map[string]Regions)
 	for _, t := range teams {
-		if regions := RegionsOf(t.Regions); regions.Bound() {
+		if regions := RegionsOf(t.Regions); regions.Restricted() {
 			m.bound[t.Name] = regions
 		}
 	}
@@ -49,7 +49,7 @@
 	m.groups = nil
 	for _, t := range m.teams {
 		t.group = nil
-		if t.regions.Bound() && m.limits.TokensPerSecond > 0 {
+		if t.regions.Restricted() && m.limits.TokensPerSecond > 0 {
 			t.group = m.groupOf(t.regions)
 		}
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -146,7 +146,7 @@
 	if v.Unreadable != nil {
 		a.x.front.log.Unreadable(a.cmd.Server, v.Unreadable)
 	}
-	if v.Notice.None() {
+	if v.Notice.IsZero() {
 		return
 	}
 	a.x.notice = v.Notice
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -132,7 +132,7 @@
 func (c *core) withheld(id direct.RequestID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Withheld(c.Now(), id)
+	return c.machine.ShouldWithhold(c.Now(), id)
 }
 
 // done ends the channel of a request.
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -48,14 +48,14 @@
 func (c *core) records() (add, remove []quarantine.Content) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Records()
+	return c.machine.PendingRecords()
 }
 
 // suspects returns what is known of contents under which servers crashed.
 func (c *core) suspects(most int) []quarantine.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Suspects(c.Now(), most)
+	return c.machine.QuarantineStates(c.Now(), most)
 }
 
 // shares returns what the machine takes the teams' shares to be.
@@ -76,7 +76,7 @@
 func (c *core) AllAsked() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.AllAsked()
+	return c.machine.RequestCounts()
 }
 
 // servers returns what the machine takes the servers to be.
