--- a/direct/arrive.go
+++ b/direct/arrive.go
@@ -22,7 +22,7 @@
 func (m *Machine) count(now time.Duration, p *pool, r *run) {
 	p.budget.first(now)
 	if p.gate != nil {
-		p.gate.exposure.asked++
+		p.gate.exposure.requests++
 	}
 	objective := float64(r.Objective) / float64(time.Millisecond)
 	p.objective += objectiveStep * (objective - p.objective)
--- a/direct/baseline.go
+++ b/direct/baseline.go
@@ -6,69 +6,69 @@
 )
 
 const (
-	// baselineStep is the weight of one answer in an average of old servers' answers: it
+	// baselineWeight is the weight of one answer in an average of old servers' answers: it
 	// follows a flood of callers within some tens of answers.
-	baselineStep = 0.05
-	// baselineLeast is how many answers of a route an average must hold before answers
+	baselineWeight = 0.05
+	// baselineMinAnswers is how many answers of a route an average must hold before answers
 	// are compared with it.
-	baselineLeast = 8
-	// fastestFirst and fastestToken bound what is averaged from below, in milliseconds,
+	baselineMinResponses = 8
+	// minFirstEventMS and fastestToken bound what is averaged from below, in milliseconds,
 	// below which clocks and networks say more than servers.
-	fastestFirst = 0.5
-	fastestToken = 0.01
+	minFirstEventMS = 0.5
+	minTokenMS      = 0.01
 )
 
 // baseline is how fast servers of the versions in use answer. The zero value knows
 // nothing.
 type baseline struct {
-	rate   float64 // tokens a millisecond that one reads; 0: not measured
-	routes byRoute[pace]
+	tokensPerMS float64 // tokens a millisecond that one reads; 0: not measured
+	routes      byRoute[routeBaseline]
 }
 
-// pace is how fast the answers of one route come.
-type pace struct {
-	delay geometric // of the first event or whole answer, in parts of what was expected
-	token geometric // milliseconds of a token of a stream, as many as were expected
+// routeBaseline is how fast the answers of one route come.
+type routeBaseline struct {
+	delayRatio geometricMean // of the first event or whole answer, in parts of what was expected
+	tokenMS    geometricMean // milliseconds of a token of a stream, as many as were expected
 }
 
-// learnRate takes in the time to a first event at an old server.
-func (b *baseline) learnRate(ahead int, elapsed, first float64) {
-	if ahead < learnFromTokens {
+// updateRate takes in the time to a first event at an old server.
+func (b *baseline) updateRate(tokens int, elapsed, initial float64) {
+	if tokens < learnFromTokens {
 		return
 	}
-	if b.rate == 0 {
-		b.rate = first
+	if b.tokensPerMS == 0 {
+		b.tokensPerMS = initial
 	}
-	b.rate += learnStep / 4 * (readingRate(ahead, elapsed) - b.rate)
+	b.tokensPerMS += learnStep / 4 * (readingRate(tokens, elapsed) - b.tokensPerMS)
 }
 
-// expected returns the milliseconds to the first event of a request that is sent now, or
+// expectedMS returns the milliseconds to the first event of a request that is sent now, or
 // to its whole answer, before it is known how far answers lie from that.
-func (p *pool) expected(r *run, s *server) float64 {
+func (p *pool) expectedMS(r *run, s *server) float64 {
 	if p.engine == nil {
 		slots := max(s.Slots, 1)
 		excess := max(s.allRunning()-slots, 0)
 		return plainLatencyInit * (1 + float64(excess)/float64(slots))
 	}
-	rate := p.baseline.rate
+	rate := p.baseline.tokensPerMS
 	if rate == 0 {
 		rate = p.tokenRate
 	}
 	return float64(firstEventBase/time.Millisecond) + float64(r.ahead)/max(rate, 1)
 }
 
-// geometric is a running average of logarithms, which a few very late answers hardly
+// geometricMean is a running average of logarithms, which a few very late answers hardly
 // move.
-type geometric struct {
-	log float64
-	n   int
+type geometricMean struct {
+	logMean float64
+	samples int
 }
 
-func (g *geometric) add(value, least float64) {
-	g.n++
-	step := max(1/float64(g.n), baselineStep)
-	g.log += step * (math.Log(max(value, least)) - g.log)
+func (g *geometricMean) add(value, floor float64) {
+	g.samples++
+	step := max(1/float64(g.samples), baselineWeight)
+	g.logMean += step * (math.Log(max(value, floor)) - g.logMean)
 }
 
-func (g *geometric) known() bool    { return g.n >= baselineLeast }
-func (g *geometric) value() float64 { return math.Exp(g.log) }
+func (g *geometricMean) ready() bool   { return g.samples >= baselineMinResponses }
+func (g *geometricMean) mean() float64 { return math.Exp(g.logMean) }
--- a/direct/blame.go
+++ b/direct/blame.go
@@ -8,93 +8,95 @@
 )
 
 const (
-	// settledAfter is how long after its first event a request has shown that it can be run:
+	// clearedAfter is how long after its first event a request has shown that it can be run:
 	// one under which servers crash does so as soon as it is begun.
-	settledAfter = time.Second
-	// crashKnown is how long a crash that was found out holds for attempts at the server that
+	clearedAfter = time.Second
+	// crashWindow is how long a crash that was found out holds for attempts at the server that
 	// break off later: all that it ran break off together, but for those that come late to be
 	// looked at.
-	crashKnown = time.Second
-	// probeAgainAfter is the time after which a server is probed again that could still be reached: a
+	crashWindow = time.Second
+	// reprobeDelay is the time after which a server is probed again that could still be reached: a
 	// process that ends may break its connections off some time before it stops listening.
-	probeAgainAfter = 100 * time.Millisecond
-	// suspectsTold bounds the suspects in one report, of some 40 bytes each.
-	suspectsTold = 16
-	// suspectsDropEvery is the time between two looks for suspects that are old.
-	suspectsDropEvery = time.Second
+	reprobeDelay = 100 * time.Millisecond
+	// maxReportedSuspects bounds the suspects in one report, of some 40 bytes each.
+	maxReportedSuspects = 16
+	// suspectExpiryInterval is the time between two looks for suspects that are old.
+	suspectExpiryInterval = time.Second
 )
 
-// blame is what broke off at a server, or was given up there, and may have crashed it. Whether
+// crashCheck is what broke off at a server, or was given up there, and may have crashed it. Whether
 // the server has crashed, or only a connection broke, a probe tells. The zero value is ready.
-type blame struct {
-	contents  []quarantine.Content // that wait for a probe to end
-	left      []leftContent        // whose callers left a moment ago, the oldest first; no reason for a probe
-	reachedAt time.Duration        // when a probe reached the server; 0: none has since they came
-	crashed   bool
-	crashedAt time.Duration // when a probe last told that it has
+type crashCheck struct {
+	awaitingProbe []quarantine.Content // that wait for a probe to end
+	abandoned     []abandonedRequest   // whose callers left a moment ago, the oldest first; no reason for a probe
+	reachedAt     time.Duration        // when a probe reached the server; 0: none has since they came
+	crashed       bool
+	crashedAt     time.Duration // when a probe last told that it has
 }
 
-// leftMost bounds the contents that are kept of a server whose callers left: about what it
+// maxAbandoned bounds the contents that are kept of a server whose callers left: about what it
 // runs at once.
-const leftMost = 64
+const maxAbandoned = 64
 
-// leftContent is a content whose attempt ended while its server may have begun to run it.
-type leftContent struct {
-	content quarantine.Content
-	at      time.Duration
+// abandonedContent is a content whose attempt ended while its server may have begun to run it.
+type abandonedRequest struct {
+	fingerprint quarantine.Content
+	at          time.Duration
 }
 
-// callerLeft remembers a content whose caller left, or which was moved: if its server turns out to
+// addAbandoned remembers a content whose caller left, or which was moved: if its server turns out to
 // have crashed right after that, it is as suspect as those that broke off.
-func (b *blame) callerLeft(now time.Duration, c quarantine.Content) {
-	b.left = slices.DeleteFunc(b.left, func(l leftContent) bool { return now-l.at > crashKnown })
-	if len(b.left) < leftMost {
-		b.left = append(b.left, leftContent{c, now})
+func (b *crashCheck) addAbandoned(now time.Duration, c quarantine.Content) {
+	b.abandoned = slices.DeleteFunc(b.abandoned, func(l abandonedRequest) bool { return now-l.at > crashWindow })
+	if len(b.abandoned) < maxAbandoned {
+		b.abandoned = append(b.abandoned, abandonedRequest{c, now})
 	}
 }
 
-// takeLeft returns the contents that callers left a moment ago, and forgets them.
-func (b *blame) takeLeft(now time.Duration) []quarantine.Content {
+// takeAbandoned returns the contents that callers left a moment ago, and forgets them.
+func (b *crashCheck) takeAbandoned(now time.Duration) []quarantine.Content {
 	var out []quarantine.Content
-	for _, l := range b.left {
-		if now-l.at <= crashKnown {
-			out = append(out, l.content)
+	for _, l := range b.abandoned {
+		if now-l.at <= crashWindow {
+			out = append(out, l.fingerprint)
 		}
 	}
-	b.left = nil
+	b.abandoned = nil
 	return out
 }
 
-// noteContent takes in how an attempt ended, for what it says of its content.
-func (m *Machine) noteContent(now time.Duration, r *run, s *server, o Outcome) {
+// recordContentOutcome takes in how an attempt ended, for what it says of its content.
+func (m *Machine) recordCrashEvidence(now time.Duration, r *run, s *server, o Outcome) {
 	if r.Content == 0 || !m.uses(Quarantine) {
 		return
 	}
 	switch {
 	case o == Done:
 		m.suspects.Answered(now, r.Content)
-	case r.settled(now): // what crashes servers does so sooner
+	case r.clearedOfCrash(now): // what crashes servers does so sooner
 	case o == Broken, o == Hung:
 		// An attempt that was given up may crash its server after that: a busy server begins
 		// to run it late.
-		m.blameFor(now, r, s)
+		m.suspectIfCrashed(now, r, s)
 	case o == GivenUp, o == Moved:
-		s.blamed.callerLeft(now, r.Content)
+		s.blamed.addAbandoned(now, r.Content)
 	}
 }
 
 // settled tells whether the attempt has run for so long that it is not what crashes its server.
-func (r *run) settled(now time.Duration) bool { return r.firstAt > 0 && now-r.firstAt >= settledAfter }
+func (r *run) clearedOfCrash(now time.Duration) bool {
+	return r.firstAt > 0 && now-r.firstAt >= clearedAfter
+}
 
 // blameFor has an attempt that broke off be suspected if its server has crashed.
-func (m *Machine) blameFor(now time.Duration, r *run, s *server) {
+func (m *Machine) suspectIfCrashed(now time.Duration, r *run, s *server) {
 	b := &s.blamed
-	if b.crashed && now-b.crashedAt < crashKnown {
+	if b.crashed && now-b.crashedAt < crashWindow {
 		m.suspects.Crashed(now, r.Content, quarantine.Server(s.key))
 		return
 	}
-	b.contents = append(b.contents, r.Content)
-	if len(b.contents) == 1 {
+	b.awaitingProbe = append(b.awaitingProbe, r.Content)
+	if len(b.awaitingProbe) == 1 {
 		m.emit(ProbeCmd{Server: s.Server})
 	}
 }
@@ -102,9 +104,9 @@
 // blameEnded takes in what a probe tells of a server at which attempts broke off. Only a host
 // that answers says that the server has crashed: where nothing answers, the network may have
 // failed. It tells whether the server has crashed.
-func (m *Machine) blameEnded(msg ProbeMsg, s *server) bool {
+func (m *Machine) resolveCrashCheck(msg ProbeMsg, s *server) bool {
 	b := &s.blamed
-	if len(b.contents) == 0 {
+	if len(b.awaitingProbe) == 0 {
 		return false
 	}
 	if msg.Reached && b.reachedAt == 0 {
@@ -112,13 +114,13 @@
 		m.reprobed = append(m.reprobed, s)
 		return false
 	}
-	contents := b.contents
-	b.contents, b.reachedAt = nil, 0
+	contents := b.awaitingProbe
+	b.awaitingProbe, b.reachedAt = nil, 0
 	if !msg.Refused {
 		return false
 	}
 	b.crashed, b.crashedAt = true, msg.Now
-	contents = append(contents, b.takeLeft(msg.Now)...)
+	contents = append(contents, b.takeAbandoned(msg.Now)...)
 	for _, c := range contents {
 		m.suspects.Crashed(msg.Now, c, quarantine.Server(s.key))
 	}
@@ -127,12 +129,12 @@
 }
 
 // probeAgain probes servers again that could still be reached a moment ago.
-func (m *Machine) probeAgain(now time.Duration) {
+func (m *Machine) reprobe(now time.Duration) {
 	kept := m.reprobed[:0]
 	for _, s := range m.reprobed {
 		switch {
-		case len(s.blamed.contents) == 0:
-		case now-s.blamed.reachedAt < probeAgainAfter:
+		case len(s.blamed.awaitingProbe) == 0:
+		case now-s.blamed.reachedAt < reprobeDelay:
 			kept = append(kept, s)
 		default:
 			m.emit(ProbeCmd{Server: s.Server})
@@ -143,17 +145,17 @@
 }
 
 // hearSuspects takes in what another router tells of suspects.
-func (m *Machine) hearSuspects(now time.Duration, told Report) {
+func (m *Machine) mergeSuspects(now time.Duration, report Report) {
 	if !m.uses(Quarantine) {
 		return
 	}
-	m.suspects.Hear(now, told.Suspects)
-	m.suspects.HearDigest(now, told.SuspectsDigest)
+	m.suspects.Hear(now, report.Suspects)
+	m.suspects.HearDigest(now, report.SuspectsDigest)
 }
 
 // dropSuspects forgets old suspects, now and then.
-func (m *Machine) dropSuspects(now time.Duration) {
-	if now-m.suspectsDroppedAt < suspectsDropEvery {
+func (m *Machine) expireSuspects(now time.Duration) {
+	if now-m.suspectsDroppedAt < suspectExpiryInterval {
 		return
 	}
 	m.suspectsDroppedAt = now
@@ -161,7 +163,7 @@
 }
 
 // tellQuarantine says what a message has barred, and what it has released.
-func (m *Machine) tellQuarantine() {
+func (m *Machine) emitQuarantineChanges() {
 	if m.suspects.Urgent() {
 		m.emit(ReportCmd{})
 	}
@@ -177,6 +179,6 @@
 }
 
 // QuarantineStates returns what is known of contents under which servers crashed, most at a time.
-func (m *Machine) QuarantineStates(now time.Duration, most int) []quarantine.State {
-	return m.suspects.States(now, most)
+func (m *Machine) QuarantineStates(now time.Duration, limit int) []quarantine.State {
+	return m.suspects.States(now, limit)
 }
--- a/direct/blame_test.go
+++ b/direct/blame_test.go
@@ -94,7 +94,7 @@
 		b.sent(b.arrive(r))
 		b.crash(r.ID, ProbeMsg{Reached: true})
 		require.Zero(t, b.m.suspects.Crashes(harmful))
-		_, early := find[ProbeCmd](b.pass(probeAgainAfter - TickEvery))
+		_, early := find[ProbeCmd](b.pass(reprobeDelay - TickEvery))
 		require.False(t, early)
 		probe, again := find[ProbeCmd](b.pass(2 * TickEvery))
 		require.True(t, again)
@@ -108,7 +108,7 @@
 // TestSettledRequestIsNotBlamed has a server crash under a request that it has worked on for
 // long, and under one that has just begun.
 func TestSettledRequestIsNotBlamed(t *testing.T) {
-	for settled, crashes := range map[time.Duration]int{settledAfter: 0, settledAfter - TickEvery: 1} {
+	for settled, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickEvery: 1} {
 		b := newBench(t, 2)
 		r := b.with(harmful)
 		b.sent(b.arrive(r))
@@ -223,13 +223,13 @@
 // TestCallersThatLeftLongAgo are not blamed for what a server does later.
 func TestCallersThatLeftLongAgo(t *testing.T) {
 	b := newBench(t, 1)
-	for i := range leftMost + 10 {
+	for i := range maxAbandoned + 10 {
 		r := b.with(harmful + quarantine.Content(i))
 		b.sent(b.arrive(r))
 		b.end(r.ID, GivenUp, false)
 	}
-	require.Len(t, b.m.byServer["e0"].blamed.left, leftMost)
-	b.pass(crashKnown + TickEvery)
+	require.Len(t, b.m.byServer["e0"].blamed.abandoned, maxAbandoned)
+	b.pass(crashWindow + TickEvery)
 	r := b.with(harmful + 1000)
 	b.sent(b.arrive(r))
 	b.crash(r.ID, ProbeMsg{Refused: true})
--- a/direct/candidates.go
+++ b/direct/candidates.go
@@ -29,7 +29,7 @@
 		subject = part.ID
 		keepers = m.holders.of(part.ID)
 	}
-	for _, s := range p.reachable(r) {
+	for _, s := range p.eligible(r) {
 		if !m.open(now, p, s, r) {
 			continue
 		}
@@ -75,7 +75,7 @@
 	var first *server
 	var top uint64
 	held := false
-	for _, s := range p.reachable(r) {
+	for _, s := range p.eligible(r) {
 		if !s.takes(now, r.Regions) || s.probation {
 			continue
 		}
--- a/direct/drain.go
+++ b/direct/drain.go
@@ -6,22 +6,22 @@
 // used where others are missing. The rest is left for what is on its way: the word to this
 // router, and requests to the server.
 const (
-	lastResortPart = 0.4
-	lapsePart      = 0.6
+	lastResortFraction = 0.4
+	lapseFraction      = 0.6
 )
 
 // lastResortFor is how long a server that leaves is used where no other is there.
-func (m *Machine) lastResortFor() time.Duration {
-	return m.withinDrain(lastResortTime, lastResortPart)
+func (m *Machine) lastResortDuration() time.Duration {
+	return m.limitToDrain(lastResortTime, lastResortFraction)
 }
 
 // lapsedFor is how long servers are used whose entries went together with many others.
-func (m *Machine) lapsedFor() time.Duration { return m.withinDrain(lapseHold, lapsePart) }
+func (m *Machine) lapseDuration() time.Duration { return m.limitToDrain(lapseHold, lapseFraction) }
 
 // withinDrain returns a time, or a part of the drain time where that is known and shorter.
-func (m *Machine) withinDrain(most time.Duration, part float64) time.Duration {
+func (m *Machine) limitToDrain(limit time.Duration, fraction float64) time.Duration {
 	if m.options.Drain <= 0 {
-		return most
+		return limit
 	}
-	return min(most, time.Duration(part*float64(m.options.Drain)))
+	return min(limit, time.Duration(fraction*float64(m.options.Drain)))
 }
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -9,17 +9,17 @@
 )
 
 // hungWeight is how many failures a server counts that said nothing.
-const hungWeight = 2
+const hungFailureWeight = 2
 
 const (
 	// overdueLeast and overdueMost bound the time that a team's callers are told to stay
 	// away for what it asked for beyond what it may have.
-	overdueLeast = time.Second
-	overdueMost  = 10 * time.Second
+	minAllowanceDelay = time.Second
+	maxAllowanceDelay = 10 * time.Second
 )
 
 // end takes in how an attempt ended, and decides whether there is another.
-func (m *Machine) end(msg EndMsg) {
+func (m *Machine) endAttempt(msg EndMsg) {
 	r := m.runs[msg.ID]
 	if r == nil || r.at == nil {
 		return
@@ -29,17 +29,17 @@
 	r.at = nil
 	s.release(r)
 	m.refund(msg.Now, r, msg.Outcome)
-	m.noteContent(msg.Now, r, s, msg.Outcome)
-	m.sawEnd(p, msg, r, s)
-	p.noteEnded(r, s, msg.Outcome)
+	m.recordCrashEvidence(msg.Now, r, s, msg.Outcome)
+	m.observeEnd(p, msg, r, s)
+	p.recordEnded(r, s, msg.Outcome)
 	switch {
 	case msg.Outcome == Unsent && msg.Refused && s.lapsedAt > 0:
-		m.dropEnded(msg.Now, p, s)
+		m.dropRefusing(msg.Now, p, s)
 	case !msg.Slow || msg.Outcome == Done:
-		m.judge(msg.Now, p, s, msg.Outcome)
+		m.recordOutcome(msg.Now, p, s, msg.Outcome)
 	}
 	if msg.Retry {
-		m.again(msg.Now, p, r, msg.Outcome)
+		m.retry(msg.Now, p, r, msg.Outcome)
 	} else {
 		delete(m.runs, r.ID)
 	}
@@ -47,12 +47,12 @@
 }
 
 // judge takes in what an outcome says of a server.
-func (m *Machine) judge(now time.Duration, p *pool, s *server, o Outcome) {
+func (m *Machine) recordOutcome(now time.Duration, p *pool, s *server, o Outcome) {
 	switch o {
 	case Done, Failed, NotRun, Elsewhere:
-		m.answered(now, s)
+		m.recordResponse(now, s)
 	case Unsent:
-		m.outOfReach(now, s)
+		m.recordUnreachable(now, s)
 	}
 	switch o {
 	case Done:
@@ -65,13 +65,13 @@
 	case Unsent, Elsewhere:
 		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.down(now)})
 	case Failed, Broken:
-		m.failed(now, p, s, 1, o)
+		m.recordFailure(now, p, s, 1, o)
 	case Hung:
-		m.failed(now, p, s, hungWeight, o)
+		m.recordFailure(now, p, s, hungFailureWeight, o)
 	}
 }
 
-func (m *Machine) failed(now time.Duration, p *pool, s *server, weight int, o Outcome) {
+func (m *Machine) recordFailure(now time.Duration, p *pool, s *server, weight int, o Outcome) {
 	side := p.sameSide(s)
 	if !s.failed(weight, medianFailures(side)) || mostEjected(now, side) || !m.uses(Ejection) {
 		return
@@ -81,7 +81,7 @@
 
 // again decides on another attempt for a request whose last one brought no
 // answer.
-func (m *Machine) again(now time.Duration, p *pool, r *run, o Outcome) {
+func (m *Machine) retry(now time.Duration, p *pool, r *run, o Outcome) {
 	switch o {
 	case Unsent, Withheld:
 		r.attempt--
@@ -102,7 +102,7 @@
 	}
 	switch {
 	// The probe that tells of a crash has not ended yet, and a fourth server would be lost.
-	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneMore(r.Content):
+	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneMore(r.Content):
 		m.giveUp(now, p, r, ReasonCrashes)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
@@ -118,7 +118,7 @@
 }
 
 // refuse ends a request that waits.
-func (m *Machine) refuse(now time.Duration, p *pool, r *run) {
+func (m *Machine) refuseWaiting(now time.Duration, p *pool, r *run) {
 	p.queue.remove(r)
 	reason := ReasonOverload
 	switch {
@@ -138,14 +138,14 @@
 		m.emit(FailCmd{ID: r.ID, Reason: reason})
 		return
 	}
-	m.emit(RefuseCmd{ID: r.ID, Reason: reason, After: m.comeBack(now, p, r, reason), Share: r.over})
+	m.emit(RefuseCmd{ID: r.ID, Reason: reason, After: m.retryAfter(now, p, r, reason), Share: r.over})
 }
 
 // comeBack says when a refused request would find room: when the servers have
 // read what they have now, or the first of them wants requests again, and spread
 // over half an objective so that not all come at once. A team above its share is
 // told to wait for its allowance too.
-func (m *Machine) comeBack(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
+func (m *Machine) retryAfter(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
 	if reason == ReasonCrashes {
 		return quarantine.Hold
 	}
@@ -167,25 +167,25 @@
 	jitter := float64(xxhash.Sum64String(r.Team)^uint64(r.ID)*0x9e3779b97f4a7c15) / (1 << 64)
 	after := milliseconds(backlog) + time.Duration(float64(r.Objective)*(0.5+jitter))
 	if n == 0 {
-		soonest, _ := p.backoffEnds(now, r.Regions)
+		soonest, _ := p.shortestBackoff(now, r.Regions)
 		after += soonest
 	}
 	if reason == ReasonShare {
-		after += m.overdue(now, r.Team)
+		after += m.allowanceDelay(now, r.Team)
 	}
 	return after
 }
 
 // overdue is how long a team's allowance takes to cover what the team has lately asked for
 // and not got: a caller that comes back sooner finds others of its team before it.
-func (m *Machine) overdue(now time.Duration, name string) time.Duration {
+func (m *Machine) allowanceDelay(now time.Duration, name string) time.Duration {
 	t := m.team(name)
 	bounds := m.boundsOf(t)
-	most := min(bounds.level, bounds.even)
-	if most <= 0 || math.IsInf(most, 0) {
-		return overdueLeast
+	rate := min(bounds.level, bounds.even)
+	if rate <= 0 || math.IsInf(rate, 0) {
+		return minAllowanceDelay
 	}
 	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * useWindow.Seconds()
-	seconds := min(unserved/most, overdueMost.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), overdueLeast)
+	seconds := min(unserved/rate, maxAllowanceDelay.Seconds())
+	return max(time.Duration(seconds*float64(time.Second)), minAllowanceDelay)
 }
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -9,7 +9,7 @@
 // evacuate puts a newer set of evacuated data halls in force. Servers of an evacuated
 // hall get no new requests; what runs there is left to run. The routers of the hall go
 // on: only its servers are out of use.
-func (m *Machine) evacuate(msg EvacuationsMsg) {
+func (m *Machine) applyEvacuations(msg EvacuationsMsg) {
 	if msg.Evacuations.Revision < m.evacuationsAt {
 		return
 	}
@@ -20,16 +20,16 @@
 	}
 	was := m.evacuated
 	m.evacuated = halls
-	m.tellHalls(was)
+	m.emitHallChanges(was)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		for _, s := range p.all {
 			s.evacuated = halls[s.Zone]
 			if was[s.Zone] && !s.evacuated {
-				m.returned(msg.Now, p, s)
+				m.markReturnedCold(msg.Now, p, s)
 			}
 		}
-		p.admit()
+		p.updateEligible()
 		m.serve(msg.Now, p, maxQueued)
 	}
 }
@@ -37,12 +37,12 @@
 // returned takes a server for cold whose data hall has been taken back: it may have
 // turned cold shortly before, and its entry says so only after its next heartbeat. The
 // price is a few seconds at the cold rate where it has not.
-func (m *Machine) returned(now time.Duration, p *pool, s *server) {
+func (m *Machine) markReturnedCold(now time.Duration, p *pool, s *server) {
 	m.noteCold(now, s, p.cold.Lasts, "its data hall was evacuated")
 }
 
 // tellHalls emits what has changed since an earlier set of evacuated halls.
-func (m *Machine) tellHalls(was map[string]bool) {
+func (m *Machine) emitHallChanges(was map[string]bool) {
 	all := maps.Clone(was)
 	maps.Copy(all, m.evacuated)
 	for _, hall := range slices.Sorted(maps.Keys(all)) {
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -10,14 +10,14 @@
 	// slowTimes is how many times as long as at old servers an answer must take to count
 	// as bad: a slow version takes several times as long, and servers of one version under
 	// load differ by less than this.
-	slowTimes = 2.5
+	slowFactor = 2.5
 	// slowFirst and slowStream are how much longer, at the least, a bad answer takes until
 	// its first event and in its stream: smaller differences come from networks and chance.
-	slowFirst  = 20 * time.Millisecond
-	slowStream = 100 * time.Millisecond
+	slowFirstEventMargin = 20 * time.Millisecond
+	slowStreamMargin     = 100 * time.Millisecond
 	// settleTime is how long after a server was listed its answers are not evidence: they
 	// are slow because connections must be opened and caches are empty.
-	settleTime = time.Second
+	evidenceDelay = time.Second
 )
 
 // speed is how an answer compares with those of old servers.
@@ -25,52 +25,52 @@
 
 const (
 	unknownSpeed speed = iota // too few answers of old servers are known to compare with
-	usualSpeed
+	normalSpeed
 	slowSpeed // it took several times as long
 )
 
 // observation is what one attempt has shown so far about the version of its server.
 type observation struct {
-	counts   bool          // the server was no longer starting up, so its answers are evidence
-	expected float64       // milliseconds to the first event
-	firstAt  time.Duration // when the first event of a stream came; 0: it has not
-	first    speed         // how soon it came
-	told     bool          // an AnswerCmd was emitted on how it began
+	eligible        bool          // the server was no longer starting up, so its answers are evidence
+	expectedMS      float64       // milliseconds to the first event
+	firstEventAt    time.Duration // when the first event of a stream came; 0: it has not
+	firstEventSpeed speed         // how soon it came
+	reported        bool          // an AnswerCmd was emitted on how it began
 }
 
 // watch begins the observation of an attempt that has just been sent.
-func (m *Machine) watch(now time.Duration, p *pool, r *run, s *server) {
+func (m *Machine) startObservation(now time.Duration, p *pool, r *run, s *server) {
 	if p.gate == nil {
 		return
 	}
 	r.observed = observation{
-		counts:   !s.cold.at(now) && now-s.listedAt >= settleTime,
-		expected: p.expected(r, s),
+		eligible:   !s.cold.at(now) && now-s.listedAt >= evidenceDelay,
+		expectedMS: p.expectedMS(r, s),
 	}
 }
 
 // sawFirst takes in that the first event of an attempt came. How a stream began is
 // reported at the next tick, not here: a failure may follow at once, and then it counts
 // in place of the good beginning.
-func (m *Machine) sawFirst(now time.Duration, p *pool, r *run) {
-	if p.gate == nil || r.observed.firstAt > 0 {
+func (m *Machine) observeFirstEvent(now time.Duration, p *pool, r *run) {
+	if p.gate == nil || r.observed.firstEventAt > 0 {
 		return
 	}
-	p.gate.exposure.reached(r)
+	p.gate.exposure.countReached(r)
 	r.at.answeredAt = now
 	if r.Kind != Stream {
 		return
 	}
-	r.observed.firstAt = now
-	r.observed.first = m.firstSpeed(now, p, r, r.at)
+	r.observed.firstEventAt = now
+	r.observed.firstEventSpeed = m.compareFirstEvent(now, p, r, r.at)
 	m.begun = append(m.begun, r)
 }
 
 // tellBegun reports how those streams began whose first events came since the last tick.
-func (m *Machine) tellBegun(now time.Duration) {
+func (m *Machine) reportStreamStarts(now time.Duration) {
 	for i, r := range m.begun {
-		if r.at != nil && r.observed.firstAt > 0 && !r.observed.told {
-			m.tellSpeed(now, m.pool(r.Service), r, r.at, false, r.observed.first)
+		if r.at != nil && r.observed.firstEventAt > 0 && !r.observed.reported {
+			m.reportSpeed(now, m.pool(r.Service), r, r.at, false, r.observed.firstEventSpeed)
 		}
 		m.begun[i] = nil
 	}
@@ -78,29 +78,29 @@
 }
 
 // sawEnd takes in how an attempt ended.
-func (m *Machine) sawEnd(p *pool, msg EndMsg, r *run, s *server) {
+func (m *Machine) observeEnd(p *pool, msg EndMsg, r *run, s *server) {
 	if p.gate == nil {
 		return
 	}
 	seen := &r.observed
 	switch {
 	case msg.Outcome == Failed:
-		m.tellFailure(msg.Now, p, r, s)
+		m.reportFailure(msg.Now, p, r, s)
 	case msg.Outcome == Hung:
-		if !msg.Slow && seen.firstAt == 0 && s.answeredOthers(r.sentAt, msg.Now) {
-			m.tell(msg.Now, r, s, false, true)
+		if !msg.Slow && seen.firstEventAt == 0 && s.respondedToOthers(r.sentAt, msg.Now) {
+			m.reportResponse(msg.Now, r, s, false, true)
 		}
 	case msg.Outcome != Done:
 		// Such an end is not evidence, but how the stream began is.
-		if seen.firstAt > 0 && !seen.told {
-			m.tellSpeed(msg.Now, p, r, s, false, seen.first)
+		if seen.firstEventAt > 0 && !seen.reported {
+			m.reportSpeed(msg.Now, p, r, s, false, seen.firstEventSpeed)
 		}
-	case seen.told:
-		m.tellSpeed(msg.Now, p, r, s, true, m.tokenSpeed(msg.Now, p, r, s))
-	case seen.firstAt > 0:
-		m.tellSpeed(msg.Now, p, r, s, false, seen.first)
+	case seen.reported:
+		m.reportSpeed(msg.Now, p, r, s, true, m.compareStream(msg.Now, p, r, s))
+	case seen.firstEventAt > 0:
+		m.reportSpeed(msg.Now, p, r, s, false, seen.firstEventSpeed)
 	default:
-		m.tellSpeed(msg.Now, p, r, s, false, m.firstSpeed(msg.Now, p, r, s))
+		m.reportSpeed(msg.Now, p, r, s, false, m.compareFirstEvent(msg.Now, p, r, s))
 	}
 	if msg.Outcome == Done || msg.Outcome == Failed {
 		s.answeredAt = msg.Now
@@ -110,91 +110,91 @@
 // answeredOthers tells whether a server has answered other requests in the second half of
 // the time that one request waited for it. A server that answers nobody has stopped, which
 // is not evidence on its version.
-func (s *server) answeredOthers(since, now time.Duration) bool {
+func (s *server) respondedToOthers(since, now time.Duration) bool {
 	return s.answeredAt > since+(now-since)/2
 }
 
 // tellSpeed emits an answer that did not fail; one of the target that can't be compared waits
 // for a failure.
-func (m *Machine) tellSpeed(now time.Duration, p *pool, r *run, s *server, later bool, is speed) {
-	if s.target && is == unknownSpeed && r.observed.counts {
-		r.observed.told = true
-		p.gate.unrated.hold(unratedKey{r.Route, s.cohort, later})
+func (m *Machine) reportSpeed(now time.Duration, p *pool, r *run, s *server, afterStart bool, is speed) {
+	if s.target && is == unknownSpeed && r.observed.eligible {
+		r.observed.reported = true
+		p.gate.unrated.hold(unratedKey{r.Route, s.cohort, afterStart})
 		return
 	}
-	m.tell(now, r, s, later, is == slowSpeed)
+	m.reportResponse(now, r, s, afterStart, is == slowSpeed)
 }
 
 // tellFailure emits a failure, and before it the answers that it is to be weighed with.
-func (m *Machine) tellFailure(now time.Duration, p *pool, r *run, s *server) {
-	later := r.observed.told
-	if s.target && r.observed.counts {
-		for _, of := range []bool{false, true} {
-			for range p.gate.unrated.take(unratedKey{r.Route, s.cohort, of}) {
-				m.tell(now, r, s, of, false)
+func (m *Machine) reportFailure(now time.Duration, p *pool, r *run, s *server) {
+	afterStart := r.observed.reported
+	if s.target && r.observed.eligible {
+		for _, afterStart := range []bool{false, true} {
+			for range p.gate.unrated.take(unratedKey{r.Route, s.cohort, afterStart}) {
+				m.reportResponse(now, r, s, afterStart, false)
 			}
 		}
 	}
-	m.tell(now, r, s, later, true)
+	m.reportResponse(now, r, s, afterStart, true)
 }
 
 // tell emits one answer as evidence on the version of its server.
-func (m *Machine) tell(now time.Duration, r *run, s *server, later, bad bool) {
+func (m *Machine) reportResponse(now time.Duration, r *run, s *server, afterStart, bad bool) {
 	g := m.pool(r.Service).gate
-	r.observed.told = true
-	if g.Target == "" || !r.observed.counts || (!s.target && !g.Uses(s.Version)) {
+	r.observed.reported = true
+	if g.Target == "" || !r.observed.eligible || (!s.target && !g.Uses(s.Version)) {
 		return
 	}
 	m.emit(AnswerCmd{Answer: rollout.AnswerMsg{
-		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: later, Bad: bad,
+		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: afterStart, Bad: bad,
 	}})
 }
 
 // firstSpeed compares how soon a first event, or a whole answer, came with what is expected
 // from the speed of old servers. Answers of old servers then update that speed.
-func (m *Machine) firstSpeed(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) compareFirstEvent(now time.Duration, p *pool, r *run, s *server) speed {
 	elapsed := inMilliseconds(now - r.sentAt)
-	delay := &p.baseline.routes.of(r.Route).delay
-	usual := delay.value() * r.observed.expected
-	is := compare(delay, elapsed > slowTimes*usual+inMilliseconds(slowFirst))
-	if !s.target && r.observed.counts {
-		p.learnFirst(r, elapsed)
+	delay := &p.baseline.routes.of(r.Route).delayRatio
+	usual := delay.mean() * r.observed.expectedMS
+	is := rateSpeed(delay, elapsed > slowFactor*usual+inMilliseconds(slowFirstEventMargin))
+	if !s.target && r.observed.eligible {
+		p.updateBaseline(r, elapsed)
 	}
 	return is
 }
 
 // compare is the speed of an answer that is slow, or not, beside the average of old servers.
-func compare(old *geometric, slow bool) speed {
+func rateSpeed(old *geometricMean, slow bool) speed {
 	switch {
-	case !old.known():
+	case !old.ready():
 		return unknownSpeed
 	case slow:
 		return slowSpeed
 	}
-	return usualSpeed
+	return normalSpeed
 }
 
 // learnFirst updates the baseline by the time, in milliseconds, that an old server took to
 // a first event or a whole answer.
-func (p *pool) learnFirst(r *run, elapsed float64) {
-	p.baseline.routes.of(r.Route).delay.add(elapsed/r.observed.expected, fastestFirst/r.observed.expected)
+func (p *pool) updateBaseline(r *run, elapsed float64) {
+	p.baseline.routes.of(r.Route).delayRatio.add(elapsed/r.observed.expectedMS, minFirstEventMS/r.observed.expectedMS)
 	if p.engine != nil {
-		p.baseline.learnRate(r.ahead, elapsed, p.tokenRate)
+		p.baseline.updateRate(r.ahead, elapsed, p.tokenRate)
 	}
 }
 
 // tokenSpeed compares how long a stream took for its tokens with streams of old servers.
-func (m *Machine) tokenSpeed(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) compareStream(now time.Duration, p *pool, r *run, s *server) speed {
 	if r.OutputTokens <= 0 {
-		return usualSpeed
+		return normalSpeed
 	}
 	tokens := float64(r.OutputTokens)
-	elapsed := inMilliseconds(now - r.observed.firstAt)
-	token := &p.baseline.routes.of(r.Route).token
-	usual := token.value() * tokens
-	is := compare(token, elapsed > slowTimes*usual && elapsed > usual+inMilliseconds(slowStream))
-	if !s.target && r.observed.counts {
-		token.add(elapsed/tokens, fastestToken)
+	elapsed := inMilliseconds(now - r.observed.firstEventAt)
+	token := &p.baseline.routes.of(r.Route).tokenMS
+	usual := token.mean() * tokens
+	is := rateSpeed(token, elapsed > slowFactor*usual && elapsed > usual+inMilliseconds(slowStreamMargin))
+	if !s.target && r.observed.eligible {
+		token.add(elapsed/tokens, minTokenMS)
 	}
 	return is
 }
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -42,7 +42,7 @@
 	g.Servers = 0.1
 	b := newMove(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 30, "v1", "v2")})
-	b.pass(2 * settleTime)
+	b.pass(2 * evidenceDelay)
 	w := &workload{
 		b: b, random: rand.New(rand.NewPCG(1, 2)), slow: slow, servers: make(map[string]*modelServer),
 		bad: map[bool]*tally{false: {}, true: {}},
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -102,7 +102,7 @@
 			d.Servers[i].ID += "-app"
 		}
 		b.m.Update(ServersMsg{Now: b.now, Directory: d})
-		b.pass(2 * settleTime)
+		b.pass(2 * evidenceDelay)
 		var got tally
 		for range 200 {
 			r := b.one("stock")
@@ -155,9 +155,9 @@
 // rateOld lets the router know how fast old servers answer a route.
 func (b *bench) rateOld(route string) {
 	pace := b.m.pool("llm").baseline.routes.of(route)
-	for range baselineLeast {
-		pace.delay.add(1, fastestFirst)
-		pace.token.add(5, fastestToken)
+	for range baselineMinResponses {
+		pace.delayRatio.add(1, minFirstEventMS)
+		pace.tokenMS.add(5, minTokenMS)
 	}
 }
 
@@ -312,7 +312,7 @@
 		}
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	b.pass(2 * settleTime)
-	require.Len(t, b.taking(), trialLeast)
-	require.Len(t, cohorts(b), cohortsInHall)
+	b.pass(2 * evidenceDelay)
+	require.Len(t, b.taking(), minCanaryServers)
+	require.Len(t, cohorts(b), cohortsPerHall)
 }
--- a/direct/exposure.go
+++ b/direct/exposure.go
@@ -5,11 +5,11 @@
 	// it have reached servers as the limit asks for. The service's total has nothing in
 	// advance; without this, a route with one request a second at a router would wait
 	// twenty seconds for its first at a limit of a twentieth.
-	routeAhead = 1
+	routeBurst = 1
 	// behindFrom is how many requests a route must be allowed to have sent to the target
 	// before it can count as behind, behindPart the part of them below which it does.
-	behindFrom = 2
-	behindPart = 0.5
+	behindMinAllowed = 2
+	behindFraction   = 0.5
 )
 
 // exposure counts what this router has sent for a service since the target of its gate
@@ -18,56 +18,56 @@
 // routers restart, join or are cut off. Within that, each route keeps to about the same
 // part, so that a trial is a cross-section of the service's requests.
 type exposure struct {
-	asked  int // requests that came, and attempts after their first
-	total  exposed
-	routes byRoute[exposed]
+	requests int // requests that came, and attempts after their first
+	total    attemptCounts
+	routes   byRoute[attemptCounts]
 	// epoch tells the counts of one target from those of another: what was sent before
 	// does not count.
-	epoch uint64
+	targetEpoch uint64
 }
 
 // exposed counts the attempts of one route, or of all.
-type exposed struct {
-	reached int // servers of any version, as far as it is known
-	target  int // sent to the target's servers, also those that may not have come there
+type attemptCounts struct {
+	reached  int // servers of any version, as far as it is known
+	toTarget int // sent to the target's servers, also those that may not have come there
 }
 
 // reset begins anew, for another target.
-func (e *exposure) reset() { *e = exposure{epoch: e.epoch + 1} }
+func (e *exposure) reset() { *e = exposure{targetEpoch: e.targetEpoch + 1} }
 
 // allows tells whether one more request of a route may go to the target.
 func (e *exposure) allows(route string, limit float64) bool {
-	return limit >= 1 || (e.routes.of(route).allows(limit, routeAhead) && e.total.allows(limit, 0))
+	return limit >= 1 || (e.routes.of(route).allows(limit, routeBurst) && e.total.allows(limit, 0))
 }
 
 // allows tells whether one more may go to the target where some may be ahead of the limit.
-func (e exposed) allows(limit float64, ahead int) bool {
-	return float64(e.target+1-ahead) <= limit*float64(e.reached+1)
+func (e attemptCounts) allows(limit float64, burst int) bool {
+	return float64(e.toTarget+1-burst) <= limit*float64(e.reached+1)
 }
 
 // behind tells whether much less of a route goes to the target than the limit allows: of a
 // few parts of prompts that most of its requests share, none may have moved yet.
 func (e *exposure) behind(route string, limit float64) bool {
-	one := e.routes.of(route)
-	allowed := limit * float64(one.reached)
-	return limit < 1 && allowed >= behindFrom && float64(one.target) < behindPart*allowed
+	counts := e.routes.of(route)
+	allowed := limit * float64(counts.reached)
+	return limit < 1 && allowed >= behindMinAllowed && float64(counts.toTarget) < behindFraction*allowed
 }
 
 // sentTarget counts an attempt at a server of the target.
-func (e *exposure) sentTarget(route string) {
-	e.routes.of(route).target++
-	e.total.target++
+func (e *exposure) countTarget(route string) {
+	e.routes.of(route).toTarget++
+	e.total.toTarget++
 }
 
 // reached counts an attempt of which it is known that it came to a server.
-func (e *exposure) reached(r *run) {
-	if r.placement.reached || r.placement.epoch != e.epoch {
+func (e *exposure) countReached(r *run) {
+	if r.placement.counted || r.placement.targetEpoch != e.targetEpoch {
 		return
 	}
-	r.placement.reached = true
+	r.placement.counted = true
 	e.routes.of(r.Route).reached++
 	e.total.reached++
 }
 
 // reaches tells whether an outcome shows that the request came to its server.
-func (o Outcome) reaches() bool { return o == Done || o == Failed || o == NotRun }
+func (o Outcome) reachedServer() bool { return o == Done || o == Failed || o == NotRun }
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -19,7 +19,7 @@
 }
 
 // takeGate puts a gate in force.
-func (m *Machine) takeGate(msg GateMsg) {
+func (m *Machine) applyGate(msg GateMsg) {
 	p := m.pool(msg.Gate.Service)
 	if p.gate == nil {
 		p.gate = &gate{}
@@ -30,21 +30,21 @@
 	}
 	p.gate.Gate = msg.Gate
 	p.gate.movePending = msg.Gate.Move
-	p.admit()
+	p.updateEligible()
 	m.serve(msg.Now, p, maxQueued)
-	m.move(msg.Now, p)
+	m.moveStreams(msg.Now, p)
 }
 
 // admitAll works out anew which servers may get requests, after their states changed.
-func (m *Machine) admitAll() {
+func (m *Machine) updateAllEligible() {
 	for _, p := range m.pools {
-		p.admit()
+		p.updateEligible()
 	}
 }
 
 // admit works out which servers may get requests. The others are marked as barred: they
 // get none, and no average or share counts them.
-func (p *pool) admit() {
+func (p *pool) updateEligible() {
 	g := p.gate
 	if g == nil {
 		p.order = p.all
@@ -52,12 +52,12 @@
 	}
 	g.old, g.target = nil, nil
 	for _, s := range p.all {
-		s.target = g.targets(s)
-		if !s.target && !g.closed() && g.Uses(s.Version) {
+		s.target = g.isTarget(s)
+		if !s.target && !g.oldVersionsClosed() && g.Uses(s.Version) {
 			g.old = append(g.old, s)
 		}
 	}
-	g.target = g.openTargets(p.all)
+	g.target = g.canaryServers(p.all)
 	p.order = make([]*server, 0, len(g.old)+len(g.target))
 	p.order = append(append(p.order, g.old...), g.target...)
 	sortByID(p.order)
@@ -67,14 +67,14 @@
 	for _, s := range p.order {
 		s.barred = false
 	}
-	p.nameCohorts()
+	p.assignCohorts()
 }
 
 // targets tells whether a server is of the version that is being moved to.
-func (g *gate) targets(s *server) bool { return g.Target != "" && s.Version == g.Target }
+func (g *gate) isTarget(s *server) bool { return g.Target != "" && s.Version == g.Target }
 
 // closed tells whether old versions get nothing new.
-func (g *gate) closed() bool { return g.OldClosed && g.Target != "" }
+func (g *gate) oldVersionsClosed() bool { return g.OldClosed && g.Target != "" }
 
 // side returns the servers that may get requests of the target, or of the old versions.
 // Without a gate there is one side.
@@ -89,7 +89,7 @@
 }
 
 // reachable returns the servers of the side that a request is being placed on.
-func (p *pool) reachable(r *run) []*server { return p.side(r.placement.target) }
+func (p *pool) eligible(r *run) []*server { return p.side(r.placement.target) }
 
 // sameSide returns the servers that a server is compared with for ejection: those of its
 // own side. Among the old servers, each server of a bad version would stand out and be
@@ -97,12 +97,12 @@
 func (p *pool) sameSide(s *server) []*server { return p.side(s.target) }
 
 // noSideUsable tells whether a request finds no usable server on any side that it may go to.
-func (p *pool) noSideUsable(now time.Duration, r *run) bool {
+func (p *pool) noUsableServer(now time.Duration, r *run) bool {
 	if p.gate == nil {
 		return false
 	}
-	for _, one := range p.gate.sidesFor(r) {
-		if slices.ContainsFunc(p.side(one.target), func(s *server) bool { return s.usable(now) }) {
+	for _, candidate := range p.gate.sidesFor(r) {
+		if slices.ContainsFunc(p.side(candidate.target), func(s *server) bool { return s.usable(now) }) {
 			return false
 		}
 	}
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -21,7 +21,7 @@
 	}})
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(1, 6, "v1", "v2")})
 	b.gate(g)
-	b.pass(2 * settleTime)
+	b.pass(2 * evidenceDelay)
 	return b
 }
 
@@ -107,7 +107,7 @@
 		}
 		b.pass(time.Second)
 		p := b.m.pool("llm")
-		return b.m.Shares(b.now, 0).Busy, b.m.Shares(b.now, 0).Headroom, b.m.comeBack(b.now, p, &run{Request: Request{Team: "red"}}, ReasonOverload)
+		return b.m.Shares(b.now, 0).Busy, b.m.Shares(b.now, 0).Headroom, b.m.retryAfter(b.now, p, &run{Request: Request{Team: "red"}}, ReasonOverload)
 	}
 	aloneBusy, aloneHeadroom, aloneAfter := busy("v1")
 	besideBusy, besideHeadroom, besideAfter := busy("v1", "v3")
@@ -186,7 +186,7 @@
 	g.Limit = 0.05
 	b := newMove(t, g)
 	unmoved := uint64(1)
-	for chance(unmoved) < g.Part {
+	for unitHash(unmoved) < g.Part {
 		unmoved++
 	}
 	sent := 0
@@ -321,7 +321,7 @@
 		router.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 60, "v1", "v2")})
 	}
 	chosen := b.taking()
-	require.Len(t, chosen, trialLeast)
+	require.Len(t, chosen, minCanaryServers)
 	require.Equal(t, chosen, other.taking())
 	halls := make(map[string]bool)
 	for _, id := range chosen {
@@ -329,7 +329,7 @@
 	}
 	require.Len(t, halls, 3)
 	b.evacuate(2, "a")
-	require.Len(t, b.taking(), trialLeast)
+	require.Len(t, b.taking(), minCanaryServers)
 	for _, id := range b.taking() {
 		require.NotEqual(t, "a", b.m.byServer[id].Zone)
 	}
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -9,16 +9,16 @@
 func (m *Machine) dropUnlisted(now time.Duration, listed map[string]bool) {
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
-		unlisted := p.unlisted(listed)
-		went := serving(unlisted)
-		lapsed := m.uses(LapseHold) && went >= lapseLeast && float64(went) >= lapseShare*float64(p.present())
+		unlisted := p.newlyUnlisted(listed)
+		eligible := countEligible(unlisted)
+		lapsed := m.uses(LapseHold) && eligible >= lapseLeast && float64(eligible) >= lapseShare*float64(p.countPresent())
 		for _, s := range unlisted {
 			switch {
 			case !lapsed || s.Draining || s.barred:
 				m.dropServer(now, s, "not listed")
 			case s.lapsedAt == 0:
 				s.lapsedAt = now
-				m.emit(BeliefCmd{Server: s.Server, Belief: BeliefLapsed, Cause: "not listed, with many others", For: m.lapsedFor()})
+				m.emit(BeliefCmd{Server: s.Server, Belief: BeliefLapsed, Cause: "not listed, with many others", For: m.lapseDuration()})
 			}
 		}
 	}
@@ -29,27 +29,27 @@
 	dropped := false
 	for _, name := range m.poolNames() {
 		for _, s := range m.pools[name].all {
-			if s.lapsedAt > 0 && now-s.lapsedAt >= m.lapsedFor() {
+			if s.lapsedAt > 0 && now-s.lapsedAt >= m.lapseDuration() {
 				m.dropServer(now, s, "not listed again")
 				dropped = true
 			}
 		}
 	}
 	if dropped {
-		m.admitAll()
+		m.updateAllEligible()
 	}
 }
 
 // dropEnded takes out a server whose entry lapsed and whose host refuses connections: it has
 // ended. That says nothing of the other servers of its hall.
-func (m *Machine) dropEnded(now time.Duration, p *pool, s *server) {
+func (m *Machine) dropRefusing(now time.Duration, p *pool, s *server) {
 	m.dropServer(now, s, "not listed, and its host refuses connections")
-	p.admit()
+	p.updateEligible()
 }
 
 func (m *Machine) dropServer(now time.Duration, s *server, cause string) {
 	s.gone = true
-	s.leave(now)
+	s.markLeaving(now)
 	if s.lapsedAt > 0 {
 		// It has been leaving since then: it is no last resort for longer.
 		s.leavingAt, s.lapsedAt = s.lapsedAt, 0
@@ -59,7 +59,7 @@
 
 // unlisted returns the servers that are known and not listed, but for those that
 // have lapsed already.
-func (p *pool) unlisted(listed map[string]bool) []*server {
+func (p *pool) newlyUnlisted(listed map[string]bool) []*server {
 	var out []*server
 	for _, s := range p.all {
 		if !listed[s.ID] && !s.gone && s.lapsedAt == 0 {
@@ -70,7 +70,7 @@
 }
 
 // serving counts the servers of a list that may get requests.
-func serving(servers []*server) int {
+func countEligible(servers []*server) int {
 	n := 0
 	for _, s := range servers {
 		if !s.barred {
@@ -81,7 +81,7 @@
 }
 
 // present counts the servers that are not gone.
-func (p *pool) present() int {
+func (p *pool) countPresent() int {
 	n := 0
 	for _, s := range p.order {
 		if !s.gone {
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -8,7 +8,7 @@
 )
 
 // list takes in a newer list of servers.
-func (m *Machine) list(msg ServersMsg) {
+func (m *Machine) applyDirectory(msg ServersMsg) {
 	if msg.Directory.Revision < m.revision {
 		return
 	}
@@ -17,7 +17,7 @@
 	changed := make(map[*pool]bool)
 	for _, s := range msg.Directory.Servers {
 		listed[s.ID] = true
-		if m.note(msg.Now, s) {
+		if m.applyListed(msg.Now, s) {
 			changed[m.pool(s.Service)] = true
 		}
 	}
@@ -27,7 +27,7 @@
 		if changed[p] {
 			p.reorder()
 		} else {
-			p.admit()
+			p.updateEligible()
 		}
 		if service, ok := m.services[name]; ok {
 			p.configure(&service, m.limits)
@@ -37,7 +37,7 @@
 }
 
 // note takes in one listed server; it returns whether it is new.
-func (m *Machine) note(now time.Duration, listed Server) bool {
+func (m *Machine) applyListed(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
 		s = &server{Server: listed, key: loads.Key(listed.ID), hash: xxhash.Sum64String(listed.ID), listedAt: now}
@@ -45,9 +45,9 @@
 		m.byKey[s.key] = s
 		s.region = m.geography.regionOf(listed.Zone)
 		m.pool(listed.Service).servers[listed.ID] = s
-		m.recall(s)
+		m.restoreNotices(s)
 		if listed.Draining {
-			s.leave(now)
+			s.markLeaving(now)
 		}
 		s.evacuated = m.evacuated[listed.Zone]
 		s.hallLost = m.reachOf(listed.Zone).lost
@@ -64,7 +64,7 @@
 	m.noteCold(now, s, listed.ColdFor, "listed as cold")
 	switch {
 	case listed.Draining && !wasDraining:
-		s.leave(now)
+		s.markLeaving(now)
 		m.emit(BeliefCmd{Server: listed, Belief: BeliefDrain, Cause: "listed as draining"})
 	case !listed.Draining && s.leaving && !s.notices.leaving: // its own word outlasts the list's
 		s.leaving = false
@@ -74,7 +74,7 @@
 	return false
 }
 
-func (s *server) leave(now time.Duration) {
+func (s *server) markLeaving(now time.Duration) {
 	if !s.leaving {
 		s.leaving = true
 		s.leavingAt = now
@@ -86,7 +86,7 @@
 	dropped := false
 	for id, s := range p.servers {
 		if s.gone && s.running == 0 && now-s.leavingAt > goneMemory {
-			m.oldNotices.keep(now, s)
+			m.oldNotices.add(now, s)
 			delete(p.servers, id)
 			delete(m.byServer, id)
 			delete(m.byKey, s.key)
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -74,7 +74,7 @@
 	loadsAt           time.Duration // when the others' loads came
 	suspects          quarantine.Suspects
 	reprobed          []*server // that are to be probed again, see probeAgain
-	oldNotices        oldNotices
+	oldNotices        forgottenNotices
 	begun             []*run // whose first events came since the last tick, for the judging of versions
 }
 
@@ -115,15 +115,15 @@
 	case DrainMsg:
 		m.options.Drain = msg.Drain
 	case ServersMsg:
-		m.list(msg)
+		m.applyDirectory(msg)
 	case RegionsMsg:
 		m.placeHalls(msg)
 	case EvacuationsMsg:
-		m.evacuate(msg)
+		m.applyEvacuations(msg)
 	case QuarantineMsg:
 		m.suspects.Record(msg.Now, msg.Listed)
 	case GateMsg:
-		m.takeGate(msg)
+		m.applyGate(msg)
 	case ArriveMsg:
 		m.arrive(msg)
 	case DoorMsg:
@@ -135,11 +135,11 @@
 	case FirstMsg:
 		m.first(msg)
 	case NoticeMsg:
-		m.notice(msg)
+		m.applyNotice(msg)
 	case EndMsg:
-		m.end(msg)
+		m.endAttempt(msg)
 	case ProbeMsg:
-		m.probeEnded(msg)
+		m.handleProbe(msg)
 	case LeaveMsg:
 		m.leave(msg)
 	case PeerMsg:
@@ -154,12 +154,12 @@
 		m.hearCopies(msg)
 	case PeersMsg:
 		m.routers, m.hold = max(msg.Routers, 1), msg.Hold
-		m.takeQuiet(msg.Quiet)
+		m.setSilentHalls(msg.Quiet)
 		m.pacing = coldPacing{routers: max(msg.Known, msg.Routers, 1), rank: msg.Rank}
 	case TickMsg:
 		m.tick(msg.Now)
 	}
-	m.tellQuarantine()
+	m.emitQuarantineChanges()
 	return m.out
 }
 
@@ -219,16 +219,16 @@
 	m.dropLoads(now)
 	m.dropLapsed(now)
 	m.probeHalls(now)
-	m.tellBegun(now)
-	m.dropSuspects(now)
-	m.probeAgain(now)
+	m.reportStreamStarts(now)
+	m.expireSuspects(now)
+	m.reprobe(now)
 	m.share(now)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
-		m.move(now, p)
+		m.moveStreams(now, p)
 		m.serve(now, p, maxQueued)
 		for _, r := range p.queue.expired(now) {
-			m.refuse(now, p, r)
+			m.refuseWaiting(now, p, r)
 		}
 		m.forgetGone(now, p)
 	}
--- a/direct/move.go
+++ b/direct/move.go
@@ -10,22 +10,22 @@
 	// movesPart and movesLeast spread moves of streams over about a second: in each tick
 	// a part of those that are left, and some at the least. The prompts of streams that
 	// move are read anew, and callers wait behind them.
-	movesPart  = 0.125
-	movesLeast = 4
+	moveFraction    = 0.125
+	minMovesPerTick = 4
 )
 
 // move breaks off streams that run at old servers and may go on at the target's, a few
 // at a time. Each takes a retry from the budget; where there is none left, or no room at
 // the target's servers, they run on and are tried again later.
-func (m *Machine) move(now time.Duration, p *pool) {
+func (m *Machine) moveStreams(now time.Duration, p *pool) {
 	g := p.gate
 	if g == nil || !g.movePending || g.Target == "" {
 		return
 	}
-	left := m.movable(p)
-	most := max(int(movesPart*float64(len(left))), movesLeast)
-	most = min(most, len(left), g.room(now))
-	for _, r := range left[:most] {
+	streams := m.movable(p)
+	limit := max(int(moveFraction*float64(len(streams))), minMovesPerTick)
+	limit = min(limit, len(streams), g.freeSlots(now))
+	for _, r := range streams[:limit] {
 		if !p.budget.spend(now, m.options.Budget, m.routers) {
 			return
 		}
@@ -50,14 +50,14 @@
 }
 
 // room counts the free slots of the target's servers.
-func (g *gate) room(now time.Duration) int {
-	room := 0
+func (g *gate) freeSlots(now time.Duration) int {
+	free := 0
 	for _, s := range g.target {
 		if s.usable(now) && !s.probation {
-			room += max(s.Slots-s.allRunning(), 0)
+			free += max(s.Slots-s.allRunning(), 0)
 		}
 	}
-	return room
+	return free
 }
 
 // OldRunning counts this router's running requests of a service at servers of versions
@@ -82,7 +82,7 @@
 	out := make(map[string]int)
 	for name, p := range m.pools {
 		if p.gate != nil && p.gate.Target != "" {
-			out[name] = p.gate.exposure.asked
+			out[name] = p.gate.exposure.requests
 		}
 	}
 	return out
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -33,7 +33,7 @@
 	g := trial(1)
 	g.OldClosed, g.Move = true, true
 	first := moves(b.gate(g))
-	require.LessOrEqual(t, len(first), movesLeast)
+	require.LessOrEqual(t, len(first), minMovesPerTick)
 	all := append(first, moves(b.pass(time.Second))...)
 	require.Len(t, all, 20)
 	for _, id := range all {
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -15,34 +15,34 @@
 // notices are what a server has told this router of itself in its answers. They hold for the
 // rest of its life: the list may be older, or come from a source that the server can't reach,
 // so no entry overrules them.
-type notices struct {
+type serverNotices struct {
 	leaving      bool
 	leavingAt    time.Duration // since when it gets no new requests, but as a last resort
 	backoffUntil time.Duration // it wants nothing from this router until then
 }
 
 // last tells whether there is anything to remember.
-func (n notices) last(now time.Duration) bool { return n.leaving || now < n.backoffUntil }
+func (n serverNotices) active(now time.Duration) bool { return n.leaving || now < n.backoffUntil }
 
 // notice takes in what a server said of itself.
-func (m *Machine) notice(msg NoticeMsg) {
+func (m *Machine) applyNotice(msg NoticeMsg) {
 	s := m.byServer[msg.Server]
 	if s == nil {
 		return // a server is known at least as long as a request runs there
 	}
 	// The backoff comes first: requests that wait may take a server that leaves as a last resort.
 	if msg.Notice.Backoff > 0 {
-		m.noticeBackoff(msg.Now, s, msg.Notice.Backoff)
+		m.applyBackoff(msg.Now, s, msg.Notice.Backoff)
 	}
 	if msg.Notice.Leaving && !s.notices.leaving {
-		m.noticeLeaving(msg.Now, s)
+		m.applyLeaving(msg.Now, s)
 	}
 }
 
 // noticeBackoff leaves a server alone for as long as it asked for. What it answers meanwhile to
 // requests that were under way does not end that.
-func (m *Machine) noticeBackoff(now time.Duration, s *server, backoff time.Duration) {
-	if !s.backsOff(now) {
+func (m *Machine) applyBackoff(now time.Duration, s *server, backoff time.Duration) {
+	if !s.inBackoff(now) {
 		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBackoff, Cause: "said so in an answer", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
@@ -50,7 +50,7 @@
 }
 
 // backsOff tells whether a server has asked this router to send it nothing yet.
-func (s *server) backsOff(now time.Duration) bool { return now < s.notices.backoffUntil }
+func (s *server) inBackoff(now time.Duration) bool { return now < s.notices.backoffUntil }
 
 // ShouldWithhold tells whether a request that was placed must not be sent any more, since its server
 // has said so meanwhile: a router that runs late may have placed many by then.
@@ -60,15 +60,15 @@
 		return false
 	}
 	s := r.at
-	return s.backsOff(now) || (s.notices.leaving && s.notices.leavingAt > r.sentAt)
+	return s.inBackoff(now) || (s.notices.leaving && s.notices.leavingAt > r.sentAt)
 }
 
 // backoffEnds returns how soon one of the servers wants requests again that would get some of
 // these regions but for that, and whether there is one.
-func (p *pool) backoffEnds(now time.Duration, regions Regions) (time.Duration, bool) {
+func (p *pool) shortestBackoff(now time.Duration, regions Regions) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
 	for _, s := range p.order {
-		if !s.backsOff(now) || !s.available() || !regions.Allows(s.region) {
+		if !s.inBackoff(now) || !s.available() || !regions.Allows(s.region) {
 			continue
 		}
 		if left := s.notices.backoffUntil - now; !found || left < soonest {
@@ -79,23 +79,23 @@
 }
 
 // noticeLeaving takes out a server that said that it leaves.
-func (m *Machine) noticeLeaving(now time.Duration, s *server) {
+func (m *Machine) applyLeaving(now time.Duration, s *server) {
 	known := s.leaving
-	s.leave(now)
+	s.markLeaving(now)
 	s.notices.leaving, s.notices.leavingAt = true, s.leavingAt
 	if known {
 		return
 	}
 	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefDrain, Cause: "said so in an answer"})
 	p := m.pool(s.Service)
-	p.admit()
+	p.updateEligible()
 	m.serve(now, p, maxQueued)
 }
 
 // recall gives a server that is listed anew what it said before it was forgotten.
-func (m *Machine) recall(s *server) {
+func (m *Machine) restoreNotices(s *server) {
 	s.notices = m.oldNotices.take(s.ID)
 	if s.notices.leaving {
-		s.leave(s.notices.leavingAt)
+		s.markLeaving(s.notices.leavingAt)
 	}
 }
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -237,13 +237,13 @@
 
 // TestNoticesOfManyLives forgets what servers said long ago, once there were many since.
 func TestNoticesOfManyLives(t *testing.T) {
-	var p oldNotices
-	for i := range 2 * noticesMost {
-		s := &server{Server: Server{ID: string(rune(i))}, notices: notices{leaving: true}}
-		p.keep(time.Second, s)
+	var p forgottenNotices
+	for i := range 2 * maxForgottenNotices {
+		s := &server{Server: Server{ID: string(rune(i))}, notices: serverNotices{leaving: true}}
+		p.add(time.Second, s)
 	}
-	require.Len(t, p.byServer, noticesMost)
-	require.Len(t, p.order, noticesMost)
-	require.True(t, p.take(string(rune(2*noticesMost-1))).leaving)
+	require.Len(t, p.byServer, maxForgottenNotices)
+	require.Len(t, p.order, maxForgottenNotices)
+	require.True(t, p.take(string(rune(2*maxForgottenNotices-1))).leaving)
 	require.False(t, p.take(string(rune(0))).leaving)
 }
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -11,7 +11,7 @@
 // peer takes in what another router does at the moment.
 func (m *Machine) peer(msg PeerMsg) {
 	m.peers[msg.Peer] = peerReport{at: msg.Now, report: msg.Report}
-	m.hearSuspects(msg.Now, msg.Report)
+	m.mergeSuspects(msg.Now, msg.Report)
 }
 
 // forgetPeers drops the reports that no longer hold.
@@ -70,7 +70,7 @@
 // suspects is in a few reports.
 func (m *Machine) Report(now time.Duration) Report {
 	return Report{
-		Headroom: m.ownHeadroom, Suspects: m.suspects.Tell(now, suspectsTold), SuspectsDigest: m.suspects.Digest(),
+		Headroom: m.ownHeadroom, Suspects: m.suspects.Tell(now, maxReportedSuspects), SuspectsDigest: m.suspects.Digest(),
 	}
 }
 
--- a/direct/place.go
+++ b/direct/place.go
@@ -112,14 +112,14 @@
 // known.
 func (m *Machine) lastResort(now time.Duration, p *pool, r *run) (choice, bool) {
 	var best *server
-	for _, s := range p.reachable(r) {
+	for _, s := range p.eligible(r) {
 		if !r.Regions.Allows(s.region) {
 			continue
 		}
 		if !s.leaving {
 			return choice{}, false
 		}
-		if s.evacuated || now-s.leavingAt > m.lastResortFor() || now < s.downUntil || s.backsOff(now) {
+		if s.evacuated || now-s.leavingAt > m.lastResortDuration() || now < s.downUntil || s.inBackoff(now) {
 			continue
 		}
 		if r.wasAt(s.ID) || s.allRunning() >= s.Slots || !m.coldReady(now, p, s) {
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -61,7 +61,7 @@
 		p.all = append(p.all, s)
 	}
 	sortByID(p.all)
-	p.admit()
+	p.updateEligible()
 }
 
 func sortByID(servers []*server) {
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -10,19 +10,19 @@
 	// lostAfter is how many servers of a data hall in a row must turn out to be out of
 	// reach, with no answer from any other, before the hall counts as lost. Where one
 	// server in six is down, three in a row with no answer between are one case in 200.
-	lostAfter = 3
+	lostThreshold = 3
 	// lostWithin bounds the time between the first and the last of them.
-	lostWithin = time.Second
+	lostWindow = time.Second
 	// answerFresh is how recent an answer must be for a silent hall not to be probed: some
 	// times the usual time to a first event.
-	answerFresh = 250 * time.Millisecond
+	recentResponse = 250 * time.Millisecond
 	// probesEach is how many servers of a hall are probed at once.
-	probesEach = 3
+	probesPerRound = 3
 	// probeFirst and probeLongest bound the time between two rounds of probes of a hall
 	// that is lost. A probe opens a connection, so it costs little more than a caller's
 	// request would that is sent there in vain.
-	probeFirst   = 200 * time.Millisecond
-	probeLongest = 800 * time.Millisecond
+	minProbeInterval = 200 * time.Millisecond
+	maxProbeInterval = 800 * time.Millisecond
 )
 
 // hallReach is what a router knows of whether the servers of a data hall can be reached
@@ -31,58 +31,58 @@
 type hallReach struct {
 	// unreached are the servers that could not be reached since a server of the hall last
 	// answered; since is when the first of them was found.
-	unreached  map[string]bool
-	since      time.Duration
-	answeredAt time.Duration
-	lost       bool
-	quiet      bool // none of its routers is heard any more
-	probeAt    time.Duration
-	pause      time.Duration // between rounds of probes
-	probed     int           // probes sent, so that each round takes other servers
+	unreachable        map[string]bool
+	firstUnreachableAt time.Duration
+	respondedAt        time.Duration
+	lost               bool
+	routersSilent      bool // none of its routers is heard any more
+	nextProbeAt        time.Duration
+	probeInterval      time.Duration // between rounds of probes
+	probesSent         int           // probes sent, so that each round takes other servers
 }
 
 func (m *Machine) reachOf(hall string) *hallReach {
 	h := m.reach[hall]
 	if h == nil {
-		h = &hallReach{unreached: make(map[string]bool)}
+		h = &hallReach{unreachable: make(map[string]bool)}
 		m.reach[hall] = h
 	}
 	return h
 }
 
 // answered takes in that a server has answered: its hall can be reached.
-func (m *Machine) answered(now time.Duration, s *server) {
+func (m *Machine) recordResponse(now time.Duration, s *server) {
 	h := m.reachOf(s.Zone)
-	h.answeredAt = now
-	if len(h.unreached) > 0 {
-		clear(h.unreached)
+	h.respondedAt = now
+	if len(h.unreachable) > 0 {
+		clear(h.unreachable)
 	}
 	if h.lost {
-		m.setLost(now, s.Zone, h, false)
+		m.setHallLost(now, s.Zone, h, false)
 	}
 }
 
 // outOfReach takes in that nothing could be sent to a server. One that was out of reach
 // before says nothing new of its hall.
-func (m *Machine) outOfReach(now time.Duration, s *server) {
+func (m *Machine) recordUnreachable(now time.Duration, s *server) {
 	if s.probation {
 		return
 	}
 	h := m.reachOf(s.Zone)
-	if now-h.since > lostWithin && !h.lost {
-		clear(h.unreached)
+	if now-h.firstUnreachableAt > lostWindow && !h.lost {
+		clear(h.unreachable)
 	}
-	if len(h.unreached) == 0 {
-		h.since = now
+	if len(h.unreachable) == 0 {
+		h.firstUnreachableAt = now
 	}
-	h.unreached[s.ID] = true
-	if !h.lost && len(h.unreached) >= min(lostAfter, m.serversIn(s.Zone)) && m.uses(HallReach) {
-		m.setLost(now, s.Zone, h, true)
+	h.unreachable[s.ID] = true
+	if !h.lost && len(h.unreachable) >= min(lostThreshold, m.countHallServers(s.Zone)) && m.uses(HallReach) {
+		m.setHallLost(now, s.Zone, h, true)
 	}
 }
 
 // serversIn counts the servers of a hall that are not gone.
-func (m *Machine) serversIn(hall string) int {
+func (m *Machine) countHallServers(hall string) int {
 	n := 0
 	for _, s := range m.byServer {
 		if s.Zone == hall && !s.gone && !s.barred {
@@ -93,10 +93,10 @@
 }
 
 // setLost puts in force whether a hall counts as lost.
-func (m *Machine) setLost(now time.Duration, hall string, h *hallReach, lost bool) {
+func (m *Machine) setHallLost(now time.Duration, hall string, h *hallReach, lost bool) {
 	h.lost = lost
-	h.pause = probeFirst
-	h.probeAt = now + h.pause
+	h.probeInterval = minProbeInterval
+	h.nextProbeAt = now + h.probeInterval
 	servers := 0
 	for _, s := range m.byServer {
 		if s.Zone == hall {
@@ -104,17 +104,17 @@
 			servers++
 		}
 	}
-	m.admitAll()
-	m.emit(ReachCmd{Hall: hall, Lost: lost, Unreached: len(h.unreached), Servers: servers})
+	m.updateAllEligible()
+	m.emit(ReachCmd{Hall: hall, Lost: lost, Unreached: len(h.unreachable), Servers: servers})
 }
 
 // takeQuiet takes in of which halls no router is heard any more.
-func (m *Machine) takeQuiet(halls []string) {
+func (m *Machine) setSilentHalls(halls []string) {
 	for hall, h := range m.reach {
-		h.quiet = slices.Contains(halls, hall)
+		h.routersSilent = slices.Contains(halls, hall)
 	}
 	for _, hall := range halls {
-		m.reachOf(hall).quiet = true
+		m.reachOf(hall).routersSilent = true
 	}
 }
 
@@ -123,18 +123,18 @@
 func (m *Machine) probeHalls(now time.Duration) {
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
-		suspected := h.quiet && now-h.answeredAt > answerFresh
-		if now < h.probeAt || !m.uses(HallReach) || (!h.lost && !suspected) {
+		suspected := h.routersSilent && now-h.respondedAt > recentResponse
+		if now < h.nextProbeAt || !m.uses(HallReach) || (!h.lost && !suspected) {
 			continue
 		}
-		h.pause = min(max(2*h.pause, probeFirst), probeLongest)
-		h.probeAt = now + h.pause
-		m.probe(hall, h)
+		h.probeInterval = min(max(2*h.probeInterval, minProbeInterval), maxProbeInterval)
+		h.nextProbeAt = now + h.probeInterval
+		m.probeHall(hall, h)
 	}
 }
 
 // probe sends one round of probes to servers of a hall, to others each time.
-func (m *Machine) probe(hall string, h *hallReach) {
+func (m *Machine) probeHall(hall string, h *hallReach) {
 	var all []*server
 	for _, name := range m.poolNames() {
 		for _, s := range m.pools[name].order {
@@ -143,22 +143,22 @@
 			}
 		}
 	}
-	for range min(probesEach, len(all)) {
-		m.emit(ProbeCmd{Server: all[h.probed%len(all)].Server})
-		h.probed++
+	for range min(probesPerRound, len(all)) {
+		m.emit(ProbeCmd{Server: all[h.probesSent%len(all)].Server})
+		h.probesSent++
 	}
 }
 
 // probeEnded takes in whether a probed server could be reached.
-func (m *Machine) probeEnded(msg ProbeMsg) {
+func (m *Machine) handleProbe(msg ProbeMsg) {
 	s := m.byServer[msg.Server]
 	switch {
 	case s == nil:
-	case m.blameEnded(msg, s):
+	case m.resolveCrashCheck(msg, s):
 		// Its process has ended, which says nothing of the others of its hall.
 	case msg.Reached:
-		m.answered(msg.Now, s)
+		m.recordResponse(msg.Now, s)
 	case !msg.Slow:
-		m.outOfReach(msg.Now, s)
+		m.recordUnreachable(msg.Now, s)
 	}
 }
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -128,11 +128,11 @@
 // ends that.
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
 	b := hallsOf(t, 60)
-	for i := range lostAfter {
+	for i := range lostThreshold {
 		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
 	require.Zero(t, b.sentTo(100 * time.Millisecond)["b"])
-	probe, ok := find[ProbeCmd](b.pass(probeFirst))
+	probe, ok := find[ProbeCmd](b.pass(minProbeInterval))
 	require.True(t, ok)
 	b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
@@ -145,13 +145,13 @@
 	b.pass(time.Second)
 	b.m.Update(PeersMsg{Now: b.now, Routers: 9, Hold: time.Second, Known: 9, Quiet: []string{"b"}})
 	probes := b.pass(TickEvery)
-	require.Len(t, probes, probesEach)
+	require.Len(t, probes, probesPerRound)
 	for _, c := range probes {
 		b.m.Update(ProbeMsg{Now: b.now, Server: c.(ProbeCmd).Server.ID})
 	}
 	require.Zero(t, b.sentTo(time.Second)["b"])
 	b.m.Update(PeersMsg{Now: b.now, Routers: 9, Hold: time.Second, Known: 9})
-	probe, ok := find[ProbeCmd](b.pass(probeLongest))
+	probe, ok := find[ProbeCmd](b.pass(maxProbeInterval))
 	require.True(t, ok, "a lost hall is probed on")
 	b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.sentTo(time.Second)["b"])
@@ -160,7 +160,7 @@
 // TestLateRouterLosesNoHall has a router that is late itself reach nobody.
 func TestLateRouterLosesNoHall(t *testing.T) {
 	b := hallsOf(t, 60)
-	for i := range 2 * lostAfter {
+	for i := range 2 * lostThreshold {
 		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), Slow: true})
 	}
 	require.NotZero(t, b.sentTo(time.Second)["b"])
--- a/direct/region.go
+++ b/direct/region.go
@@ -4,8 +4,8 @@
 
 // Regions are those that a request may be served in. Its zero value allows all.
 type Regions struct {
-	bound   bool
-	allowed []string // sorted; empty where bound: none
+	restricted bool
+	allowed    []string // sorted; empty where bound: none
 }
 
 // RegionsOf returns the regions that are allowed by each of several lists, such as those of
@@ -16,8 +16,8 @@
 		if len(list) == 0 {
 			continue
 		}
-		if !r.bound {
-			r = Regions{bound: true, allowed: slices.Sorted(slices.Values(list))}
+		if !r.restricted {
+			r = Regions{restricted: true, allowed: slices.Sorted(slices.Values(list))}
 			continue
 		}
 		r.allowed = slices.DeleteFunc(r.allowed, func(region string) bool { return !slices.Contains(list, region) })
@@ -28,14 +28,14 @@
 // Allows tells whether a region is among them. An unknown region, the empty one, is outside
 // wherever a request is bound.
 func (r Regions) Allows(region string) bool {
-	return !r.bound || (region != "" && slices.Contains(r.allowed, region))
+	return !r.restricted || (region != "" && slices.Contains(r.allowed, region))
 }
 
 // Restricted tells whether not all regions are allowed.
-func (r Regions) Restricted() bool { return r.bound }
+func (r Regions) Restricted() bool { return r.restricted }
 
 // AllowsNone tells whether no region is allowed.
-func (r Regions) AllowsNone() bool { return r.bound && len(r.allowed) == 0 }
+func (r Regions) AllowsNone() bool { return r.restricted && len(r.allowed) == 0 }
 
 // Names returns the allowed regions in order; nil where all are.
 func (r Regions) Names() []string { return slices.Clone(r.allowed) }
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -145,7 +145,7 @@
 		b.m.byServer[busy].pending = 1_000_000
 		r := &run{Request: b.in("west")}
 		r.ID = 1
-		return b.m.comeBack(b.now, b.m.pool("llm"), r, ReasonOverload)
+		return b.m.retryAfter(b.now, b.m.pool("llm"), r, ReasonOverload)
 	}
 	require.Greater(t, after("c0"), 5*time.Second)
 	require.Less(t, after("a0"), time.Second)
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -5,7 +5,7 @@
 )
 
 func (m *Machine) send(now time.Duration, p *pool, r *run, c choice) {
-	c = m.noteSent(now, p, r, c)
+	c = m.recordSent(now, p, r, c)
 	s := c.server
 	r.waiting = false
 	r.at = s
@@ -25,7 +25,7 @@
 		r.ahead = s.allPending() + r.pending
 		s.pending += r.pending
 	}
-	m.watch(now, p, r, s)
+	m.startObservation(now, p, r, s)
 	m.charge(now, r)
 	if p.engine != nil && c.miss > 0 && m.uses(Copies) {
 		m.tellCopies(now, p, r, s)
@@ -71,12 +71,12 @@
 	}
 	p := m.pool(r.Service)
 	r.firstAt = msg.Now
-	m.sawFirst(msg.Now, p, r)
+	m.observeFirstEvent(msg.Now, p, r)
 	if r.begun {
 		return
 	}
 	r.begun = true
-	m.answered(msg.Now, r.at)
+	m.recordResponse(msg.Now, r.at)
 	r.at.learnFirst(p, r, msg.Now-r.sentAt)
 	r.at.started(r)
 	m.serve(msg.Now, p, serveEach)
--- a/direct/serve.go
+++ b/direct/serve.go
@@ -23,7 +23,7 @@
 		m.giveUp(now, p, r, ReasonShare)
 		return
 	}
-	if !p.anyUsable(now, r.Regions) || p.noSideUsable(now, r) {
+	if !p.anyUsable(now, r.Regions) || p.noUsableServer(now, r) {
 		m.giveUp(now, p, r, p.reasonNone(now, r))
 		return
 	}
@@ -31,7 +31,7 @@
 	p.queue.add(r)
 	if len(p.queue.waiting) > maxQueued {
 		m.order(now, p)
-		m.refuse(now, p, p.queue.waiting[len(p.queue.waiting)-1])
+		m.refuseWaiting(now, p, p.queue.waiting[len(p.queue.waiting)-1])
 	}
 }
 
@@ -42,7 +42,7 @@
 	if r.above && r.attempt == 0 {
 		return false
 	}
-	c, ok := m.placeBySide(now, p, r)
+	c, ok := m.placeOnSide(now, p, r)
 	if ok {
 		m.send(now, p, r, c)
 	}
@@ -77,7 +77,7 @@
 
 // reasonNone says why a request is refused that no server may get at the moment.
 func (p *pool) reasonNone(now time.Duration, r *run) Reason {
-	if _, ok := p.backoffEnds(now, r.Regions); ok {
+	if _, ok := p.shortestBackoff(now, r.Regions); ok {
 		return ReasonBackoff
 	}
 	return ReasonNoServers
--- a/direct/server.go
+++ b/direct/server.go
@@ -36,7 +36,7 @@
 	leavingAt time.Duration // when it was first known to leave, by its entry or its answers
 	leaving   bool
 	gone      bool
-	notices   notices
+	notices   serverNotices
 	// lapsedAt is when the server's entry went together with many others; it is
 	// still used for lapsedFor. 0: it did not.
 	lapsedAt time.Duration
@@ -68,12 +68,12 @@
 	pause        time.Duration // of the last ejection or down time
 	probation    bool          // must first answer one repeatable request
 	fullUntil    time.Duration
-	blamed       blame
+	blamed       crashCheck
 }
 
 // usable tells whether new requests may go to a server at all.
 func (s *server) usable(now time.Duration) bool {
-	return s.available() && now >= s.downUntil && now >= s.ejectedUntil && !s.backsOff(now)
+	return s.available() && now >= s.downUntil && now >= s.ejectedUntil && !s.inBackoff(now)
 }
 
 // available tells whether nothing keeps new requests from a server for long.
--- a/direct/side.go
+++ b/direct/side.go
@@ -20,19 +20,19 @@
 // placement is where a request was placed, or is being placed, while its service moves from
 // one version to another.
 type placement struct {
-	target  bool // the side that it is being placed on, or was sent to
-	side    Side
-	failed  bool   // an attempt at a server of the target brought no answer
-	moving  bool   // a MoveCmd was emitted for it; the budget has been charged
-	moved   bool   // it was broken off to go on at the target
-	epoch   uint64 // see exposure; of the present attempt
-	reached bool   // the present attempt was counted as having come to its server
+	target       bool // the side that it is being placed on, or was sent to
+	side         Side
+	targetFailed bool   // an attempt at a server of the target brought no answer
+	moving       bool   // a MoveCmd was emitted for it; the budget has been charged
+	moved        bool   // it was broken off to go on at the target
+	targetEpoch  uint64 // see exposure; of the present attempt
+	counted      bool   // the present attempt was counted as having come to its server
 }
 
 // candidateSide is one of the sides that a request may go to.
 type candidateSide struct {
 	target bool
-	why    Side
+	side   Side
 }
 
 // The sides that a request may go to, in the order in which they are tried. Old servers
@@ -48,13 +48,13 @@
 // sidesFor returns the sides that a request may go to, in order.
 func (g *gate) sidesFor(r *run) []candidateSide {
 	switch {
-	case r.placement.failed:
+	case r.placement.targetFailed:
 		return sidesRetry
 	case r.placement.moved:
 		return sidesMoved
-	case g.closed() || position(r) < g.Part:
+	case g.oldVersionsClosed() || rolloutPosition(r) < g.Part:
 		return sidesTarget
-	case g.exposure.behind(r.Route, g.Limit) && chance(uint64(r.ID)) < g.Part:
+	case g.exposure.behind(r.Route, g.Limit) && unitHash(uint64(r.ID)) < g.Part:
 		return sidesSample
 	}
 	return sidesOld
@@ -62,19 +62,19 @@
 
 // position is a request's place in the order in which parts move to another version,
 // from 0 to 1. It is the same in all routers.
-func position(r *run) float64 {
+func rolloutPosition(r *run) float64 {
 	if part, shared := r.lastShared(); shared {
-		return chance(part.ID)
+		return unitHash(part.ID)
 	}
-	return chance(uint64(r.ID))
+	return unitHash(uint64(r.ID))
 }
 
 // chance maps an id to a number from 0 to 1, always the same one.
-func chance(x uint64) float64 { return float64(scramble(x)>>11) / (1 << 53) }
+func unitHash(x uint64) float64 { return float64(splitMix64(x)>>11) / (1 << 53) }
 
 // scramble mixes the bits of an id (SplitMix64), so that ids that follow one another give
 // unrelated numbers.
-func scramble(x uint64) uint64 {
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -82,20 +82,20 @@
 }
 
 // placeBySide picks a server on the first side that has a place for a request.
-func (m *Machine) placeBySide(now time.Duration, p *pool, r *run) (choice, bool) {
+func (m *Machine) placeOnSide(now time.Duration, p *pool, r *run) (choice, bool) {
 	g := p.gate
 	if g == nil || g.Target == "" {
 		r.placement.target, r.placement.side = false, ""
 		return m.place(now, p, r)
 	}
 	limited := false
-	for _, one := range g.sidesFor(r) {
-		if one.target && !g.exposure.allows(r.Route, g.Limit) {
+	for _, candidate := range g.sidesFor(r) {
+		if candidate.target && !g.exposure.allows(r.Route, g.Limit) {
 			limited = true
 			continue
 		}
-		r.placement.target, r.placement.side = one.target, one.why
-		if limited && one.why == SideFull {
+		r.placement.target, r.placement.side = candidate.target, candidate.side
+		if limited && candidate.side == SideFull {
 			r.placement.side = SideLimit
 		}
 		if c, ok := m.place(now, p, r); ok {
@@ -107,16 +107,16 @@
 
 // noteSent counts a request that is being sent against the exposure, before the load of
 // its server is counted.
-func (m *Machine) noteSent(now time.Duration, p *pool, r *run, c choice) choice {
+func (m *Machine) recordSent(now time.Duration, p *pool, r *run, c choice) choice {
 	if p.gate == nil {
 		return c
 	}
-	r.placement.epoch, r.placement.reached = p.gate.exposure.epoch, false
+	r.placement.targetEpoch, r.placement.counted = p.gate.exposure.targetEpoch, false
 	if r.attempt > 0 {
-		p.gate.exposure.asked++
+		p.gate.exposure.requests++
 	}
 	if c.server.target {
-		p.gate.exposure.sentTarget(r.Route)
+		p.gate.exposure.countTarget(r.Route)
 		if p.engine != nil {
 			// A new version's servers keep nothing yet, not even the first for the part.
 			c.miss = m.missing(now, p, c.server, r)
@@ -126,13 +126,13 @@
 }
 
 // noteEnded takes in, for the exposure and for the next placement, how an attempt ended.
-func (p *pool) noteEnded(r *run, s *server, o Outcome) {
+func (p *pool) recordEnded(r *run, s *server, o Outcome) {
 	if p.gate == nil {
 		return
 	}
-	if o.reaches() {
-		p.gate.exposure.reached(r)
+	if o.reachedServer() {
+		p.gate.exposure.countReached(r)
 	}
-	r.placement.failed = r.placement.failed || (s.target && o != Moved)
+	r.placement.targetFailed = r.placement.targetFailed || (s.target && o != Moved)
 	r.placement.moved = r.placement.moved || o == Moved
 }
--- a/direct/trial.go
+++ b/direct/trial.go
@@ -10,80 +10,80 @@
 const (
 	// trialLeast is the least number of servers in a trial: one may be faulty by itself,
 	// and of three the other two still tell of the version.
-	trialLeast = 3
+	minCanaryServers = 3
 	// trialSeed seeds the rendezvous weights by which servers are chosen for a trial, so
 	// that they differ from those of any part of a prompt.
-	trialSeed = 0x7452_6961_6c53_6964
+	canarySeed = 0x7452_6961_6c53_6964
 	// cohortsInHall is in how many cohorts the servers of one hall are told apart where
 	// the target has no other: leaving out one of three leaves enough evidence.
-	cohortsInHall = 3
+	cohortsPerHall = 3
 )
 
 // openTargets returns the target's servers that take requests at the present stage, by id.
 // All routers choose the same ones, by the servers' ids. A server that is ejected stays in
 // the trial: what it answered is evidence. Servers that are leaving are used as a last
 // resort only once old servers are closed: before that, the old ones serve.
-func (g *gate) openTargets(all []*server) []*server {
+func (g *gate) canaryServers(all []*server) []*server {
 	var out []*server
 	if g.Part <= 0 {
 		return nil
 	}
 	for _, s := range all {
-		if s.target && (g.closed() || s.available()) {
+		if s.target && (g.oldVersionsClosed() || s.available()) {
 			out = append(out, s)
 		}
 	}
-	most := max(int(math.Ceil(g.Servers*float64(len(out)))), trialLeast)
-	if g.Servers >= 1 || most >= len(out) {
+	limit := max(int(math.Ceil(g.Servers*float64(len(out)))), minCanaryServers)
+	if g.Servers >= 1 || limit >= len(out) {
 		return out
 	}
 	slices.SortFunc(out, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(rank(trialSeed, b), rank(trialSeed, a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(rank(canarySeed, b), rank(canarySeed, a)), cmp.Compare(a.ID, b.ID))
 	})
-	out = spreadOut(out)[:most]
+	out = cohortLeadersFirst(out)[:limit]
 	sortByID(out)
 	return out
 }
 
 // spreadOut puts the first server of each cohort before all others.
-func spreadOut(all []*server) []*server {
-	single := inOneHall(all)
+func cohortLeadersFirst(all []*server) []*server {
+	oneHall := inOneHall(all)
 	seen := make(map[string]bool)
-	var firsts, rest []*server
+	var leaders, rest []*server
 	for _, s := range all {
-		c := cohortOf(s, single)
+		c := cohortOf(s, oneHall)
 		if seen[c] {
 			rest = append(rest, s)
 			continue
 		}
 		seen[c] = true
-		firsts = append(firsts, s)
+		leaders = append(leaders, s)
 	}
-	return append(firsts, rest...)
+	return append(leaders, rest...)
 }
 
 // nameCohorts names for each server of a pool the cohort that its answers count for:
 // servers that may fail together, and for reasons of their own.
-func (p *pool) nameCohorts() {
+func (p *pool) assignCohorts() {
 	var present []*server
 	for _, s := range p.all {
 		if s.target && s.available() {
 			present = append(present, s)
 		}
 	}
-	single := inOneHall(present)
+	oneHall := inOneHall(present)
 	for _, s := range p.all {
-		s.cohort = cohortOf(s, single)
+		s.cohort = cohortOf(s, oneHall)
 	}
 }
 
 // cohortOf returns the hall of a server, or, where the target has servers in a single
 // hall only, a part of that hall's.
-func cohortOf(s *server, single bool) string {
-	if !single {
+func cohortOf(s *server, oneHall bool) string {
+	if !oneHall {
 		return s.Zone
 	}
-	return fmt.Sprintf("%s/%d", s.Zone, s.key%cohortsInHall)
+	return fmt.Sprintf("%s/%d", s.Zone, s.key%cohortsPerHall)
 }
 
 // inOneHall tells whether there are servers, all of them in one data hall.
