--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -18,14 +18,14 @@
 	for _, hall := range msg.Evacuations.Halls {
 		halls[hall] = true
 	}
-	was := m.evacuated
+	previous := m.evacuated
 	m.evacuated = halls
-	m.emitHallChanges(was)
+	m.emitHallChanges(previous)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		for _, s := range p.all {
 			s.evacuated = halls[s.Zone]
-			if was[s.Zone] && !s.evacuated {
+			if previous[s.Zone] && !s.evacuated {
 				m.markReturnedCold(msg.Now, p, s)
 			}
 		}
@@ -42,11 +42,11 @@
 }
 
 // tellHalls emits what has changed since an earlier set of evacuated halls.
-func (m *Machine) emitHallChanges(was map[string]bool) {
-	all := maps.Clone(was)
+func (m *Machine) emitHallChanges(previous map[string]bool) {
+	all := maps.Clone(previous)
 	maps.Copy(all, m.evacuated)
 	for _, hall := range slices.Sorted(maps.Keys(all)) {
-		if was[hall] == m.evacuated[hall] {
+		if previous[hall] == m.evacuated[hall] {
 			continue
 		}
 		servers := 0
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -156,11 +156,11 @@
 	elapsed := inMilliseconds(now - r.sentAt)
 	delay := &p.baseline.routes.of(r.Route).delayRatio
 	usual := delay.mean() * r.observed.expectedMS
-	is := rateSpeed(delay, elapsed > slowFactor*usual+inMilliseconds(slowFirstEventMargin))
+	rating := rateSpeed(delay, elapsed > slowFactor*usual+inMilliseconds(slowFirstEventMargin))
 	if !s.target && r.observed.eligible {
 		p.updateBaseline(r, elapsed)
 	}
-	return is
+	return rating
 }
 
 // compare is the speed of an answer that is slow, or not, beside the average of old servers.
@@ -192,11 +192,11 @@
 	elapsed := inMilliseconds(now - r.observed.firstEventAt)
 	token := &p.baseline.routes.of(r.Route).tokenMS
 	usual := token.mean() * tokens
-	is := rateSpeed(token, elapsed > slowFactor*usual && elapsed > usual+inMilliseconds(slowStreamMargin))
+	rating := rateSpeed(token, elapsed > slowFactor*usual && elapsed > usual+inMilliseconds(slowStreamMargin))
 	if !s.target && r.observed.eligible {
 		token.add(elapsed/tokens, minTokenMS)
 	}
-	return is
+	return rating
 }
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/direct/oldnotices.go
+++ b/direct/oldnotices.go
@@ -33,10 +33,10 @@
 
 // take returns what a server said before it was forgotten.
 func (o *forgottenNotices) take(id string) serverNotices {
-	n, there := o.byServer[id]
-	if there {
+	n, ok := o.byServer[id]
+	if ok {
 		delete(o.byServer, id)
-		o.order = slices.DeleteFunc(o.order, func(one string) bool { return one == id })
+		o.order = slices.DeleteFunc(o.order, func(other string) bool { return other == id })
 	}
 	return n
 }
