--- a/direct/arrival.go
+++ b/direct/arrival.go
@@ -22,7 +22,7 @@
 func (m *Machine) recordDemand(now time.Duration, p *pool, r *requestState) {
 	p.retryWindow.addRequest(now)
 	if p.gate != nil {
-		p.gate.exposure.asked++
+		p.gate.exposure.requests++
 	}
 	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
 	p.objectiveMS += objectiveWeight * (objectiveMS - p.objectiveMS)
@@ -36,7 +36,7 @@
 func (m *Machine) checkAdmission(msg AdmissionCheckMsg) {
 	r := m.newRequestState(msg.Now, msg.Request)
 	p := m.pool(r.Service)
-	if r.Regions.None() {
+	if r.Regions.AllowsNone() {
 		m.recordDemand(msg.Now, p, r)
 		m.giveUp(msg.Now, p, r, ReasonRegion)
 		return
--- a/direct/place.go
+++ b/direct/place.go
@@ -112,14 +112,14 @@
 // known.
 func (m *Machine) lastResort(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	var best *server
-	for _, s := range p.reachable(r) {
-		if !r.Regions.Allow(s.region) {
+	for _, s := range p.eligible(r) {
+		if !r.Regions.Allows(s.region) {
 			continue
 		}
 		if !s.leaving {
 			return choice{}, false
 		}
-		if s.evacuated || now-s.leavingAt > m.lastResortFor() || now < s.downUntil || s.backsOff(now) {
+		if s.evacuated || now-s.leavingAt > m.lastResortDuration() || now < s.downUntil || s.inBackoff(now) {
 			continue
 		}
 		if r.hasTried(s.ID) || s.totalRunning() >= s.Slots || !m.coldSendAllowed(now, p, s) {
