--- a/direct/arrival.go
+++ b/direct/arrival.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// handleArrival takes a request in and tries to place it.
+// handleArrival registers a new request and sends, queues or refuses it.
 func (m *Machine) handleArrival(msg RequestMsg) {
 	r := m.newRequestState(msg.Now, msg.Request)
 	m.requests[r.ID] = r
@@ -18,7 +18,7 @@
 	return r
 }
 
-// recordDemand takes in that a request was asked for.
+// recordDemand counts a request in the demand of its team and in the averages of its pool.
 func (m *Machine) recordDemand(now time.Duration, p *pool, r *requestState) {
 	p.retryWindow.addRequest(now)
 	if p.gate != nil {
@@ -31,8 +31,9 @@
 	team.recent.add(now, r.cost())
 }
 
-// checkAdmission refuses a request whose team has no allowance left for it, or that may run nowhere.
-// The router asks before it reads the body, so that a flood costs it little.
+// checkAdmission refuses a request whose team's token bucket can't cover it, or that no region
+// may serve. The router calls it before it reads the body, so that a refusal costs little
+// during a flood.
 func (m *Machine) checkAdmission(msg AdmissionCheckMsg) {
 	r := m.newRequestState(msg.Now, msg.Request)
 	p := m.pool(r.Service)
@@ -50,8 +51,8 @@
 	m.giveUp(msg.Now, p, r, ReasonOverShare)
 }
 
-// wouldExpire tells whether a request would wait in vain: its team's allowance cannot
-// cover it before its time in the queue is over.
+// wouldExpire reports whether a first attempt is throttled and its team's token bucket can't
+// cover it before its time in the queue ends.
 func (m *Machine) wouldExpire(now time.Duration, p *pool, r *requestState) bool {
 	return r.attempt == 0 && r.throttled && !m.team(r.Team).tokenBucket.covers(p.queue.queuedTokens(r.Team, r.waitUntil), r.waitUntil-now)
 }
--- a/direct/byroute.go
+++ b/direct/byroute.go
@@ -1,9 +1,9 @@
 package direct
 
-// byRoute holds one T for each route. The zero value holds none.
+// byRoute holds a T for each route. The zero value is empty.
 type byRoute[T any] map[string]*T
 
-// get returns what is held for a route; it begins as the zero value.
+// get returns the value of a route and creates it if it is missing.
 func (b *byRoute[T]) get(route string) *T {
 	if *b == nil {
 		*b = make(byRoute[T])
--- a/direct/candidates.go
+++ b/direct/candidates.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// candidate is a server with its place in a request's order.
+// candidate is a server that may receive a request, with its score.
 type candidate struct {
 	server *server
-	// score is the rendezvous weight of the server for the request's last shared
-	// part; its highest bit says that the server keeps the part or is on trial.
+	// score is the server's rendezvous weight for the request's last shared part. Its highest
+	// bit is set if the server holds the part or is on probation.
 	score uint64
 }
 
-// preferredBit is the bit of a candidate's order that puts it before the others.
+// preferredBit in a score ranks a candidate before all those without it.
 const preferredBit = 1 << 63
 
-// candidates returns the servers that a request may go to. The first lookEach are
-// in the order in which it looks at them: those that keep its last shared part,
-// then the others by their rendezvous weight for the part; the rest is not sorted,
-// since few requests look at it. The slice is valid until the next call.
+// candidates returns the servers that may receive a request now. The first candidateBatch are
+// sorted: holders of the request's last shared part and servers on probation, then the others
+// by their rendezvous weight for the part. The rest is unsorted, because few requests need it;
+// see sortRest. The slice is valid until the next call.
 func (m *Machine) candidates(now time.Duration, p *pool, r *requestState) []candidate {
 	out := m.candidateBuf[:0]
 	hashKey := uint64(r.ID) * 0x9e3779b97f4a7c15
@@ -44,7 +44,8 @@
 	return out
 }
 
-// sortFirstBatch brings the first lookEach candidates to the front, in their order.
+// sortFirstBatch moves the candidateBatch candidates with the highest scores to the front, in
+// order.
 func sortFirstBatch(all []candidate) {
 	for i := range min(candidateBatch, len(all)) {
 		first := i
@@ -57,14 +58,15 @@
 	}
 }
 
-// sortRest sorts the candidates behind the first lookEach.
+// sortRest sorts the candidates after the first candidateBatch.
 func sortRest(all []candidate) {
 	slices.SortFunc(all[candidateBatch:], func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
 }
 
-// preferredServer returns the server that keeps the request's last shared part and ranks
-// highest for it, or, where none is known to keep it, the one that ranks highest
-// of all: every router takes that one first.
+// preferredServer returns the usable server with the highest rendezvous weight for the
+// request's last shared part, among the known holders of the part or, if there are none, among
+// all servers. All routers choose the same one. It returns nil for a request without a shared
+// part.
 func (m *Machine) preferredServer(now time.Duration, p *pool, r *requestState) *server {
 	last, shared := r.lastShared()
 	if !shared {
@@ -91,7 +93,7 @@
 	return first
 }
 
-// rendezvousWeight is the rendezvous weight of a server for a part.
+// rendezvousWeight returns the weight of a server for a part in rendezvous hashing.
 func rendezvousWeight(part uint64, s *server) uint64 {
 	x := s.idHash ^ part
 	x ^= x >> 33
--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// The bounds of the shifted deployment's sheet: what a cold server bears, and what it
-	// may get at the most in any second.
+	// The limits of the shifted deployment: the rate that a cold server takes, and the factor
+	// and the number of requests by which any second may exceed it.
 	coldPerSecond   = 21.0
 	coldBurstFactor = 1.5
 	coldBurstSlack  = 5
 	coldLasts       = 3 * time.Second
 )
 
-// coldFleet is a model fleet: routers that come and go, know of one another in part, and
-// all want to send to few servers; it counts what each server gets.
+// coldFleet simulates routers that start, stop and know only part of the other routers, and
+// that all send to a few servers. It records the requests that each server gets.
 type coldFleet struct {
 	t         require.TestingT
 	now       time.Duration
 	routers   []*coldRouter
-	coldUntil map[string]time.Duration   // until when each server is cold
-	coldSince map[string]time.Duration   // when it turned cold
-	sent      map[string][]time.Duration // to each server
+	coldUntil map[string]time.Duration   // end of each server's cold period
+	coldSince map[string]time.Duration   // start of the cold period
+	sent      map[string][]time.Duration // send times by server
 	revision  uint64
 }
 
-// coldRouter is one router; its machine's clock begins with its life.
+// coldRouter is a simulated router. The clock of its machine starts at startedAt.
 type coldRouter struct {
 	machine      *Machine
 	startedAt    time.Duration
 	lastID       RequestID
-	knownRouters int // routers that it knows of, itself included
+	knownRouters int // routers that it knows, itself included
 }
 
 func newColdFleet(t require.TestingT, routers, servers int) *coldFleet {
@@ -55,7 +55,7 @@
 	return f
 }
 
-// start begins a new life of a router.
+// start starts or restarts a router.
 func (f *coldFleet) start(i int, since time.Duration) {
 	r := f.routers[i]
 	r.startedAt = since
@@ -68,14 +68,14 @@
 	f.sendList(i)
 }
 
-// setKnownRouters tells a router of how many routers it knows.
+// setKnownRouters sets how many routers a router knows.
 func (f *coldFleet) setKnownRouters(i, known int) {
 	r := f.routers[i]
 	r.knownRouters = known
 	r.machine.Update(MembershipMsg{Now: f.now - r.startedAt, Routers: known, ReportTTL: time.Second, Known: known, Rank: min(i, known-1)})
 }
 
-// sendList brings a router the list of servers as it is.
+// sendList sends the current list of servers to a router.
 func (f *coldFleet) sendList(i int) {
 	f.revision++
 	d := Directory{Revision: f.revision}
@@ -87,13 +87,13 @@
 	r.machine.Update(ServersMsg{Now: f.now - r.startedAt, Directory: d})
 }
 
-// turnCold has a server turn cold; routers hear of it by their next list.
+// turnCold makes a server cold. Routers learn of it from their next list.
 func (f *coldFleet) turnCold(server string) {
 	f.coldUntil[server] = f.now + coldLasts
 	f.coldSince[server] = f.now
 }
 
-// sendRequest has one router get a request, which it may send.
+// sendRequest delivers a request to one router, which may send it to a server.
 func (f *coldFleet) sendRequest(i int) {
 	r := f.routers[i]
 	r.lastID++
@@ -111,7 +111,7 @@
 	r.machine.Update(CancelMsg{Now: now, ID: r.lastID})
 }
 
-// advance lets time pass; every router gets some requests in each step.
+// advance advances the time. Each router gets perTick requests per tick.
 func (f *coldFleet) advance(d time.Duration, perTick int) {
 	for end := f.now + d; f.now < end; {
 		f.now += TickInterval
@@ -124,8 +124,8 @@
 	}
 }
 
-// maxPerSecond returns the most requests that a server got in a second while it was cold, after
-// all had heard of it.
+// maxPerSecond returns the maximum number of requests that a cold server got in any second
+// after the given time.
 func (f *coldFleet) maxPerSecond(server string, from time.Duration) int {
 	maxPerSecond, sent := 0, f.sent[server]
 	for i, at := range sent {
@@ -143,8 +143,8 @@
 	return maxPerSecond
 }
 
-// TestColdServersGetTheirRate floods a fleet whose servers turn cold: no server gets much
-// more than it bears in any second, and none of what it bears is wasted.
+// TestColdServersGetTheirRate floods a fleet whose servers turn cold. No server may get much
+// more than its rate in any second, and most of the rate must be used.
 func TestColdServersGetTheirRate(t *testing.T) {
 	for _, routers := range []int{1, 4, 22, 100, 300} {
 		f := newColdFleet(t, routers, 3)
@@ -165,15 +165,15 @@
 	}
 }
 
-// TestColdRateHolds plays random histories: routers are killed and come back, know only a
-// part of the others, hear of a server at different times, or hold a list that says warm.
-// Over all routers together a cold server never gets more in a second than its bound.
+// TestColdRateHolds runs random histories in which routers are killed and restarted, know only
+// some of the others, receive the server's cold state at different times, or hold an older
+// list. All routers together must never exceed the bound of a cold server in any second.
 func TestColdRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.SampledFrom([]int{2, 4, 9, 22, 30}).Draw(t, "routers")
 		f := newColdFleet(t, routers, 2)
 		f.advance(100*time.Millisecond, 1)
-		listRound := make([]int, routers) // rounds until each hears of it
+		listRound := make([]int, routers) // round in which each router receives the list
 		for i := range f.routers {
 			listRound[i] = rapid.IntRange(0, 6).Draw(t, "heard")
 		}
@@ -187,7 +187,8 @@
 				case listRound[i] == round:
 					f.sendList(i)
 				case rapid.IntRange(0, 99).Draw(t, "trouble") == 0:
-					// Its new life knows a part of the others; nobody forgets it for a minute.
+					// The restarted router knows only some of the others; they remember it for
+					// the whole test.
 					f.start(i, f.now)
 					f.setKnownRouters(i, rapid.IntRange(1, routers).Draw(t, "knows"))
 					listRound[i] = -1
@@ -197,15 +198,15 @@
 			}
 			f.advance(50*time.Millisecond, 1)
 		}
-		allListed := began + 350*time.Millisecond // by then every list has come
+		allListed := began + 350*time.Millisecond // all lists have arrived by then
 		for s := range f.coldUntil {
 			require.LessOrEqual(t, float64(f.maxPerSecond(s, allListed)), math.Floor(coldPerSecond*coldBurstFactor)+coldBurstSlack, "server %s", s)
 		}
 	})
 }
 
-// TestYoungRoutersLeaveColdServers has a router that has just started send nothing to a
-// cold server, and go to others.
+// TestYoungRoutersLeaveColdServers checks that a router that has just started sends nothing to
+// a cold server and uses others.
 func TestYoungRoutersLeaveColdServers(t *testing.T) {
 	f := newColdFleet(t, 1, 2)
 	f.turnCold("e0")
@@ -215,8 +216,8 @@
 	require.NotEmpty(t, f.sent["e1"])
 }
 
-// TestListThatSaysWarm has a newer list say that a cold server is warm: it is taken for
-// cold as long as it once said.
+// TestListThatSaysWarm checks that a newer list without the cold state does not shorten a
+// server's cold period.
 func TestListThatSaysWarm(t *testing.T) {
 	f := newColdFleet(t, 22, 1)
 	f.turnCold("e0")
@@ -234,8 +235,8 @@
 	require.LessOrEqual(t, float64(f.maxPerSecond("e0", began)), coldPerSecond*1.2)
 }
 
-// TestColdServerKeepsItsParts sends a part's requests elsewhere while its server is cold
-// and back to it afterwards.
+// TestColdServerKeepsItsParts checks that requests with a part go elsewhere while its server is
+// cold, and return to it afterwards.
 func TestColdServerKeepsItsParts(t *testing.T) {
 	b := newTwoHallBench(t)
 	part := PromptPart{ID: 4711, Tokens: 1000}
--- a/direct/commands.go
+++ b/direct/commands.go
@@ -7,7 +7,7 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// Cmd is something that a router has to do.
+// Cmd is an action for the router to carry out.
 type Cmd interface{ isCmd() }
 
 // SendCmd sends a request to a server.
@@ -19,24 +19,24 @@
 	PlacementBasis PlacementBasis
 }
 
-// PlacementBasis is what a placement was decided on, for the logs.
+// PlacementBasis holds the values on which a placement was decided, for the logs.
 type PlacementBasis struct {
-	Running    int           // at the server, all routers
-	Pending    int           // tokens ahead, all routers
+	Running    int           // requests at the server, from all routers
+	Pending    int           // tokens that the server has yet to read, from all routers
 	MissTokens int           // tokens of shared parts that the server must read again
 	Estimate   time.Duration // expected time to the first event
-	QueueWait  time.Duration // in the queue
-	Share      float64       // what the team gets, in parts of its share
-	Target     bool          // the server is of the version that the service moves to
-	Side       Side          // why; empty: the service does not move
+	QueueWait  time.Duration // time spent in the queue
+	Share      float64       // rate of the team as a fraction of its share
+	Target     bool          // the server runs the version that is rolled out
+	Side       Side          // side of the rollout that the request is placed on; empty: no rollout
 }
 
 // RefuseCmd ends a request that has not run.
 type RefuseCmd struct {
 	ID         RequestID
 	Reason     Reason
-	RetryAfter time.Duration // when to come back
-	Share      float64       // what the team gets, in parts of its share
+	RetryAfter time.Duration // when the caller may try again
+	Share      float64       // rate of the team as a fraction of its share
 }
 
 // FailCmd ends a request whose last attempt may have run.
@@ -45,8 +45,7 @@
 	Reason Reason
 }
 
-// ServerStatusCmd says that what the machine believes of a server has changed; it
-// changes nothing outside and is there to be logged.
+// ServerStatusCmd reports that a server's status has changed in the machine. It is only logged.
 type ServerStatusCmd struct {
 	Server Server
 	Status Status
@@ -54,48 +53,48 @@
 	For    time.Duration
 }
 
-// EvacuationCmd says that a data hall is evacuated, or no longer; it changes nothing
-// outside and is there to be logged.
+// EvacuationCmd reports that a data hall is evacuated, or that its evacuation has ended. It is
+// only logged.
 type EvacuationCmd struct {
 	Hall      string
 	Evacuated bool
 	Revision  uint64 // of the set of evacuations
-	Servers   int    // that the machine knows there
+	Servers   int    // known servers in the hall
 }
 
-// HallReachabilityCmd says that the servers of a data hall can't be reached, or can again; it
-// changes nothing outside and is there to be logged.
+// HallReachabilityCmd reports that the servers of a data hall are unreachable, or reachable
+// again. It is only logged.
 type HallReachabilityCmd struct {
 	Hall      string
 	Lost      bool
-	Unreached int // servers found out of reach in a row
-	Servers   int // that the machine knows there
+	Unreached int // servers found unreachable in a row
+	Servers   int // known servers in the hall
 }
 
-// CrashCmd says that a server has crashed and how many requests of this router it had just
-// begun to run; it changes nothing outside and is there to be logged.
+// CrashCmd reports that a server has crashed, with the fingerprints of this router's requests
+// that it had just started. It is only logged.
 type CrashCmd struct {
 	Server   Server
 	Suspects []quarantine.Content
 }
 
-// QuarantineCmd says that requests of a content are refused from now on, or no longer; it
-// changes nothing outside and is there to be logged.
+// QuarantineCmd reports that requests with a fingerprint are refused from now on, or no longer.
+// It is only logged.
 type QuarantineCmd struct{ Change quarantine.Change }
 
-// ReportCmd tells other routers at once what Machine.Report returns.
+// ReportCmd sends the result of Machine.Report to the other routers at once.
 type ReportCmd struct{}
 
-// ProbeCmd opens a connection to a server, to find out whether it can be reached. A
-// ProbeMsg tells how it ended.
+// ProbeCmd opens a connection to a server to check whether it is reachable. A ProbeResultMsg
+// returns the result.
 type ProbeCmd struct{ Server Server }
 
-// ResponseCmd tells of an answer from a server of a service that is being rolled out, for
-// the judging of its version.
+// ResponseCmd reports a response from a server of a service that is being rolled out, as
+// evidence about its version.
 type ResponseCmd struct{ Response rollout.AnswerMsg }
 
-// MoveCmd breaks off a stream that runs at a server of an old version, so that it goes on
-// at one of the target's. An EndMsg with the outcome Moved follows.
+// MoveCmd interrupts a stream at a server of an old version so that it resumes at a server of
+// the target version. An AttemptEndMsg with the outcome Moved follows.
 type MoveCmd struct{ ID RequestID }
 
 func (ResponseCmd) isCmd()         {}
@@ -111,34 +110,34 @@
 func (FailCmd) isCmd()             {}
 func (ServerStatusCmd) isCmd()     {}
 
-// Reason says why a request got no server.
+// Reason is the reason why a request was refused or failed.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	ReasonNoServers   Reason = "no_servers" // none of the service is known, or none may get requests at the moment
-	ReasonBackoff     Reason = "backoff"    // those that might get requests have asked to be sent none
+	ReasonNoServers   Reason = "no_servers" // the service has no known server, or none accepts requests at the moment
+	ReasonBackoff     Reason = "backoff"    // the servers that could accept requests have asked for a backoff
 	ReasonOverload    Reason = "overload"   // no server would meet the objective
 	ReasonOverShare   Reason = "over_share" // as overload, for a team above its share
-	ReasonAttempts    Reason = "attempts"   // the route allows no further server
-	ReasonRetryBudget Reason = "budget"     // the budget for retries is spent
+	ReasonAttempts    Reason = "attempts"   // the route's limit of attempts is reached
+	ReasonRetryBudget Reason = "budget"     // the retry budget is spent
 	ReasonAtMostOnce  Reason = "at_most_once"
 	ReasonDeadline    Reason = "deadline"
-	ReasonQuarantined Reason = "quarantined" // servers crash under its content
-	ReasonRegion      Reason = "region"      // no server of the regions that the request may be served in may get requests
+	ReasonQuarantined Reason = "quarantined" // servers crash when they run requests with its fingerprint
+	ReasonRegion      Reason = "region"      // no server in the request's allowed regions accepts requests
 )
 
-// Status is what the machine takes a server to be.
+// Status is the status of a server as this router sees it.
 type Status string
 
-// The beliefs.
+// Values of Status.
 const (
 	StatusListed   Status = "listed"
 	StatusGone     Status = "gone"
-	StatusLapsed   Status = "lapsed" // its entry went with many others; used a little longer
+	StatusLapsed   Status = "lapsed" // its entry vanished together with many others; still used for a short time
 	StatusDraining Status = "draining"
-	StatusBackoff  Status = "backoff" // turned a request away, and wants nothing for a time
+	StatusBackoff  Status = "backoff" // declined a request and asked for a pause
 	StatusEjected  Status = "ejected"
 	StatusRestored Status = "back"
-	StatusCold     Status = "cold" // bears only few requests a second for a while
+	StatusCold     Status = "cold" // takes only a limited request rate for some time
 )
--- a/direct/config.go
+++ b/direct/config.go
@@ -8,41 +8,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind says what may be done with a request that may have run.
+// Kind states whether a request that may have run can be repeated.
 type Kind uint8
 
-// The kinds of requests.
+// Values of Kind.
 const (
-	AtMostOnce Kind = iota // at most once
+	AtMostOnce Kind = iota // never repeated once it may have run
 	Repeatable             // may run more than once
-	Stream                 // a series of events; repeatable where the route is resumable
+	Stream                 // a series of events; repeatable if the route is resumable
 )
 
-// WeightedService is one service of a route that is split between services.
+// WeightedService is one of the services that a route splits its requests between.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route says which requests go to which service, and what holds for them.
+// Route maps requests to a service and holds the rules that apply to them.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Kind      Kind
 	Split     []WeightedService // at least one
-	Timeout   time.Duration     // the longest that a request may be held
-	Objective time.Duration     // an answer, or the first event, earns its full worth within it
-	Pause     time.Duration     // longest pause between events that is still in time
-	Attempts  int               // servers that one request may be sent to
+	Timeout   time.Duration     // maximum duration of a request
+	Objective time.Duration     // a response, or its first event, has its full value within this time
+	Pause     time.Duration     // maximum pause between events that counts as in time
+	Attempts  int               // maximum number of servers that one request is sent to
 	Priority  int               // 0 is the highest
 	Anonymous bool              // needs no key
-	Resumable bool              // a broken stream may go on at another server
+	Resumable bool              // an interrupted stream may resume at another server
 	Sticky    bool              // requests name the parts of their prompts
-	Regions   []string          // that its requests may be served in; empty: all
+	Regions   []string          // that may serve its requests; empty: all
 }
 
-// MayRepeat tells whether a request of the route may run more than once.
+// MayRepeat reports whether a request of the route may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
@@ -57,26 +57,26 @@
 // Service is a group of servers that run the same requests.
 type Service struct {
 	Name           string
-	MaxConnections int       // that one server accepts from all callers together
+	MaxConnections int       // maximum that one server accepts from all callers together
 	Engine         *Engine   // nil for a plain HTTP service
-	Cold           ColdLimit // of each of its servers
+	Cold           ColdLimit // limit of each of its servers
 }
 
-// Team is who sends requests.
+// Team is a group of callers that share keys and a share of the capacity.
 type Team struct {
 	Name     string
 	Keys     []string
-	Priority *int     // takes the place of the route's, where it is set
-	Regions  []string // that its requests may be served in; empty: all
+	Priority *int     // overrides the route's priority if set
+	Regions  []string // that may serve its requests; empty: all
 }
 
-// Limits bound what a caller may send.
+// Limits bound the size of requests, the time that callers may take, and the total capacity.
 type Limits struct {
 	HeaderBytes     int
 	BodyBytes       int
 	HeaderTimeout   time.Duration
 	IdleTimeout     time.Duration
-	TokensPerSecond float64 // of all engines together; a token made counts twice
+	TokensPerSecond float64 // capacity of all engines together; an output token counts twice
 }
 
 // Config is one version of the whole configuration.
@@ -88,29 +88,30 @@
 	Limits   Limits
 }
 
-// Server is one backend server, from one start to its end.
+// Server is one incarnation of a backend server, from a start to its end.
 type Server struct {
-	ID       string // of this incarnation, see Incarnation; no other has it
+	ID       string // unique to this incarnation; see IncarnationID
 	Service  string
 	Address  string
 	Zone     string
 	Version  string // of its software
 	Slots    int
 	Draining bool
-	// ColdFor is how much longer the server is cold, counted from when the list was
-	// made; see ColdLimit. 0: it is not known to be cold.
+	// ColdFor is the remaining time that the server is cold, as of when the list was made; see
+	// ColdLimit. 0: not known to be cold.
 	ColdFor time.Duration
 }
 
-// incarnationSeparator stands between a server's name and its start. No name has one.
+// incarnationSeparator separates a server's name from its start time in an ID. Names must not
+// contain it.
 const incarnationSeparator = "@"
 
-// ErrServerName says that a name can't be a server's.
-var ErrServerName = errors.New("a server's name has no @, which would be taken for the mark of its start")
+// ErrServerName is returned for a server name that contains the incarnation separator.
+var ErrServerName = errors.New("server name contains @, which separates the name from the start time")
 
-// IncarnationID returns the id of one start of a server: its name, and when it started where
-// that is known. Whatever is remembered of a server is kept under it, so nothing of an earlier
-// start is taken for the next one's.
+// IncarnationID returns the ID of one start of a server: its name and, if known, its start
+// time. All state about a server is stored under this ID, so nothing carries over from one
+// start to the next.
 func IncarnationID(name string, started *int64) (string, error) {
 	switch {
 	case strings.Contains(name, incarnationSeparator):
@@ -121,8 +122,9 @@
 	return name + incarnationSeparator + strconv.FormatInt(*started, 10), nil
 }
 
-// Name is that by which the server knows itself; its next incarnation may have it too. It is
-// not a field of its own, since lists of servers are most of what routers pull.
+// Name returns the server's own name, which its next incarnation may share. It is derived from
+// the ID because a separate field would enlarge the server lists, which are most of what
+// routers fetch.
 func (s *Server) Name() string {
 	name, _, _ := strings.Cut(s.ID, incarnationSeparator)
 	return name
@@ -134,8 +136,8 @@
 	Servers  []Server
 }
 
-// Evacuations are the data halls whose servers must get no requests, at one revision
-// of their source.
+// Evacuations are the data halls whose servers must get no requests, at one revision of their
+// source.
 type Evacuations struct {
 	Revision uint64
 	Halls    []string
--- a/direct/copylog.go
+++ b/direct/copylog.go
@@ -7,17 +7,17 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// maxPendingCopies bounds the copies between two rounds of the lists that tell them; older ones
-// are dropped. Lists hold fewer, and rounds come forty times a second.
+// maxPendingCopies bounds the copies held between two rounds of announcements; the oldest are
+// dropped. An announcement carries fewer, and there are forty rounds per second.
 const maxPendingCopies = 64
 
-// copyLog holds the copies of prompts' parts that were made through a router since they were
-// last taken. Routers tell one another of copies that the rendezvous order does not give
-// away: made at another server than the one that all routers try first. The zero value is
-// ready.
+// copyLog collects the copies of prompt parts that this router has caused, for announcement to
+// the other routers. Only copies that rendezvous hashing does not predict are announced: those
+// made at a server other than the one that all routers choose first. The zero value is ready to
+// use.
 type copyLog struct{ pending []loads.Copy }
 
-// add notes that a server keeps a part.
+// add appends a copy of a part at a server, or moves it to the end if it is pending already.
 func (c *copyLog) add(part uint64, s *server) {
 	entry := loads.Copy{Part: part, Server: s.loadKey}
 	c.pending = slices.DeleteFunc(c.pending, func(other loads.Copy) bool { return other == entry })
@@ -27,17 +27,17 @@
 	c.pending = append(c.pending, entry)
 }
 
-// TakeCopies returns the copies that were made through this router since the last call;
-// each is told once.
+// TakeCopies returns the copies made through this router since the last call. Each copy is
+// returned once.
 func (m *Machine) TakeCopies() []loads.Copy {
 	pending := m.copyLog.pending
 	m.copyLog.pending = nil
 	return pending
 }
 
-// announceCopies tells the others of the parts that a server reads for a request. The
-// servers that are known to keep a part already are told with it: to a router that
-// knows of none, the new copy would otherwise be the only one.
+// announceCopies queues announcements of the parts that a server reads for a request, up to the
+// first one that it holds already. The known holders of a part are announced with it: a router
+// that knows of none would otherwise take the new copy for the only one.
 func (m *Machine) announceCopies(now time.Duration, p *pool, r *requestState, s *server) {
 	for i := len(r.Parts) - 2; i >= 0; i-- {
 		part := r.Parts[i].ID
@@ -54,7 +54,7 @@
 	}
 }
 
-// recordPeerCopies takes in what other routers tell of copies.
+// recordPeerCopies records the copies that other routers have announced.
 func (m *Machine) recordPeerCopies(msg PeerCopiesMsg) {
 	for _, c := range msg.Copies {
 		if s := m.byKey[c.Server]; s != nil {
--- a/direct/copylog_test.go
+++ b/direct/copylog_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCopiesAreAnnounced has one router send a prompt to another server than the one
-// that keeps it, and another router hear of it: that one knows of both. Each copy is
-// told once.
+// TestCopiesAreAnnounced has one router send a prompt to a server other than its holder and
+// another router receive the announcement. That router must know both holders, and each copy
+// must be announced once.
 func TestCopiesAreAnnounced(t *testing.T) {
 	a, b := newHarness(t, 4), newHarness(t, 4)
 	shared, own := PromptPart{ID: 7, Tokens: 500}, PromptPart{ID: 8, Tokens: 1500}
 	first := a.sent(a.arrive(a.request("red", shared, own)))
-	require.Empty(t, a.m.TakeCopies(), "all routers try this server first")
+	require.Empty(t, a.m.TakeCopies(), "all routers choose this server first, so it is not announced")
 	copied := first
 	for i := 0; copied == first && i < 50; i++ {
-		// What runs there makes the first server late.
+		// Running requests make the first server late.
 		copied = a.sent(a.arrive(a.request("red", shared, own)))
 	}
 	require.NotEqual(t, first, copied)
@@ -29,14 +29,14 @@
 	require.Empty(t, a.m.TakeCopies())
 }
 
-// TestCopiesOfUnknownServersAreIgnored hears of a server that is not listed.
+// TestCopiesOfUnknownServersAreIgnored receives a copy at a server that is not listed.
 func TestCopiesOfUnknownServersAreIgnored(t *testing.T) {
 	b := newHarness(t, 2)
 	b.m.Update(PeerCopiesMsg{Now: b.now, Copies: []loads.Copy{{Part: 7, Server: 12345}}})
 	require.Empty(t, b.m.partHolders.holdersOf(7))
 }
 
-// TestCopiesAreBounded makes more copies than are kept to be told.
+// TestCopiesAreBounded adds more copies than the log holds.
 func TestCopiesAreBounded(t *testing.T) {
 	var c copyLog
 	s := &server{loadKey: 1}
--- a/direct/evencap.go
+++ b/direct/evencap.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// satisfiedFraction is the part of what it asks for that a team gets from which it
-	// counts as satisfied.
+	// satisfiedFraction is the fraction of its demand from which a team counts as satisfied.
 	satisfiedFraction = 0.8
-	// unsatisfiedDemandFactor is the demand, in shares, from which a team wants more than its
-	// share.
+	// unsatisfiedDemandFactor is the demand, as a multiple of its share, above which a team
+	// asks for more than its share.
 	unsatisfiedDemandFactor = 1.1
-	// While a team wants more and gets less, others get at most evenWithin times
-	// what it gets; up to evenShares of their share, since some of what they get
-	// comes too late to count, shareWithin times. It counts as getting leastEven
-	// of its share at the least.
+	// While a team asks for more than its share and is not satisfied, the other teams are
+	// limited to evenCapFactor times what the least served such team gets, or to
+	// lenientCapFactor times that amount up to lenientShareFactor times their share: part of
+	// what they get comes too late to count. The least served team counts as getting at least
+	// minServedFraction of its share.
 	evenCapFactor      = 1.3
 	lenientShareFactor = 1.3
 	lenientCapFactor   = 1.5
 	minServedFraction  = 0.45
 )
 
-// updateEvenCaps works out what teams may get above their shares while others get less: for the
-// teams that are not bound to regions, and for each group of those that are.
+// updateEvenCaps computes the even caps of the unrestricted teams and of each group of teams
+// that are restricted to regions.
 func (m *Machine) updateEvenCaps(now time.Duration) {
 	m.evenCap = math.Inf(1)
 	if !m.enabled(EvenCap) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// lowestServed notes with each group the least that one of its teams gets that wants more
-// than its share and gets less, and returns that of the teams that are not bound.
+// lowestServed stores in each group the lowest rate among its unsatisfied teams that ask for
+// more than their share, and returns the lowest such rate among the unrestricted teams.
 func (m *Machine) lowestServed(now time.Duration) float64 {
 	unbound := math.Inf(1)
 	for _, t := range m.teams {
@@ -53,9 +53,9 @@
 	return unbound
 }
 
-// evenCapFor returns what a team of a group may get as long as another team that draws on
-// the same regions wants more than its share and gets less: not much more, in parts of its
-// own share, than the least that those get.
+// evenCapFor returns the even cap of a group's teams, or of the unrestricted teams if group is
+// nil. It is derived from the lowest rate among unsatisfied teams that may use some of the same
+// regions, scaled to the group's share.
 func (m *Machine) evenCapFor(group *teamGroup, baseLevel, unbound float64) float64 {
 	if math.IsInf(baseLevel, 1) {
 		return baseLevel
@@ -70,7 +70,7 @@
 	return max(evenCapFactor*lowest, min(lenientShareFactor*baseLevel, lenientCapFactor*lowest))
 }
 
-// scaleToShare converts tokens of one share into the same part of another share.
+// scaleToShare converts a rate that is part of one share to the same part of another share.
 func scaleToShare(tokens, of, share float64) float64 {
 	if of == share || math.IsInf(tokens, 1) {
 		return tokens
--- a/direct/flood_bench_test.go
+++ b/direct/flood_bench_test.go
@@ -8,17 +8,17 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// BenchmarkFlood measures what a router's decisions cost while one team asks for
-// twenty times its share and another asks for little: arrivals, ticks and
-// answers of what was sent, by the number of servers.
+// BenchmarkFlood measures the cost of a router's decisions, by number of servers, while one
+// team asks for twenty times its share and another for little. It covers arrivals, ticks and
+// the ends of attempts.
 func BenchmarkFlood(b *testing.B) {
 	for _, servers := range []int{54, 1000, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) { benchmarkFlood(b, servers, nil) })
 	}
 }
 
-// BenchmarkRolloutFlood measures the same while a tenth of the requests goes to another
-// version, which half of the servers are of.
+// BenchmarkRolloutFlood measures the same during a rollout: half of the servers run the target
+// version and get a tenth of the requests.
 func BenchmarkRolloutFlood(b *testing.B) {
 	for _, servers := range []int{54, 1000, 10_000} {
 		gate := &rollout.Gate{Service: "llm", InUse: []string{"v0"}, Target: "v1", Part: 0.1, Limit: 0.1, Servers: 0.1}
@@ -28,7 +28,7 @@
 
 func benchmarkFlood(b *testing.B, servers int, gate *rollout.Gate) {
 	const (
-		perTick  = 20 // requests of the flood in one tick
+		perTick  = 20 // requests per tick
 		answered = 100 * time.Millisecond
 	)
 	m := NewMachine(Options{Zone: "a"})
--- a/direct/hallregions.go
+++ b/direct/hallregions.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// hallRegions says in which regions data halls lie. Its zero value knows no regions.
+// hallRegions maps data halls to regions. The zero value has no regions.
 type hallRegions struct {
 	ownRegion       string // region of this router; empty: unknown
 	halls           map[string]string
@@ -22,16 +22,16 @@
 	return hallRegions{ownRegion: ownRegion, halls: halls, multipleRegions: len(known) > 1}
 }
 
-// regionOf returns the region of a data hall, or an empty one where it is not known.
+// regionOf returns the region of a data hall, or an empty string if it is unknown.
 func (g hallRegions) regionOf(hall string) string { return g.halls[hall] }
 
-// isLocal tells whether a region counts as this router's own. Where only one is known, all
-// do: nothing says that any hall is farther away than the others.
+// isLocal reports whether a region counts as this router's own. If at most one region is known,
+// every hall counts as local, because nothing shows that one is farther away than another.
 func (g hallRegions) isLocal(region string) bool {
 	return !g.multipleRegions || (region != "" && region == g.ownRegion)
 }
 
-// setHallRegions puts in force in which regions data halls lie.
+// setHallRegions applies a new mapping of data halls to regions and serves the queues by it.
 func (m *Machine) setHallRegions(msg HallRegionsMsg) {
 	m.hallRegions = newHallRegions(m.options.Region, m.options.Zone, msg.Halls)
 	for _, s := range m.byServer {
--- a/direct/harness_test.go
+++ b/direct/harness_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harness drives a machine by hand.
+// harness drives a machine with messages at a simulated time.
 type harness struct {
 	t      *testing.T
 	m      *Machine
@@ -38,7 +38,7 @@
 	return d
 }
 
-// request returns one of a team, with parts as given.
+// request returns a new request of a team with the given parts.
 func (b *harness) request(team string, parts ...PromptPart) Request {
 	b.lastID++
 	return Request{
@@ -64,7 +64,7 @@
 	return out
 }
 
-// sent returns the server of the only command, which must be a send.
+// sent returns the server of the first SendCmd and fails the test if there is none.
 func (b *harness) sent(cmds []Cmd) string {
 	b.t.Helper()
 	for _, c := range cmds {
@@ -76,7 +76,7 @@
 	return ""
 }
 
-// findCmd returns the first command of a kind.
+// findCmd returns the first command of a type.
 func findCmd[C Cmd](cmds []Cmd) (C, bool) {
 	for _, c := range cmds {
 		if c, ok := c.(C); ok {
--- a/direct/loads.go
+++ b/direct/loads.go
@@ -6,10 +6,10 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// peerLoadsTTL is how long the others' loads count without newer ones.
+// peerLoadsTTL is how long the loads of the other routers stay valid without an update.
 const peerLoadsTTL = 500 * time.Millisecond
 
-// setPeerLoads takes in what all other routers have at the servers.
+// setPeerLoads replaces the loads that the other routers have at the servers.
 func (m *Machine) setPeerLoads(msg PeerLoadsMsg) {
 	m.peerLoadsAt = msg.Now
 	peerLoad := make(map[uint32]loads.Load, len(msg.Loads))
@@ -21,14 +21,14 @@
 	}
 }
 
-// expirePeerLoads forgets the others' loads where nothing new has come for too long.
+// expirePeerLoads clears the loads of the other routers once they are older than peerLoadsTTL.
 func (m *Machine) expirePeerLoads(now time.Duration) {
 	if m.peerLoadsAt > 0 && now-m.peerLoadsAt > peerLoadsTTL {
 		m.setPeerLoads(PeerLoadsMsg{})
 	}
 }
 
-// Loads returns what this router has at the servers.
+// Loads returns this router's own load at each server that runs any of its requests.
 func (m *Machine) Loads() []loads.Load {
 	var out []loads.Load
 	for _, s := range m.byServer {
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// minActiveRate is the tokens a second from which a team counts as active.
+	// minActiveRate is the demand, in tokens per second, above which a team counts as active.
 	minActiveRate = 1.0
-	// lateAgeFraction is the part of its objective after which a request that comes back
-	// can hardly meet it.
+	// lateAgeFraction is the fraction of its objective after which a repeated request can
+	// hardly meet it any more.
 	lateAgeFraction = 0.6
 	// goneRetention is how long a server that left is remembered.
 	goneRetention = 10 * time.Second
-	// serveBatch bounds the waiting requests that are looked at when a server has
-	// begun or ended one: it has room for one more, and a few at the front may not
-	// fit there. The next tick looks at all.
+	// serveBatch bounds the waiting requests that are tried when a server has started or ended
+	// one. The server has room for one more, and a few at the front may not fit there. The next
+	// tick tries all of them.
 	serveBatch = 4
 	// maxUnsentAttempts bounds the servers that a request may fail to reach.
 	maxUnsentAttempts = 4
 )
 
-// Options are what a machine is told once.
+// Options are the settings of a new machine.
 type Options struct {
 	Zone               string
 	Region             string            // of this router
-	HallRegions        map[string]string // the region of each data hall that is known
+	HallRegions        map[string]string // regions of the known data halls
 	RetryBudget        RetryBudgetOptions
-	Drain              time.Duration      // most that a server that leaves may get requests after its word; 0: unknown
-	Gated              bool               // services without a GateMsg serve nobody
-	DisabledMechanisms DisabledMechanisms // mechanisms that are switched off in experiments
+	Drain              time.Duration      // maximum time that a leaving server may get requests after its notice; 0: unknown
+	Gated              bool               // services without a GateMsg serve no requests
+	DisabledMechanisms DisabledMechanisms // switched off in experiments
 }
 
-// Machine decides for the requests of one router. Its zero value is not of use;
-// make one with NewMachine.
+// Machine makes the decisions about the requests of one router. Create one with NewMachine; the
+// zero value is not usable.
 type Machine struct {
 	options         Options
 	hallRegions     hallRegions
@@ -44,47 +44,47 @@
 	services        map[string]Service
 	pools           map[string]*pool
 	byServer        map[string]*server
-	byKey           map[uint32]*server // see loads.Key
+	byKey           map[uint32]*server // by the key that package loads uses
 	serversRevision uint64
 	requests        map[RequestID]*requestState
 	teams           map[string]*teamUsage
-	teamRegions     map[string]Regions // of the teams that are bound to some
-	groups          []*teamGroup       // of the teams, where some are bound
-	// evacuated are the data halls whose servers get nothing, at evacuationsAt.
+	teamRegions     map[string]Regions // regions of the teams that are restricted to some
+	groups          []*teamGroup       // groups of restricted teams; empty if there are none
+	// evacuated are the data halls whose servers get no requests, as of evacuationsRevision.
 	evacuated           map[string]bool
 	evacuationsRevision uint64
 	pacing              coldPacing
 	reach               map[string]*hallReach // by data hall
-	teamLimits                                // of the teams that are not bound to regions
-	// weightScale turns what a team asks of this router into its weight.
+	teamLimits                                // of the teams that are not restricted to regions
+	// weightScale converts a team's demand at this router to its weight.
 	weightScale      float64
-	ownHeadroom      float64 // what this router takes the headroom to be
-	headroom         float64 // what teams may have together, in parts of what is configured
-	busy             float64 // how busy the busiest pool of engines is
+	ownHeadroom      float64 // this router's own estimate
+	headroom         float64 // capacity that teams share, as a multiple of the configured capacity
+	busy             float64 // smoothed load of the busiest pool of engines; above 1 it is busy
 	sharesUpdatedAt  time.Duration
 	partHolders      partHolders
-	copyLog          copyLog       // made through this router, to be told
-	suspectsPrunedAt time.Duration // when suspects were last looked through for old ones
+	copyLog          copyLog       // made through this router, to be announced
+	suspectsPrunedAt time.Duration // when old suspects were last dropped
 	peerReports      map[string]peerReport
 	routers          int
 	reportTTL        time.Duration
 	cmds             []Cmd
-	peerTeamsAt      time.Duration // when the others' use of teams came; 0: it has been forgotten
+	peerTeamsAt      time.Duration // when the peers' use of teams was received; 0: expired
 	candidateBuf     []candidate
-	peerLoadsAt      time.Duration // when the others' loads came
+	peerLoadsAt      time.Duration // when the peers' loads were received
 	suspects         quarantine.Suspects
-	pendingReprobes  []*server // that are to be probed again, see probeAgain
+	pendingReprobes  []*server // to be probed again; see probeAgain
 	oldNotices       forgottenNotices
-	startedRequests  []*requestState // whose first events came since the last tick, for the judging of versions
+	startedRequests  []*requestState // whose first event came since the last tick, as evidence about versions
 }
 
-// peerReport is the last report of another router.
+// peerReport is the last report of another router and the time it was received.
 type peerReport struct {
 	at     time.Duration
 	report Report
 }
 
-// NewMachine returns a machine that knows no configuration and no servers.
+// NewMachine returns a machine without a configuration or servers.
 func NewMachine(o Options) *Machine {
 	return &Machine{
 		options:     o,
@@ -103,8 +103,8 @@
 	}
 }
 
-// Update takes in what happened and returns what to do. The slice is valid
-// until the next call.
+// Update processes a message and returns the commands to carry out. The slice is valid until
+// the next call.
 func (m *Machine) Update(msg Msg) []Cmd {
 	m.cmds = m.cmds[:0]
 	switch msg := msg.(type) {
@@ -163,7 +163,7 @@
 	return m.cmds
 }
 
-// enabled tells whether a mechanism is not switched off.
+// enabled reports whether a mechanism is switched on.
 func (m *Machine) enabled(mechanism Mechanism) bool {
 	return m.options.DisabledMechanisms.Enabled(mechanism)
 }
@@ -214,7 +214,8 @@
 	return t
 }
 
-// tick refuses what has waited too long and drops what is old.
+// tick serves the queues, refuses requests whose time in the queue is over, and expires old
+// state.
 func (m *Machine) tick(now time.Duration) {
 	m.expirePeerReports(now)
 	m.expirePeerTeams(now)
@@ -236,5 +237,6 @@
 	}
 }
 
-// poolNames returns the services in order, so that decisions depend on no map's order.
+// poolNames returns the services in sorted order, so that decisions don't depend on the order
+// of a map.
 func (m *Machine) poolNames() []string { return slices.Sorted(maps.Keys(m.pools)) }
--- a/direct/machine_test.go
+++ b/direct/machine_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSharedPartsStayAtOneServer sends requests that share a part to one server, and
-// spreads those that share nothing.
+// TestSharedPartsStayAtOneServer checks that requests with a common part go to one server, and
+// that different parts are spread over servers.
 func TestSharedPartsStayAtOneServer(t *testing.T) {
 	b := newHarness(t, 6)
 	servers := make(map[string]bool)
@@ -33,8 +33,8 @@
 	require.Greater(t, len(servers), 3)
 }
 
-// TestRoutersAgreeOnPreferredServer has two routers that know nothing of each other send a
-// part to the same server.
+// TestRoutersAgreeOnPreferredServer checks that two routers without contact send a part to the
+// same server.
 func TestRoutersAgreeOnPreferredServer(t *testing.T) {
 	one, other := newHarness(t, 8), newHarness(t, 8)
 	for part := range uint64(30) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestRefusedInGoodTime refuses what no server would serve in time, within a
-// part of its objective, and says when to come back.
+// TestRefusedInGoodTime checks that a request that no server would serve in time is refused
+// within a fraction of its objective, with a retry delay.
 func TestRefusedInGoodTime(t *testing.T) {
 	b := newHarness(t, 1)
 	for range 200 {
@@ -62,8 +62,8 @@
 	require.Positive(t, refused.RetryAfter)
 }
 
-// TestTeamsAboveTheirShares lets a team that stays within its share in while one
-// that is above it is refused.
+// TestTeamsAboveTheirShares checks that a team within its share is served while a team above
+// its share is refused.
 func TestTeamsAboveTheirShares(t *testing.T) {
 	b := newHarness(t, 2)
 	refused := map[string]int{}
@@ -99,7 +99,7 @@
 	require.Positive(t, refused["flood"])
 }
 
-// teamOf names the team of the requests of TestTeamsAboveTheirShares.
+// teamOf returns the team of a request in TestTeamsAboveTheirShares.
 func teamOf(id RequestID) string {
 	if (id-1)%16 == 0 {
 		return "small"
@@ -107,15 +107,15 @@
 	return "flood"
 }
 
-// TestWaterLevel meets the smallest demands first.
+// TestWaterLevel checks that the smallest demands are met first.
 func TestWaterLevel(t *testing.T) {
 	require.InDelta(t, 45, waterLevel([]float64{10, 200, 45, 90}, 145), 0.01)
 	require.Greater(t, waterLevel([]float64{1, 2, 3}, 100), 1e300)
 	require.Greater(t, waterLevel(nil, 100), 1e300)
 }
 
-// TestPeerLoads counts what other routers have at a server, beside what this
-// one has, until nothing newer has come for too long.
+// TestPeerLoads checks that the load of other routers counts in addition to this router's own
+// until it expires.
 func TestPeerLoads(t *testing.T) {
 	b := newHarness(t, 1)
 	at := b.sent(b.arrive(b.request("red")))
@@ -126,15 +126,15 @@
 	b.advance(TickInterval)
 	require.Equal(t, 10, b.m.byServer["e0"].totalRunning())
 	require.Equal(t, 2900, b.m.byServer["e0"].totalPending())
-	require.Equal(t, []loads.Load{{Server: loads.Key("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only its own")
+	require.Equal(t, []loads.Load{{Server: loads.Key("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only this router's own load")
 	b.m.Update(PeerLoadsMsg{Now: b.now})
-	require.Equal(t, 1, b.m.byServer["e0"].totalRunning(), "the newest list is whole")
+	require.Equal(t, 1, b.m.byServer["e0"].totalRunning(), "a newer list replaces the older one")
 	b.m.Update(PeerLoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9}}})
 	b.advance(2 * time.Second)
 	require.Equal(t, 1, b.m.byServer["e0"].totalRunning())
 }
 
-// TestHeadroomIsCommon has routers that see different engines agree on the headroom, so
+// TestHeadroomIsCommon checks that routers with different estimates agree on one headroom, so
 // that shares are the same everywhere.
 func TestHeadroomIsCommon(t *testing.T) {
 	b := newHarness(t, 1)
@@ -144,9 +144,9 @@
 	require.InDelta(t, 1.4, b.m.medianHeadroom(), 0.001)
 }
 
-// TestOnlyWhatRanIsCharged counts for a team what began: a request that ended
-// before its first event gave it nothing. Its allowance is given back only where
-// no server can have begun to read the request.
+// TestOnlyWhatRanIsCharged checks that a request that ended before its first event is refunded
+// to its team's use. Its tokens must return to the token bucket only if no server can have
+// begun to read it.
 func TestOnlyWhatRanIsCharged(t *testing.T) {
 	for _, o := range []Outcome{Unsent, NotRun, Elsewhere, Broken, Hung, Failed, GivenUp} {
 		for _, begun := range []bool{false, true} {
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestLostRoutersDemandStays loses a router whose callers ask for much: what the
-// other teams may have does not jump up until those callers are back.
+// TestLostRoutersDemandStays loses a router whose callers ask for much. The other teams' level
+// must not jump before those callers have had time to return through other routers.
 func TestLostRoutersDemandStays(t *testing.T) {
 	b := newHarness(t, 2)
 	near := loads.TeamUse{Team: "near", Offered: 900000, Served: 40000}
@@ -189,14 +189,14 @@
 	level := b.m.level
 	require.InDelta(t, 50000*b.m.headroom, level, 1)
 	reportUse(loads.TeamUse{Offered: 900000}, 20)
-	require.InDelta(t, 50000*b.m.headroom, b.m.level, 1, "the demand of a lost router's callers stays for a while")
-	require.Zero(t, b.m.team("far").peers.Served, "what it got does not")
+	require.InDelta(t, 50000*b.m.headroom, b.m.level, 1, "the demand of a lost router's callers stays for some time")
+	require.Zero(t, b.m.team("far").peers.Served, "what it served does not stay")
 	reportUse(loads.TeamUse{}, 60)
 	require.InDelta(t, 100000*b.m.headroom, b.m.level, 1)
 }
 
-// TestNoNewsOfTeams has a router hear nothing of teams any more: first what others give
-// them is forgotten, and their demand a while later.
+// TestNoNewsOfTeams stops the updates of teams from other routers. What the others serve must
+// expire first, and their demand after a longer time.
 func TestNoNewsOfTeams(t *testing.T) {
 	b := newHarness(t, 2)
 	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
@@ -208,8 +208,8 @@
 	require.Zero(t, b.m.team("far").peers.Offered)
 }
 
-// TestClumpsLeaveRoom has engines that are busy for a moment, now and then, keep
-// the headroom that teams have above their shares: only lasting work takes it.
+// TestClumpsLeaveRoom checks that short bursts of load leave the headroom above the teams'
+// shares, and that only lasting load removes it.
 func TestClumpsLeaveRoom(t *testing.T) {
 	b := newHarness(t, 4)
 	setPending := func(pendingTokens int) {
@@ -227,14 +227,13 @@
 		setPending(0)
 		b.advance(6 * shareInterval)
 	}
-	require.Greater(t, b.m.Shares(b.now, 0).Headroom, headroom/2, "clumps")
+	require.Greater(t, b.m.Shares(b.now, 0).Headroom, headroom/2, "short bursts")
 	setPending(20_000)
 	b.advance(20 * time.Second)
-	require.InDelta(t, 1, b.m.Shares(b.now, 0).Headroom, 0.01, "lasting work")
+	require.InDelta(t, 1, b.m.Shares(b.now, 0).Headroom, 0.01, "lasting load")
 }
 
-// TestCandidatesInOrder compares the order in which a request looks at servers with
-// that of a full sort.
+// TestCandidatesInOrder compares the partial sort of candidates with a full sort.
 func TestCandidatesInOrder(t *testing.T) {
 	for n := range 12 {
 		all := make([]candidate, n)
@@ -252,10 +251,11 @@
 	}
 }
 
-// TestStartedRouterKnowsWhatIsBusy has a router start beside others that keep the servers at work, though
-// not busy, and get a request of a team that is beyond its share elsewhere. It is sent, and the headroom
-// stays: a router whose average objective rose from nothing took the servers for busy, so that it
-// refused such requests and took the headroom from all teams.
+// TestStartedRouterKnowsWhatIsBusy starts a router next to others that keep the servers at work
+// but not busy, and delivers a request of a team above its share elsewhere. The request must be
+// sent and the headroom must stay. Guards against an average objective that starts at zero: it
+// made the servers look busy, so the router refused such requests and removed the headroom of
+// all teams.
 func TestStartedRouterKnowsWhatIsBusy(t *testing.T) {
 	b := newHarness(t, 4)
 	reportPeers := func() {
--- a/direct/maxmin.go
+++ b/direct/maxmin.go
@@ -6,27 +6,27 @@
 	"sort"
 )
 
-// maxUnions bounds the unions of allowed sets that are looked at: three regions have
-// seven at the most, and with as many as here a division still takes a small part of the
-// time between two. Beyond it only the sets themselves and all regions together bound
-// what teams get, which is exact where no two sets overlap in part.
+// maxUnions bounds the unions of allowed sets that are examined. Three regions have at most
+// seven, and computing a division with this many still takes a small part of the time between
+// two. Beyond the bound, only the sets themselves and the union of all regions limit the teams,
+// which is exact if no two sets overlap partially.
 const maxUnions = 64
 
-// maxRegions is how many regions a regionSet tells apart.
+// maxRegions is the number of regions that a regionSet can distinguish.
 const maxRegions = 64
 
-// regionSet is a set of regions, a bit each.
+// regionSet is a set of regions, one bit each.
 type regionSet uint64
 
 func (s regionSet) subsetOf(other regionSet) bool   { return s&^other == 0 }
 func (s regionSet) intersects(other regionSet) bool { return s&other != 0 }
 
-// demandSet is what the teams ask for that may use the same regions.
+// demandSet holds the demands of the teams that may use the same regions.
 type demandSet struct {
 	allowed regionSet
 	demands []float64 // in ascending order
-	sums    []float64 // of the first demands
-	level   float64   // most that one of its teams may get
+	sums    []float64 // prefix sums of demands
+	level   float64   // maximum that one of its teams may get
 	settled bool
 }
 
@@ -39,8 +39,9 @@
 	return d
 }
 
-// allocatedAt returns what its teams get together where none gets more than a level, and how many
-// of them want more than that.
+// allocatedAt returns the total that the set's teams get if each is limited to a level, and how
+// many of them ask for more than that. A settled set keeps its own level and counts no team as
+// asking for more.
 func (d *demandSet) allocatedAt(level float64) (float64, int) {
 	if d.settled {
 		level = d.level
@@ -57,11 +58,10 @@
 	return allocated, unsatisfied
 }
 
-// maxMin divides the capacity of regions so that the least that a team gets is as much as
-// any division gives, then the next least, and so on, where each team draws only on the
-// regions that it may use. It sets the level of each set. That is water-filling: all
-// levels rise together, and where what some regions have is used up, those that may use
-// no others stay there.
+// maxMin computes the max-min fair division of the regions' capacity, where each team may use
+// only its allowed regions, and sets the level of each set. It uses water-filling: all levels
+// rise together until the capacity of some union of regions is used up; the sets within that
+// union are then settled, and the others continue.
 func maxMin(capacity []float64, sets []*demandSet) {
 	for _, d := range sets {
 		d.level, d.settled = math.Inf(1), false
@@ -87,15 +87,15 @@
 	}
 }
 
-// saturationLevel returns the level from which the teams that may use no other regions than those
-// of a union use up what these have: one between least and most, or an infinite one.
+// saturationLevel returns the level between low and high at which the teams restricted to a
+// union of regions use up its capacity, or infinity if there is none.
 func saturationLevel(capacity []float64, sets []*demandSet, union regionSet, low, high float64) float64 {
 	available := capacityOf(capacity, union)
 	if allocated, _, open := allocatedWithin(sets, union, high); !open || allocated <= available {
 		return math.Inf(1)
 	}
-	// What they get rises ever more slowly with the level: steps along its slope come
-	// nearer from below, and the first that passes no demand ends there.
+	// The allocated total is concave in the level. Each step follows its slope and approaches
+	// the result from below; the first step that passes no demand is exact.
 	level, previous := low, -1
 	for {
 		allocated, unsatisfied, _ := allocatedWithin(sets, union, level)
@@ -107,8 +107,8 @@
 	}
 }
 
-// allocatedWithin returns what the teams that may use no other regions than those of a union get
-// at a level, how many want more, and whether the level of some is not settled.
+// allocatedWithin returns what the teams restricted to a union of regions get at a level, how
+// many of them ask for more, and whether any of their sets is not settled.
 func allocatedWithin(sets []*demandSet, union regionSet, level float64) (allocated float64, unsatisfied int, open bool) {
 	for _, d := range sets {
 		if !d.allowed.subsetOf(union) {
@@ -132,8 +132,8 @@
 	return sum
 }
 
-// unionsOf returns the unions of allowed sets: what other regions have together never
-// bounds more than what the largest union within them has.
+// unionsOf returns the unions of allowed sets. Other sets of regions need no check: each limits
+// the teams no more than the largest union within it.
 func unionsOf(sets []*demandSet) []regionSet {
 	var own, all []regionSet
 	together := regionSet(0)
--- a/direct/maxmin_test.go
+++ b/direct/maxmin_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// maxMinCase is a division of the capacities of a few regions between a few teams.
+// maxMinCase is a problem of dividing the capacities of a few regions between a few teams.
 type maxMinCase struct {
 	capacity []float64
 	allowed  []regionSet // by team
@@ -29,7 +29,7 @@
 	return c
 }
 
-// allocate returns what each team gets.
+// allocate returns what maxMin gives each team.
 func (c maxMinCase) allocate() []float64 {
 	var sets []*demandSet
 	for _, allowed := range c.allowed {
@@ -53,8 +53,8 @@
 	return got
 }
 
-// feasible tells whether teams can get so much: it routes it from teams to regions, path by
-// path, and knows nothing of levels or unions.
+// feasible reports whether the teams can get the wanted amounts at once. It routes them from
+// teams to regions by augmenting paths, independently of levels and unions.
 func (c maxMinCase) feasible(want []float64) bool {
 	const epsilon = 1e-9
 	flow := make([][]float64, len(want))
@@ -68,7 +68,7 @@
 		}
 		return sum
 	}
-	// free finds room for a team's tokens, where need be by moving other teams' elsewhere.
+	// free places a team's tokens, moving those of other teams to other regions if needed.
 	var free func(team int, amount float64, seen []bool) float64
 	free = func(team int, amount float64, seen []bool) float64 {
 		for region := range c.capacity {
@@ -105,14 +105,14 @@
 	return true
 }
 
-// TestRegionMaxMin divides at random: what teams get can be had, and no team could get
+// TestRegionMaxMin checks random divisions: the amounts must be feasible, and no team could get
 // more at the expense only of teams that get more than it does.
 func TestRegionMaxMin(t *testing.T) {
 	const step = 1e-3
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawMaxMin(t)
 		got := c.allocate()
-		require.True(t, c.feasible(got), "%v of %v", got, c)
+		require.True(t, c.feasible(got), "%v is not feasible in %v", got, c)
 		for i := range got {
 			if got[i] >= c.demands[i] {
 				continue
@@ -122,12 +122,13 @@
 				want[j] = min(want[j], got[i])
 			}
 			want[i] += step
-			require.False(t, c.feasible(want), "team %d could get more: %v of %v", i, got, c)
+			require.False(t, c.feasible(want), "team %d could get more than %v in %v", i, got, c)
 		}
 	})
 }
 
-// TestRegionMaxMinUnbound gives teams that may all use the same what waterLevel gives them.
+// TestRegionMaxMinUnbound checks that teams that may all use the same regions get what
+// waterLevel gives them.
 func TestRegionMaxMinUnbound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawMaxMin(t)
@@ -146,8 +147,8 @@
 	})
 }
 
-// TestRegionMaxMinManySets bounds each set by its own regions and by all, where there are
-// too many unions of sets to look at.
+// TestRegionMaxMinManySets has more unions of sets than are examined. Each set must be limited
+// by its own regions and by the union of all.
 func TestRegionMaxMinManySets(t *testing.T) {
 	var capacity []float64
 	var sets []*demandSet
@@ -155,7 +156,7 @@
 		capacity = append(capacity, float64(i))
 		sets = append(sets, newDemandSet(1<<i, []float64{100}))
 	}
-	// One region more has just what the team asks for that may use all.
+	// One more region has exactly what the team that may use all regions asks for.
 	capacity = append(capacity, 1)
 	sets = append(sets, newDemandSet(1<<21-1, []float64{1}))
 	require.Len(t, unionsOf(sets), len(sets))
--- a/direct/mechanism.go
+++ b/direct/mechanism.go
@@ -7,31 +7,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mechanism names a part of a router's policy that can be switched off, to
-// measure what it is worth. Operators never switch one off.
+// Mechanism is a part of a router's policy that can be switched off to measure its effect.
+// Operators never switch one off.
 type Mechanism string
 
-// The mechanisms.
+// Values of Mechanism.
 const (
-	SharedLoads      Mechanism = "loads"          // routers count what the others have at the servers
-	FewCandidates    Mechanism = "few-candidates" // a request looks at a few servers first
-	Locality         Mechanism = "locality"       // servers that keep a prompt's parts are preferred
-	SurplusReads     Mechanism = "surplus-reads"  // what a team gets beyond its share reads no shared part again
-	SharedCopies     Mechanism = "copies"         // routers tell one another of copies of a prompt's parts
-	TokenBuckets     Mechanism = "allowances"     // a team above its share gets so many tokens at each router
-	EarlyRefusal     Mechanism = "door"           // what an allowance cannot cover is refused before its body is read
-	EvenCap          Mechanism = "even-bound"     // no team gets much more than one that wants more and gets less
-	Headroom         Mechanism = "headroom"       // teams get more than what is configured while servers are idle
+	SharedLoads      Mechanism = "loads"          // routers count the load that other routers place on servers
+	FewCandidates    Mechanism = "few-candidates" // a request examines only a few servers first
+	Locality         Mechanism = "locality"       // servers that hold a prompt's parts are preferred
+	SurplusReads     Mechanism = "surplus-reads"  // requests beyond a team's share go only where no shared part must be read again
+	SharedCopies     Mechanism = "copies"         // routers announce copies of prompt parts to one another
+	TokenBuckets     Mechanism = "allowances"     // each router limits teams above their share by a token bucket
+	EarlyRefusal     Mechanism = "door"           // requests that the token bucket can't cover are refused before their body is read
+	EvenCap          Mechanism = "even-bound"     // no team gets much more than one that asks for more and gets less
+	Headroom         Mechanism = "headroom"       // teams share more than the configured capacity while servers are idle
 	NewFirst         Mechanism = "new-first"      // requests that are late already come after the others
-	Ejection         Mechanism = "ejection"       // servers that fail often get no requests for a while
-	HallReachability Mechanism = "hall-reach"     // a hall whose servers can't be reached in a row gets only probes
-	LapseGrace       Mechanism = "lapse-hold"     // servers whose entries went with many others are used a little longer
-	StallTimeout     Mechanism = "patience"       // a server that says nothing is given up for another one
+	Ejection         Mechanism = "ejection"       // servers that fail often get no requests for some time
+	HallReachability Mechanism = "hall-reach"     // a hall where several servers in a row are unreachable gets only probes
+	LapseGrace       Mechanism = "lapse-hold"     // servers whose entries vanish together with many others stay in use for a short time
+	StallTimeout     Mechanism = "patience"       // an attempt at a server that stays silent is given up for another server
 	LoadShedding     Mechanism = "shedding"       // a router short of processor time refuses new requests at once
-	UnreadyUnderLoad Mechanism = "yielding"       // such a router is not ready for a while
-	EventBatching    Mechanism = "gathering"      // such a router passes events on together
+	UnreadyUnderLoad Mechanism = "yielding"       // a router short of processor time reports itself as not ready for some time
+	EventBatching    Mechanism = "gathering"      // a router short of processor time forwards events in batches
 	StoreFollowers   Mechanism = "followers"      // only a few routers follow the store
-	Quarantine       Mechanism = "quarantine"     // requests under which servers crash are refused
+	Quarantine       Mechanism = "quarantine"     // requests with a fingerprint under which servers crash are refused
 )
 
 var mechanisms = []Mechanism{
@@ -39,14 +39,13 @@
 	StallTimeout, LoadShedding, UnreadyUnderLoad, EventBatching, StoreFollowers, Quarantine,
 }
 
-// ErrUnknownMechanism says that there is no mechanism of a name.
+// ErrUnknownMechanism is returned for a name that is not a mechanism's.
 var ErrUnknownMechanism = errors.New("unknown mechanism")
 
-// DisabledMechanisms is the set of mechanisms that are switched off. Its zero value
-// switches none off.
+// DisabledMechanisms is the set of mechanisms that are switched off. The zero value is empty.
 type DisabledMechanisms struct{ disabled []Mechanism }
 
-// ParseDisabledMechanisms reads names separated by commas.
+// ParseDisabledMechanisms parses a comma-separated list of mechanism names.
 func ParseDisabledMechanisms(names string) (DisabledMechanisms, error) {
 	var w DisabledMechanisms
 	if names == "" {
@@ -55,17 +54,17 @@
 	for name := range strings.SplitSeq(names, ",") {
 		m := Mechanism(strings.TrimSpace(name))
 		if !slices.Contains(mechanisms, m) {
-			return DisabledMechanisms{}, errors.Wrapf(ErrUnknownMechanism, "%q; there are %v", name, mechanisms)
+			return DisabledMechanisms{}, errors.Wrapf(ErrUnknownMechanism, "%q; known mechanisms: %v", name, mechanisms)
 		}
 		w.disabled = append(w.disabled, m)
 	}
 	return w, nil
 }
 
-// Enabled tells whether a mechanism is not switched off.
+// Enabled reports whether a mechanism is not in the set.
 func (w DisabledMechanisms) Enabled(m Mechanism) bool { return !slices.Contains(w.disabled, m) }
 
-// String lists the mechanisms that are switched off.
+// String returns the names of the set, separated by commas.
 func (w DisabledMechanisms) String() string {
 	names := make([]string, len(w.disabled))
 	for i, m := range w.disabled {
--- a/direct/mechanism_test.go
+++ b/direct/mechanism_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestParseDisabledMechanisms reads every mechanism, and names what there is where a name is
-// wrong.
+// TestParseDisabledMechanisms parses every mechanism, and checks that the error for an unknown
+// name lists the known ones.
 func TestParseDisabledMechanisms(t *testing.T) {
 	for _, m := range mechanisms {
 		w, err := ParseDisabledMechanisms(string(m))
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -8,68 +8,68 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// Msg is anything that a Machine can be told. Now is the time since the process
-// started, on its monotonic clock.
+// Msg is an event for a Machine. Its Now is the time since the process started, from the
+// monotonic clock.
 type Msg interface{ isMsg() }
 
-// ConfigMsg puts a configuration in force.
+// ConfigMsg applies a configuration.
 type ConfigMsg struct {
 	Now    time.Duration
 	Config Config
 }
 
-// RetryBudgetMsg changes the budget for retries.
+// RetryBudgetMsg changes the retry budget.
 type RetryBudgetMsg struct{ RetryBudget RetryBudgetOptions }
 
-// DrainMsg changes how long a server that leaves may get requests after its word; see Options.
+// DrainMsg changes how long a leaving server may get requests after its notice; see Options.
 type DrainMsg struct{ Drain time.Duration }
 
-// ServersMsg brings a newer list of servers.
+// ServersMsg delivers a newer list of servers.
 type ServersMsg struct {
 	Now       time.Duration
 	Directory Directory
 }
 
-// HallRegionsMsg says in which region each data hall lies that is known.
+// HallRegionsMsg maps the known data halls to their regions.
 type HallRegionsMsg struct {
 	Now   time.Duration
 	Halls map[string]string
 }
 
-// EvacuationsMsg brings a newer set of evacuated data halls.
+// EvacuationsMsg delivers a newer set of evacuated data halls.
 type EvacuationsMsg struct {
 	Now         time.Duration
 	Evacuations Evacuations
 }
 
-// QuarantineMsg brings the contents that the store lists as barred.
+// QuarantineMsg delivers the fingerprints that the store lists as barred.
 type QuarantineMsg struct {
 	Now          time.Duration
 	Fingerprints []quarantine.Content
 }
 
-// GateMsg says which of a service's servers may get requests, by their version.
+// GateMsg sets which of a service's servers may get requests, by their version.
 type GateMsg struct {
 	Now  time.Duration
 	Gate rollout.Gate
 }
 
-// RequestMsg brings a request.
+// RequestMsg delivers a new request.
 type RequestMsg struct {
 	Now     time.Duration
 	Request Request
 }
 
-// AdmissionCheckMsg asks whether a request would be refused as soon as it came, before its
-// router has read the body. A RefuseCmd says so, and the request has been counted;
-// without one it has not, and comes as an ArriveMsg.
+// AdmissionCheckMsg asks, before the router has read the body, whether a request would be
+// refused at once. If so, the machine counts the request and returns a RefuseCmd. If not, it
+// does not count it, and the router follows up with a RequestMsg.
 type AdmissionCheckMsg struct {
 	Now     time.Duration
 	Request Request
 }
 
-// ShedMsg says that the router refused a request at the door, for want of
-// processor time: its team asked for it all the same.
+// ShedMsg reports that the router has refused a request before reading it, for lack of
+// processor time. The request still counts in its team's demand.
 type ShedMsg struct {
 	Now          time.Duration
 	Team         string
@@ -77,85 +77,86 @@
 	OutputTokens int
 }
 
-// FirstEventMsg says that the first event of an attempt, or its whole answer, came.
+// FirstEventMsg reports the first event of an attempt, or its whole response.
 type FirstEventMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
 
-// NoticeMsg tells what a server said of itself in an answer. It comes before the answer is
-// passed on.
+// NoticeMsg delivers the notice that a server has put into a response. It precedes forwarding
+// of the response.
 type NoticeMsg struct {
 	Now    time.Duration
 	Server string
 	Notice Notice
 }
 
-// AttemptEndMsg says how an attempt ended. Retry asks for another one; the machine
-// answers with a Send, or with a Refuse or Fail.
+// AttemptEndMsg reports the end of an attempt. Retry asks for another one; the machine answers
+// with a SendCmd, RefuseCmd or FailCmd.
 type AttemptEndMsg struct {
 	Now         time.Duration
 	ID          RequestID
 	Outcome     Outcome
 	Retry       bool
-	ConnRefused bool // of what is Unsent: the server's host says that nothing listens there
-	RouterLate  bool // the router itself was late; a silence says nothing of the server
+	ConnRefused bool // for the outcome Unsent: the server's host refused the connection
+	RouterLate  bool // the router itself was late, so a silence is no evidence against the server
 }
 
-// ProbeResultMsg says whether a server could be reached; see ProbeCmd.
+// ProbeResultMsg reports whether a server was reachable; see ProbeCmd.
 type ProbeResultMsg struct {
 	Now         time.Duration
 	Server      string
 	Reached     bool
-	ConnRefused bool // its host says that nothing listens there
-	RouterLate  bool // the router itself was late; a silence says nothing of the server
+	ConnRefused bool // the server's host refused the connection
+	RouterLate  bool // the router itself was late, so a silence is no evidence against the server
 }
 
-// CancelMsg says that a waiting request is no longer wanted.
+// CancelMsg withdraws a waiting request.
 type CancelMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
 
-// PeerReportMsg brings what another router does at the moment.
+// PeerReportMsg delivers the current report of another router.
 type PeerReportMsg struct {
 	Now    time.Duration
 	Peer   string
 	Report Report
 }
 
-// PeerLoadsMsg brings what all other routers have at the servers; see package loads.
+// PeerLoadsMsg delivers the load that all other routers have at the servers; see package loads.
 type PeerLoadsMsg struct {
 	Now   time.Duration
 	Loads []loads.Load
 }
 
-// PeerTeamsMsg brings what all other routers see of teams; see package loads.
+// PeerTeamsMsg delivers the demand and use of teams at all other routers; see package loads.
 type PeerTeamsMsg struct {
 	Now   time.Duration
 	Teams []loads.TeamUse
 }
 
-// PeerCopiesMsg brings copies of prompts' parts that other routers have made; see package loads.
+// PeerCopiesMsg delivers copies of prompt parts that other routers have made; see package
+// loads.
 type PeerCopiesMsg struct {
 	Now    time.Duration
 	Copies []loads.Copy
 }
 
-// MembershipMsg tells how many routers there are, this one included, and how long a
-// report of one holds.
+// MembershipMsg reports the number of routers, including this one, and how long a report of one
+// is valid.
 type MembershipMsg struct {
 	Now       time.Duration
 	Routers   int
 	ReportTTL time.Duration
-	// Known counts all routers that may be there, those not heard for a while
-	// included, and Rank this router's place among them by address, from 0.
+	// Known counts all routers that may be running, including those that have been silent for
+	// some time. Rank is this router's position among them by address, from 0.
 	Known, Rank int
-	// SilentHalls are the data halls of which routers were heard, and none any more.
+	// SilentHalls are the data halls whose routers have all gone silent.
 	SilentHalls []string
 }
 
-// TickMsg lets time pass; send it every TickEvery.
+// TickMsg advances the time. Send it every TickInterval.
 type TickMsg struct{ Now time.Duration }
 
 // TickInterval is the time between two ticks.
@@ -184,11 +185,11 @@
 func (MembershipMsg) isMsg()     {}
 func (TickMsg) isMsg()           {}
 
-// Report is what one router tells the others of itself.
+// Report is what one router reports of itself to the others.
 type Report struct {
 	Headroom float64 // see Shares
-	// Suspects are contents under which servers crashed, SuspectsDigest short sums of those that
-	// all routers have to know.
+	// Suspects are fingerprints under which servers have crashed. SuspectsDigest holds short
+	// checksums of those that all routers must know.
 	Suspects       []quarantine.Report
 	SuspectsDigest quarantine.Digest
 }
--- a/direct/oracle_test.go
+++ b/direct/oracle_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// ruleChecker holds the rules against a machine: what it may do with each request.
+// ruleChecker checks each command of a machine against the rules for the request's state.
 type ruleChecker struct {
 	t        *rapid.T
 	m        *Machine
@@ -21,14 +21,14 @@
 	draining map[string]bool
 	revision uint64
 	arrivals int // requests that arrived
-	retries  int // attempts past the first
+	retries  int // attempts after the first of a request
 }
 
-// trackedRequest is what the oracle knows of a request.
+// trackedRequest is the checker's own state of a request.
 type trackedRequest struct {
 	Request
 	arrived      time.Duration
-	waitingSince time.Duration // since when it waits
+	waitingSince time.Duration // start of the current wait
 	sends        int
 	mayRan       bool
 	server       string
@@ -38,7 +38,7 @@
 	unsent       int
 }
 
-// TestRules plays random days against the machine. By hand:
+// TestRules checks a machine's commands under random sequences of events. For a longer run:
 // go test ./direct -run TestRules -rapid.checks=10000 -rapid.steps=100
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,13 +67,13 @@
 			o.send(c)
 		case RefuseCmd:
 			w := o.requests[c.ID]
-			require.False(o.t, w.mayRan, "refused, yet it may have run")
-			require.False(o.t, w.running, "refused while it runs")
+			require.False(o.t, w.mayRan, "refused, but it may have run")
+			require.False(o.t, w.running, "refused while running")
 			require.Positive(o.t, c.RetryAfter)
 			w.ended = true
 		case FailCmd:
 			w := o.requests[c.ID]
-			require.True(o.t, w.mayRan, "failed, yet it has not run: it must be refused")
+			require.True(o.t, w.mayRan, "failed without having run; must be refused")
 			w.ended = true
 		}
 	}
@@ -81,16 +81,16 @@
 
 func (o *ruleChecker) send(c SendCmd) {
 	w := o.requests[c.ID]
-	require.False(o.t, w.ended, "sent after its end")
-	require.False(o.t, w.running, "sent twice at once")
-	require.True(o.t, !w.mayRan || w.MayRepeat, "sent again, and it may not be repeated")
+	require.False(o.t, w.ended, "sent after it ended")
+	require.False(o.t, w.running, "sent while running")
+	require.True(o.t, !w.mayRan || w.MayRepeat, "sent again, but it must not be repeated")
 	require.False(o.t, w.visited[c.Server.ID], "sent to the same server twice")
 	require.Equal(o.t, w.Service, c.Server.Service)
 	if o.draining[c.Server.ID] {
-		require.True(o.t, o.allLeaving(w.Service), "sent to a server that leaves, though others stay")
+		require.True(o.t, o.allLeaving(w.Service), "sent to a leaving server although others are available")
 	}
 	w.sends++
-	require.LessOrEqual(o.t, w.sends, w.Attempts, "sent to more servers than its route allows")
+	require.LessOrEqual(o.t, w.sends, w.Attempts, "more attempts than its route allows")
 	if w.sends > 1 {
 		o.retries++
 	}
@@ -207,7 +207,7 @@
 	}
 }
 
-// checkInvariants holds what must be so at any moment.
+// checkInvariants checks the rules that must hold at any time.
 func (o *ruleChecker) checkInvariants() {
 	running := make(map[string]int)
 	for _, id := range o.running {
@@ -220,7 +220,7 @@
 	for id, w := range o.requests {
 		if !w.ended && !w.running {
 			limit := time.Duration(maxWaitFraction*float64(w.Objective)) + 2*TickInterval
-			require.LessOrEqual(o.t, o.now-w.waitingSince, limit, "request %d is held", id)
+			require.LessOrEqual(o.t, o.now-w.waitingSince, limit, "request %d waits too long", id)
 		}
 	}
 	require.LessOrEqual(o.t, float64(o.retries), 0.2*float64(o.arrivals)+20)
--- a/direct/partholders.go
+++ b/direct/partholders.go
@@ -3,12 +3,11 @@
 import "time"
 
 const (
-	// maxTrackedParts bounds the parts that a router remembers the holders of.
+	// maxTrackedParts bounds the parts whose holders a router tracks.
 	maxTrackedParts = 20000
-	// maxHoldersPerPart bounds the servers remembered for one part.
+	// maxHoldersPerPart bounds the holders tracked for one part.
 	maxHoldersPerPart = 12
-	// maxCacheTTL is the longest time that a server is taken to keep a part
-	// unused.
+	// maxCacheTTL is the maximum time for which a server is assumed to keep an unused part.
 	maxCacheTTL = 30 * time.Second
 )
 
@@ -18,12 +17,12 @@
 	lastUsed time.Duration
 }
 
-// partHolders remembers which servers have read which shared parts of prompts.
+// partHolders tracks which servers have read which shared parts of prompts.
 type partHolders struct {
 	parts map[uint64][]partHolder
 }
 
-// record says that a server has read a part.
+// record records that a server has read a part now.
 func (h *partHolders) record(now time.Duration, part uint64, server string) {
 	if h.parts == nil {
 		h.parts = make(map[uint64][]partHolder)
@@ -51,17 +50,16 @@
 	list[oldest] = partHolder{server: server, lastUsed: now}
 }
 
-// holdersOf returns the servers that have read a part, some perhaps long ago.
+// holdersOf returns the servers that have read a part, including those whose copy may have
+// expired.
 func (h *partHolders) holdersOf(part uint64) []partHolder { return h.parts[part] }
 
-// isHolder tells whether a server is known to keep a part, when parts are kept for
-// some time.
+// isHolder reports whether a server has read a part within the TTL.
 func (h *partHolders) isHolder(now, ttl time.Duration, part uint64, server string) bool {
 	return holdsPart(h.parts[part], now, ttl, server)
 }
 
-// holdsPart tells whether a server is among those that have read a part less than
-// some time ago.
+// holdsPart reports whether a list of holders has a server that read the part within the TTL.
 func holdsPart(list []partHolder, now, ttl time.Duration, server string) bool {
 	for i := range list {
 		if list[i].server == server {
@@ -71,7 +69,8 @@
 	return false
 }
 
-// evict drops what is old, and everything where that is not enough.
+// evict drops the parts whose first holder is older than maxCacheTTL, and all parts if that
+// does not free any space.
 func (h *partHolders) evict(now time.Duration) {
 	for part, list := range h.parts {
 		if now-list[0].lastUsed >= maxCacheTTL {
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -8,13 +8,13 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// recordPeerReport takes in what another router does at the moment.
+// recordPeerReport records the current report of another router.
 func (m *Machine) recordPeerReport(msg PeerReportMsg) {
 	m.peerReports[msg.Peer] = peerReport{at: msg.Now, report: msg.Report}
 	m.mergeSuspects(msg.Now, msg.Report)
 }
 
-// expirePeerReports drops the reports that no longer hold.
+// expirePeerReports drops the reports that are older than the report TTL.
 func (m *Machine) expirePeerReports(now time.Duration) {
 	for name, p := range m.peerReports {
 		if now-p.at > m.reportTTL {
@@ -23,7 +23,7 @@
 	}
 }
 
-// setPeerTeams takes in what all other routers see of teams.
+// setPeerTeams replaces the demand and use of teams at the other routers.
 func (m *Machine) setPeerTeams(msg PeerTeamsMsg) {
 	m.peerTeamsAt = msg.Now
 	for _, t := range m.teams {
@@ -34,8 +34,8 @@
 	}
 }
 
-// expirePeerTeams forgets the others' use of teams where nothing new has come for too long:
-// first what they got, and later their demand too.
+// expirePeerTeams clears the other routers' figures of teams once no update has come for too
+// long: first what teams get, and after a longer time their demand too.
 func (m *Machine) expirePeerTeams(now time.Duration) {
 	if m.peerTeamsAt == 0 || now-m.peerTeamsAt <= loads.TeamsHold {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// medianHeadroom returns the middle of what the routers that are heard take the
-// headroom to be: shares that differ between routers would not be even.
+// medianHeadroom returns the median of the headroom estimates of this router and its peers.
+// With a different headroom at each router, the shares would be uneven.
 func (m *Machine) medianHeadroom() float64 {
 	headrooms := []float64{max(m.ownHeadroom, 1)}
 	for _, p := range m.peerReports {
@@ -66,15 +66,15 @@
 	return headrooms[(len(headrooms)-1)/2]
 }
 
-// Report returns what this router does at the moment, for the others. What it has to tell of
-// suspects is in a few reports.
+// Report returns this router's current report for the others. Each suspect is included in only
+// a few reports.
 func (m *Machine) Report(now time.Duration) Report {
 	return Report{
 		Headroom: m.ownHeadroom, Suspects: m.suspects.Tell(now, maxReportedSuspects), SuspectsDigest: m.suspects.Digest(),
 	}
 }
 
-// Teams returns what this router sees of teams.
+// Teams returns the demand and use of the active teams at this router.
 func (m *Machine) Teams(now time.Duration) []loads.TeamUse {
 	var out []loads.TeamUse
 	for name, t := range m.teams {
--- a/direct/place.go
+++ b/direct/place.go
@@ -3,52 +3,52 @@
 import "time"
 
 const (
-	// maxFirstEventFraction is the part of the objective that the expected first event may
-	// take; waitWithin the part that the server's backlog may take, for prompts
-	// so long that they cannot meet their objective anywhere.
+	// maxFirstEventFraction is the maximum expected time to the first event, as a fraction of
+	// the objective. maxBacklogFraction is the maximum backlog of the server, for prompts so
+	// long that they can't meet their objective at any server.
 	maxFirstEventFraction = 0.85
 	maxBacklogFraction    = 0.4
-	// A team that gets more than its share of what is configured has only what
-	// others leave: servers with a backlog of at most overWait of the average
-	// objective, the same for all its requests, and which keep its prompt where
-	// any does.
+	// A team above its share of the configured capacity gets only what the others leave:
+	// servers with a backlog of at most overShareBacklogFraction of the average objective,
+	// which is the same for all its requests, and that hold its prompt if any server does.
 	overShareBacklogFraction = 0.2
 
-	// The costs of a choice, in milliseconds.
-	lateCost = 200.0 // for being late for certain
-	missCost = 0.04  // for each token that must be read again
-	waitCost = 0.1   // for each millisecond of backlog
-	slotCost = 0.5   // for each request that runs there
-	zoneCost = 4.0   // for a server of another zone
-	// regionCost is for a server of another region: several milliseconds more each way
-	// than within one, and bytes at several times the price.
+	// The costs of a placement, in milliseconds.
+	lateCost = 200.0 // for certain lateness
+	missCost = 0.04  // per token that must be read again
+	waitCost = 0.1   // per millisecond of backlog
+	slotCost = 0.5   // per request that runs at the server
+	zoneCost = 4.0   // for a server in another zone
+	// regionCost is for a server in another region: several milliseconds more each way than
+	// within one region, and several times the price per byte.
 	regionCost = 12.0
-	copyCost   = 25.0 // for a server that is not the first to keep the part
-	// rankCost is the part of the cost of reading a part that tells servers
-	// apart which do not keep it, so that all routers copy it to the same one.
+	copyCost   = 25.0 // for a server other than the preferred holder of the part
+	// rankCost is the fraction of a part's read cost by which servers without the part differ
+	// in cost, so that all routers copy it to the same one.
 	rankCost = 0.25
 
-	// lateRiskFrom and certainTo bound the part of the objective, as expected,
-	// between which being late goes from unlikely to likely.
+	// lateRiskFrom and lateRiskTo bound the range of the expected time, as a fraction of the
+	// objective, over which the risk of being late rises from 0 to 1.
 	lateRiskFrom = 0.4
 	lateRiskTo   = 1.2
 
-	// probationBonus is what a trial of a server on probation may cost.
+	// probationBonus is the extra cost that is accepted to try a server on probation.
 	probationBonus = 500.0
 
-	// candidateBatch is how many servers a request looks at before it is content with
-	// one that is expected within goodTime of the objective, and laterTime for
-	// each server that it has looked at: where most servers are busy, not all
-	// routers take the one that is not.
+	// candidateBatch is how many servers a request examines before it accepts one whose
+	// estimate is within goodEstimateFraction of the objective. The fraction grows by
+	// goodEstimateStep for each server examined: if most servers are busy, not all routers
+	// choose the one that is not.
 	candidateBatch       = 4
 	goodEstimateFraction = 0.5
 	goodEstimateStep     = 0.025
 
-	// maxPlainExcess is how many requests a plain server may have beyond its slots.
+	// maxPlainExcess is the maximum number of requests beyond its slots at a server without an
+	// engine.
 	maxPlainExcess = 12
 )
 
-// choice is a server that was weighed for a request.
+// choice is a server with the estimates of a placement there.
 type choice struct {
 	server     *server
 	missTokens int
@@ -56,13 +56,12 @@
 	cost       float64
 }
 
-// place picks a server among those that would serve the request in time, or
-// returns false.
+// place picks a server that would serve the request in time. It returns false if there is none.
 //
-// All routers see the same loads, some time late: if each took the cheapest of
-// all servers, they would take the same one at once. So each request looks at a
-// few servers first, which its prompt and chance give it, and at more only where
-// none of those would serve it in good time.
+// All routers see the same loads with some delay. If each took the cheapest of all servers,
+// they would all take the same one at once. So each request first examines a few servers, which
+// depend on its prompt and on chance, and examines more only if none of those has a good
+// estimate.
 func (m *Machine) place(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	preferred := m.preferredServer(now, p, r)
 	candidates := m.candidates(now, p, r)
@@ -80,8 +79,8 @@
 			continue
 		}
 		if c.server.probation {
-			// Without a trial it would never come back: servers that keep
-			// parts always cost less.
+			// Servers that hold parts always cost less, so without the bonus a server on
+			// probation would never get the request that ends it.
 			evaluated.cost -= probationBonus
 		}
 		if !found || evaluated.cost < best.cost {
@@ -94,13 +93,14 @@
 	return best, true
 }
 
-// estimatedWithin tells whether the first event is expected within a part of the
+// estimatedWithin reports whether the first event is expected within a fraction of the
 // objective.
 func (c choice) estimatedWithin(r *requestState, fraction float64) bool {
 	return float64(c.estimate) <= fraction*float64(r.Objective)
 }
 
-// eligible tells whether a request may go to a server now.
+// eligible reports whether a request may go to a server now. A server on probation gets only
+// requests that can be retried elsewhere, one at a time.
 func (m *Machine) eligible(now time.Duration, p *pool, s *server, r *requestState) bool {
 	if !s.accepts(now, r.Regions) || now < s.fullUntil || r.hasTried(s.ID) || !m.coldSendAllowed(now, p, s) {
 		return false
@@ -108,8 +108,8 @@
 	return !s.probation || (r.MayRepeat && r.attempt+1 < r.Attempts && s.running == 0)
 }
 
-// lastResort picks a server that is leaving, where no other that the request may go to is
-// known.
+// lastResort picks the least loaded server that is leaving, if all servers in the request's
+// regions are leaving.
 func (m *Machine) lastResort(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	var best *server
 	for _, s := range p.eligible(r) {
@@ -132,8 +132,8 @@
 	return choice{server: best}, best != nil
 }
 
-// evaluate estimates what a request would cost at a server, and tells whether the
-// server would serve it in time.
+// evaluate estimates the cost of a request at a server and reports whether the server would
+// serve it in time.
 func (m *Machine) evaluate(now time.Duration, p *pool, s *server, r *requestState, preferred *server) (choice, bool) {
 	if p.engine == nil {
 		return m.evaluatePlain(s, r)
@@ -150,8 +150,8 @@
 	own := float64(r.ownTokens()+missTokens) / perMS
 	first := float64(firstEventOverhead/time.Millisecond) + wait + own
 	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
-	// A request beyond its team's share goes only where no shared part must be read
-	// again. Where no server is known to keep the part, home is assumed to keep it.
+	// A request beyond its team's share goes only to servers that need not read a shared part
+	// again. If no holder is known, the preferred server is assumed to hold it.
 	surplus := r.shareRatio > 1 && r.attempt == 0 && m.enabled(SurplusReads)
 	if !fits(r, first/objectiveMS, wait/objectiveMS, p.objectiveMS) || (surplus && missTokens > 0) {
 		return choice{}, false
@@ -165,9 +165,9 @@
 	return choice{server: s, missTokens: missTokens, estimate: milliseconds(first), cost: cost}, true
 }
 
-// fits tells whether a server would serve a request in time. first and wait are
-// the expected first event and the backlog, in parts of the objective; average is
-// the objective of all requests, in milliseconds.
+// fits reports whether a server would serve a request in time. first is the expected time to
+// the first event and wait the backlog, both as fractions of the request's objective. average
+// is the average objective of all requests, in milliseconds.
 func fits(r *requestState, first, wait, average float64) bool {
 	switch {
 	case r.attempt > 0:
@@ -192,7 +192,7 @@
 	return choice{server: s, estimate: milliseconds(first), cost: cost}, fits
 }
 
-// distance is the cost of a server in another zone or region.
+// distance returns the cost of a server in another zone or region.
 func (m *Machine) distance(s *server) float64 {
 	switch {
 	case s.Zone == m.options.Zone:
@@ -203,9 +203,9 @@
 	return regionCost
 }
 
-// copyPlacementCost tells apart the servers other than the first that keeps a part: by the
-// order of the part's rendezvous weights, so that all routers copy it to the
-// same one.
+// copyPlacementCost returns the extra cost of a server other than the preferred one. Among
+// servers without the part it follows their rendezvous weights, so that all routers copy the
+// part to the same one.
 func copyPlacementCost(r *requestState, s *server, missTokens int) float64 {
 	if missTokens == 0 {
 		return copyCost
@@ -215,8 +215,8 @@
 	return rankCost * missCost * float64(last.Tokens) * (1 - float64(weight>>11)/float64(1<<53))
 }
 
-// missingTokens returns the tokens of shared parts that a server would have to read.
-// A part is of use only where everything before it is kept as well.
+// missingTokens returns the tokens of shared parts that a server would have to read. A part is
+// usable only if the server holds all parts before it as well.
 func (m *Machine) missingTokens(now time.Duration, p *pool, s *server, r *requestState) int {
 	miss := 0
 	for i := len(r.Parts) - 2; i >= 0; i-- {
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -11,13 +11,13 @@
 	name        string
 	engine      *Engine
 	servers     map[string]*server
-	all         []*server     // by id
-	admitted    []*server     // those that may get requests, by id; see admit
+	all         []*server     // by ID
+	admitted    []*server     // may get requests under the gate, by ID
 	gate        *gate         // nil: every version may get requests
 	baseline    baseline      // of the versions in use
-	tokenRate   float64       // tokens a millisecond of a server, averaged
-	cacheTTL    time.Duration // how long a server keeps a part of a prompt unused
-	objectiveMS float64       // milliseconds, averaged over requests
+	tokenRate   float64       // average of a server, in tokens per millisecond
+	cacheTTL    time.Duration // how long a server keeps an unused part of a prompt
+	objectiveMS float64       // average over requests, in milliseconds
 	cold        ColdLimit
 	queue       queue
 	retryWindow retryWindow
@@ -27,7 +27,7 @@
 	return &pool{name: name, servers: make(map[string]*server), cacheTTL: maxCacheTTL}
 }
 
-// configure takes in what the configuration says of the service.
+// configure applies the configuration of the service.
 func (p *pool) configure(s *Service, limits Limits) {
 	p.engine = s.Engine
 	p.cold = s.Cold
@@ -36,8 +36,8 @@
 	}
 }
 
-// initialTokenRate guesses how fast a server reads prompts before one was measured:
-// twice its part of the tokens that all make and read together.
+// initialTokenRate estimates, in tokens per millisecond, how fast a server reads prompts before
+// any measurement: twice its part of the tokens that all servers read and generate together.
 func initialTokenRate(tokensPerSecond float64, servers int) float64 {
 	if tokensPerSecond == 0 || servers == 0 {
 		return 60
@@ -45,7 +45,7 @@
 	return 2 * tokensPerSecond / 1000 / float64(servers)
 }
 
-// tokenRateOf returns how many tokens a millisecond a server reads.
+// tokenRateOf returns how fast a server reads prompts, in tokens per millisecond.
 func (p *pool) tokenRateOf(s *server) float64 {
 	if s.tokenRate > 0 {
 		return max(s.tokenRate, 1)
@@ -53,8 +53,8 @@
 	return max(p.tokenRate, 1)
 }
 
-// refreshServers sorts the servers after a change, so that choices depend on no map
-// order.
+// refreshServers rebuilds the sorted lists after a change of the servers. Sorting keeps
+// decisions independent of the order of a map.
 func (p *pool) refreshServers() {
 	p.all = p.all[:0]
 	for _, s := range p.servers {
@@ -68,7 +68,7 @@
 	slices.SortFunc(servers, func(a, b *server) int { return strings.Compare(a.ID, b.ID) })
 }
 
-// medianFailureRate returns the failure average of the middle one of some servers.
+// medianFailureRate returns the median failure rate of the servers.
 func medianFailureRate(servers []*server) float64 {
 	if len(servers) == 0 {
 		return 0
@@ -81,13 +81,13 @@
 	return all[(len(all)-1)/2]
 }
 
-// anyUsable tells whether some server of some regions may get new requests.
+// anyUsable reports whether some server in the regions may get new requests.
 func (p *pool) anyUsable(now time.Duration, regions Regions) bool {
 	return slices.ContainsFunc(p.admitted, func(s *server) bool { return s.accepts(now, regions) })
 }
 
-// ejectionCapReached tells whether one more ejection would leave less than half of
-// some servers.
+// ejectionCapReached reports whether one more ejection would leave less than half of the
+// available servers in use.
 func ejectionCapReached(now time.Duration, servers []*server) bool {
 	inUse, all := 0, 0
 	for _, s := range servers {
@@ -102,11 +102,11 @@
 	return inUse-1 < (all+1)/2
 }
 
-// promptCacheFraction is the part of an engine's memory that parts of prompts have.
+// promptCacheFraction is the fraction of an engine's memory that holds parts of prompts.
 const promptCacheFraction = 0.8
 
-// updateCacheTTL works out how long a part is kept unused, from the tokens a second
-// that all servers read: the parts unused longest give way.
+// updateCacheTTL computes how long servers keep an unused part, from the tokens per second that
+// all servers read: they evict the least recently used parts first.
 func (p *pool) updateCacheTTL(tokens float64) {
 	p.cacheTTL = maxCacheTTL
 	if p.engine == nil || tokens <= 0 || len(p.admitted) == 0 {
--- a/direct/queue.go
+++ b/direct/queue.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxWaitFraction is the part of its objective that a request may wait in the queue
+	// maxWaitFraction is the fraction of its objective that a request may wait in the queue
 	// before it is refused.
 	maxWaitFraction = 0.2
 	// maxQueued bounds the waiting requests of a service at one router.
@@ -19,16 +19,16 @@
 	waiting []*requestState
 }
 
-// maxWait is how long a request may wait in the queue.
+// maxWait returns how long a request may wait in the queue.
 func maxWait(r *requestState) time.Duration {
 	return time.Duration(maxWaitFraction * float64(r.Objective))
 }
 
-// add puts a request in the queue.
+// add appends a request.
 func (q *queue) add(r *requestState) { q.waiting = append(q.waiting, r) }
 
-// queuedTokens returns the tokens that the requests of a team in the queue ask for which are
-// served before one that may wait until a time.
+// queuedTokens returns the token cost of a team's queued requests whose waiting time ends no
+// later than the given time.
 func (q *queue) queuedTokens(team string, until time.Duration) float64 {
 	sum := 0.0
 	for _, r := range q.waiting {
@@ -39,16 +39,16 @@
 	return sum
 }
 
-// remove takes a request out.
+// remove removes a request.
 func (q *queue) remove(r *requestState) {
 	if i := slices.Index(q.waiting, r); i >= 0 {
 		q.waiting = slices.Delete(q.waiting, i, i+1)
 	}
 }
 
-// sort puts first who is served first: requests that were sent before, then
-// higher priority, teams within their share, those that are not late already, the
-// team that got least, the one that can wait least.
+// sort orders the requests: those sent before come first, then by higher priority, teams within
+// their share, requests that are not late already, the team that gets least, and the earliest
+// end of the waiting time.
 func (q *queue) sort() {
 	slices.SortStableFunc(q.waiting, func(a, b *requestState) int {
 		return cmp.Or(
@@ -63,7 +63,7 @@
 	})
 }
 
-// expired returns the requests that have waited as long as they may.
+// expired returns the requests whose waiting time is over.
 func (q *queue) expired(now time.Duration) []*requestState {
 	var out []*requestState
 	for _, r := range q.waiting {
--- a/direct/request.go
+++ b/direct/request.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// RequestID names a request within one life of a router.
+// RequestID identifies a request within one run of a router.
 type RequestID uint64
 
 // PromptPart is a piece of a prompt that other requests may share.
@@ -15,27 +15,27 @@
 	Tokens int
 }
 
-// Request is what the decisions need to know of a request.
+// Request holds the properties of a request that decisions depend on.
 type Request struct {
 	ID           RequestID
 	Team         string
 	Route        string
 	Service      string
-	Regions      Regions // that it may be served in
+	Regions      Regions // that may serve it
 	Kind         Kind
 	MayRepeat    bool
-	Attempts     int // servers that it may be sent to
+	Attempts     int // maximum number of servers that it is sent to
 	Priority     int
 	Objective    time.Duration
-	Age          time.Duration // since its caller first asked, as far as is known
+	Age          time.Duration // since the caller's first try, as far as known
 	Deadline     time.Duration // when the caller or the route gives it up
 	PromptTokens int           // of the whole prompt
 	OutputTokens int           // expected
-	Parts        []PromptPart  // of the prompt, in order; the last is the request's own
+	Parts        []PromptPart  // of the prompt, in order; the last is not shared
 	Fingerprint  quarantine.Content
 }
 
-// ownTokens counts the tokens of the prompt that no other request shares.
+// ownTokens returns the tokens of the prompt that are in no shared part.
 func (r *Request) ownTokens() int {
 	n := r.PromptTokens
 	for i := 0; i+1 < len(r.Parts); i++ {
@@ -44,7 +44,7 @@
 	return max(n, 0)
 }
 
-// lastShared returns the last part of the prompt that other requests may share.
+// lastShared returns the last shared part of the prompt, if there is one.
 func (r *Request) lastShared() (PromptPart, bool) {
 	if len(r.Parts) < 2 {
 		return PromptPart{}, false
--- a/direct/requeststate.go
+++ b/direct/requeststate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// requestState is a request that the machine knows.
+// requestState is a request that waits or runs, with the machine's state of it.
 type requestState struct {
 	Request
 	arrivedAt      time.Duration
@@ -17,20 +17,20 @@
 	triedServers   []string
 	currentServer  *server
 	sentAt         time.Duration
-	pendingTokens  int // tokens that the server has yet to read for it
-	tokensAhead    int // tokens to be read up to its first event, when it was sent
+	pendingTokens  int // that the server has yet to read for it
+	tokensAhead    int // that the server had to read before its first event, when it was sent
 	started        bool
 	firstEventAt   time.Duration // when the first event of this attempt came; 0: it has not
-	charged        bool          // counted for its team
-	shareRatio     float64       // what its team gets, in shares of what is configured
+	charged        bool          // counted in its team's use
+	shareRatio     float64       // its team's rate as a fraction of the configured share
 	placement      placement
 	observed       observation
-	late           bool    // its caller has asked before, too long ago for its objective
-	throttled      bool    // this router has given its team all that it may
-	teamServedRate float64 // rate of its team, for the order of the queue
+	late           bool    // repeated by its caller so late that it can hardly meet its objective
+	throttled      bool    // its team's token bucket has nothing for it
+	teamServedRate float64 // its team's rate, for the order of the queue
 }
 
-// cost is what the request takes of the engines, in tokens.
+// cost returns the cost of the request for the engines, in tokens.
 func (r *requestState) cost() float64 { return tokenCost(r.PromptTokens, r.OutputTokens) }
 
 func (r *requestState) hasTried(id string) bool { return slices.Contains(r.triedServers, id) }
--- a/direct/retrywindow.go
+++ b/direct/retrywindow.go
@@ -7,23 +7,24 @@
 	retryBuckets     = 64
 )
 
-// RetryBudgetOptions bound the retries at a service over the whole fleet: in each
-// Window at most Ratio of the requests, and Slack more.
+// RetryBudgetOptions limit the retries for a service across the fleet: in each Window, at most
+// Ratio of the requests plus Slack.
 type RetryBudgetOptions struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// retryBudgetMargin is the part of the fleet's budget that routers use together, so
-// that windows of different routers cannot add up to more.
+// retryBudgetMargin is the fraction of the fleet's budget that all routers use together. Their
+// windows are not aligned; the margin keeps the sum within the budget.
 const retryBudgetMargin = 0.8
 
-// retryWindow counts the requests and retries of one router at one service.
+// retryWindow counts one router's requests and retries for one service, in buckets of
+// retryBucketWidth.
 type retryWindow struct {
 	requests [retryBuckets]int
 	retries  [retryBuckets]int
-	newest   int64 // number of the newest bucket
+	newest   int64 // number of the newest bucket, counted from time 0
 }
 
 func (b *retryWindow) advance(now time.Duration) int64 {
@@ -41,8 +42,8 @@
 
 func (b *retryWindow) addRequest(now time.Duration) { b.requests[b.advance(now)%retryBuckets]++ }
 
-// trySpend takes one retry from this router's part of the budget, and tells
-// whether there was one.
+// trySpend takes one retry from this router's part of the budget and reports whether one was
+// left.
 func (b *retryWindow) trySpend(now time.Duration, o RetryBudgetOptions, routers int) bool {
 	n := b.advance(now)
 	buckets := min(int64(o.Window/retryBucketWidth)+1, retryBuckets-1)
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -36,8 +36,8 @@
 	m.emit(SendCmd{ID: r.ID, Server: s.Server, CrossRegion: !m.hallRegions.isLocal(s.region), Attempt: r.attempt, PlacementBasis: basis})
 }
 
-// charge counts a request for its team when it is sent, so that those sent at
-// one moment count at once.
+// charge counts a request in its team's use when it is sent, so that requests sent at the same
+// moment count at once.
 func (m *Machine) charge(now time.Duration, r *requestState) {
 	if r.charged {
 		return
@@ -48,9 +48,9 @@
 	team.tokenBucket.subtract(cost)
 }
 
-// refund takes a request off again that ended before its first event: its team
-// got nothing. Where a server may have begun to read it, the team's allowance
-// stays charged with the work.
+// refund reverses the charge of a request that ended before its first event, as its team got
+// nothing. If a server may have begun to read it, the team's token bucket stays charged with
+// the work.
 func (m *Machine) refund(now time.Duration, r *requestState, o Outcome) {
 	if !r.charged || r.started || o == Done || o == Failed {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// handleFirstEvent takes in that an attempt's first event came.
+// handleFirstEvent records the first event of an attempt and serves the queue.
 func (m *Machine) handleFirstEvent(msg FirstEventMsg) {
 	r := m.requests[msg.ID]
 	if r == nil || r.currentServer == nil {
--- a/direct/serve.go
+++ b/direct/serve.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// enqueue sends a request, or puts it in the queue. It does not look at those that
-// wait already: none could be sent a moment ago, and an arrival frees no server.
+// enqueue sends a request or puts it in the queue. It does not try the requests that wait
+// already: none could be sent a moment ago, and an arrival frees no server.
 func (m *Machine) enqueue(now time.Duration, p *pool, r *requestState) {
 	r.waitUntil = now + maxWait(r)
-	// What crashes servers crashes the next one too, in this try or in another.
+	// A request that crashes servers would crash the next one too, in this attempt or in a
+	// later one.
 	if m.suspects.Barred(now, r.Fingerprint) {
 		m.giveUp(now, p, r, ReasonQuarantined)
 		return
@@ -19,7 +20,7 @@
 		return
 	}
 	if m.wouldExpire(now, p, r) {
-		// Waiting would only hold its caller up.
+		// Waiting would only delay the caller.
 		m.giveUp(now, p, r, ReasonOverShare)
 		return
 	}
@@ -35,8 +36,8 @@
 	}
 }
 
-// trySend sends a request if its team may have more and a server would serve it
-// in time.
+// trySend sends a request if its team is not throttled and a server would serve it in time. It
+// reports whether it did.
 func (m *Machine) trySend(now time.Duration, p *pool, r *requestState) bool {
 	m.updateTeamState(now, p, r)
 	if r.throttled && r.attempt == 0 {
@@ -49,7 +50,7 @@
 	return ok
 }
 
-// sortQueue rates the requests in the queue and sorts them.
+// sortQueue updates the team state of the waiting requests and sorts them.
 func (m *Machine) sortQueue(now time.Duration, p *pool) {
 	for _, r := range p.queue.waiting {
 		m.updateTeamState(now, p, r)
@@ -59,14 +60,14 @@
 	}
 }
 
-// noServerInRegions tells whether a request is bound to regions of which no server may get new
-// requests.
+// noServerInRegions reports whether a request is restricted to regions in which no server may
+// get new requests.
 func (p *pool) noServerInRegions(now time.Duration, r *requestState) bool {
 	return r.Regions.Restricted() && !p.anyUsable(now, r.Regions)
 }
 
-// regionRefusalReason says why a bound request is refused that no server may get: either no
-// server at all may get requests, or none of its regions.
+// regionRefusalReason returns the reason to refuse a restricted request that no server may get:
+// either no server at all may get requests, or none in its regions.
 func (p *pool) regionRefusalReason(now time.Duration, r *requestState) Reason {
 	reason := p.unavailableReason(now, r)
 	if reason == ReasonNoServers && (r.Regions.AllowsNone() || p.anyUsable(now, Regions{})) {
@@ -75,7 +76,8 @@
 	return reason
 }
 
-// unavailableReason says why a request is refused that no server may get at the moment.
+// unavailableReason returns the reason to refuse a request that no server may get at the
+// moment.
 func (p *pool) unavailableReason(now time.Duration, r *requestState) Reason {
 	if _, ok := p.shortestBackoff(now, r.Regions); ok {
 		return ReasonBackoff
@@ -83,9 +85,8 @@
 	return ReasonNoServers
 }
 
-// serveQueue places what can be placed of the first most requests of a queue, in its
-// order. Those that no server may get any more are refused: waiting would only hold their
-// callers up.
+// serveQueue sends what can be sent of the first limit requests in the queue, in order. It
+// refuses requests that no server may get any more: waiting would only delay their callers.
 func (m *Machine) serveQueue(now time.Duration, p *pool, limit int) {
 	if len(p.queue.waiting) == 0 {
 		return
@@ -99,7 +100,8 @@
 		case m.suspects.Barred(now, r.Fingerprint):
 			m.giveUp(now, p, r, ReasonQuarantined)
 		case m.trySend(now, p, r):
-			// Those before it may have taken what its team may have.
+			// The team state is updated for each request, since those before it may have used
+			// up their team's tokens.
 		case p.noServerInRegions(now, r):
 			m.giveUp(now, p, r, p.regionRefusalReason(now, r))
 		case !p.anyUsable(now, Regions{}):
@@ -112,7 +114,8 @@
 	p.queue.waiting = kept
 }
 
-// updateTeamState sets where a request's team stands.
+// updateTeamState sets the fields of a request that depend on its team's current rate and token
+// bucket.
 func (m *Machine) updateTeamState(now time.Duration, p *pool, r *requestState) {
 	team := m.team(r.Team)
 	r.teamServedRate = team.servedRate(now)
--- a/direct/server.go
+++ b/direct/server.go
@@ -7,79 +7,79 @@
 )
 
 const (
-	failureWeight         = 0.08 // weight of one answer in a server's failure average
-	minEjectSamples       = 8    // answers before the average may eject
+	failureWeight         = 0.08 // weight of one response in a server's failure rate
+	minEjectSamples       = 8    // responses before the failure rate may eject
 	ejectStreak           = 4    // failures in a row that eject
-	ejectFailureRate      = 0.3  // failure average that ejects ...
-	ejectMedianFactor     = 3.0  // ... where it is also so many times the pool's median
+	ejectFailureRate      = 0.3  // failure rate that ejects ...
+	ejectMedianFactor     = 3.0  // ... if it also is this multiple of the pool's median
 	minEjection           = time.Second
 	maxEjection           = 5 * time.Second
 	minDownTime           = 250 * time.Millisecond
 	maxDownTime           = 2 * time.Second
-	maxLapseGrace         = 1200 * time.Millisecond // most; see lapsedFor
-	massLapseFraction     = 0.3                     // of a service's servers, that go at once
+	maxLapseGrace         = 1200 * time.Millisecond // upper bound; see lapsedFor
+	massLapseFraction     = 0.3                     // of a service's servers that vanish at once
 	minMassLapse          = 2
-	maxLastResortTime     = 800 * time.Millisecond // most; see lastResortFor
-	defaultFullPause      = 60 * time.Millisecond  // after a server turned a request away and did not say for how long
+	maxLastResortTime     = 800 * time.Millisecond // upper bound; see lastResortFor
+	defaultFullPause      = 60 * time.Millisecond  // after a server declined a request without a duration
 	rateWeight            = 0.1
 	minRateSampleTokens   = 1500
-	minTokenRate          = 4.0   // tokens a millisecond
-	maxTokenRate          = 600.0 // tokens a millisecond
+	minTokenRate          = 4.0   // tokens per millisecond
+	maxTokenRate          = 600.0 // tokens per millisecond
 	firstEventOverhead    = 40 * time.Millisecond
-	initialPlainLatencyMS = 40.0 // milliseconds
+	initialPlainLatencyMS = 40.0
 )
 
-// server is what the machine knows of one backend server.
+// server is the machine's state of one backend server.
 type server struct {
 	Server
-	region    string        // of its data hall; empty: not known
-	leavingAt time.Duration // when it was first known to leave, by its entry or its answers
+	region    string        // of its data hall; empty: unknown
+	leavingAt time.Duration // when it was first known to be leaving, from its entry or its responses
 	leaving   bool
 	gone      bool
 	notices   serverNotices
-	// lapsedAt is when the server's entry went together with many others; it is
-	// still used for lapsedFor. 0: it did not.
+	// lapsedAt is when the server's entry vanished together with many others. The server stays
+	// in use for lapsedFor. 0: it has not lapsed.
 	lapsedAt time.Duration
 
-	evacuated       bool // its data hall must get nothing
-	hallUnreachable bool // no server of its data hall can be reached; see hallReach
+	evacuated       bool // its data hall is evacuated
+	hallUnreachable bool // no server in its data hall is reachable; see hallReach
 	cold            coldState
 
-	listedAt      time.Duration // when it was first listed, or listed again
-	respondedAt   time.Duration // when it last answered this router
-	target        bool          // of the version that its service moves to
-	versionBarred bool          // its version gets nothing at present; see admit
-	cohort        string        // that its answers count for; see cohortOf
+	listedAt      time.Duration // when it was last added to the list
+	respondedAt   time.Duration // of the last response to this router
+	target        bool          // runs the version that is rolled out
+	versionBarred bool          // its version gets no requests at present
+	cohort        string        // that its responses count for; see cohortOf
 
-	running       int        // of this router
-	pendingTokens int        // tokens of this router
+	running       int        // requests of this router
+	pendingTokens int        // that it has yet to read for this router
 	peerLoad      loads.Load // of all other routers
-	loadKey       uint32     // of the server in loads
-	idHash        uint64     // of its id
+	loadKey       uint32     // of the server in package loads
+	idHash        uint64     // of its ID
 
-	tokenRate float64 // tokens a millisecond, 0 until measured
-	latencyMS float64 // milliseconds of a plain answer, 0 until measured
+	tokenRate float64 // tokens per millisecond; 0: not measured
+	latencyMS float64 // of a plain response; 0: not measured
 
-	failureRate   float64 // average, 0 to 1
+	failureRate   float64 // moving average, 0 to 1
 	samples       int
 	failureStreak int
-	downUntil     time.Duration // nothing could be sent
-	ejectedUntil  time.Duration // fails too often
+	downUntil     time.Duration // after a request could not be sent
+	ejectedUntil  time.Duration // after too many failures
 	lastPause     time.Duration // of the last ejection or down time
-	probation     bool          // must first answer one repeatable request
+	probation     bool          // must first serve one repeatable request
 	fullUntil     time.Duration
 	blamed        crashCheck
 }
 
-// usable tells whether new requests may go to a server at all.
+// usable reports whether new requests may go to a server now.
 func (s *server) usable(now time.Duration) bool {
 	return s.available() && now >= s.downUntil && now >= s.ejectedUntil && !s.inBackoff(now)
 }
 
-// available tells whether nothing keeps new requests from a server for long.
+// available reports whether no lasting condition keeps new requests from a server.
 func (s *server) available() bool { return !s.leaving && !s.evacuated && !s.hallUnreachable }
 
-// accepts tells whether new requests that may be served in some regions may go to a server.
+// accepts reports whether new requests that are allowed in the regions may go to a server now.
 func (s *server) accepts(now time.Duration, regions Regions) bool {
 	return s.usable(now) && regions.Allows(s.region)
 }
@@ -87,19 +87,19 @@
 func (s *server) totalRunning() int { return s.running + int(s.peerLoad.Running) }
 func (s *server) totalPending() int { return s.pendingTokens + int(s.peerLoad.Pending) }
 
-// release takes an attempt off the server's load.
+// release removes an attempt from the server's load.
 func (s *server) release(r *requestState) {
 	s.running--
 	s.promptRead(r)
 }
 
-// promptRead says that an attempt's prompt has been read.
+// promptRead removes an attempt's prompt from the tokens that the server has yet to read.
 func (s *server) promptRead(r *requestState) {
 	s.pendingTokens -= r.pendingTokens
 	r.pendingTokens = 0
 }
 
-// recordFirstEvent takes in the time to a first event.
+// recordFirstEvent updates the server's speed from the time to a first event.
 func (s *server) recordFirstEvent(p *pool, r *requestState, elapsed time.Duration) {
 	ms := float64(elapsed) / float64(time.Millisecond)
 	if p.engine == nil {
@@ -114,13 +114,15 @@
 	p.tokenRate += rateWeight / 4 * (measured - p.tokenRate)
 }
 
-// measuredTokenRate is how fast a server read some tokens, in tokens a millisecond.
+// measuredTokenRate returns the rate at which a server read tokens in an elapsed time in
+// milliseconds, in tokens per millisecond.
 func measuredTokenRate(tokens int, elapsed float64) float64 {
 	spent := max(elapsed-float64(firstEventOverhead/time.Millisecond), 1)
 	return min(max(float64(tokens)/spent, minTokenRate), maxTokenRate)
 }
 
-// movingAverage moves an average, which starts at first, towards a value.
+// movingAverage moves an average towards a value. An average of 0 has no value yet and starts
+// at first.
 func movingAverage(old, value, first float64) float64 {
 	if old == 0 {
 		old = first
@@ -128,8 +130,7 @@
 	return old + rateWeight*(value-old)
 }
 
-// recordSuccess takes in a whole answer; it returns whether the server has come
-// back by it.
+// recordSuccess records a whole response and reports whether it ended the server's probation.
 func (s *server) recordSuccess() bool {
 	s.failureRate -= failureWeight * s.failureRate
 	s.samples++
@@ -142,7 +143,7 @@
 	return true
 }
 
-// recordFailure takes in a failure and tells whether the server should be ejected.
+// recordFailure records a failure and reports whether the server should be ejected.
 func (s *server) recordFailure(weight int, median float64) bool {
 	for range weight {
 		s.failureRate += failureWeight * (1 - s.failureRate)
@@ -153,7 +154,8 @@
 	return s.probation || s.failureStreak >= ejectStreak || failsOften
 }
 
-// eject takes the server out for a time that doubles.
+// eject ejects the server for a time that doubles with each ejection, up to maxEjection, and
+// returns the time.
 func (s *server) eject(now time.Duration) time.Duration {
 	s.lastPause = min(max(s.lastPause*2, minEjection), maxEjection)
 	s.ejectedUntil = now + s.lastPause
@@ -162,7 +164,8 @@
 	return s.lastPause
 }
 
-// markDown takes the server out after nothing could be sent to it.
+// markDown takes the server out of use after a request could not be sent to it, and returns for
+// how long.
 func (s *server) markDown(now time.Duration) time.Duration {
 	s.lastPause = min(max(s.lastPause*2, minDownTime), maxDownTime)
 	s.downUntil = now + s.lastPause
--- a/direct/share.go
+++ b/direct/share.go
@@ -3,28 +3,27 @@
 import "time"
 
 const (
-	// shareInterval is how often shares are worked out.
+	// shareInterval is the time between two updates of the shares.
 	shareInterval = 100 * time.Millisecond
-	// busySlotFraction is the part of the slots, and busyWait the backlog in parts of
-	// the requests' objectives, at which engines count as busy.
+	// busySlotFraction is the fraction of slots in use, and busyBacklogFraction the backlog as
+	// a fraction of the requests' objectives, at which engines count as busy.
 	busySlotFraction    = 0.55
 	busyBacklogFraction = 0.3
-	// busyWeight is the weight of what engines have at one moment in how busy
-	// they count: requests come in clumps, which engines work off.
+	// busyWeight is the weight of one sample in the average of how busy engines are. It is low
+	// because requests come in bursts, which engines work off.
 	busyWeight = 0.1
 	// objectiveWeight is the weight of one request in the average objective.
 	objectiveWeight = 0.02
-	// headroomGrowth and headroomShrinks change the headroom that teams get above their
-	// shares while engines are idle, or busy; headroomMost bounds it.
+	// headroomGrowth and headroomDecay are the factors per update by which the headroom above
+	// the teams' shares changes while engines are idle or busy. maxHeadroom bounds it.
 	headroomGrowth    = 1.05
 	headroomDecay     = 0.95
 	maxHeadroom       = 4.0
-	headroomGrowBelow = 0.8 // of busy: below, the headroom grows
+	headroomGrowBelow = 0.8 // busy level below which the headroom grows
 )
 
-// updateShares works out how much a team may have. What all teams may have together is
-// what the configuration says that engines produce, and more of it while the
-// engines are seen to have room.
+// updateShares computes how much each team may get. Together, teams may get the configured
+// capacity of the engines, and more of it while the engines have room.
 func (m *Machine) updateShares(now time.Duration) {
 	if now < m.sharesUpdatedAt+shareInterval {
 		return
@@ -54,8 +53,8 @@
 	m.updateTeamWeights(now)
 }
 
-// updateLevels works out the levels up to which teams may get what they ask for; demands are those
-// of the teams that are not bound.
+// updateLevels computes the levels up to which teams get what they ask for. demands are those
+// of the unrestricted teams.
 func (m *Machine) updateLevels(demands []float64) {
 	m.level = 0
 	switch {
@@ -68,8 +67,8 @@
 	}
 }
 
-// demands notes with each group what its active teams ask for, and returns that of the
-// teams that are not bound, and what all teams get.
+// demands adds the demand of each active restricted team to its group. It returns the demands
+// of the unrestricted active teams, and what all teams get.
 func (m *Machine) demands(now time.Duration) (unbound []float64, served float64) {
 	unbound = make([]float64, 0, len(m.teams))
 	for _, t := range m.teams {
@@ -86,8 +85,8 @@
 	return unbound, served
 }
 
-// updateTeamWeights adds up what teams ask of this router. What is refused at the door
-// does not count, since it takes little processor time.
+// updateTeamWeights computes the scale of the teams' weights at this router. Requests refused
+// before their body was read don't count, since they take little processor time.
 func (m *Machine) updateTeamWeights(now time.Duration) {
 	sum, squares := 0.0, 0.0
 	for _, t := range m.teams {
@@ -101,8 +100,8 @@
 	}
 }
 
-// TeamWeight returns how much of what this router is asked for is a team's, so
-// that the average over what it is asked for is 1.
+// TeamWeight returns a team's part of the demand at this router, scaled so that the average
+// over the demand is 1.
 func (m *Machine) TeamWeight(now time.Duration, team string) float64 {
 	t := m.teams[team]
 	if t == nil {
@@ -111,7 +110,7 @@
 	return t.admitted.decay(now) * m.weightScale
 }
 
-// busy tells how much the engines of a pool have to do; above 1 they are busy.
+// busy returns how busy the engines of a pool are; above 1 they count as busy.
 func (p *pool) busy(now time.Duration) float64 {
 	if p.engine == nil {
 		return 0
--- a/direct/share_bench_test.go
+++ b/direct/share_bench_test.go
@@ -7,14 +7,15 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// BenchmarkShare measures what working out the shares costs, by the number of teams.
+// BenchmarkShare measures the cost of computing the shares, by number of teams.
 func BenchmarkShare(b *testing.B) {
 	for _, teams := range []int{30, 540} {
 		b.Run(fmt.Sprint(teams), func(b *testing.B) { benchmarkShares(b, teams, nil) })
 	}
 }
 
-// BenchmarkShareRegions does so where two teams in three are bound, in six ways.
+// BenchmarkShareRegions measures the same if two thirds of the teams are restricted to regions,
+// in six different ways.
 func BenchmarkShareRegions(b *testing.B) {
 	restrictions := [][]string{nil, nil, nil, {"east"}, {"west"}, {"north"}, {"east", "west"}, {"west", "north"}, {"east", "north"}}
 	for _, teams := range []int{30, 540} {
--- a/direct/shares_test.go
+++ b/direct/shares_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSharesMarshalJSON shows the shares of a router where nobody is held back, as JSON.
+// TestSharesMarshalJSON encodes the shares of a router without limited teams as JSON, which has
+// no infinite numbers.
 func TestSharesMarshalJSON(t *testing.T) {
 	b := newHarness(t, 2)
 	b.sent(b.arrive(b.request("red", PromptPart{ID: 1, Tokens: 500})))
--- a/direct/sharestate.go
+++ b/direct/sharestate.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// TeamShare is what a team asks for and gets, in tokens a second.
+// TeamShare is a team's demand and use, in tokens per second.
 type TeamShare struct {
 	Team            string
 	Offered, Served float64
 }
 
-// BoundShare is what a team that is bound to some regions may get.
+// BoundShare is what a team restricted to some regions may get.
 type BoundShare struct {
 	Regions     []string
 	Level, Even float64 // as in Shares
 }
 
-// Shares is what the machine takes the teams' shares to be.
+// Shares is the state of the division of capacity between teams, for dumps and logs.
 type Shares struct {
-	Level    float64      // most that a team may get while capacity is short; 0: no bound
-	Even     float64      // most that a team may get while others get less; 0: no bound
-	Headroom float64      // what all may have, in parts of what is configured
-	Busy     float64      // how busy the busiest pool of engines is; above 1 there is no room
-	Bound    []BoundShare `json:",omitempty"` // of teams that are bound to regions, where Level or Even differ for them
+	Level    float64      // what a team may get while capacity is short; 0: unlimited
+	Even     float64      // what a team may get while others get less than they ask for; 0: unlimited
+	Headroom float64      // capacity that teams share, as a multiple of the configured capacity
+	Busy     float64      // smoothed load of the busiest pool of engines; above 1 it has no room
+	Bound    []BoundShare `json:",omitempty"` // of teams restricted to regions, if their Level or Even differs
 	Most     []TeamShare
 }
 
-// finiteOrZero returns a level for a dump: JSON has no infinite numbers, so 0 stands for no bound.
+// finiteOrZero returns a level for JSON, which has no infinite numbers: 0 stands for unlimited.
 func finiteOrZero(level float64) float64 {
 	if math.IsInf(level, 0) {
 		return 0
@@ -37,7 +37,7 @@
 	return level
 }
 
-// Shares returns the shares, with the n teams that ask for most.
+// Shares returns the current shares, with the n teams of the highest demand.
 func (m *Machine) Shares(now time.Duration, n int) Shares {
 	s := Shares{Level: finiteOrZero(m.level), Even: finiteOrZero(m.evenCap), Headroom: m.headroom, Busy: m.busy}
 	for _, g := range m.groups {
--- a/direct/table.go
+++ b/direct/table.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Table finds routes and teams in a configuration.
+// Table looks up routes, teams and services of a configuration.
 type Table struct {
 	Config   Config
 	hosts    map[string]map[string]*Route // by host, then prefix
@@ -43,11 +43,11 @@
 	return t
 }
 
-// HasRoute tells whether there is a route of a name.
+// HasRoute reports whether there is a route with the name.
 func (t *Table) HasRoute(name string) bool { return t.routes[name] }
 
-// Route returns the route of a host whose prefix begins the path and is
-// longest, or nil. It looks up one prefix for each slash of the path.
+// Route returns the route of the host with the longest prefix of the path, or nil. It makes one
+// lookup per slash in the path.
 func (t *Table) Route(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -69,14 +69,14 @@
 	return nil
 }
 
-// Team returns the team that holds a key, or nil.
+// Team returns the team that has a key, or nil.
 func (t *Table) Team(key string) *Team { return t.teams[key] }
 
-// HasTeams tells whether requests need keys at all.
+// HasTeams reports whether the configuration has teams, so that requests need keys.
 func (t *Table) HasTeams() bool { return len(t.Config.Teams) > 0 }
 
-// Service returns the service of a request: the only one of the route, or one
-// that its id picks by weight.
+// Service returns the service of a request: the route's only one, or one picked by weight from
+// the hash of the request's ID.
 func (t *Table) Service(r *Route, id string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -6,28 +6,29 @@
 	"strings"
 )
 
-// teamGroup is the teams that are bound to the same regions.
+// teamGroup holds the teams that are restricted to the same regions.
 //
-// Only what binds a team as a whole counts here. A route's regions bind single requests: a
-// team sends on many routes, and its share is what it may get on all of them together.
+// Only restrictions of a whole team count here. A route's regions restrict single requests: a
+// team sends requests on many routes, and its share covers all of them together.
 type teamGroup struct {
 	teamLimits
 	regions Regions
-	mask    regionSet // see regionIndex
+	mask    regionSet // regions as numbered by regionIndex
 	demands []float64 // of its active teams
-	lowest  float64   // see leastServed
+	lowest  float64   // see lowestServed
 }
 
-// intersects tells whether two groups may use some of the same regions; nil may use all.
+// intersects reports whether two groups may use some of the same regions. A nil group stands
+// for the unrestricted teams, which may use all.
 func (g *teamGroup) intersects(other *teamGroup) bool {
 	return g == other || g == nil || other == nil || g.mask.intersects(other.mask)
 }
 
-// minLevel is the least, in tokens a second, that a bound team may get where its regions
-// have no servers: the next one to come may serve it at once.
+// minLevel is the minimum, in tokens per second, that a restricted team may get while its
+// regions have no servers, so that the next server that appears can serve it at once.
 const minLevel = minActiveRate
 
-// setTeamRegions takes in the regions that the configuration binds teams to.
+// setTeamRegions applies the regions to which the configuration restricts teams.
 func (m *Machine) setTeamRegions(teams []Team) {
 	m.teamRegions = make(map[string]Regions)
 	for _, t := range teams {
@@ -40,8 +41,8 @@
 	}
 }
 
-// group puts the teams into groups by the regions that bind them. Where none is bound, or
-// nothing says how much there is to divide, there are no groups.
+// group assigns the restricted teams to groups by their regions. There are no groups if no team
+// is restricted or the configuration sets no capacity.
 func (m *Machine) group() {
 	if len(m.teamRegions) == 0 && len(m.groups) == 0 {
 		return
@@ -71,8 +72,8 @@
 	return g
 }
 
-// regionIndex numbers the regions that some teams are bound to. All others share the
-// number 0: nothing tells them apart, and only teams that are not bound may use them.
+// regionIndex numbers the regions that some teams are restricted to. All other regions share
+// number 0: only unrestricted teams may use them, so they need no distinction.
 type regionIndex struct{ names []string }
 
 func newRegionIndex(groups []*teamGroup) regionIndex {
@@ -84,8 +85,8 @@
 	return regionIndex{names: slices.Compact(names)}
 }
 
-// bitOf returns the number of a region. Those beyond what a set tells apart share the
-// last one: their teams then count as able to use more regions than they may.
+// bitOf returns the number of a region. Regions beyond the size of a set share the last number;
+// their teams then count as allowed in more regions than they are.
 func (x regionIndex) bitOf(region string) int {
 	i, found := slices.BinarySearch(x.names, region)
 	if !found || region == "" {
@@ -102,11 +103,11 @@
 	return set
 }
 
-// size is how many numbers there are.
+// size returns how many numbers are in use.
 func (x regionIndex) size() int { return min(len(x.names)+1, maxRegions) }
 
-// updateGroupLevels works out the levels where some teams are bound: each draws only on its
-// regions.
+// updateGroupLevels computes the levels if some teams are restricted; each team uses only the
+// capacity of its regions.
 func (m *Machine) updateGroupLevels(demands []float64) {
 	capacity := m.regionCapacities(newRegionIndex(m.groups))
 	everywhere := regionSet(1)<<len(capacity) - 1
@@ -130,9 +131,9 @@
 	}
 }
 
-// regionCapacities splits what all engines have together between regions, by the slots of the
-// servers that stay in use: all routers know these alike, and they don't change with each
-// answer, as measured rates do.
+// regionCapacities splits the capacity of all engines between regions by the slots of the
+// available servers. All routers see the same slots, and slots don't change with each response
+// as measured rates do.
 func (m *Machine) regionCapacities(index regionIndex) []float64 {
 	slots := make([]float64, index.size())
 	sum := 0.0
@@ -149,7 +150,7 @@
 		}
 	}
 	if sum == 0 {
-		// Nothing is in use at the moment: what comes back first is not known.
+		// No server is available, and it is unknown which region will have one first.
 		slots[0], sum = 1, 1
 	}
 	for i := range slots {
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// totalTokenRate is what all engines of a region test read and make, in tokens a second.
+// totalTokenRate is the capacity of all engines in a region test, in tokens per second.
 const totalTokenRate = 120_000
 
-// configWithTeamRegions binds teams to regions.
+// configWithTeamRegions returns a configuration that restricts teams to regions.
 func configWithTeamRegions(teams map[string][]string) Config {
 	c := Config{Limits: Limits{TokensPerSecond: totalTokenRate}}
 	for name, regions := range teams {
@@ -23,18 +23,18 @@
 	return c
 }
 
-// setPeerUse has other routers tell of what teams ask for and get.
+// setPeerUse delivers the demand and use of teams at other routers and updates the shares.
 func (b *harness) setPeerUse(teams ...loads.TeamUse) {
 	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: teams})
 	b.now += shareInterval
 	b.m.updateShares(b.now)
 }
 
-// teamBase returns what a team may get of what is configured.
+// teamBase returns a team's share of the configured capacity.
 func (b *harness) teamBase(team string) float64 { return b.m.limitsOf(b.m.team(team)).baseLevel }
 
-// TestRegionSharesOfBoundTeams gives a flood that is bound to a quarter of the servers no
-// more than these have, and the others the rest.
+// TestRegionSharesOfBoundTeams checks that a flooding team that is restricted to a quarter of
+// the servers gets at most their capacity, and that the other teams get the rest.
 func TestRegionSharesOfBoundTeams(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
@@ -43,8 +43,8 @@
 	require.InDelta(t, totalTokenRate*3/8, b.m.baseLevel, 1)
 }
 
-// TestRegionShareOfFewBound gives a bound team beside many that may go anywhere as much as
-// each of them, while its region has that.
+// TestRegionShareOfFewBound checks that a restricted team gets as much as each of many
+// unrestricted ones, as long as its region has the capacity.
 func TestRegionShareOfFewBound(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	teams := []loads.TeamUse{{Team: "bound", Offered: 500_000}}
@@ -56,8 +56,8 @@
 	require.InDelta(t, totalTokenRate/8, b.teamBase("free3"), 1)
 }
 
-// TestRegionShareWithoutBoundTeams has nobody bound: the levels are waterLevel's to the last
-// bit, and there are no groups.
+// TestRegionShareWithoutBoundTeams checks that without restricted teams there are no groups,
+// and that the levels equal those of waterLevel exactly.
 func TestRegionShareWithoutBoundTeams(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "one", Offered: 33_333}, loads.TeamUse{Team: "two", Offered: 500_000, Served: 1}, loads.TeamUse{Team: "three", Offered: 77_777})
@@ -68,8 +68,8 @@
 	require.Equal(t, max(evenCapFactor*minServedFraction*baseLevel, min(lenientShareFactor*baseLevel, lenientCapFactor*minServedFraction*baseLevel)), b.m.evenCap)
 }
 
-// TestRegionEvenBound has a bound team get a part of what it may: that holds back those
-// that share its region, in proportion, and no others.
+// TestRegionEvenBound serves a restricted team less than its share. Teams that may use its
+// region must be capped in proportion, and other teams must not.
 func TestRegionEvenBound(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
 	b.setPeerUse(
@@ -79,11 +79,12 @@
 	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
 	evenCap := func(team string) float64 { return b.m.limitsOf(b.m.team(team)).evenCap / b.teamBase(team) }
 	require.InDelta(t, lenientCapFactor*0.6, evenCap("bound"), 1e-6)
-	require.InDelta(t, lenientCapFactor*0.6, evenCap("free"), 1e-6, "it may use the region too")
-	require.True(t, math.IsInf(evenCap("near"), 1), "it may not")
+	require.InDelta(t, lenientCapFactor*0.6, evenCap("free"), 1e-6, "may use the region as well")
+	require.True(t, math.IsInf(evenCap("near"), 1), "may not use the region")
 }
 
-// TestRegionWithoutEvenBound switches the even bound off for bound teams too.
+// TestRegionWithoutEvenBound checks that switching the even cap off also applies to restricted
+// teams.
 func TestRegionWithoutEvenBound(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	without, err := ParseDisabledMechanisms(string(EvenCap))
@@ -93,7 +94,8 @@
 	require.True(t, math.IsInf(b.m.limitsOf(b.m.team("bound")).evenCap, 1))
 }
 
-// TestRegionRestrictionRemoved binds a team by a configuration, and frees it by the next.
+// TestRegionRestrictionRemoved restricts a team by one configuration and removes the
+// restriction by the next.
 func TestRegionRestrictionRemoved(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
@@ -104,8 +106,8 @@
 	require.InDelta(t, totalTokenRate/2, b.teamBase("bound"), 1)
 }
 
-// TestRegionShareWithoutServers evacuates the only hall that a team may use, and all halls:
-// the others then have everything.
+// TestRegionShareWithoutServers evacuates the only hall that a team may use, and then all
+// halls. The other team must then have the whole capacity.
 func TestRegionShareWithoutServers(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
@@ -118,7 +120,8 @@
 	require.InDelta(t, totalTokenRate, b.teamBase("free"), 1)
 }
 
-// TestRegionSharesInState shows operators the levels of bound teams where they differ.
+// TestRegionSharesInState checks that the dumped shares include the levels of restricted teams
+// if they differ.
 func TestRegionSharesInState(t *testing.T) {
 	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 10}, loads.TeamUse{Team: "free", Offered: 10})
@@ -130,10 +133,10 @@
 	require.InDelta(t, b.m.headroom*totalTokenRate/4, bound[0].Level, 1)
 }
 
-// engineSim plays the engines of a bench: each reads one prompt after the other.
+// engineSim simulates the engines of a harness. Each reads one prompt after the other.
 type engineSim struct {
 	*harness
-	tokensPerMS float64 // tokens a millisecond
+	tokensPerMS float64 // of one engine
 	idleAt      map[string]time.Duration
 	completions []completion // by time
 	requests    map[RequestID]Request
@@ -145,7 +148,7 @@
 	id RequestID
 }
 
-// step lets one tick pass in which teams ask for tokens.
+// step advances one tick, in which each team asks for tokens at its rate.
 func (w *engineSim) step(rates map[string]float64, bound map[string]Regions, teams []string) {
 	w.execute(w.advance(TickInterval))
 	for len(w.completions) > 0 && w.completions[0].at <= w.now {
@@ -166,7 +169,7 @@
 	}
 }
 
-// execute carries out commands.
+// execute carries out the SendCmds.
 func (w *engineSim) execute(cmds []Cmd) {
 	for _, c := range cmds {
 		c, ok := c.(SendCmd)
@@ -184,8 +187,8 @@
 	}
 }
 
-// measureServed returns what teams get, in tokens a second, of engines that read as many as
-// configured, in a fleet of one router.
+// measureServed returns what teams get, in tokens per second, in a fleet of one router with
+// engines of the configured capacity.
 func measureServed(t *testing.T, config Config, rates map[string]float64, teams ...string) map[string]float64 {
 	const warmUp, measured = 400, 400 // ticks
 	w := &engineSim{
@@ -209,8 +212,9 @@
 	return w.served
 }
 
-// TestRegionBoundFlood has a team that is bound to a quarter of the servers flood them: what
-// it can't use goes to another, which is not held back by what the first gets.
+// TestRegionBoundFlood floods a quarter of the servers for a team that is restricted to them.
+// Capacity that it can't use must go to another team, which must not be capped by what the
+// first gets.
 func TestRegionBoundFlood(t *testing.T) {
 	got := measureServed(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}),
 		map[string]float64{"bound": 200_000, "free": 100_000}, "bound", "free")
@@ -218,8 +222,8 @@
 	require.Greater(t, got["bound"], 0.9*totalTokenRate/4)
 }
 
-// TestRegionBoundBesideFloods has teams that may go anywhere flood all servers: a bound team
-// gets its due all the same.
+// TestRegionBoundBesideFloods floods all servers for unrestricted teams. A restricted team must
+// still get its share.
 func TestRegionBoundBesideFloods(t *testing.T) {
 	for _, region := range []string{"east", "west"} {
 		t.Run(region, func(t *testing.T) {
@@ -230,8 +234,8 @@
 	}
 }
 
-// TestRegionIndexOverflow numbers more regions than a set tells apart: the last ones
-// share a number, and what they have is not lost.
+// TestRegionIndexOverflow numbers more regions than a set can distinguish. The last ones must
+// share a number, so that their capacity still counts.
 func TestRegionIndexOverflow(t *testing.T) {
 	var names []string
 	for i := range maxRegions + 10 {
--- a/direct/teamlimits.go
+++ b/direct/teamlimits.go
@@ -1,13 +1,13 @@
 package direct
 
-// teamLimits are what a team may get, in tokens a second.
+// teamLimits are a team's limits, in tokens per second.
 type teamLimits struct {
-	baseLevel float64 // most of what is configured
-	level     float64 // most while capacity is short
-	evenCap   float64 // above its share while others get less
+	baseLevel float64 // share of the configured capacity
+	level     float64 // share of the capacity including headroom
+	evenCap   float64 // limit while other teams are served less than they ask for
 }
 
-// limitsOf returns what a team may get.
+// limitsOf returns the limits of a team: its group's, or those of unrestricted teams.
 func (m *Machine) limitsOf(t *teamUsage) teamLimits {
 	if t.group == nil {
 		return m.teamLimits
--- a/direct/tokenbucket.go
+++ b/direct/tokenbucket.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// bucketDepth is the time over which an allowance that is not used adds up.
+	// bucketDepth is the time over which unused tokens accumulate.
 	bucketDepth = 400 * time.Millisecond
-	// lateReserveFraction is the part of a full allowance from which requests that are late
-	// already have some of it too.
+	// lateReserveFraction is the fill level, as a fraction of a full bucket, above which
+	// requests that are already late may take tokens too.
 	lateReserveFraction = 0.7
-	// maxCorrection bounds how much more or less than its part a router gives a team
-	// that gets less or more than it may; see correction.
+	// maxCorrection bounds the factor by which a router raises or lowers its part of a team's
+	// limit; see correction.
 	maxCorrection = 2.0
-	// minRouterFraction is the least part of a team's share that a router has, in parts
-	// of an even one: callers that change routers are not refused at the new one
-	// until it has seen enough of them.
+	// minRouterFraction is the smallest part of a team's limit that a router grants, as a
+	// fraction of an even split between routers. Without it, a router would refuse callers that
+	// have just switched to it until it had seen enough of their requests.
 	minRouterFraction = 0.5
 )
 
-// tokenBucket is what a router may give a team that asks for more than its share:
-// its part of the share, token by token, so that all routers together give the
-// team its share in every second. The zero value is without bounds.
+// tokenBucket limits what this router may grant a team that asks for more than its share. It
+// holds the router's part of the team's limit, so that all routers together grant the team its
+// limit in every second. The zero value is unlimited.
 type tokenBucket struct {
-	rate   float64 // tokens a second; 0: without bounds
-	tokens float64 // that may be given now; below 0 after a larger request
+	rate   float64 // tokens per second; 0: unlimited
+	tokens float64 // available now; negative after a request larger than the balance
 }
 
-// refill adds what has come since the last time.
+// refill adds the tokens for the elapsed time and caps the balance at the bucket's depth.
 func (a *tokenBucket) refill(rate float64, elapsed time.Duration) {
 	if a.rate == 0 {
 		a.tokens = 0
@@ -37,29 +37,30 @@
 	a.tokens = min(a.tokens+rate*elapsed.Seconds(), rate*bucketDepth.Seconds())
 }
 
-// empty tells whether nothing is left.
+// empty reports whether the bucket is limited and has no tokens left.
 func (a *tokenBucket) empty() bool { return a.rate > 0 && a.tokens <= 0 }
 
-// aboveReserve tells whether more is left than new requests seem to need.
+// aboveReserve reports whether the balance exceeds the reserve that is kept for requests that
+// are not late.
 func (a *tokenBucket) aboveReserve() bool {
 	return a.rate == 0 || a.tokens > lateReserveFraction*a.rate*bucketDepth.Seconds()
 }
 
-// covers tells whether the allowance will have room for one more request within a
-// time, after those of its team that wait already.
+// covers reports whether one more request can be granted within the given time, after waiting
+// tokens for the team's requests that are queued before it.
 func (a *tokenBucket) covers(waiting float64, wait time.Duration) bool {
 	return a.rate == 0 || a.tokens+a.rate*wait.Seconds() > waiting
 }
 
-// subtract takes tokens off; less than 0 gives them back.
+// subtract removes tokens; a negative amount returns them.
 func (a *tokenBucket) subtract(tokens float64) {
 	if a.rate > 0 {
 		a.tokens -= tokens
 	}
 }
 
-// refillBuckets works out what this router may give the teams that ask for more than
-// their share, in proportion to what they ask of it.
+// refillBuckets refills the buckets of the teams that ask for more than their share. The team's
+// limit is split between routers in proportion to its recent demand at each.
 func (m *Machine) refillBuckets(now, elapsed time.Duration) {
 	minFraction := minRouterFraction / float64(max(m.routers, 1))
 	for _, t := range m.teams {
@@ -79,10 +80,10 @@
 	}
 }
 
-// correction is by how much a router gives a team more than its part of what the
-// team may get, where the team gets less than that: routers without processor time
-// don't use their parts, and others give them. Where the team gets more, since its
-// callers change routers faster than routers hear of one another, all give less.
+// correction returns the factor applied to a router's part of a team's limit. Above 1, the team
+// is served less than its limit, because routers short of processor time don't use their parts;
+// the other routers make up for them. Below 1, the team is served more than its limit, because
+// its callers switch routers faster than routers exchange reports; all routers then grant less.
 func correction(limit, served float64) float64 {
 	if served <= limit/maxCorrection {
 		return maxCorrection
--- a/direct/tokenbucket_test.go
+++ b/direct/tokenbucket_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSharesAreEvenEverySecond has a team flood all of eight routers and another
-// one only one of them: in each second both get what either may get, within a
-// third. Routers must not all let a team in at once and then refuse it for a second.
+// TestSharesAreEvenEverySecond floods all of eight routers for one team and a single router for
+// another. In each second, both teams must get the shared limit within 35 percent. Guards
+// against routers that all admit a team at once and then refuse it for a second.
 func TestSharesAreEvenEverySecond(t *testing.T) {
 	const routers, second = 8, 40
 	fleet := make([]*harness, routers)
@@ -27,7 +27,7 @@
 	for i := range teams {
 		teams[i] = map[RequestID]string{}
 	}
-	// run lets what was sent begin and end at once.
+	// finish completes the requests that were sent at once.
 	finish := func(i int, cmds []Cmd) {
 		for _, c := range cmds {
 			if c, ok := c.(SendCmd); ok {
@@ -61,7 +61,7 @@
 		if tick%second == 0 {
 			if tick > 8*second {
 				share := min(fleet[0].m.level, fleet[0].m.evenCap)
-				require.Less(t, share, 2e6, "shares are bounded")
+				require.Less(t, share, 2e6, "shares are limited")
 				require.InEpsilon(t, share, served["everywhere"], 0.35, "second %d", tick/second)
 				require.InEpsilon(t, share, served["one"], 0.35, "second %d", tick/second)
 			}
@@ -70,7 +70,7 @@
 	}
 }
 
-// exchangeReports tells all routers what the others see.
+// exchangeReports delivers the reports and team figures of each router to all others.
 func exchangeReports(fleet []*harness) {
 	uses := make([][]loads.TeamUse, len(fleet))
 	for i, b := range fleet {
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestCallersMoveRouters has the callers of a flooding team leave one router for
-// another: within two seconds the new one has the team's share.
+// TestCallersMoveRouters moves the callers of a flooding team from one router to another.
+// Within two seconds the new router must hold the team's limit.
 func TestCallersMoveRouters(t *testing.T) {
 	fleet := []*harness{newHarness(t, 20), newHarness(t, 20)}
 	for _, b := range fleet {
@@ -133,9 +133,8 @@
 	require.Less(t, fleet[0].m.team("moving").tokenBucket.rate, 0.5*limit)
 }
 
-// TestNewRequestsFirst gives what a team above its share may have to requests that
-// can still meet their objective before those that are late already; a team
-// within its share has both served.
+// TestNewRequestsFirst checks that a team above its limit gets tokens for new requests before
+// requests that are already late, and that a team within its share has both served.
 func TestNewRequestsFirst(t *testing.T) {
 	b := newHarness(t, 20)
 	b.m.limits.TokensPerSecond = 50_000 // new requests alone ask for more than four times that
@@ -172,9 +171,9 @@
 	require.Equal(t, 20, sent[true])
 }
 
-// TestShedTeamsAreUnsatisfied has a team that its router refuses at the door, for
-// want of processor time, bound what others get above their shares: a router counts
-// what it refuses at the door too.
+// TestShedTeamsAreUnsatisfied checks that a team whose requests its router sheds for lack of
+// processor time still counts as unsatisfied and so caps the other teams. Guards against demand
+// that is lost when a request is refused before its body is read.
 func TestShedTeamsAreUnsatisfied(t *testing.T) {
 	b := newHarness(t, 20)
 	b.m.limits.TokensPerSecond = 200_000
@@ -187,16 +186,16 @@
 		for range 20 {
 			b.m.Update(ShedMsg{Now: b.now, Team: "shed", PromptTokens: 2000})
 		}
-		b.m.team("shed").served.add(b.now, 1000) // 40,000 a second
+		b.m.team("shed").served.add(b.now, 1000) // 40,000 per second
 		b.advance(TickInterval)
 	}
 	require.Greater(t, b.m.team("shed").offeredRate(b.now), 1e6)
 	require.LessOrEqual(t, b.m.evenCap, max(evenCapFactor*41_000, lenientShareFactor*b.m.baseLevel))
 }
 
-// TestSpentAllowanceRefusesAtOnce has a team ask for far more than it may have.
-// What its allowance cannot cover within the time that a request may wait is
-// refused when it comes; what it can cover waits and is sent.
+// TestSpentAllowanceRefusesAtOnce has a team ask for far more than its limit. Requests that the
+// token bucket can't cover within their waiting time must be refused on arrival; those that it
+// can cover wait and are sent.
 func TestSpentAllowanceRefusesAtOnce(t *testing.T) {
 	b := newHarness(t, 8)
 	refused, expired, sentLater := 0, 0, 0
@@ -231,21 +230,21 @@
 		}
 	}
 	require.Greater(t, refused, 1000, "of 2,000")
-	require.Less(t, expired, refused/20, "few wait in vain")
-	require.Positive(t, sentLater, "the allowance covers those that wait")
+	require.Less(t, expired, refused/20, "few expire in the queue")
+	require.Positive(t, sentLater, "the token bucket covers those that wait")
 }
 
-// TestDoorRefusesWhatTheAllowanceCannotCover asks at the door for a team that
-// floods: what would be refused as soon as it came is refused there, counted as
-// asked for and named over_share; teams within their share are let in, and a
-// question that is not answered by a refusal counts nothing.
+// TestDoorRefusesWhatTheAllowanceCannotCover checks admission for a flooding team. A request
+// that would be refused on arrival must be refused by the check, with the reason over_share,
+// and count in the team's demand. Teams within their share must pass, and a check that does not
+// refuse must count nothing.
 func TestDoorRefusesWhatTheAllowanceCannotCover(t *testing.T) {
 	b := newHarness(t, 8)
 	checkAdmission := func(team string) (RefuseCmd, bool) {
 		return findCmd[RefuseCmd](b.m.Update(AdmissionCheckMsg{Now: b.now, Request: b.request(team)}))
 	}
 	_, refused := checkAdmission("flood")
-	require.False(t, refused, "nothing is known of the team yet")
+	require.False(t, refused, "the team has no demand yet")
 	require.Zero(t, b.m.team("flood").offeredRate(b.now))
 	finish := func(cmds []Cmd) {
 		for _, c := range cmds {
@@ -277,14 +276,14 @@
 	_, refused = checkAdmission("small")
 	require.False(t, refused)
 	offered := b.m.team("flood").offeredRate(b.now)
-	require.InDelta(t, 10*40*2200, offered, 0.15*10*40*2200, "what is refused at the door is asked for all the same")
-	require.Less(t, b.m.TeamWeight(b.now, "flood"), 6*b.m.TeamWeight(b.now, "small"), "it fills the router only with what enters, not with ten times as much")
+	require.InDelta(t, 10*40*2200, offered, 0.15*10*40*2200, "refused requests count in the demand")
+	require.Less(t, b.m.TeamWeight(b.now, "flood"), 6*b.m.TeamWeight(b.now, "small"), "only admitted requests count in the weight, not ten times as many")
 }
 
-// TestSurplusReadsNothingAgain has a team above its share ask for a prompt whose
-// first server has too much to do: it is not sent to another server, which would
-// have to read the prompt's shared part, also where this router does not know who
-// keeps it. A team within its share is.
+// TestSurplusReadsNothingAgain has a team above its share send a prompt whose preferred server
+// is overloaded. The request must not go to another server, which would have to read the shared
+// part, even if this router knows no holder of the part. A request of a team within its share
+// must go there.
 func TestSurplusReadsNothingAgain(t *testing.T) {
 	shared, own := PromptPart{ID: 7, Tokens: 2000}, PromptPart{ID: 8, Tokens: 500}
 	busy := func(shareRatio float64) (*harness, *requestState, string) {
@@ -304,9 +303,8 @@
 	require.False(t, ok)
 }
 
-// TestNewRequestsFirstWithinTheShare has a team whose other routers serve it less
-// than its share: also then an allowance goes to new requests before those that are
-// late already.
+// TestNewRequestsFirstWithinTheShare checks that new requests take tokens before late ones also
+// if the other routers serve the team less than its share.
 func TestNewRequestsFirstWithinTheShare(t *testing.T) {
 	b := newHarness(t, 4)
 	team := b.m.team("red")
@@ -320,12 +318,11 @@
 	require.True(t, late.throttled)
 	team.tokenBucket.tokens = 1000
 	b.m.updateTeamState(b.now, p, late)
-	require.False(t, late.throttled, "the allowance holds more than new requests need")
+	require.False(t, late.throttled, "the bucket is above the reserve for new requests")
 }
 
-// TestShortestWaitFirst has a team wait with a request that may wait long and one
-// that may not: what its allowance covers goes to the second first, though it came
-// later, and the first does not count against it.
+// TestShortestWaitFirst queues a request that may wait long and then one that may not. The
+// later request must get the team's tokens first, and the first must not count against it.
 func TestShortestWaitFirst(t *testing.T) {
 	var q queue
 	longWait := &requestState{Request: Request{ID: 1, Team: "red", PromptTokens: 5000}, waitUntil: 120 * time.Millisecond}
@@ -338,8 +335,8 @@
 	require.Equal(t, []*requestState{shortWait, longWait}, q.waiting)
 }
 
-// TestCorrection has routers give a team more than its part where it gets less than
-// it may, less where it gets more, and never much of either.
+// TestCorrection checks that routers grant a team more than its part if it gets less than its
+// limit and less if it gets more, by at most maxCorrection.
 func TestCorrection(t *testing.T) {
 	require.InDelta(t, 1, correction(100, 100), 1e-9)
 	require.InDelta(t, 1.25, correction(100, 80), 1e-9)
@@ -350,9 +347,9 @@
 	require.InDelta(t, 1/maxCorrection, correction(0, 10), 1e-9)
 }
 
-// TestTooMuchIsTakenBack has three routers take a flood for theirs alone, as they do
-// while its callers change routers: the team gets what it may all the same, not that
-// of each of the three.
+// TestTooMuchIsTakenBack has three routers each take a flood for theirs alone, which happens
+// while its callers switch routers. The team must still get about its limit, not three times as
+// much.
 func TestTooMuchIsTakenBack(t *testing.T) {
 	const warmUp, measured = 400, 400 // ticks
 	fleet := []*harness{newHarness(t, 20), newHarness(t, 20), newHarness(t, 20)}
@@ -392,11 +389,11 @@
 		}
 	}
 	perSecond := served / measured / TickInterval.Seconds()
-	require.Less(t, perSecond, 1.8*limit/measured, "three times without a correction")
+	require.Less(t, perSecond, 1.8*limit/measured, "three times the limit without the correction")
 	require.Greater(t, perSecond, 0.5*limit/measured)
 }
 
-// clearPeerDemand has routers know nothing of what others are asked for at the moment.
+// clearPeerDemand clears what the routers know of the recent demand at other routers.
 func clearPeerDemand(fleet []*harness) {
 	for _, b := range fleet {
 		for _, u := range b.m.teams {
@@ -405,9 +402,8 @@
 	}
 }
 
-// TestComeBackWhenTheAllowanceCovers has teams ask for more than they may have, by a little and
-// by far: a refused caller is told to come back when its team has been given what it lately
-// asked for.
+// TestComeBackWhenTheAllowanceCovers checks the retry delay for teams slightly and far above
+// their limit: a refused caller must return once its team has been granted its recent demand.
 func TestComeBackWhenTheAllowanceCovers(t *testing.T) {
 	b := newHarness(t, 2)
 	b.m.level, b.m.evenCap = 100_000, 100_000
@@ -420,5 +416,5 @@
 	require.Equal(t, maxAllowanceDelay, after(5e6, 100_000))
 	b.m.evenCap = math.Inf(1)
 	b.m.level = math.Inf(1)
-	require.Equal(t, minAllowanceDelay, after(5e6, 100_000), "nothing is bounded at the moment")
+	require.Equal(t, minAllowanceDelay, after(5e6, 100_000), "no team is limited at the moment")
 }
--- a/direct/unrated.go
+++ b/direct/unrated.go
@@ -1,21 +1,22 @@
 package direct
 
-// maxUnrated is how many answers of one cell wait at the most: at any rate of failures that a good
-// version has, fewer outweigh the next one.
+// maxUnrated is the maximum number of unrated responses held for one cell. At the failure rate
+// of a good version, fewer are enough to outweigh its next failure.
 const maxUnrated = 64
 
-// unrated counts answers of the target that did not fail and whose speed can't be compared with
-// that of old servers. They say nothing for a version, which may be as slow as it likes; but its
-// failures count beside them, or a few in a thousand would look like nothing else.
+// unrated counts responses of the target version that did not fail and whose speed can't be
+// compared with that of old servers. They are no evidence for the version, which may be
+// arbitrarily slow. They are counted next to its failures, because otherwise a few failures in
+// a thousand responses would look like nothing but failures.
 type unrated map[unratedKey]int
 
-// unratedKey names the cell of evidence that an answer belongs to; see rollout.Cell.
+// unratedKey identifies the cell of evidence of a response; see rollout.Cell.
 type unratedKey struct {
 	route, cohort string
 	afterStart    bool
 }
 
-// add keeps an answer back.
+// add holds back one response.
 func (u *unrated) add(k unratedKey) {
 	if *u == nil {
 		*u = make(unrated)
@@ -23,7 +24,7 @@
 	(*u)[k] = min((*u)[k]+1, maxUnrated)
 }
 
-// take returns how many are held, and holds them no longer.
+// take removes and returns the number of responses held.
 func (u *unrated) take(k unratedKey) int {
 	n := (*u)[k]
 	delete(*u, k)
--- a/direct/usage.go
+++ b/direct/usage.go
@@ -8,14 +8,14 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// The times over which a team's tokens are averaged: all of them, and what it
-// asked for most recently, which tells where its callers are now.
+// The time constants of a team's decaying rates: of all its tokens, and of its most recent
+// demand, which shows where its callers are now.
 const (
 	usageWindow  = 3 * time.Second
 	recentWindow = 500 * time.Millisecond
 )
 
-// decayingRate is a decaying rate of tokens a second.
+// decayingRate is an exponentially decaying rate, in tokens per second.
 type decayingRate struct {
 	window time.Duration
 	value  float64
@@ -35,20 +35,20 @@
 	r.value += tokens / r.window.Seconds()
 }
 
-// subtract takes off tokens that were added some time ago.
+// subtract removes tokens that were added the given time ago.
 func (r *decayingRate) subtract(now time.Duration, tokens float64, ago time.Duration) {
 	remaining := tokens * math.Exp(-float64(ago)/float64(r.window))
 	r.value = max(r.decay(now)-remaining/r.window.Seconds(), 0)
 }
 
-// teamUsage is what a router knows of a team's tokens.
+// teamUsage is a team's demand and use, in tokens.
 type teamUsage struct {
 	offered     decayingRate
-	recent      decayingRate // offered, most recently
-	admitted    decayingRate // offered, less what was refused before its body was read
+	recent      decayingRate // demand over the shorter window
+	admitted    decayingRate // demand without requests refused before their body was read
 	served      decayingRate
-	regions     Regions       // that the configuration binds it to
-	group       *teamGroup    // of the teams bound like it; nil: it may use all regions
+	regions     Regions       // that the configuration restricts it to
+	group       *teamGroup    // of the teams with the same regions; nil: unrestricted
 	tokenBucket tokenBucket   // of this router
 	peers       loads.TeamUse // sum over the other routers
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// localFraction returns how much of what a team asks for now is asked of this router.
+// localFraction returns the fraction of a team's recent demand that arrives at this router.
 func (u *teamUsage) localFraction(now time.Duration) float64 {
 	own := u.recent.decay(now)
 	if own <= 0 {
@@ -77,8 +77,8 @@
 	return u.offered.decay(now) + float64(u.peers.Offered)
 }
 
-// waterLevel returns the most that a team may get when capacity is shared so
-// that the smallest demands are met first.
+// waterLevel returns the level of a max-min fair division: no team gets more than the level,
+// and smaller demands are met in full. It is infinite if the capacity covers all demands.
 func waterLevel(demands []float64, capacity float64) float64 {
 	slices.Sort(demands)
 	remaining := capacity
@@ -92,5 +92,6 @@
 	return math.Inf(1)
 }
 
-// tokenCost is what a request takes of the engines: a token made counts twice.
+// tokenCost returns the cost of a request for the engines, in tokens: an output token counts
+// twice.
 func tokenCost(prompt, output int) float64 { return float64(prompt) + 2*float64(output) }
