--- a/direct/baseline.go
+++ b/direct/baseline.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// baselineWeight is the weight of one answer in an average of old servers' answers: it
-	// follows a flood of callers within some tens of answers.
+	// baselineWeight is the minimum weight of one response in a baseline average. The average
+	// follows a burst of callers within some tens of responses.
 	baselineWeight = 0.05
-	// baselineMinAnswers is how many answers of a route an average must hold before answers
-	// are compared with it.
+	// baselineMinResponses is the number of responses of a route that an average must hold
+	// before responses are compared with it.
 	baselineMinResponses = 8
-	// minFirstEventMS and fastestToken bound what is averaged from below, in milliseconds,
-	// below which clocks and networks say more than servers.
+	// minFirstEventMS and minTokenMS are lower bounds, in milliseconds, of the values that are
+	// averaged. Smaller values depend more on clocks and networks than on servers.
 	minFirstEventMS = 0.5
 	minTokenMS      = 0.01
 )
 
-// baseline is how fast servers of the versions in use answer. The zero value knows
-// nothing.
+// baseline holds how fast servers of the versions in use respond. The zero value holds no
+// measurements.
 type baseline struct {
-	tokensPerMS float64 // tokens a millisecond that one reads; 0: not measured
+	tokensPerMS float64 // reading speed of one server, tokens per millisecond; 0: not measured
 	routes      byRoute[routeBaseline]
 }
 
-// routeBaseline is how fast the answers of one route come.
+// routeBaseline holds how fast the responses of one route are.
 type routeBaseline struct {
-	delayRatio geometricMean // of the first event or whole answer, in parts of what was expected
-	tokenMS    geometricMean // milliseconds of a token of a stream, as many as were expected
+	delayRatio geometricMean // time to the first event or whole response, divided by the expected time
+	tokenMS    geometricMean // milliseconds per token of a stream, by the expected number of tokens
 }
 
-// updateRate takes in the time to a first event at an old server.
+// updateRate updates the reading speed with the time to a first event at an old server.
 func (b *baseline) updateRate(tokens int, elapsed, initial float64) {
 	if tokens < learnFromTokens {
 		return
@@ -42,8 +42,8 @@
 	b.tokensPerMS += learnStep / 4 * (readingRate(tokens, elapsed) - b.tokensPerMS)
 }
 
-// expectedMS returns the milliseconds to the first event of a request that is sent now, or
-// to its whole answer, before it is known how far answers lie from that.
+// expectedMS returns the expected milliseconds to the first event of a request that is sent
+// now, or to its whole response, before the route's delayRatio is applied.
 func (p *pool) expectedMS(r *run, s *server) float64 {
 	if p.engine == nil {
 		slots := max(s.Slots, 1)
@@ -57,8 +57,7 @@
 	return float64(firstEventBase/time.Millisecond) + float64(r.ahead)/max(rate, 1)
 }
 
-// geometricMean is a running average of logarithms, which a few very late answers hardly
-// move.
+// geometricMean is a running geometric mean. A few very late responses hardly move it.
 type geometricMean struct {
 	logMean float64
 	samples int
--- a/direct/canary.go
+++ b/direct/canary.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// trialLeast is the least number of servers in a trial: one may be faulty by itself,
-	// and of three the other two still tell of the version.
+	// minCanaryServers is the minimum number of servers in a canary. One of three may be faulty
+	// by itself; the other two are still evidence about the version.
 	minCanaryServers = 3
-	// trialSeed seeds the rendezvous weights by which servers are chosen for a trial, so
-	// that they differ from those of any part of a prompt.
+	// canarySeed seeds the rendezvous weights that select the servers of a canary, so that they
+	// differ from those of any prompt part.
 	canarySeed = 0x7452_6961_6c53_6964
-	// cohortsInHall is in how many cohorts the servers of one hall are told apart where
-	// the target has no other: leaving out one of three leaves enough evidence.
+	// cohortsPerHall is the number of cohorts that the servers of a hall are divided into if
+	// the target version has servers in no other hall. Without one cohort of three, enough
+	// evidence is left.
 	cohortsPerHall = 3
 )
 
-// openTargets returns the target's servers that take requests at the present stage, by id.
-// All routers choose the same ones, by the servers' ids. A server that is ejected stays in
-// the trial: what it answered is evidence. Servers that are leaving are used as a last
-// resort only once old servers are closed: before that, the old ones serve.
+// canaryServers returns the servers of the target version that get requests at the current
+// stage, by ID. All routers select the same servers, by their IDs. An ejected server stays in
+// the canary: its responses are evidence. Leaving servers serve as a last resort only once old
+// servers are closed; before that, the old ones serve.
 func (g *gate) canaryServers(all []*server) []*server {
 	var out []*server
 	if g.Part <= 0 {
@@ -45,7 +46,7 @@
 	return out
 }
 
-// spreadOut puts the first server of each cohort before all others.
+// cohortLeadersFirst moves the first server of each cohort to the front.
 func cohortLeadersFirst(all []*server) []*server {
 	oneHall := inOneHall(all)
 	seen := make(map[string]bool)
@@ -62,8 +63,8 @@
 	return append(leaders, rest...)
 }
 
-// nameCohorts names for each server of a pool the cohort that its answers count for:
-// servers that may fail together, and for reasons of their own.
+// assignCohorts sets the cohort of each server of a pool. Servers of one cohort may fail
+// together for reasons that have nothing to do with their version.
 func (p *pool) assignCohorts() {
 	var present []*server
 	for _, s := range p.all {
@@ -77,8 +78,8 @@
 	}
 }
 
-// cohortOf returns the hall of a server, or, where the target has servers in a single
-// hall only, a part of that hall's.
+// cohortOf returns the hall of a server, or a part of the hall if the target version has
+// servers in only one.
 func cohortOf(s *server, oneHall bool) string {
 	if !oneHall {
 		return s.Zone
@@ -86,7 +87,7 @@
 	return fmt.Sprintf("%s/%d", s.Zone, s.key%cohortsPerHall)
 }
 
-// inOneHall tells whether there are servers, all of them in one data hall.
+// inOneHall reports whether there are servers and all of them are in one data hall.
 func inOneHall(all []*server) bool {
 	for _, s := range all {
 		if s.Zone != all[0].Zone {
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -8,44 +8,47 @@
 )
 
 const (
-	// clearedAfter is how long after its first event a request has shown that it can be run:
-	// one under which servers crash does so as soon as it is begun.
+	// clearedAfter is how long an attempt must run after its first event to be cleared of
+	// causing a crash. A request that crashes servers does so as soon as a server starts to run
+	// it.
 	clearedAfter = time.Second
-	// crashWindow is how long a crash that was found out holds for attempts at the server that
-	// break off later: all that it ran break off together, but for those that come late to be
-	// looked at.
+	// crashWindow is the maximum time between a detected crash and an attempt that is suspected
+	// of it, whether the attempt was abandoned before or broke after. All attempts at the
+	// server break at the same time, but some are processed late.
 	crashWindow = time.Second
-	// reprobeDelay is the time after which a server is probed again that could still be reached: a
-	// process that ends may break its connections off some time before it stops listening.
+	// reprobeDelay is the delay before a server that a probe has reached is probed again. A
+	// process that exits may close its connections some time before it stops listening.
 	reprobeDelay = 100 * time.Millisecond
-	// maxReportedSuspects bounds the suspects in one report, of some 40 bytes each.
+	// maxReportedSuspects limits the suspects in one report; each takes about 40 bytes.
 	maxReportedSuspects = 16
-	// suspectExpiryInterval is the time between two looks for suspects that are old.
+	// suspectExpiryInterval is the time between two removals of old suspects.
 	suspectExpiryInterval = time.Second
 )
 
-// crashCheck is what broke off at a server, or was given up there, and may have crashed it. Whether
-// the server has crashed, or only a connection broke, a probe tells. The zero value is ready.
+// crashCheck holds the requests that broke at a server, or were abandoned there, and may have
+// crashed it. A probe tells a crashed server from a broken connection. The zero value is ready
+// to use.
 type crashCheck struct {
-	awaitingProbe []quarantine.Content // that wait for a probe to end
-	abandoned     []abandonedRequest   // whose callers left a moment ago, the oldest first; no reason for a probe
-	reachedAt     time.Duration        // when a probe reached the server; 0: none has since they came
+	awaitingProbe []quarantine.Content // of broken attempts, until a probe resolves the check
+	abandoned     []abandonedRequest   // oldest first; they don't cause a probe
+	reachedAt     time.Duration        // when a probe reached the server during this check; 0: none has
 	crashed       bool
-	crashedAt     time.Duration // when a probe last told that it has
+	crashedAt     time.Duration // when a probe last detected a crash
 }
 
-// maxAbandoned bounds the contents that are kept of a server whose callers left: about what it
-// runs at once.
+// maxAbandoned limits the abandoned requests that are kept per server: about as many as a
+// server runs at once.
 const maxAbandoned = 64
 
-// abandonedContent is a content whose attempt ended while its server may have begun to run it.
+// abandonedRequest is a request whose attempt ended on this side while its server may have
+// started to run it.
 type abandonedRequest struct {
 	fingerprint quarantine.Content
 	at          time.Duration
 }
 
-// addAbandoned remembers a content whose caller left, or which was moved: if its server turns out to
-// have crashed right after that, it is as suspect as those that broke off.
+// addAbandoned records a request whose caller left, or that was moved. If the server turns out
+// to have crashed right after that, the request is as suspect as those that broke.
 func (b *crashCheck) addAbandoned(now time.Duration, c quarantine.Content) {
 	b.abandoned = slices.DeleteFunc(b.abandoned, func(l abandonedRequest) bool { return now-l.at > crashWindow })
 	if len(b.abandoned) < maxAbandoned {
@@ -53,7 +56,7 @@
 	}
 }
 
-// takeAbandoned returns the contents that callers left a moment ago, and forgets them.
+// takeAbandoned removes all abandoned requests and returns those within crashWindow.
 func (b *crashCheck) takeAbandoned(now time.Duration) []quarantine.Content {
 	var out []quarantine.Content
 	for _, l := range b.abandoned {
@@ -65,7 +68,7 @@
 	return out
 }
 
-// recordContentOutcome takes in how an attempt ended, for what it says of its content.
+// recordCrashEvidence updates the suspects with the outcome of an attempt.
 func (m *Machine) recordCrashEvidence(now time.Duration, r *run, s *server, o Outcome) {
 	if r.Content == 0 || !m.uses(Quarantine) {
 		return
@@ -73,22 +76,23 @@
 	switch {
 	case o == Done:
 		m.suspects.Answered(now, r.Content)
-	case r.clearedOfCrash(now): // what crashes servers does so sooner
+	case r.clearedOfCrash(now): // a request that crashes servers does so sooner
 	case o == Broken, o == Hung:
-		// An attempt that was given up may crash its server after that: a busy server begins
-		// to run it late.
+		// A server may crash after the attempt has timed out: a busy server starts to run it
+		// late.
 		m.suspectIfCrashed(now, r, s)
 	case o == GivenUp, o == Moved:
 		s.blamed.addAbandoned(now, r.Content)
 	}
 }
 
-// settled tells whether the attempt has run for so long that it is not what crashes its server.
+// clearedOfCrash reports whether the attempt has run too long to be the cause of a crash.
 func (r *run) clearedOfCrash(now time.Duration) bool {
 	return r.firstAt > 0 && now-r.firstAt >= clearedAfter
 }
 
-// blameFor has an attempt that broke off be suspected if its server has crashed.
+// suspectIfCrashed records a broken attempt as a suspect if its server has crashed, and starts
+// a probe if that is not known yet.
 func (m *Machine) suspectIfCrashed(now time.Duration, r *run, s *server) {
 	b := &s.blamed
 	if b.crashed && now-b.crashedAt < crashWindow {
@@ -101,9 +105,9 @@
 	}
 }
 
-// blameEnded takes in what a probe tells of a server at which attempts broke off. Only a host
-// that answers says that the server has crashed: where nothing answers, the network may have
-// failed. It tells whether the server has crashed.
+// resolveCrashCheck handles the result of a probe of a server with broken attempts and reports
+// whether the server has crashed. Only a refused connection proves a crash: if the host doesn't
+// respond, the network may have failed.
 func (m *Machine) resolveCrashCheck(msg ProbeMsg, s *server) bool {
 	b := &s.blamed
 	if len(b.awaitingProbe) == 0 {
@@ -128,7 +132,7 @@
 	return true
 }
 
-// probeAgain probes servers again that could still be reached a moment ago.
+// reprobe probes the servers again that a probe has reached during a crash check.
 func (m *Machine) reprobe(now time.Duration) {
 	kept := m.reprobed[:0]
 	for _, s := range m.reprobed {
@@ -144,7 +148,7 @@
 	m.reprobed = kept
 }
 
-// hearSuspects takes in what another router tells of suspects.
+// mergeSuspects merges the suspects of another router's report.
 func (m *Machine) mergeSuspects(now time.Duration, report Report) {
 	if !m.uses(Quarantine) {
 		return
@@ -153,7 +157,7 @@
 	m.suspects.HearDigest(now, report.SuspectsDigest)
 }
 
-// dropSuspects forgets old suspects, now and then.
+// expireSuspects removes old suspects, once per suspectExpiryInterval.
 func (m *Machine) expireSuspects(now time.Duration) {
 	if now-m.suspectsDroppedAt < suspectExpiryInterval {
 		return
@@ -162,7 +166,8 @@
 	m.suspects.Drop(now)
 }
 
-// tellQuarantine says what a message has barred, and what it has released.
+// emitQuarantineChanges emits the changes of the quarantine since the last call, and a report
+// to the other routers if they are urgent.
 func (m *Machine) emitQuarantineChanges() {
 	if m.suspects.Urgent() {
 		m.emit(ReportCmd{})
@@ -172,13 +177,13 @@
 	}
 }
 
-// PendingRecords returns which records of barred contents the store should get, and which it should
-// lose.
+// PendingRecords returns the fingerprints whose quarantine records have to be added to the
+// store, and those whose records have to be removed.
 func (m *Machine) PendingRecords() (add, remove []quarantine.Content) {
 	return m.suspects.Unrecorded(), m.suspects.Outdated()
 }
 
-// QuarantineStates returns what is known of contents under which servers crashed, most at a time.
+// QuarantineStates returns the state of at most limit suspects.
 func (m *Machine) QuarantineStates(now time.Duration, limit int) []quarantine.State {
 	return m.suspects.States(now, limit)
 }
--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harmful is a content under which servers crash.
+// crashingFingerprint is the fingerprint of requests that crash servers.
 const crashingFingerprint quarantine.Content = 99
 
-// with returns a request of a content.
+// requestWith returns a request with a fingerprint.
 func (b *bench) requestWith(c quarantine.Content) Request {
 	r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 1000})
 	r.Content = c
 	return r
 }
 
-// crash has the attempt of a request break off, with its server's host answering the probe as
-// said, and returns what the request gets next.
+// breakAttempt ends the attempt of a request as broken, answers a probe of its server with
+// probed, and returns the resulting commands.
 func (b *bench) breakAttempt(id RequestID, probed ProbeMsg) []Cmd {
 	cmds := b.end(id, Broken, true)
 	if probe, ok := find[ProbeCmd](cmds); ok {
@@ -29,7 +29,7 @@
 	return cmds
 }
 
-// crashOnce sends a request once, which crashes its server.
+// crashServer sends a request with one attempt, which crashes its server.
 func (b *bench) crashServer(c quarantine.Content) {
 	b.t.Helper()
 	r := b.requestWith(c)
@@ -37,12 +37,12 @@
 	r.Attempts = 1
 	b.m.runs[r.ID].Attempts = 1
 	b.breakAttempt(r.ID, ProbeMsg{Refused: true})
-	b.pass(5 * time.Second) // others are there meanwhile
+	b.pass(5 * time.Second) // the crashed server is replaced meanwhile
 }
 
-// TestThirdCrashIsTheLast has servers crash under one content: its third crash ends the
-// request, though it has attempts left, and who asks for it again is refused at once.
-// Requests of other contents are sent.
+// TestThirdCrashQuarantines crashes servers with one fingerprint. The third crash ends the
+// request, though it has attempts left, and further requests of the fingerprint are refused at
+// once. Requests of other fingerprints are sent.
 func TestThirdCrashQuarantines(t *testing.T) {
 	b := newBench(t, 8)
 	first := b.requestWith(crashingFingerprint)
@@ -56,7 +56,7 @@
 	b.sent(b.arrive(second))
 	cmds := b.breakAttempt(second.ID, ProbeMsg{Refused: true})
 	failed, ok = find[FailCmd](cmds)
-	require.True(t, ok, "no further server: %v", cmds)
+	require.True(t, ok, "sent to a further server: %v", cmds)
 	require.Equal(t, ReasonCrashes, failed.Reason)
 	began, ok := find[QuarantineCmd](cmds)
 	require.True(t, ok)
@@ -70,8 +70,8 @@
 	b.sent(b.arrive(b.requestWith(0)))
 }
 
-// TestBrokenConnectionIsNoCrash has attempts break off at servers that live, or of which
-// nobody knows: that blames nobody.
+// TestBrokenConnectionIsNotACrash breaks attempts at servers that are reachable or in an
+// unknown state: no request becomes a suspect.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
 	for _, probed := range []ProbeMsg{{Reached: true}, {}, {Slow: true}} {
 		b := newBench(t, 8)
@@ -85,7 +85,7 @@
 	}
 }
 
-// TestEndingServerIsProbedAgain has a server that ends break its connections off before it stops
+// TestReachableServerIsProbedAgain has a stopping server close its connections before it stops
 // listening: the first probe still reaches it, the second doesn't.
 func TestReachableServerIsProbedAgain(t *testing.T) {
 	for refused, crashes := range map[bool]int{true: 1, false: 0} {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestSettledRequestIsNotBlamed has a server crash under a request that it has worked on for
-// long, and under one that has just begun.
+// TestLongRunningRequestIsNotSuspected crashes a server while it runs a request that has run
+// for long, and one that has just started.
 func TestLongRunningRequestIsNotSuspected(t *testing.T) {
 	for settled, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickEvery: 1} {
 		b := newBench(t, 2)
@@ -118,12 +118,12 @@
 		require.Equal(t, crashes, b.m.suspects.Crashes(crashingFingerprint))
 		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
 		b.end(r.ID, Done, false)
-		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint), "it was answered elsewhere")
+		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint), "another server completed it")
 	}
 }
 
-// TestAllThatBrokeOffAreBlamed has a server crash with several requests: one probe tells of
-// all, also of those that are looked at after it.
+// TestAllBrokenAttemptsAreSuspected crashes a server that runs several requests: one probe
+// covers all of them, including those that are processed after it.
 func TestAllBrokenAttemptsAreSuspected(t *testing.T) {
 	b := newBench(t, 1)
 	var all []Request
@@ -136,7 +136,7 @@
 	probe, ok := find[ProbeCmd](b.end(all[0].ID, Broken, true))
 	require.True(t, ok)
 	_, ok = find[ProbeCmd](b.end(all[1].ID, Broken, true))
-	require.False(t, ok, "one probe is enough")
+	require.False(t, ok, "only one probe per server")
 	crashed, ok := find[CrashCmd](b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Refused: true}))
 	require.True(t, ok)
 	require.Len(t, crashed.Suspects, 2)
@@ -147,18 +147,18 @@
 	}
 }
 
-// TestQuarantineReachesAllRouters has servers crash at one router: another one refuses what
-// crashes them, also a request that waits in its queue.
+// TestQuarantineReachesAllRouters crashes servers at one router: another router refuses
+// requests of that fingerprint, including one in its queue.
 func TestQuarantineReachesAllRouters(t *testing.T) {
 	reporter, receiver := newBench(t, 8), newBench(t, 1)
 	for range quarantine.CrashesMost {
 		reporter.crashServer(crashingFingerprint)
 	}
-	for range 60 { // its server is busy
+	for range 60 { // fills its server
 		receiver.arrive(receiver.requestWith(1))
 	}
 	queued := receiver.requestWith(crashingFingerprint)
-	require.Empty(t, receiver.arrive(queued), "it waits")
+	require.Empty(t, receiver.arrive(queued), "the request must be queued")
 	receiver.m.Update(PeerMsg{Now: receiver.now, Peer: "here", Report: reporter.m.Report(reporter.now)})
 	refused := receiver.pass(TickEvery)
 	found := false
@@ -174,9 +174,10 @@
 	require.Equal(t, ReasonCrashes, cmd.Reason)
 }
 
-// TestCrashesAreToldAtOnce has servers crash at one router, which tells of the second and the third
-// crash without waiting for its next heartbeat, as does another router that hears of the third: copies
-// of a request ended four servers more at routers that were not yet told.
+// TestCrashesAreToldAtOnce checks that a router reports the second and the third crash without
+// waiting for its next heartbeat, and that a router that receives a report of the third
+// forwards it. Without this, copies of a request crashed four more servers at routers that had
+// no report yet.
 func TestCrashesAreToldAtOnce(t *testing.T) {
 	reporter, receiver := newBench(t, 8), newBench(t, 8)
 	var received []Cmd
@@ -198,9 +199,9 @@
 	require.Equal(t, ReasonCrashes, refused.Reason)
 }
 
-// TestAttemptGivenUpIsBlamed has a server crash after the attempt at it was given up: as it said
-// nothing in good time, which is found out by a probe, or as the caller left, which is no
-// reason for one, but counts when others break off with the server.
+// TestAbandonedAttemptIsSuspected crashes a server after an attempt at it has ended on the
+// router's side. A timeout starts a probe. A caller that left, or a move, starts none, but
+// counts if another attempt breaks at the server.
 func TestAbandonedAttemptIsSuspected(t *testing.T) {
 	for outcome, probes := range map[Outcome]bool{Hung: true, GivenUp: false, Moved: false} {
 		b := newBench(t, 1)
@@ -220,7 +221,8 @@
 	}
 }
 
-// TestCallersThatLeftLongAgo are not blamed for what a server does later.
+// TestOldAbandonedAttemptsAreNotSuspected checks that attempts abandoned before crashWindow are
+// not suspects of a crash, and that the number that is kept is bounded.
 func TestOldAbandonedAttemptsAreNotSuspected(t *testing.T) {
 	b := newBench(t, 1)
 	for i := range maxAbandoned + 10 {
--- a/direct/crashsim_test.go
+++ b/direct/crashsim_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// crashPlay is routers in memory, and servers that crash under some contents and are followed by
-// others.
+// crashSim simulates routers in memory, and servers that crash under some fingerprints and are
+// replaced.
 type crashSim struct {
 	routers         []*bench
 	random          *rand.Rand
 	servers         Directory
-	crashed         []string // servers that are to be followed by others
+	crashed         []string // servers that are to be replaced
 	crashes         map[quarantine.Content]int
-	nextFingerprint quarantine.Content // of the next request that does no harm
-	harmlessSent    int                // such requests
-	harmlessRefused int                // of these, for what crashed servers
+	nextFingerprint quarantine.Content // of the next harmless request
+	harmlessSent    int                // harmless requests sent
+	harmlessRefused int                // of these, refused because of crashes
 }
 
 func newCrashSim(t *testing.T, seed uint64) *crashSim {
@@ -33,7 +33,7 @@
 	return p
 }
 
-// ask has a request that crashes servers come to one router, and be tried as often as that allows.
+// sendCrashing sends a crashing request to one router and crashes a server at each attempt.
 func (p *crashSim) sendCrashing(content quarantine.Content) {
 	b := p.routers[p.random.IntN(len(p.routers))]
 	r := b.requestWith(content)
@@ -47,14 +47,14 @@
 	}
 }
 
-// harmless is a request that does no harm, at a router.
+// harmlessRequest is a request at a router that crashes no server.
 type harmlessRequest struct {
 	router *bench
 	r      Request
 }
 
-// company starts requests at all routers, and returns those that a server runs; the others end
-// well.
+// startHarmless starts harmless requests at random routers and returns those that the given
+// server runs. The others are completed.
 func (p *crashSim) startHarmless(server string) []harmlessRequest {
 	var running []harmlessRequest
 	for range 30 {
@@ -74,8 +74,8 @@
 	return running
 }
 
-// breakOff has requests break off with their server; each is tried on as its router says, and now
-// and then at a server that crashes too.
+// breakAttempts breaks the attempts of requests because their server has crashed. Each is
+// retried as its router decides; one retry in four is at a server that crashes too.
 func (p *crashSim) breakAttempts(requests []harmlessRequest) {
 	for _, h := range requests {
 		cmds := h.router.breakAttempt(h.r.ID, ProbeMsg{Refused: true})
@@ -94,8 +94,8 @@
 	}
 }
 
-// pass lets half a second pass: servers that crashed are followed by others, and routers tell one
-// another five times, of which a third is lost.
+// pass advances time by half a second. Crashed servers are replaced, and the routers exchange
+// reports five times, of which a third is lost.
 func (p *crashSim) pass() {
 	p.servers.Revision++
 	for i := range p.servers.Servers {
@@ -122,16 +122,16 @@
 	}
 }
 
-// copyOf is one of several requests of the same content, at a router.
+// requestCopy is one of several requests with the same fingerprint, at a router.
 type requestCopy struct {
 	router *bench
 	r      Request
-	server string // that it was last sent to
+	server string // of the last attempt
 }
 
-// wave has copies of requests arrive at routers before any of them is answered, and end all servers
-// that run them at the same moment; those that are tried on are the next to do so. It tells how many
-// servers ended under each content.
+// crashTogether sends copies of requests to routers before any of them gets a response, crashes
+// all their servers at the same time, and does the same with the retries. It returns the number
+// of crashed servers by fingerprint.
 func (p *crashSim) crashTogether(contents []quarantine.Content) map[quarantine.Content]int {
 	var running []requestCopy
 	for _, content := range contents {
@@ -151,7 +151,7 @@
 	return crashes
 }
 
-// endServers ends the servers that run requests, and counts them by content.
+// crashServers crashes the servers of running requests and counts them by fingerprint.
 func (p *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Content]int) {
 	type crashKey struct {
 		content quarantine.Content
@@ -168,8 +168,8 @@
 	}
 }
 
-// runs adds a request to those that servers run, if some commands of its router bring it to one.
-// Servers that have ended refuse its connection.
+// appendRunning appends a request to the running ones if its router's commands send it to a
+// live server. Crashed servers refuse the connection.
 func (p *crashSim) appendRunning(running []requestCopy, c requestCopy, cmds []Cmd) []requestCopy {
 	for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
 		listed := slices.ContainsFunc(p.servers.Servers, func(s Server) bool { return s.ID == send.Server.ID })
@@ -182,10 +182,11 @@
 	return running
 }
 
-// TestCrashesStayFew has ten requests crash servers, each every half second at some router, among
-// others that break off with them and sometimes once more. Routers tell one another of it, and a
-// third of that is lost: of each one no more than two servers end beyond the three that are
-// allowed, and one in a thousand of the others is refused for crashes at the most.
+// TestCrashesStayFew sends one of ten crashing requests every half second to a random router,
+// among others that break with them and are sometimes sent to another crashing server. A third
+// of the reports between routers is lost. Each crashing request crashes at most two servers
+// more than the three that are allowed, and at most one in a thousand of the others is refused
+// because of crashes.
 func TestCrashesStayFew(t *testing.T) {
 	sent, refused := 0, 0
 	for seed := range uint64(20) {
@@ -195,17 +196,18 @@
 			p.pass()
 		}
 		for content, crashes := range p.crashes {
-			require.LessOrEqual(t, crashes, quarantine.CrashesMost+2, "seed %d, content %d", seed, content)
+			require.LessOrEqual(t, crashes, quarantine.CrashesMost+2, "seed %d, fingerprint %d", seed, content)
 		}
 		sent, refused = sent+p.harmlessSent, refused+p.harmlessRefused
 	}
-	t.Logf("%d of %d others were refused for crashes", refused, sent)
+	t.Logf("%d of %d harmless requests were refused because of crashes", refused, sent)
 	require.LessOrEqual(t, refused, sent/1000)
 }
 
-// TestCrashesTogetherStayFew has two requests that crash servers come at the same moments, a few
-// copies of each, so that servers end under both and the one that ended more explains the other's. Of
-// each at most three servers end once routers have told one another of the first three.
+// TestCrashesTogetherStayFew sends a few copies of two crashing requests at the same time, so
+// that servers crash under both and the one with more crashes explains those of the other. Once
+// the routers have reported the first three crashes of a request, it crashes at most three more
+// servers.
 func TestCrashesTogetherStayFew(t *testing.T) {
 	for seed := range uint64(200) {
 		p := newCrashSim(t, seed)
@@ -227,14 +229,15 @@
 			p.pass()
 		}
 		for content, servers := range late {
-			require.LessOrEqual(t, servers, 3, "seed %d, content %d, %d in all", seed, content, crashes[content])
+			require.LessOrEqual(t, servers, 3, "seed %d, fingerprint %d, %d in total", seed, content, crashes[content])
 		}
 	}
 }
 
-// TestCrashesStayFewOverRestarts has routers start anew, one after another, between the crashes under
-// a content that is asked for alone: a router that started after two crashes ended two servers more, as
-// it was told only of what is barred. No fourth server ends where they have one and a half seconds to tell.
+// TestCrashesStayFewOverRestarts restarts the routers one by one between the crashes of a
+// single request. If a restarted router receives only barred fingerprints, one that started
+// after two crashes lets two more servers crash. No fourth server crashes if the routers have
+// one and a half seconds to exchange reports.
 func TestCrashesStayFewOverRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		p := newCrashSim(t, seed)
@@ -250,7 +253,7 @@
 	}
 }
 
-// restart replaces a router by one that knows nothing.
+// restart replaces a router by one without state.
 func (p *crashSim) restart(t *testing.T, router int) {
 	p.routers[router] = newBench(t, 12)
 	p.routers[router].m.Update(ServersMsg{Now: p.routers[router].now, Directory: p.servers})
--- a/direct/drain.go
+++ b/direct/drain.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Parts of the time that a server which leaves goes on serving (Options.Drain) for which it is still
-// used where others are missing. The rest is left for what is on its way: the word to this
-// router, and requests to the server.
+// Fractions of Options.Drain, the time that a leaving server continues to serve, for which it
+// is still used if no other server is available. The rest covers requests in flight and the
+// delay until this router is notified.
 const (
 	lastResortFraction = 0.4
 	lapseFraction      = 0.6
 )
 
-// lastResortFor is how long a server that leaves is used where no other is there.
+// lastResortDuration returns how long a leaving server is used if no other server is available.
 func (m *Machine) lastResortDuration() time.Duration {
 	return m.limitToDrain(lastResortTime, lastResortFraction)
 }
 
-// lapsedFor is how long servers are used whose entries went together with many others.
+// lapseDuration returns how long servers are used after their entries have lapsed.
 func (m *Machine) lapseDuration() time.Duration { return m.limitToDrain(lapseHold, lapseFraction) }
 
-// withinDrain returns a time, or a part of the drain time where that is known and shorter.
+// limitToDrain returns limit, or a fraction of the drain time if that is known and shorter.
 func (m *Machine) limitToDrain(limit time.Duration, fraction float64) time.Duration {
 	if m.options.Drain <= 0 {
 		return limit
--- a/direct/drain_test.go
+++ b/direct/drain_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainTimeBoundsLastResort has all servers of a service leave, by their answers or by their
-// entries, and their entries lapse, on a platform that ends them half a second after. Settings named
-// that time and nothing read it: servers were used for 0.8 and 1.2 s in any case, which holds
-// where they serve on for two seconds, and came too late for one that is gone after half a second.
+// TestDrainTimeBoundsLastResort has all servers of a service leave, by notices, by their
+// entries or by lapsed entries, on a platform that stops them after half a second. If the drain
+// time is ignored, servers are used for 0.8 and 1.2 s. That suits servers that serve for two
+// more seconds, but here requests go to stopped servers.
 func TestDrainTimeBoundsLastResort(t *testing.T) {
 	const drain = 500 * time.Millisecond
 	for name, leave := range map[string]func(*noticeBench){
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -8,17 +8,17 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// hungWeight is how many failures a server counts that said nothing.
+// hungFailureWeight is the number of failures that a timeout without any response counts as.
 const hungFailureWeight = 2
 
 const (
-	// overdueLeast and overdueMost bound the time that a team's callers are told to stay
-	// away for what it asked for beyond what it may have.
+	// minAllowanceDelay and maxAllowanceDelay bound the retry delay for callers of a team that
+	// has exceeded its allowance.
 	minAllowanceDelay = time.Second
 	maxAllowanceDelay = 10 * time.Second
 )
 
-// end takes in how an attempt ended, and decides whether there is another.
+// endAttempt handles the end of an attempt and decides whether to retry.
 func (m *Machine) endAttempt(msg EndMsg) {
 	r := m.runs[msg.ID]
 	if r == nil || r.at == nil {
@@ -46,7 +46,7 @@
 	m.serve(msg.Now, p, serveEach)
 }
 
-// judge takes in what an outcome says of a server.
+// recordOutcome updates the health of a server with the outcome of an attempt.
 func (m *Machine) recordOutcome(now time.Duration, p *pool, s *server, o Outcome) {
 	switch o {
 	case Done, Failed, NotRun, Elsewhere:
@@ -79,8 +79,7 @@
 	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.eject(now)})
 }
 
-// again decides on another attempt for a request whose last one brought no
-// answer.
+// retry decides whether a request whose last attempt was unsuccessful gets another one.
 func (m *Machine) retry(now time.Duration, p *pool, r *run, o Outcome) {
 	switch o {
 	case Unsent, Withheld:
@@ -101,14 +100,14 @@
 		}
 	}
 	switch {
-	// The probe that tells of a crash has not ended yet, and a fourth server would be lost.
+	// The probe that detects a crash is still running, and a retry might crash a fourth server.
 	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneMore(r.Content):
 		m.giveUp(now, p, r, ReasonCrashes)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
 	case r.attempt >= r.Attempts:
 		m.giveUp(now, p, r, ReasonAttempts)
-	case o == Moved && r.placement.moving: // the budget was charged with the move
+	case o == Moved && r.placement.moving: // the move was charged to the budget already
 		m.enqueue(now, p, r)
 	case !p.budget.spend(now, m.options.Budget, m.routers):
 		m.giveUp(now, p, r, ReasonBudget)
@@ -117,7 +116,7 @@
 	}
 }
 
-// refuse ends a request that waits.
+// refuseWaiting refuses a queued request.
 func (m *Machine) refuseWaiting(now time.Duration, p *pool, r *run) {
 	p.queue.remove(r)
 	reason := ReasonOverload
@@ -130,7 +129,7 @@
 	m.giveUp(now, p, r, reason)
 }
 
-// giveUp ends a request: it is refused where it has certainly not run.
+// giveUp ends a request. It is refused if it has certainly not run, and fails otherwise.
 func (m *Machine) giveUp(now time.Duration, p *pool, r *run, reason Reason) {
 	r.waiting = false
 	delete(m.runs, r.ID)
@@ -141,10 +140,10 @@
 	m.emit(RefuseCmd{ID: r.ID, Reason: reason, After: m.retryAfter(now, p, r, reason), Share: r.over})
 }
 
-// comeBack says when a refused request would find room: when the servers have
-// read what they have now, or the first of them wants requests again, and spread
-// over half an objective so that not all come at once. A team above its share is
-// told to wait for its allowance too.
+// retryAfter returns when a refused request is expected to find capacity: when the servers have
+// processed their backlog or, if none takes requests, when the first backoff ends. An offset of
+// 0.5 to 1.5 objectives, by a hash of team and ID, keeps callers from returning all at once. A
+// team above its share also waits for its allowance.
 func (m *Machine) retryAfter(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
 	if reason == ReasonCrashes {
 		return quarantine.Hold
@@ -176,8 +175,8 @@
 	return after
 }
 
-// overdue is how long a team's allowance takes to cover what the team has lately asked for
-// and not got: a caller that comes back sooner finds others of its team before it.
+// allowanceDelay returns how long a team's allowance takes to cover the demand that was not
+// served lately. A caller that returns sooner finds other requests of its team ahead of it.
 func (m *Machine) allowanceDelay(now time.Duration, name string) time.Duration {
 	t := m.team(name)
 	bounds := m.boundsOf(t)
--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWhatMayHaveRun is never repeated where it may not be, and never refused.
+// TestWhatMayHaveRun checks that a request that may have run and may not be repeated fails: it
+// is neither retried nor refused.
 func TestWhatMayHaveRun(t *testing.T) {
 	for _, o := range []Outcome{Failed, Broken, Hung} {
 		b := newBench(t, 3)
@@ -20,8 +21,8 @@
 	}
 }
 
-// TestNotRunGoesElsewhere sends what has not run to another server, as often as
-// the route allows; then it is refused.
+// TestNotRunGoesElsewhere retries a request that has not run at another server, as often as the
+// route allows, and then refuses it.
 func TestNotRunGoesElsewhere(t *testing.T) {
 	b := newBench(t, 3)
 	r := b.request("red")
@@ -34,7 +35,7 @@
 	require.Equal(t, ReasonAttempts, refused.Reason)
 }
 
-// TestUnsentCostsNoAttempt goes on to other servers where nothing was sent.
+// TestUnsentCostsNoAttempt tries further servers if nothing was sent.
 func TestUnsentCostsNoAttempt(t *testing.T) {
 	b := newBench(t, 4)
 	r := b.request("red")
@@ -44,8 +45,8 @@
 	b.sent(b.end(r.ID, Unsent, true))
 }
 
-// TestRetriesKeepToTheBudget fails everything: retries stay within the budget
-// of the window, for one router's part of it.
+// TestRetriesKeepToTheBudget fails all attempts: the retries stay within the router's part of
+// the budget.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 4} {
 		b := newBench(t, 4)
@@ -68,8 +69,8 @@
 	}
 }
 
-// TestEjection takes a server out that fails where others do not, and brings it
-// back with one request that may be repeated.
+// TestEjection ejects a server that fails while the others don't, and restores it with one
+// request that may be repeated.
 func TestEjection(t *testing.T) {
 	b := newBench(t, 4)
 	ejected := ""
@@ -101,7 +102,8 @@
 	require.True(t, back)
 }
 
-// TestFaultOfAllEjectsFew keeps at least half of the servers when all fail.
+// TestEjectionKeepsHalfTheServers checks that at least half of the servers stay in use when all
+// fail.
 func TestEjectionKeepsHalfTheServers(t *testing.T) {
 	b := newBench(t, 6)
 	for range 300 {
@@ -118,8 +120,8 @@
 	require.GreaterOrEqual(t, in, 3)
 }
 
-// TestSlowRouterJudgesNobody does not hold others for dead while this router is
-// late itself: one starved router would eject all servers.
+// TestSlowRouterEjectsNobody checks that a router that is late itself counts no failures.
+// Otherwise, a router without processor time would eject all servers.
 func TestSlowRouterEjectsNobody(t *testing.T) {
 	b := newBench(t, 2)
 	for range 50 {
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// evacuate puts a newer set of evacuated data halls in force. Servers of an evacuated
-// hall get no new requests; what runs there is left to run. The routers of the hall go
-// on: only its servers are out of use.
+// applyEvacuations applies a newer set of evacuated data halls. Servers of an evacuated hall
+// get no new requests; running requests continue. The routers of the hall continue to work:
+// only its servers are out of use.
 func (m *Machine) applyEvacuations(msg EvacuationsMsg) {
 	if msg.Evacuations.Revision < m.evacuationsAt {
 		return
@@ -34,14 +34,14 @@
 	}
 }
 
-// returned takes a server for cold whose data hall has been taken back: it may have
-// turned cold shortly before, and its entry says so only after its next heartbeat. The
-// price is a few seconds at the cold rate where it has not.
+// markReturnedCold marks a server as cold when its data hall is no longer evacuated. It may
+// have become cold shortly before, and its entry shows that only after its next heartbeat. If
+// it is warm, it gets requests at the cold rate for a few seconds.
 func (m *Machine) markReturnedCold(now time.Duration, p *pool, s *server) {
 	m.noteCold(now, s, p.cold.Lasts, "its data hall was evacuated")
 }
 
-// tellHalls emits what has changed since an earlier set of evacuated halls.
+// emitHallChanges emits the differences from an earlier set of evacuated halls.
 func (m *Machine) emitHallChanges(previous map[string]bool) {
 	all := maps.Clone(previous)
 	maps.Copy(all, m.evacuated)
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// twoHalls returns a bench with three servers in hall a and three in hall b, which bear
-// few requests while they are cold.
+// newTwoHallBench returns a bench with three servers in hall a and three in hall b, which get
+// requests at a reduced rate while they are cold.
 func newTwoHallBench(t *testing.T) *bench {
 	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Budget: BudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
@@ -35,7 +35,7 @@
 	return append([]Cmd(nil), b.m.Update(EvacuationsMsg{Now: b.now, Evacuations: Evacuations{Revision: revision, Halls: halls}})...)
 }
 
-// sentTo sends requests for some time and counts them by hall.
+// countByHall sends requests for some time and counts them by hall.
 func (b *bench) countByHall(d time.Duration) map[string]int {
 	halls := make(map[string]int)
 	for end := b.now + d; b.now < end; {
@@ -50,7 +50,7 @@
 	return halls
 }
 
-// TestEvacuatedHallGetsNothing evacuates a hall, another in its place, and none.
+// TestEvacuatedHallGetsNothing evacuates one hall, then another instead, then none.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
 	b := newTwoHallBench(t)
 	both := b.countByHall(time.Second)
@@ -61,12 +61,12 @@
 	require.Equal(t, HallCmd{Hall: "b", Evacuated: true, Revision: 2, Servers: 3}, cmd)
 	require.Zero(t, b.countByHall(time.Second)["b"])
 	b.evacuate(3, "a")
-	require.Zero(t, b.countByHall(time.Second)["a"], "another hall")
+	require.Zero(t, b.countByHall(time.Second)["a"], "hall a is evacuated instead of b")
 	b.evacuate(4)
-	require.NotZero(t, b.countByHall(5 * time.Second)["a"], "none")
+	require.NotZero(t, b.countByHall(5 * time.Second)["a"], "no hall is evacuated")
 }
 
-// TestOlderEvacuationsAreNotTaken has an older set come late.
+// TestOlderEvacuationsAreNotTaken applies an older set of evacuations after a newer one.
 func TestOlderEvacuationsAreNotTaken(t *testing.T) {
 	b := newTwoHallBench(t)
 	b.evacuate(5, "b")
@@ -74,7 +74,7 @@
 	require.Zero(t, b.countByHall(time.Second)["b"])
 }
 
-// TestNewServersOfAnEvacuatedHall lists a server there while the hall is evacuated.
+// TestNewServersOfAnEvacuatedHall adds a server to a hall that is evacuated.
 func TestNewServersOfAnEvacuatedHall(t *testing.T) {
 	b := newTwoHallBench(t)
 	b.evacuate(2, "b")
@@ -84,22 +84,22 @@
 	require.Zero(t, b.countByHall(time.Second)["b"])
 }
 
-// TestEvacuatedEverywhere refuses at once where all halls are evacuated, and lets run on
-// what was sent before.
+// TestEvacuatedEverywhere refuses requests at once if all halls are evacuated. Running requests
+// continue.
 func TestEvacuatedEverywhere(t *testing.T) {
 	b := newTwoHallBench(t)
 	before := b.request("red")
 	b.sent(b.arrive(before))
 	b.evacuate(2, "a", "b")
 	refused, ok := find[RefuseCmd](b.arrive(b.request("red")))
-	require.True(t, ok, "it does not wait for what cannot come")
+	require.True(t, ok, "must not be queued without a usable server")
 	require.Equal(t, ReasonNoServers, refused.Reason)
 	require.Empty(t, b.pass(time.Second))
 	require.Empty(t, b.end(before.ID, Done, false))
 }
 
-// TestReturnedServersCountAsCold takes a hall back: until its servers have had time to
-// say that they are cold, they get no more than a cold server bears.
+// TestReturnedServersCountAsCold ends an evacuation. Until the entries of the hall's servers
+// have had time to show that they are cold, they get requests at the cold rate.
 func TestReturnedServersCountAsCold(t *testing.T) {
 	b := newTwoHallBench(t)
 	b.m.Update(PeersMsg{Now: b.now, Routers: 20, Hold: time.Second, Known: 20, Rank: 3})
@@ -107,7 +107,7 @@
 	b.pass(time.Second)
 	b.evacuate(3)
 	cold := b.countByHall(2 * time.Second)
-	require.LessOrEqual(t, cold["b"], 3*3, "three servers, one request a second each, and one at first")
+	require.LessOrEqual(t, cold["b"], 3*3, "three servers, each with one request per second and one at the start")
 	b.pass(time.Second)
 	warm := b.countByHall(2 * time.Second)
 	require.Greater(t, warm["b"], 20)
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// slowTimes is how many times as long as at old servers an answer must take to count
-	// as bad: a slow version takes several times as long, and servers of one version under
-	// load differ by less than this.
+	// slowFactor is how many times longer than at old servers a response must take to count as
+	// bad. A slow version takes several times as long; servers of one version under load differ
+	// by less than this factor.
 	slowFactor = 2.5
-	// slowFirst and slowStream are how much longer, at the least, a bad answer takes until
-	// its first event and in its stream: smaller differences come from networks and chance.
+	// slowFirstEventMargin and slowStreamMargin are the least extra time that a bad response
+	// takes until its first event and in its stream. Smaller differences are caused by networks
+	// and chance.
 	slowFirstEventMargin = 20 * time.Millisecond
 	slowStreamMargin     = 100 * time.Millisecond
-	// settleTime is how long after a server was listed its answers are not evidence: they
-	// are slow because connections must be opened and caches are empty.
+	// evidenceDelay is how long the responses of a newly listed server are not used as
+	// evidence. They are slow because connections are not open yet and caches are empty.
 	evidenceDelay = time.Second
 )
 
-// speed is how an answer compares with those of old servers.
+// speed is the speed of a response compared with those of old servers.
 type speed uint8
 
 const (
-	unknownSpeed speed = iota // too few answers of old servers are known to compare with
+	unknownSpeed speed = iota // too few responses of old servers to compare with
 	normalSpeed
-	slowSpeed // it took several times as long
+	slowSpeed // took several times as long
 )
 
-// observation is what one attempt has shown so far about the version of its server.
+// observation is the evidence that an attempt has given so far about the version of its server.
 type observation struct {
-	eligible        bool          // the server was no longer starting up, so its answers are evidence
-	expectedMS      float64       // milliseconds to the first event
-	firstEventAt    time.Duration // when the first event of a stream came; 0: it has not
-	firstEventSpeed speed         // how soon it came
-	reported        bool          // an AnswerCmd was emitted on how it began
+	eligible        bool          // the server was neither cold nor newly listed, so its responses are evidence
+	expectedMS      float64       // expected time to the first event, in milliseconds
+	firstEventAt    time.Duration // when the first event of a stream arrived; 0: not yet
+	firstEventSpeed speed
+	reported        bool // an AnswerCmd was emitted about the start
 }
 
-// watch begins the observation of an attempt that has just been sent.
+// startObservation starts the observation of an attempt that has just been sent.
 func (m *Machine) startObservation(now time.Duration, p *pool, r *run, s *server) {
 	if p.gate == nil {
 		return
@@ -49,9 +50,8 @@
 	}
 }
 
-// sawFirst takes in that the first event of an attempt came. How a stream began is
-// reported at the next tick, not here: a failure may follow at once, and then it counts
-// in place of the good beginning.
+// observeFirstEvent handles the first event of an attempt. The start of a stream is reported at
+// the next tick, not here: if a failure follows at once, it counts instead of the good start.
 func (m *Machine) observeFirstEvent(now time.Duration, p *pool, r *run) {
 	if p.gate == nil || r.observed.firstEventAt > 0 {
 		return
@@ -66,7 +66,8 @@
 	m.begun = append(m.begun, r)
 }
 
-// tellBegun reports how those streams began whose first events came since the last tick.
+// reportStreamStarts reports the start of each stream whose first event arrived since the last
+// tick.
 func (m *Machine) reportStreamStarts(now time.Duration) {
 	for i, r := range m.begun {
 		if r.at != nil && r.observed.firstEventAt > 0 && !r.observed.reported {
@@ -77,7 +78,7 @@
 	m.begun = m.begun[:0]
 }
 
-// sawEnd takes in how an attempt ended.
+// observeEnd handles the end of an attempt.
 func (m *Machine) observeEnd(p *pool, msg EndMsg, r *run, s *server) {
 	if p.gate == nil {
 		return
@@ -91,7 +92,7 @@
 			m.reportResponse(msg.Now, r, s, false, true)
 		}
 	case msg.Outcome != Done:
-		// Such an end is not evidence, but how the stream began is.
+		// Such an outcome is not evidence, but the start of the stream is.
 		if seen.firstEventAt > 0 && !seen.reported {
 			m.reportSpeed(msg.Now, p, r, s, false, seen.firstEventSpeed)
 		}
@@ -107,15 +108,15 @@
 	}
 }
 
-// answeredOthers tells whether a server has answered other requests in the second half of
-// the time that one request waited for it. A server that answers nobody has stopped, which
-// is not evidence on its version.
+// respondedToOthers reports whether a server responded to other requests in the second half of
+// the time that one request waited for it. A server that responds to nobody has stopped, which
+// is not evidence about its version.
 func (s *server) respondedToOthers(since, now time.Duration) bool {
 	return s.answeredAt > since+(now-since)/2
 }
 
-// tellSpeed emits an answer that did not fail; one of the target that can't be compared waits
-// for a failure.
+// reportSpeed reports a response that did not fail. If a response of the target version can't
+// be compared, it is held back until a failure occurs.
 func (m *Machine) reportSpeed(now time.Duration, p *pool, r *run, s *server, afterStart bool, is speed) {
 	if s.target && is == unknownSpeed && r.observed.eligible {
 		r.observed.reported = true
@@ -125,7 +126,8 @@
 	m.reportResponse(now, r, s, afterStart, is == slowSpeed)
 }
 
-// tellFailure emits a failure, and before it the answers that it is to be weighed with.
+// reportFailure reports a failure, and before it the responses that were held back, so that the
+// failure is weighed against them.
 func (m *Machine) reportFailure(now time.Duration, p *pool, r *run, s *server) {
 	afterStart := r.observed.reported
 	if s.target && r.observed.eligible {
@@ -138,7 +140,7 @@
 	m.reportResponse(now, r, s, afterStart, true)
 }
 
-// tell emits one answer as evidence on the version of its server.
+// reportResponse emits one response as evidence about the version of its server.
 func (m *Machine) reportResponse(now time.Duration, r *run, s *server, afterStart, bad bool) {
 	g := m.pool(r.Service).gate
 	r.observed.reported = true
@@ -150,8 +152,8 @@
 	}})
 }
 
-// firstSpeed compares how soon a first event, or a whole answer, came with what is expected
-// from the speed of old servers. Answers of old servers then update that speed.
+// compareFirstEvent compares the time to a first event, or to a whole response, with the
+// expected time of old servers. Responses of old servers then update the baseline.
 func (m *Machine) compareFirstEvent(now time.Duration, p *pool, r *run, s *server) speed {
 	elapsed := inMilliseconds(now - r.sentAt)
 	delay := &p.baseline.routes.of(r.Route).delayRatio
@@ -163,7 +165,8 @@
 	return rating
 }
 
-// compare is the speed of an answer that is slow, or not, beside the average of old servers.
+// rateSpeed returns the speed of a response, given whether it is slow compared with the average
+// of old servers.
 func rateSpeed(old *geometricMean, slow bool) speed {
 	switch {
 	case !old.ready():
@@ -174,8 +177,8 @@
 	return normalSpeed
 }
 
-// learnFirst updates the baseline by the time, in milliseconds, that an old server took to
-// a first event or a whole answer.
+// updateBaseline updates the baseline with the time in milliseconds that an old server took to
+// a first event or a whole response.
 func (p *pool) updateBaseline(r *run, elapsed float64) {
 	p.baseline.routes.of(r.Route).delayRatio.add(elapsed/r.observed.expectedMS, minFirstEventMS/r.observed.expectedMS)
 	if p.engine != nil {
@@ -183,7 +186,7 @@
 	}
 }
 
-// tokenSpeed compares how long a stream took for its tokens with streams of old servers.
+// compareStream compares the time of a stream's tokens with that of streams of old servers.
 func (m *Machine) compareStream(now time.Duration, p *pool, r *run, s *server) speed {
 	if r.OutputTokens <= 0 {
 		return normalSpeed
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -10,26 +10,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// workload plays a mix of routes against servers that read one prompt after the other,
-// keep shared parts, and write slower the more runs there.
+// loadSim sends a mix of routes to simulated servers that read one prompt after the other,
+// cache shared parts, and write slower the more requests they run.
 type loadSim struct {
 	b          *bench
 	random     *rand.Rand
-	slowFactor float64 // times that the target's servers take
+	slowFactor float64 // of the target version's servers
 	servers    map[string]*modelServer
-	events     []modelEvent // by time
+	events     []modelEvent // sorted by time
 	responses  map[bool]*tally
 }
 
-// modelServer is a server as it really is.
+// modelServer is the state of a simulated server.
 type modelServer struct {
 	target    bool
-	readUntil time.Duration // when it has read what it has
+	readUntil time.Duration // when it has read all its prompts
 	running   int
 	parts     map[uint64]bool
 }
 
-// modelEvent is a first event or an end that is to come.
+// modelEvent is a scheduled first event or end of a response.
 type modelEvent struct {
 	at     time.Duration
 	id     RequestID
@@ -53,7 +53,7 @@
 	return w
 }
 
-// play has some requests a second come for some time.
+// run sends perSecond requests a second for some time.
 func (w *loadSim) run(perSecond float64, lasts time.Duration) {
 	end := w.b.now + lasts
 	next := w.b.now
@@ -73,7 +73,7 @@
 	}
 }
 
-// request draws one of three routes, with a part that some others share.
+// request returns a request of one of three routes, with a prompt part that some others share.
 func (w *loadSim) request() Request {
 	route := [...]struct {
 		name                string
@@ -105,7 +105,7 @@
 	}
 }
 
-// send has a server read the prompt and write the answer.
+// send simulates how a server reads the prompt and writes the response.
 func (w *loadSim) send(c SendCmd, r *run) {
 	s := w.servers[c.Server.ID]
 	times := 1.0
@@ -121,7 +121,7 @@
 	s.readUntil = max(s.readUntil, w.b.now) + milliseconds(times*float64(tokens)/60)
 	first := s.readUntil + milliseconds(10*times+5*w.random.Float64())
 	if w.random.IntN(50) == 0 {
-		first += 50 * time.Millisecond // a pause
+		first += 50 * time.Millisecond // pause of the server
 	}
 	each := 4 * times * (1 + float64(s.running)/16)
 	last := first + milliseconds(each*float64(r.OutputTokens))
@@ -129,14 +129,14 @@
 	slices.SortStableFunc(w.events, func(a, b modelEvent) int { return cmp.Compare(a.at, b.at) })
 }
 
-// rates returns the parts of bad answers, of old servers and of the target's.
+// rates returns the fractions of bad responses, of old servers and of the target version's.
 func (w *loadSim) rates() (old, target float64) {
 	rate := func(t *tally) float64 { return float64(t.bad) / float64(max(t.good+t.bad, 1)) }
 	return rate(w.responses[false]), rate(w.responses[true])
 }
 
-// TestRolloutEvidenceUnderLoad tells a version that is four times slower from one that is
-// as good, at little load, near the servers' capacity and beyond it.
+// TestRolloutEvidenceUnderLoad distinguishes a version that is four times slower from an
+// equally fast one at low load, near the servers' capacity and beyond it.
 func TestRolloutEvidenceUnderLoad(t *testing.T) {
 	for _, perSecond := range []float64{100, 250, 600} {
 		good, slow := newLoadSim(t, 1), newLoadSim(t, 4)
@@ -145,7 +145,7 @@
 		}
 		oldRate, goodRate := good.rates()
 		_, slowRate := slow.rates()
-		require.Less(t, goodRate, oldRate+0.05, "%v requests a second", perSecond)
-		require.Greater(t, slowRate, oldRate+0.3, "%v requests a second", perSecond)
+		require.Less(t, goodRate, oldRate+0.05, "%v requests per second", perSecond)
+		require.Greater(t, slowRate, oldRate+0.3, "%v requests per second", perSecond)
 	}
 }
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answers returns what commands say of versions.
+// responsesIn returns the evidence in commands.
 func responsesIn(cmds []Cmd) []rollout.AnswerMsg {
 	var out []rollout.AnswerMsg
 	for _, c := range cmds {
@@ -30,11 +30,12 @@
 	t.good++
 }
 
-// speeds says how many times slower than usual servers read and write.
+// slowFactors holds how many times slower than usual servers read and write.
 type slowFactors struct{ old, target float64 }
 
-// stream runs one request to its end at a server that reads 60 tokens a millisecond and
-// writes one token in 5, times its slowness, and returns the evidence.
+// stream runs one request to its end at a server that reads 60 tokens per millisecond and
+// writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
+// target version read uncached tokens in addition.
 func (b *bench) stream(r Request, slow slowFactors, uncached int) []rollout.AnswerMsg {
 	cmds := b.arrive(r)
 	c, ok := find[SendCmd](cmds)
@@ -50,7 +51,7 @@
 	return responsesIn(append(cmds, b.end(r.ID, Done, false)...))
 }
 
-// streams runs requests one after the other and counts the evidence on the target.
+// streams runs requests one after the other and counts the evidence.
 func (b *bench) streams(n int, slow slowFactors) (begun, later, old tally) {
 	for range n {
 		for _, a := range b.stream(b.routeRequest("chat"), slow, 0) {
@@ -67,8 +68,8 @@
 	return begun, later, old
 }
 
-// TestRolloutEvidenceOfSlowVersions speaks against a target that is four times slower, and
-// not where old and new servers are slow alike.
+// TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
+// slower, and none if old and new servers are equally slow.
 func TestRolloutEvidenceOfSlowVersions(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0.5))
 	_, _, old := b.streams(60, slowFactors{1, 1})
@@ -89,8 +90,8 @@
 	require.Zero(t, later.bad)
 }
 
-// TestRolloutEvidenceOfSlowPlainServers speaks against plain servers of the target that
-// are four times slower, and not against those that are as fast.
+// TestRolloutEvidenceOfSlowPlainServers gives evidence against plain servers of the target
+// version that are four times slower, and none against equally fast ones.
 func TestRolloutEvidenceOfSlowPlainServers(t *testing.T) {
 	for _, times := range []time.Duration{1, 4} {
 		g := canaryGate(0.5)
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestRolloutEvidenceAllowsForReading does not speak against servers that must read anew
-// what old ones keep.
+// TestRolloutEvidenceAllowsForReading gives no evidence against servers that must read prompt
+// parts that old servers have cached.
 func TestRolloutEvidenceAllowsForReading(t *testing.T) {
 	const shared = 12000
 	b := newRolloutBench(t, canaryGate(0))
@@ -152,7 +153,7 @@
 	require.Equal(t, tally{good: 60}, target)
 }
 
-// rateOld lets the router know how fast old servers answer a route.
+// seedBaseline sets the speed of old servers for a route.
 func (b *bench) seedBaseline(route string) {
 	pace := b.m.pool("llm").baseline.routes.of(route)
 	for range baselineMinResponses {
@@ -161,9 +162,10 @@
 	}
 }
 
-// TestRolloutEvidenceOfUnknownSpeed has the target answer where no old server's speed is known: its
-// successes say nothing, or a slow version would pass for a good one, and each failure counts
-// beside them, or a good version with few failures would pass for a bad one.
+// TestRolloutEvidenceOfUnknownSpeed has the target version respond before the speed of old
+// servers is known. Its successes don't count, or a slow version would pass as a good one. With
+// each failure one of them counts, or a good version with few failures would be rejected as
+// bad.
 func TestRolloutEvidenceOfUnknownSpeed(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(1))
 	attempt := func(o Outcome) (good, bad int) {
@@ -191,10 +193,10 @@
 	require.Equal(t, 30, bads)
 	require.Equal(t, 30, goods)
 	good, _ := attempt(Failed)
-	require.Zero(t, good, "told once")
+	require.Zero(t, good, "each held response must be reported only once")
 }
 
-// TestRolloutEvidenceOfOutcomes says which outcomes speak for or against a version.
+// TestRolloutEvidenceOfOutcomes checks which outcomes are evidence for or against a version.
 func TestRolloutEvidenceOfOutcomes(t *testing.T) {
 	for outcome, want := range map[Outcome][]bool{
 		Done: {false}, Failed: {true}, Unsent: nil, NotRun: nil, Elsewhere: nil, Broken: nil, Hung: nil, GivenUp: nil, Moved: nil,
@@ -214,8 +216,8 @@
 	}
 }
 
-// TestRolloutEvidenceOfFailures tells a failure that comes as a whole answer from one
-// that ends a stream.
+// TestRolloutEvidenceOfFailures distinguishes a failure that is a whole response from one that
+// ends a stream.
 func TestRolloutEvidenceOfFailures(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(1))
 	b.seedBaseline("chat")
@@ -236,8 +238,8 @@
 	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
 }
 
-// TestRolloutEvidenceOfSilence counts a silence as slow only where the server answers
-// others meanwhile.
+// TestRolloutEvidenceOfSilence counts a timeout as slow only if the server responds to others
+// meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
 	for _, answering := range []bool{false, true} {
 		b := newRolloutBench(t, canaryGate(1))
@@ -255,8 +257,8 @@
 	}
 }
 
-// TestRolloutEvidenceOfUnsettledServers takes nothing from cold servers and from those
-// that are new.
+// TestRolloutEvidenceIgnoresColdAndNewServers gets no evidence from cold servers and from newly
+// listed ones.
 func TestRolloutEvidenceIgnoresColdAndNewServers(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(1))
 	d := versionDirectory(2, 7, "v1", "v2")
@@ -266,7 +268,7 @@
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	r := b.routeRequest("chat")
 	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold")
+	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold servers")
 
 	g := canaryGate(1)
 	b = newRolloutBench(t, g)
@@ -275,18 +277,18 @@
 	b.gate(g)
 	r = b.routeRequest("chat")
 	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "new")
+	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "newly listed servers")
 }
 
-// TestRolloutEvidenceOnlyUnderWay says nothing while no service moves.
+// TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	begun, later, old := b.streams(20, slowFactors{1, 1})
 	require.Equal(t, []tally{{}, {}, {}}, []tally{begun, later, old})
 }
 
-// TestRolloutCohorts are the halls; where the target is in one hall only, its servers
-// are told apart.
+// TestRolloutCohorts checks that cohorts are halls, and parts of the hall if the target version
+// has servers in only one.
 func TestRolloutCohorts(t *testing.T) {
 	cohorts := func(b *bench) map[string]bool {
 		out := make(map[string]bool)
--- a/direct/forgottennotices.go
+++ b/direct/forgottennotices.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// noticesMost bounds the forgotten servers of which notices are kept, some 100 bytes each.
+// maxForgottenNotices limits the forgotten servers whose notices are kept; each takes about 100
+// bytes.
 const maxForgottenNotices = 4096
 
-// oldNotices are the notices of servers that have been forgotten, by id: an entry that went may
-// come back, and the server is the same then.
+// forgottenNotices holds the notices of forgotten servers by ID. If the entry of a server comes
+// back, it is still the same server.
 type forgottenNotices struct {
 	byServer map[string]serverNotices
 	order    []string // oldest first
 }
 
-// keep remembers what a server said that is being forgotten.
+// add stores the notices of a server that is being forgotten.
 func (o *forgottenNotices) add(now time.Duration, s *server) {
 	if !s.notices.active(now) {
 		return
@@ -31,7 +32,7 @@
 	}
 }
 
-// take returns what a server said before it was forgotten.
+// take removes and returns the notices of a forgotten server.
 func (o *forgottenNotices) take(id string) serverNotices {
 	n, ok := o.byServer[id]
 	if ok {
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -7,18 +7,17 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// gate says which servers of a pool may get requests while services move from one
-// version to another. The zero value lets nothing through: nothing is known of the
-// service yet.
+// gate decides which servers of a pool may get requests during a rollout. The zero value admits
+// no server: nothing is known about the service yet.
 type gate struct {
 	rollout.Gate
-	old, target []*server // that may get requests, by id
+	old, target []*server // eligible servers, by ID
 	exposure    exposure
 	unrated     unrated
 	movePending bool // streams at old servers may still have to be moved
 }
 
-// takeGate puts a gate in force.
+// applyGate applies a gate.
 func (m *Machine) applyGate(msg GateMsg) {
 	p := m.pool(msg.Gate.Service)
 	if p.gate == nil {
@@ -35,15 +34,16 @@
 	m.moveStreams(msg.Now, p)
 }
 
-// admitAll works out anew which servers may get requests, after their states changed.
+// updateAllEligible recomputes the eligible servers of all pools after states of servers have
+// changed.
 func (m *Machine) updateAllEligible() {
 	for _, p := range m.pools {
 		p.updateEligible()
 	}
 }
 
-// admit works out which servers may get requests. The others are marked as barred: they
-// get none, and no average or share counts them.
+// updateEligible recomputes which servers may get requests. The others are marked as barred:
+// they get no requests and are excluded from averages and shares.
 func (p *pool) updateEligible() {
 	g := p.gate
 	if g == nil {
@@ -70,14 +70,14 @@
 	p.assignCohorts()
 }
 
-// targets tells whether a server is of the version that is being moved to.
+// isTarget reports whether a server has the target version.
 func (g *gate) isTarget(s *server) bool { return g.Target != "" && s.Version == g.Target }
 
-// closed tells whether old versions get nothing new.
+// oldVersionsClosed reports whether old versions get no new requests.
 func (g *gate) oldVersionsClosed() bool { return g.OldClosed && g.Target != "" }
 
-// side returns the servers that may get requests of the target, or of the old versions.
-// Without a gate there is one side.
+// side returns the eligible servers of the target version, or of the old versions. Without a
+// gate there is only one side.
 func (p *pool) side(target bool) []*server {
 	switch {
 	case p.gate == nil:
@@ -88,15 +88,16 @@
 	return p.gate.old
 }
 
-// reachable returns the servers of the side that a request is being placed on.
+// eligible returns the eligible servers of the side that a request is being placed on.
 func (p *pool) eligible(r *run) []*server { return p.side(r.placement.target) }
 
-// sameSide returns the servers that a server is compared with for ejection: those of its
-// own side. Among the old servers, each server of a bad version would stand out and be
-// ejected before enough answers had shown that the version itself is bad.
+// sameSide returns the servers that a server is compared with for ejection: those of its own
+// side. Compared with the old servers, each server of a bad version would be an outlier and
+// would be ejected before there were enough responses to reject the version itself.
 func (p *pool) sameSide(s *server) []*server { return p.side(s.target) }
 
-// noSideUsable tells whether a request finds no usable server on any side that it may go to.
+// noUsableServer reports whether none of the sides that a request may go to has a usable
+// server.
 func (p *pool) noUsableServer(now time.Duration, r *run) bool {
 	if p.gate == nil {
 		return false
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// site is several routers that share servers of three versions: v1 is in use, v2 is being
-// moved to, and v3 was never ordered. It counts what the servers themselves see.
+// gateSim simulates several routers that share servers of three versions: v1 is in use, v2 is
+// the target version, and v3 was never ordered. It counts the requests that reach the servers.
 type gateSim struct {
 	t        *rapid.T
 	now      time.Duration
@@ -19,25 +19,25 @@
 	routers  []*simRouter
 	revision uint64
 
-	all, target int                  // requests that came to servers
-	parts       map[uint64]partRange // by shared part
+	all, target int                  // requests that reached servers
+	parts       map[uint64]partRange // by shared prompt part
 }
 
-// span is at which parts of the gate requests of one shared part went to old servers, and
-// to the target's, by their side.
+// partRange records for one shared prompt part the highest part of the gate at which its
+// requests went to old servers, and the lowest at which they went to the target version.
 type partRange struct{ old, target float64 }
 
-// siteRouter is one router, in one life.
+// simRouter is one router between two restarts.
 type simRouter struct {
 	m        *Machine
-	gate     rollout.Gate // in force
-	isolated bool         // it hears nothing new
+	gate     rollout.Gate // the applied gate
+	isolated bool         // it gets no updates
 	next     RequestID
 	running  []*simRequest
 	waiting  map[RequestID]Request
 }
 
-// siteRequest is a running attempt.
+// simRequest is a running attempt.
 type simRequest struct {
 	Request
 	version   string
@@ -47,8 +47,10 @@
 	attempted int
 }
 
-// TestRolloutRules plays random days of several routers against their servers' own
-// counts. By hand: go test ./direct -run TestRolloutRules -rapid.checks=3000 -rapid.steps=200
+// TestRolloutRules checks random histories of several routers against the counts of their
+// servers. For a longer run:
+//
+//	go test ./direct -run TestRolloutRules -rapid.checks=3000 -rapid.steps=200
 func TestRolloutRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &gateSim{t: t, now: time.Second, parts: make(map[uint64]partRange), gate: rollout.Gate{
@@ -75,7 +77,7 @@
 	})
 }
 
-// start adds a router; it knows the gate, or hears of it later.
+// start adds a router, with the gate or without it.
 func (s *gateSim) start() {
 	r := &simRouter{waiting: make(map[RequestID]Request), m: NewMachine(Options{
 		Zone: "a", Gated: true, Budget: BudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
@@ -147,7 +149,7 @@
 	s.start()
 }
 
-// stage moves the gate on; routers that are not cut learn of it one by one.
+// stage advances the gate. Each router that is not isolated gets it now or later.
 func (s *gateSim) stage() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "stage") {
 	case 0:
@@ -164,7 +166,7 @@
 
 func (s *gateSim) arrive() { s.arriveAt(s.drawRouter(), rapid.Bool().Draw(s.t, "shared")) }
 
-// flood has many requests come to one router, and answers them.
+// flood sends many requests to one router and completes them.
 func (s *gateSim) flood() {
 	r := s.drawRouter()
 	for range 30 {
@@ -185,7 +187,7 @@
 		Objective: 300 * time.Millisecond, Deadline: s.now + 5*time.Second, PromptTokens: 600, OutputTokens: 50,
 	}
 	if shared {
-		// The first of them is hot.
+		// Part 1 is the most frequent one.
 		part := max(rapid.IntRange(-6, 12).Draw(s.t, "part"), 1)
 		request.Parts = []Part{{ID: uint64(part), Tokens: 500}, {ID: uint64(request.ID) << 32, Tokens: 100}}
 	}
@@ -205,18 +207,18 @@
 		case MoveCmd:
 			s.move(r, c)
 		case AnswerCmd:
-			require.NotEqual(s.t, c.Answer.Cohort, "", "evidence of no cohort")
+			require.NotEqual(s.t, c.Answer.Cohort, "", "evidence without a cohort")
 		}
 	}
 }
 
 func (s *gateSim) send(r *simRouter, c SendCmd) {
-	require.NotEqual(s.t, "v3", c.Server.Version, "a version that was never ordered gets a request")
-	require.NotEmpty(s.t, r.gate.Service, "sent without a gate")
+	require.NotEqual(s.t, "v3", c.Server.Version, "request to a version that was never ordered")
+	require.NotEmpty(s.t, r.gate.Service, "request sent without a gate")
 	target := c.Server.Version == "v2"
 	require.Equal(s.t, target, c.Basis.Target)
-	require.False(s.t, target && r.gate.Part == 0, "no part of the requests is the target's")
-	require.False(s.t, !target && r.gate.OldClosed, "old versions are closed")
+	require.False(s.t, target && r.gate.Part == 0, "request to the target version, whose part is 0")
+	require.False(s.t, !target && r.gate.OldClosed, "request to an old version after these were closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
 		seen := s.parts[part.ID]
@@ -227,7 +229,7 @@
 			seen.target = r.gate.Part
 		}
 		s.parts[part.ID] = seen
-		require.False(s.t, seen.target > 0 && seen.old >= seen.target, "part %d is on both sides: %v", part.ID, seen)
+		require.False(s.t, seen.target > 0 && seen.old >= seen.target, "prompt part %d is on both sides: %v", part.ID, seen)
 	}
 	reached := rapid.IntRange(0, 5).Draw(s.t, "reaches") > 0
 	if reached {
@@ -243,13 +245,13 @@
 	for _, q := range r.running {
 		if q.ID == c.ID {
 			require.Equal(s.t, "v1", q.version)
-			require.True(s.t, q.MayRepeat && q.attempted < q.Attempts, "it may not go on elsewhere")
+			require.True(s.t, q.MayRepeat && q.attempted < q.Attempts, "moved, but may not be repeated")
 			require.False(s.t, q.moved, "moved twice")
 			q.moved = true
 			return
 		}
 	}
-	require.Fail(s.t, "what is moved does not run")
+	require.Fail(s.t, "moved, but not running")
 }
 
 func (s *gateSim) first() {
@@ -302,9 +304,9 @@
 	}
 }
 
-// check holds what must be so at any moment.
+// check verifies the invariants that hold at any time.
 func (s *gateSim) check() {
-	require.LessOrEqual(s.t, float64(s.target), s.gate.Limit*float64(s.all), "the target got %d of %d", s.target, s.all)
+	require.LessOrEqual(s.t, float64(s.target), s.gate.Limit*float64(s.all), "the target version got %d of %d requests", s.target, s.all)
 	for _, r := range s.routers {
 		old := 0
 		for _, q := range r.running {
@@ -318,8 +320,8 @@
 	}
 }
 
-// TestRolloutGateWithOneVersionIsNoGate plays random days against two routers, one with a
-// gate that lets the only version through: both decide alike.
+// TestRolloutGateWithOneVersionChangesNothing compares two routers over random histories, one
+// of them with a gate that admits the only version: both emit the same commands.
 func TestRolloutGateWithOneVersionChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := BudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newMove returns a bench with six old and six new servers in three halls, whose service
-// moves from v1 to v2 by the gate, and which has run long enough for them to settle.
+// newRolloutBench returns a bench with six old and six new servers in three halls, whose
+// service has the given gate from v1 to v2. It has run until all servers give evidence.
 func newRolloutBench(t *testing.T, g rollout.Gate) *bench {
 	b := &bench{t: t, m: NewMachine(Options{Zone: "a", Gated: true, Budget: BudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
@@ -25,7 +25,7 @@
 	return b
 }
 
-// versions lists some servers of each version, spread over three halls.
+// versionDirectory lists some servers of each version in three halls.
 func versionDirectory(revision uint64, each int, names ...string) Directory {
 	d := Directory{Revision: revision}
 	for _, name := range names {
@@ -37,7 +37,7 @@
 	return d
 }
 
-// trial is a gate that lets a part through, without bounds on the count.
+// canaryGate returns a gate that admits a part of the requests, without a limit on their count.
 func canaryGate(part float64) rollout.Gate {
 	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: part, Limit: 1, Servers: 1}
 }
@@ -46,21 +46,22 @@
 	return append([]Cmd(nil), b.m.Update(GateMsg{Now: b.now, Gate: g})...)
 }
 
-// one returns a request of a route with a shared part of its own.
+// routeRequest returns a request of a route with a shared prompt part that no other request
+// has.
 func (b *bench) routeRequest(route string) Request {
 	r := b.request("red", Part{ID: uint64(b.next)*7919 + 1, Tokens: 100}, Part{ID: uint64(b.next) << 32, Tokens: 100})
 	r.Route = route
 	return r
 }
 
-// answer lets a running request end well.
+// complete ends a running request successfully.
 func (b *bench) complete(id RequestID) []Cmd {
 	out := append([]Cmd(nil), b.m.Update(FirstMsg{Now: b.now, ID: id})...)
 	return append(out, b.end(id, Done, false)...)
 }
 
-// byVersion sends requests of a route one by one and counts them by version; none
-// counts those that were not sent.
+// countByVersion sends requests of a route one by one and counts them by version; "none" counts
+// those that were not sent.
 func (b *bench) countByVersion(route string, n int) map[string]int {
 	counts := make(map[string]int)
 	for range n {
@@ -77,8 +78,8 @@
 	return counts
 }
 
-// TestRolloutGatedWithoutAGate serves nobody while nothing is known of the service, and
-// holds nobody up.
+// TestRolloutGatedWithoutAGate refuses requests at once while nothing is known about the
+// service.
 func TestRolloutGatedWithoutAGate(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm"})
 	refused, ok := find[RefuseCmd](b.arrive(b.routeRequest("chat")))
@@ -86,8 +87,8 @@
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
 
-// TestRolloutOnlyVersionsInUse sends nothing to others, also where no server in use is
-// left.
+// TestRolloutOnlyVersionsInUse sends no requests to other versions, even if no server of a
+// version in use is left.
 func TestRolloutOnlyVersionsInUse(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	require.Equal(t, map[string]int{"v1": 100}, b.countByVersion("chat", 100))
@@ -96,8 +97,8 @@
 	require.Equal(t, map[string]int{"none": 20}, b.countByVersion("chat", 20))
 }
 
-// TestRolloutOthersAreInNoAverage lists servers of another version beside those in use:
-// what the machine takes its own load to be stays as it is without them.
+// TestRolloutBarredServersAreNotAveraged adds servers of a version that is not in use: the load
+// that the machine computes doesn't change.
 func TestRolloutBarredServersAreNotAveraged(t *testing.T) {
 	busy := func(names ...string) (float64, float64, time.Duration) {
 		b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
@@ -115,8 +116,8 @@
 	require.Equal(t, []any{aloneBusy, aloneHeadroom, aloneAfter}, []any{besideBusy, besideHeadroom, besideAfter})
 }
 
-// TestRolloutOthersHoldNoLapse has all entries of a version that gets nothing go at once
-// with one that is in use: they are no reason to take that for a lapse.
+// TestRolloutBarredServersDoNotCountAsLapsed removes all entries of a version that gets no
+// requests together with one of a version in use: this doesn't count as a lapse.
 func TestRolloutBarredServersDoNotCountAsLapsed(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	d := versionDirectory(2, 6, "v1")
@@ -127,11 +128,11 @@
 			require.Equal(t, BeliefGone, belief.Belief, belief.Server.ID)
 		}
 	}
-	require.Len(t, b.m.pool("llm").order, 6, "gone servers are forgotten later")
+	require.Len(t, b.m.pool("llm").order, 6, "gone servers must be kept until they are forgotten")
 	require.False(t, b.m.byServer["v1-0"].usable(b.now))
 }
 
-// TestRolloutStates says of each server its version and whether it gets nothing.
+// TestRolloutStates checks that barred servers are reported as such.
 func TestRolloutStates(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	states := b.m.Servers(b.now)
@@ -141,8 +142,7 @@
 	}
 }
 
-// TestRolloutCrossSection has each route in the trial with about its part of the
-// requests.
+// TestRolloutCrossSection sends about the same part of each route's requests to the canary.
 func TestRolloutCrossSection(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0.1))
 	for _, route := range []string{"chat", "tag", "plan"} {
@@ -150,25 +150,26 @@
 	}
 }
 
-// TestRolloutPartZero sends nothing to the target.
+// TestRolloutPartZero sends no requests to the target version.
 func TestRolloutPartZero(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0))
 	require.Equal(t, map[string]int{"v1": 200}, b.countByVersion("chat", 200))
 }
 
-// TestRolloutLimit bounds by count what goes to the target, for each route by itself, from
-// the first request on.
+// TestRolloutLimit limits the count of requests to the target version, for each route
+// separately, from the first request on.
 func TestRolloutLimit(t *testing.T) {
 	g := canaryGate(0.5)
 	g.Limit = 0.05
 	b := newRolloutBench(t, g)
 	require.InDelta(t, 19, b.countByVersion("chat", 400)["v2"], 1)
-	require.Equal(t, 1, b.countByVersion("tag", 19)["v2"], "one ahead for a route, within the service's limit")
+	require.Equal(t, 1, b.countByVersion("tag", 19)["v2"], "a burst of one per route, within the limit of the service")
 	require.Equal(t, 1, b.countByVersion("tag", 20)["v2"])
 }
 
-// TestRolloutLimitHasNothingInAdvance sends nothing to the target before as many requests
-// of the service have reached servers as its limit asks for, of whatever routes.
+// TestRolloutLimitHasNothingInAdvance sends no request to the target version before as many
+// requests of the service have reached servers as its limit requires, whatever their routes
+// are.
 func TestRolloutLimitHasNothingInAdvance(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.05
@@ -179,8 +180,9 @@
 	require.Equal(t, 1, b.countByVersion("chat", 2)["v2"])
 }
 
-// TestRolloutTrialOfFewParts takes some requests by their ids where all of a route share a
-// part that has not moved: its evidence would begin with the ramp only.
+// TestRolloutTrialOfFewParts selects some requests by their IDs if all requests of a route
+// share a part that has not moved. Otherwise, the canary would give no evidence about the route
+// until its part moves.
 func TestRolloutTrialOfFewParts(t *testing.T) {
 	g := canaryGate(0.05)
 	g.Limit = 0.05
@@ -205,8 +207,8 @@
 	require.LessOrEqual(t, sent, 50)
 }
 
-// TestRolloutLimitIsKeptThroughGates keeps the counts while the target stays, and begins
-// anew with another.
+// TestRolloutLimitIsKeptThroughGates keeps the counts if the target version stays the same, and
+// resets them if it changes.
 func TestRolloutLimitIsKeptThroughGates(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.1
@@ -220,7 +222,7 @@
 	require.Zero(t, b.countByVersion("chat", 9)["v1"])
 }
 
-// TestRolloutLimitCountsWhatArrives doesn't count attempts that never reached a server.
+// TestRolloutLimitCountsWhatArrives does not count attempts that never reached a server.
 func TestRolloutLimitCountsWhatArrives(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.5
@@ -237,8 +239,8 @@
 	}
 }
 
-// TestRolloutFullTargetFallsBack sends to old servers what finds no place at the target,
-// as long as they are open.
+// TestRolloutFullTargetFallsBack sends requests to old servers if the target version has no
+// capacity, unless old servers are closed.
 func TestRolloutFullTargetFallsBack(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		g := canaryGate(1)
@@ -258,7 +260,8 @@
 	}
 }
 
-// TestRolloutShutSideIsRefusedAtOnce holds up no request whose side has no servers.
+// TestRolloutSideWithoutServersIsRefusedAtOnce doesn't queue a request whose side has no
+// servers.
 func TestRolloutSideWithoutServersIsRefusedAtOnce(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(1e-9))
 	d := versionDirectory(2, 6, "v1", "v2")
@@ -267,13 +270,14 @@
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	b.pass(2 * lastResortTime)
-	require.Len(t, b.canaryServerIDs(), 6, "there are servers, for others")
+	require.Len(t, b.canaryServerIDs(), 6, "servers of the target version must be in use")
 	refused, ok := find[RefuseCmd](b.arrive(b.routeRequest("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
 
-// TestRolloutRetryGoesToOldServers repeats at an old server what failed at the target.
+// TestRolloutRetryGoesToOldServers retries at an old server after a failure at the target
+// version.
 func TestRolloutRetryGoesToOldServers(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(1))
 	r := b.routeRequest("chat")
@@ -288,7 +292,7 @@
 	require.Equal(t, SideRetry, c.Basis.Side)
 }
 
-// TestRolloutRetryWithOldClosed repeats at the target where old servers are closed.
+// TestRolloutRetryWithOldClosed retries at the target version if old servers are closed.
 func TestRolloutRetryWithOldClosed(t *testing.T) {
 	g := canaryGate(1)
 	g.OldClosed = true
@@ -300,7 +304,7 @@
 	require.Equal(t, "v2", c.Server.Version)
 }
 
-// taking returns the target's servers that get requests.
+// canaryServerIDs returns the target version's servers that get requests.
 func (b *bench) canaryServerIDs() []string {
 	var out []string
 	for _, s := range b.m.Servers(b.now) {
@@ -311,8 +315,8 @@
 	return out
 }
 
-// TestRolloutTrialServers chooses a few servers, one in each hall, the same in all
-// routers; those that get nothing are passed over.
+// TestRolloutTrialServers selects a few servers, one in each hall, the same ones in all
+// routers. Servers that get no requests are skipped.
 func TestRolloutTrialServers(t *testing.T) {
 	g := canaryGate(0.02)
 	g.Servers = 0.02
@@ -339,8 +343,8 @@
 	require.Len(t, b.canaryServerIDs(), 6)
 }
 
-// TestRolloutEjectionLeavesSomeOfTheTarget has each answer of the target fail: at least
-// half of its servers in the trial go on, so that the version can be judged.
+// TestRolloutEjectionKeepsCanaryServers fails all responses of the target version: at least
+// half of the canary servers stay in use, so that there is evidence about the version.
 func TestRolloutEjectionKeepsCanaryServers(t *testing.T) {
 	g := canaryGate(1)
 	g.Servers = 0.5
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// dropUnlisted takes out the servers that a newer list does not hold. Where many
-// of a service go at once, it is their entries that lapsed while the source was
-// away: those that live are back within moments, so they are used a little
-// longer, and taken for gone if they are not.
+// dropUnlisted removes the servers that a newer list no longer contains. If many servers of a
+// service disappear at once, their entries have expired while the source was unavailable: they
+// have lapsed. Servers that are still alive are listed again within moments, so lapsed servers
+// are used a little longer and removed only if they are not listed again.
 func (m *Machine) dropUnlisted(now time.Duration, listed map[string]bool) {
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
@@ -24,7 +24,7 @@
 	}
 }
 
-// dropLapsed takes out the servers whose entries have not come back.
+// dropLapsed removes the servers whose entries have lapsed and were not listed again.
 func (m *Machine) dropLapsed(now time.Duration) {
 	dropped := false
 	for _, name := range m.poolNames() {
@@ -40,8 +40,8 @@
 	}
 }
 
-// dropEnded takes out a server whose entry lapsed and whose host refuses connections: it has
-// ended. That says nothing of the other servers of its hall.
+// dropRefusing removes a server whose entry has lapsed and whose host refuses connections: its
+// process has ended. This doesn't count against the other servers of its hall.
 func (m *Machine) dropRefusing(now time.Duration, p *pool, s *server) {
 	m.dropServer(now, s, "not listed, and its host refuses connections")
 	p.updateEligible()
@@ -51,14 +51,15 @@
 	s.gone = true
 	s.markLeaving(now)
 	if s.lapsedAt > 0 {
-		// It has been leaving since then: it is no last resort for longer.
+		// It has been leaving since it lapsed, so it must not serve as a last resort any
+		// longer.
 		s.leavingAt, s.lapsedAt = s.lapsedAt, 0
 	}
 	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefGone, Cause: cause})
 }
 
-// unlisted returns the servers that are known and not listed, but for those that
-// have lapsed already.
+// newlyUnlisted returns the known servers that are not listed, without those that have lapsed
+// already.
 func (p *pool) newlyUnlisted(listed map[string]bool) []*server {
 	var out []*server
 	for _, s := range p.all {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// serving counts the servers of a list that may get requests.
+// countEligible counts the servers that may get requests.
 func countEligible(servers []*server) int {
 	n := 0
 	for _, s := range servers {
@@ -80,7 +81,7 @@
 	return n
 }
 
-// present counts the servers that are not gone.
+// countPresent counts the eligible servers that are not gone.
 func (p *pool) countPresent() int {
 	n := 0
 	for _, s := range p.order {
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLapsesAreToldInOrder has entries of two services lapse: that is told in the order of
-// services and ids, not in that of a map.
+// TestLapsesAreReportedInOrder lapses the entries of two services: the changes are emitted in
+// the order of services and IDs, not in that of a map.
 func TestLapsesAreReportedInOrder(t *testing.T) {
 	b := newBench(t, 6)
 	order := func(cmds []Cmd, belief Belief) []string {
@@ -25,11 +25,12 @@
 	require.Equal(t, all, order(b.pass(lapseHold), BeliefGone))
 }
 
-// TestLapsedServersThatRefuse has three of six servers end at once, as a request that crashes
-// servers has them do: their entries go together, so that they are used a little longer, and
-// their host refuses connections. A request that came to all three in a row found its hall lost
-// ("server_ejected cause=unsent" three times, "hall_lost unreached=3"), and was refused while
-// three servers of the hall served. Such a server is gone, and says nothing of its hall.
+// TestLapsedServersThatRefuse has three of six servers stop at once, as after a request that
+// crashes servers. Their entries disappear together, so they are used a little longer, and
+// their host refuses connections. A request that tried all three in a row marked the hall as
+// lost ("server_ejected cause=unsent" three times, "hall_lost unreached=3") and was refused,
+// though three servers of the hall were serving. Such a server must be removed and must not
+// count against its hall.
 func TestLapsedServersThatRefuse(t *testing.T) {
 	b := newNoticeBench(t, "p0", "p1", "p2", "p3", "p4", "p5")
 	b.list("p3", "p4", "p5")
@@ -51,5 +52,5 @@
 			require.Equal(t, BeliefGone, belief.Belief)
 		}
 	}
-	require.Len(t, gone, 3, "each was tried")
+	require.Len(t, gone, 3, "each stopped server must have been tried")
 }
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -7,7 +7,7 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// list takes in a newer list of servers.
+// applyDirectory applies a newer list of servers.
 func (m *Machine) applyDirectory(msg ServersMsg) {
 	if msg.Directory.Revision < m.revision {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// note takes in one listed server; it returns whether it is new.
+// applyListed adds or updates one listed server and reports whether it is new.
 func (m *Machine) applyListed(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
@@ -66,7 +66,7 @@
 	case listed.Draining && !wasDraining:
 		s.markLeaving(now)
 		m.emit(BeliefCmd{Server: listed, Belief: BeliefDrain, Cause: "listed as draining"})
-	case !listed.Draining && s.leaving && !s.notices.leaving: // its own word outlasts the list's
+	case !listed.Draining && s.leaving && !s.notices.leaving: // the server's own notice overrules the list
 		s.leaving = false
 		s.listedAt = now
 		m.emit(BeliefCmd{Server: listed, Belief: BeliefListed, Cause: "listed again"})
@@ -81,7 +81,7 @@
 	}
 }
 
-// forgetGone drops servers that left long ago.
+// forgetGone removes the servers that left longer than goneMemory ago.
 func (m *Machine) forgetGone(now time.Duration, p *pool) {
 	dropped := false
 	for id, s := range p.servers {
--- a/direct/listing_test.go
+++ b/direct/listing_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLeavingServers get nothing new while others are there, and for a short
-// while where none is.
+// TestLeavingServers checks that leaving servers get no new requests while others are
+// available, and only for a short time if none is.
 func TestLeavingServers(t *testing.T) {
 	b := newBench(t, 2)
 	d := directory(2, 2)
@@ -29,7 +29,7 @@
 	require.False(t, sent)
 }
 
-// TestOlderListsAreNotTaken keeps to the newest list of servers.
+// TestOlderListsAreNotTaken ignores a list that is older than the current one.
 func TestOlderListsAreNotTaken(t *testing.T) {
 	b := newBench(t, 2)
 	b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 9}})
@@ -40,9 +40,9 @@
 	require.True(t, b.m.byServer["e0"].gone)
 }
 
-// TestLapsedEntries has the entries of most servers lapse while the source was
-// away: they are used until they are back, and taken for gone where they are not.
-// One that goes alone, or was leaving, is dropped at once.
+// TestLapsedEntries lapses the entries of most servers while the source is unavailable: the
+// servers are used until they are listed again, and removed if they are not. A server that
+// disappears alone, or was leaving, is removed at once.
 func TestLapsedEntries(t *testing.T) {
 	b := newBench(t, 6)
 	usable := func() (n int) {
@@ -65,21 +65,21 @@
 		b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	}
 	list(2, "e0")
-	require.Equal(t, 5, usable(), "one alone")
+	require.Equal(t, 5, usable(), "one server missing")
 	list(3, "e0", "e1", "e2", "e3")
-	require.Equal(t, 5, usable(), "many at once")
+	require.Equal(t, 5, usable(), "many servers missing at once")
 	b.pass(lapseHold / 2)
 	list(4, "e0", "e1", "e2")
-	require.Equal(t, 5, usable(), "one is back")
+	require.Equal(t, 5, usable(), "one server listed again")
 	b.pass(lapseHold)
-	require.Equal(t, 3, usable(), "the others are not")
+	require.Equal(t, 3, usable(), "the other servers not listed again")
 	list(5)
-	require.Equal(t, 6, usable(), "listed again")
+	require.Equal(t, 6, usable(), "all servers listed again")
 	d := directory(6, 6)
 	for i := range d.Servers {
 		d.Servers[i].Draining = d.Servers[i].ID == "e4"
 	}
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	list(7, "e3", "e4", "e5")
-	require.Equal(t, 5, usable(), "one was leaving")
+	require.Equal(t, 5, usable(), "one of the missing servers was leaving")
 }
--- a/direct/move.go
+++ b/direct/move.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// movesPart and movesLeast spread moves of streams over about a second: in each tick
-	// a part of those that are left, and some at the least. The prompts of streams that
-	// move are read anew, and callers wait behind them.
+	// moveFraction and minMovesPerTick spread the moves of streams over about a second: each
+	// tick moves a fraction of the remaining streams, but no fewer than the minimum. The
+	// servers read the prompts of moved streams again, which delays other requests.
 	moveFraction    = 0.125
 	minMovesPerTick = 4
 )
 
-// move breaks off streams that run at old servers and may go on at the target's, a few
-// at a time. Each takes a retry from the budget; where there is none left, or no room at
-// the target's servers, they run on and are tried again later.
+// moveStreams interrupts streams at old servers that may continue at the target version, a few
+// at a time. Each move takes a retry from the budget. Without budget, or without free slots at
+// the target version, the streams continue and are tried again later.
 func (m *Machine) moveStreams(now time.Duration, p *pool) {
 	g := p.gate
 	if g == nil || !g.movePending || g.Target == "" {
@@ -34,7 +34,7 @@
 	}
 }
 
-// movable returns the requests at old servers that may go on elsewhere, by id.
+// movable returns the running requests at old servers that may continue elsewhere, by ID.
 func (m *Machine) movable(p *pool) []*run {
 	var out []*run
 	for _, r := range m.runs {
@@ -49,7 +49,7 @@
 	return out
 }
 
-// room counts the free slots of the target's servers.
+// freeSlots counts the free slots of the target version's usable servers.
 func (g *gate) freeSlots(now time.Duration) int {
 	free := 0
 	for _, s := range g.target {
@@ -60,8 +60,8 @@
 	return free
 }
 
-// OldRunning counts this router's running requests of a service at servers of versions
-// other than the one that it moves to; 0 where it does not move.
+// OldRunning returns how many requests of a service this router runs at servers of versions
+// other than the target version, or 0 without a rollout.
 func (m *Machine) OldRunning(service string) int {
 	p := m.pools[service]
 	if p == nil || p.gate == nil || p.gate.Target == "" {
@@ -76,8 +76,9 @@
 	return running
 }
 
-// RequestCounts counts, for each service that moves to another version, the requests that have come to
-// this router since then, whether or not they could be sent, and attempts after their first.
+// RequestCounts returns, for each service with a rollout, the number of requests that have
+// arrived at this router since its target version was set, whether or not they could be sent,
+// plus the number of retries.
 func (m *Machine) RequestCounts() map[string]int {
 	out := make(map[string]int)
 	for name, p := range m.pools {
@@ -88,7 +89,7 @@
 	return out
 }
 
-// AllOldRunning returns OldRunning of each service that moves to another version.
+// AllOldRunning returns OldRunning of each service with a rollout.
 func (m *Machine) AllOldRunning() map[string]int {
 	out := make(map[string]int)
 	for name, p := range m.pools {
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// moves returns the requests that commands move.
+// movedIDs returns the requests that commands move.
 func movedIDs(cmds []Cmd) []RequestID {
 	var out []RequestID
 	for _, c := range cmds {
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestRolloutMoves moves each stream that may be repeated once, a few at a time; they go on
-// at the target.
+// TestRolloutMoves moves each repeatable stream once, a few at a time. They continue at the
+// target version.
 func TestRolloutMoves(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0))
 	repeatable := make(map[RequestID]bool)
@@ -45,12 +45,12 @@
 		require.Equal(t, SideMoved, c.Basis.Side)
 	}
 	require.Equal(t, map[string]int{"llm": 20}, b.m.AllOldRunning())
-	require.Equal(t, map[string]int{"llm": 60}, b.m.RequestCounts(), "40, and 20 once more")
+	require.Equal(t, map[string]int{"llm": 60}, b.m.RequestCounts(), "40 requests and 20 retries")
 	require.Empty(t, movedIDs(b.pass(time.Second)))
 }
 
-// TestRolloutMovesKeepToTheBudget moves no more streams than there are retries left: the
-// others run on.
+// TestRolloutMovesKeepToTheBudget moves no more streams than the retry budget allows. The
+// others continue where they are.
 func TestRolloutMovesKeepToTheBudget(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0))
 	b.m.Update(BudgetMsg{Budget: BudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
@@ -63,7 +63,8 @@
 	require.Len(t, all, int(budgetMargin*0.2*50))
 }
 
-// TestRolloutMovedSaysNothingOfTheServer leaves an old server as it was.
+// TestRolloutMoveIsNoServerFailure checks that a move doesn't change the state of the old
+// server.
 func TestRolloutMoveIsNoServerFailure(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0))
 	r := b.routeRequest("chat")
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Notice is what a server says of itself in an answer, whatever else the answer is. The
-// zero value says nothing.
+// Notice holds what a server announces about itself in a response of any kind. The zero value
+// announces nothing.
 type Notice struct {
-	Leaving bool          // it will end, and must get no new requests
-	Backoff time.Duration // it turned a request away, and wants nothing from this router for so long
+	Leaving bool          // it is about to stop and must get no new requests
+	Backoff time.Duration // it turned a request away; this router must send it nothing for this long
 }
 
-// IsZero tells whether the server said nothing of itself.
+// IsZero reports whether the server announced nothing.
 func (n Notice) IsZero() bool { return n == Notice{} }
 
-// notices are what a server has told this router of itself in its answers. They hold for the
-// rest of its life: the list may be older, or come from a source that the server can't reach,
-// so no entry overrules them.
+// serverNotices holds what a server has announced to this router in its responses. It is valid
+// for the rest of the server's lifetime. No entry overrules it, since the list may be older or
+// come from a source that the server can't reach.
 type serverNotices struct {
 	leaving      bool
-	leavingAt    time.Duration // since when it gets no new requests, but as a last resort
-	backoffUntil time.Duration // it wants nothing from this router until then
+	leavingAt    time.Duration // since when it gets new requests only as a last resort
+	backoffUntil time.Duration // it must be sent nothing until then
 }
 
-// last tells whether there is anything to remember.
+// active reports whether any notice still applies.
 func (n serverNotices) active(now time.Duration) bool { return n.leaving || now < n.backoffUntil }
 
-// notice takes in what a server said of itself.
+// applyNotice applies a server's notice.
 func (m *Machine) applyNotice(msg NoticeMsg) {
 	s := m.byServer[msg.Server]
 	if s == nil {
-		return // a server is known at least as long as a request runs there
+		return // a server stays known at least as long as a request runs there
 	}
-	// The backoff comes first: requests that wait may take a server that leaves as a last resort.
+	// Apply the backoff first: otherwise queued requests could use the leaving server as a last
+	// resort.
 	if msg.Notice.Backoff > 0 {
 		m.applyBackoff(msg.Now, s, msg.Notice.Backoff)
 	}
@@ -39,21 +40,22 @@
 	}
 }
 
-// noticeBackoff leaves a server alone for as long as it asked for. What it answers meanwhile to
-// requests that were under way does not end that.
+// applyBackoff stops sending to a server for the time that it asked for. Responses to requests
+// that are already running don't end the backoff.
 func (m *Machine) applyBackoff(now time.Duration, s *server, backoff time.Duration) {
 	if !s.inBackoff(now) {
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBackoff, Cause: "said so in an answer", For: backoff})
+		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBackoff, Cause: "announced in a response", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
 	m.serve(now, m.pool(s.Service), maxQueued)
 }
 
-// backsOff tells whether a server has asked this router to send it nothing yet.
+// inBackoff reports whether a server has asked this router to send nothing for now.
 func (s *server) inBackoff(now time.Duration) bool { return now < s.notices.backoffUntil }
 
-// ShouldWithhold tells whether a request that was placed must not be sent any more, since its server
-// has said so meanwhile: a router that runs late may have placed many by then.
+// ShouldWithhold reports whether a placed request must not be sent any more because its server
+// has since announced a backoff or that it is leaving. A router that runs late may have placed
+// many requests by then.
 func (m *Machine) ShouldWithhold(now time.Duration, id RequestID) bool {
 	r := m.runs[id]
 	if r == nil || r.at == nil {
@@ -63,8 +65,8 @@
 	return s.inBackoff(now) || (s.notices.leaving && s.notices.leavingAt > r.sentAt)
 }
 
-// backoffEnds returns how soon one of the servers wants requests again that would get some of
-// these regions but for that, and whether there is one.
+// shortestBackoff returns the shortest remaining backoff of the servers that would otherwise
+// get requests of these regions, and whether there is one.
 func (p *pool) shortestBackoff(now time.Duration, regions Regions) (time.Duration, bool) {
 	soonest, found := time.Duration(0), false
 	for _, s := range p.order {
@@ -78,7 +80,7 @@
 	return soonest, found
 }
 
-// noticeLeaving takes out a server that said that it leaves.
+// applyLeaving stops sending to a server that announced that it is leaving.
 func (m *Machine) applyLeaving(now time.Duration, s *server) {
 	known := s.leaving
 	s.markLeaving(now)
@@ -86,13 +88,13 @@
 	if known {
 		return
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefDrain, Cause: "said so in an answer"})
+	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefDrain, Cause: "announced in a response"})
 	p := m.pool(s.Service)
 	p.updateEligible()
 	m.serve(now, p, maxQueued)
 }
 
-// recall gives a server that is listed anew what it said before it was forgotten.
+// restoreNotices restores the notices of a server that is listed again after it was forgotten.
 func (m *Machine) restoreNotices(s *server) {
 	s.notices = m.oldNotices.take(s.ID)
 	if s.notices.leaving {
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// noticeHistory drives a machine through a random history, and remembers by itself what each
-// server has said.
+// noticeSim drives a machine through a random history and records the notices of each server
+// separately.
 type noticeSim struct {
 	t             *rapid.T
 	m             *Machine
@@ -20,18 +20,20 @@
 	next          RequestID
 	running       []RequestID
 	at            map[RequestID]string
-	leftAt        map[string]time.Duration // when a server first said that it leaves
-	backoffUntil  map[string]time.Duration // until when a server wants nothing
-	maxLastResort time.Duration            // most after that in which it may serve as a last resort
+	leftAt        map[string]time.Duration // when a server first announced that it is leaving
+	backoffUntil  map[string]time.Duration // end of a server's backoff
+	maxLastResort time.Duration            // longest time after leftAt in which a server may serve as a last resort
 }
 
-// servers of the history: of two versions, in two halls.
+// simServers is the number of servers, of two versions and in two halls.
 const simServers = 5
 
-// TestNoticesHold plays random histories of lists that disagree with what servers said, of
-// roll-outs, evacuated halls, retries and failures: whatever happens, no request is sent to a
-// server that asked this router to back off, nor, but as a last resort, to one that said that it leaves. By hand:
-// go test ./direct -run TestNoticesHold -rapid.checks=20000
+// TestNoticesHold runs random histories of lists that disagree with notices, rollouts,
+// evacuated halls, retries and failures. At any time, no request is sent to a server that asked
+// for a backoff, and a server that announced that it is leaving gets requests only as a last
+// resort. For a longer run:
+//
+//	go test ./direct -run TestNoticesHold -rapid.checks=20000
 func TestNoticesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drain := rapid.SampledFrom([]time.Duration{0, 500 * time.Millisecond, 2 * time.Second}).Draw(t, "drain")
@@ -60,7 +62,7 @@
 	})
 }
 
-// update tells the machine something, and checks what it sends.
+// update passes a message to the machine and checks what it sends.
 func (h *noticeSim) update(msg Msg) {
 	for _, cmd := range h.m.Update(msg) {
 		c, ok := cmd.(SendCmd)
@@ -68,16 +70,16 @@
 			continue
 		}
 		id := c.Server.ID
-		require.GreaterOrEqual(h.t, h.now, h.backoffUntil[id], "%s wants nothing until %s", id, h.backoffUntil[id])
+		require.GreaterOrEqual(h.t, h.now, h.backoffUntil[id], "sent to %s during its backoff until %s", id, h.backoffUntil[id])
 		if left, announced := h.leftAt[id]; announced {
-			require.LessOrEqual(h.t, h.now-left, h.maxLastResort, "%s leaves since %s", id, left)
+			require.LessOrEqual(h.t, h.now-left, h.maxLastResort, "sent to %s, which has been leaving since %s", id, left)
 		}
 		h.running = append(h.running, c.ID)
 		h.at[c.ID] = id
 	}
 }
 
-// list puts a list of some of the servers in force.
+// list applies a list of some of the servers.
 func (h *noticeSim) list() {
 	h.revision++
 	d := Directory{Revision: h.revision}
@@ -93,7 +95,7 @@
 	h.update(ServersMsg{Now: h.now, Directory: d})
 }
 
-// stage moves the service to the other version, by some part, or not at all.
+// stage starts a rollout to the other version at a random stage, or none.
 func (h *noticeSim) stage() {
 	g := rollout.Gate{Service: "llm", InUse: []string{"v1", "v2"}, Servers: 1}
 	if rapid.Bool().Draw(h.t, "moves") {
@@ -120,7 +122,7 @@
 	}})
 }
 
-// notice has the server of a running request say something with its answer.
+// notice sends a random notice from the server of a running request.
 func (h *noticeSim) notice() {
 	if len(h.running) == 0 {
 		return
@@ -137,7 +139,7 @@
 	h.update(NoticeMsg{Now: h.now, Server: id, Notice: n})
 }
 
-// end ends the attempt that runs longest.
+// end ends the attempt that has run longest.
 func (h *noticeSim) end() {
 	if len(h.running) == 0 {
 		return
@@ -148,7 +150,7 @@
 	h.update(EndMsg{Now: h.now, ID: id, Outcome: o, Retry: o != Done && o != GivenUp})
 }
 
-// pass lets time pass, at times longer than a server that has gone is remembered.
+// pass advances time, sometimes beyond the time for which gone servers are remembered.
 func (h *noticeSim) pass() {
 	d := rapid.SampledFrom([]time.Duration{TickEvery, lastResortTime, lapseHold, 3 * time.Second, 2 * goneMemory}).Draw(h.t, "time")
 	for end := h.now + d; h.now < end; {
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// noticeBench is a bench with plain servers, whose lists it counts.
+// noticeBench is a bench with plain servers that numbers its lists.
 type noticeBench struct {
 	*bench
 	revision uint64
 }
 
-// newNoticeBench returns a bench with some servers.
+// newNoticeBench returns a bench with some plain servers.
 func newNoticeBench(t *testing.T, ids ...string) *noticeBench {
 	b := &noticeBench{bench: newBench(t, 0), revision: 1}
 	b.list(ids...)
 	return b
 }
 
-// list puts a list of plain servers in force, all of them ready.
+// list applies a list of plain servers, none of them draining.
 func (b *noticeBench) list(ids ...string) {
 	var all []Server
 	for _, id := range ids {
@@ -29,7 +29,7 @@
 	b.listAs(all...)
 }
 
-// listAs puts a list of servers in force.
+// listAs applies a list of servers.
 func (b *noticeBench) listAs(all ...Server) []Cmd {
 	b.revision++
 	return append([]Cmd(nil), b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: b.revision, Servers: all}})...)
@@ -39,7 +39,7 @@
 	return Server{ID: id, Service: "app", Zone: "a", Address: "10.0.0.1:" + id[1:], Slots: 4}
 }
 
-// plain returns a request that may be repeated, of the service with plain servers.
+// plainRequest returns a repeatable request to the service with plain servers.
 func (b *noticeBench) plainRequest() Request {
 	b.next++
 	return Request{
@@ -52,8 +52,8 @@
 	return append([]Cmd(nil), b.m.Update(NoticeMsg{Now: b.now, Server: server, Notice: n})...)
 }
 
-// chosen sends some requests at once and returns how many each server got; "" counts those
-// that were refused or wait.
+// distribute sends some requests at once and returns how many each server got; "" counts those
+// that were refused or queued.
 func (b *noticeBench) distribute(n int) map[string]int {
 	got := make(map[string]int)
 	var sent, waiting []RequestID
@@ -79,8 +79,8 @@
 	return got
 }
 
-// staysOut has the entry of p1 go and come back, soon and after a time in which the router has
-// forgotten the server: p1 gets nothing all the same.
+// requireExcluded removes the entry of p1 and lists it again, after a short time and after a
+// time in which the router has forgotten the server: p1 gets no requests in either case.
 func (b *noticeBench) requireExcluded(longAbsence time.Duration) {
 	b.t.Helper()
 	for _, away := range []time.Duration{goneMemory / 2, longAbsence} {
@@ -91,27 +91,28 @@
 	}
 }
 
-// TestLeavingOutlastsEntries has a server say that it leaves while its entry says otherwise: the
-// list may be from before, and its entry may lapse and come back. Only another life ends it.
+// TestLeavingOutlastsEntries has a server announce that it is leaving while its entry says
+// otherwise. The list may be older, and the entry may lapse and come back. Only a restart of
+// the server ends the notice.
 func TestLeavingOutlastsEntries(t *testing.T) {
 	b := newNoticeBench(t, "p0", "p1", "p2")
 	require.Positive(t, b.distribute(9)["p1"])
 	_, emitted := find[BeliefCmd](b.notice("p1", Notice{Leaving: true}))
-	require.True(t, emitted, "the log tells of it")
-	require.Empty(t, b.notice("p1", Notice{Leaving: true}), "it is told once")
+	require.True(t, emitted, "the first notice must be logged")
+	require.Empty(t, b.notice("p1", Notice{Leaving: true}), "a repeated notice must not be logged")
 	require.Zero(t, b.distribute(9)["p1"])
 
 	b.list("p0", "p1", "p2")
-	require.Zero(t, b.distribute(9)["p1"], "an entry that says ready came later")
+	require.Zero(t, b.distribute(9)["p1"], "a later entry lists it as not draining")
 
 	b.requireExcluded(2 * goneMemory)
 
 	b.list("p0", "p3", "p2")
-	require.Positive(t, b.distribute(9)["p3"], "its next life")
+	require.Positive(t, b.distribute(9)["p3"], "the restarted server")
 }
 
-// TestLeavingIsNoLastResortLater has both servers of a service say that they leave. They serve
-// as a last resort right after that, but not later, whatever becomes of their entries.
+// TestLeavingIsNoLastResortLater has both servers of a service announce that they are leaving.
+// They serve as a last resort right after that, but not later, however their entries change.
 func TestLeavingIsNoLastResortLater(t *testing.T) {
 	for name, after := range map[string]func(b *noticeBench){
 		"entries stay":      func(*noticeBench) {},
@@ -137,8 +138,9 @@
 	return s
 }
 
-// TestBackoff has a server turn a request away and ask the router to back off: it gets nothing until the end of
-// that time, also if its entry lapses meanwhile, if it answers others, or asks for less.
+// TestBackoff has a server turn a request away and ask for a backoff. It gets no requests until
+// the backoff ends, even if its entry lapses meanwhile, if it responds to others, or if it asks
+// for a shorter time.
 func TestBackoff(t *testing.T) {
 	const backoff = 30 * time.Second
 	b := newNoticeBench(t, "p0", "p1", "p2")
@@ -149,20 +151,20 @@
 
 	b.notice("p1", Notice{Backoff: time.Second})
 	b.pass(2 * time.Second)
-	require.Zero(t, b.distribute(9)["p1"], "a later answer asked for less")
+	require.Zero(t, b.distribute(9)["p1"], "a later response asked for a shorter backoff")
 
 	b.requireExcluded(goneMemory + time.Second)
 	require.Less(t, b.now, end)
 
 	b.list("p0", "p3", "p2")
-	require.Positive(t, b.distribute(9)["p3"], "its next life")
+	require.Positive(t, b.distribute(9)["p3"], "the restarted server")
 	b.list("p0", "p1", "p2")
 	b.pass(end - b.now)
-	require.Positive(t, b.distribute(9)["p1"], "that time is over")
+	require.Positive(t, b.distribute(9)["p1"], "the backoff has ended")
 }
 
-// TestBackoffOfAll has all servers of a service ask the router to back off: what comes is refused
-// at once, and none of them is a last resort, also where they leave.
+// TestBackoffOfAll has all servers of a service ask for a backoff. Requests are refused at
+// once, and no server serves as a last resort, not even a leaving one.
 func TestBackoffOfAll(t *testing.T) {
 	b := newNoticeBench(t, "p0", "p1")
 	b.notice("p0", Notice{Backoff: time.Second})
@@ -170,16 +172,16 @@
 	refused, ok := find[RefuseCmd](b.arrive(b.plainRequest()))
 	require.True(t, ok)
 	require.Equal(t, ReasonBackoff, refused.Reason)
-	require.Greater(t, refused.After, time.Second, "not before the first of them wants requests again")
+	require.Greater(t, refused.After, time.Second, "not before the first backoff ends")
 	require.Less(t, refused.After, 2*time.Second)
 	b.notice("p0", Notice{Leaving: true})
 	_, sent := find[SendCmd](b.arrive(b.plainRequest()))
 	require.False(t, sent)
 }
 
-// TestLastServerGone has requests wait for servers of which the last that may get any then says
-// that it wants none, leaves, or goes from the list: they are refused at once, as waiting would
-// only hold their callers up.
+// TestLastServerGone queues requests for a service whose last available server then asks for a
+// backoff, leaves, or is no longer listed. They are refused at once: waiting would only delay
+// their callers.
 func TestLastServerGone(t *testing.T) {
 	for name, goes := range map[string]func(b *noticeBench) []Cmd{
 		"backs off": func(b *noticeBench) []Cmd { return b.notice("p0", Notice{Backoff: time.Second}) },
@@ -191,17 +193,17 @@
 			b.sent(b.arrive(b.plainRequest()))
 		}
 		queued := b.plainRequest()
-		require.Empty(t, b.arrive(queued), "it waits")
+		require.Empty(t, b.arrive(queued), "the request must be queued")
 		refused, ok := find[RefuseCmd](goes(b))
 		require.True(t, ok, name)
 		require.Equal(t, queued.ID, refused.ID)
 	}
 }
 
-// TestWithheld has servers say that they want nothing, or leave, after requests were placed there and
-// before they were sent: those go elsewhere, at no cost for the server and the request, and so
-// do not reach it however late the router runs. One that was placed later, as a last resort, is
-// sent.
+// TestWithheld has servers announce a backoff, or that they are leaving, after requests were
+// placed there and before they were sent. The requests go to other servers, however late the
+// router runs, and count neither as a failure nor as an attempt. A request that was placed
+// later, as a last resort, is sent.
 func TestWithheld(t *testing.T) {
 	for name, n := range map[string]Notice{"backs off": {Backoff: time.Second}, "leaves": {Leaving: true}} {
 		b := newNoticeBench(t, "p0", "p1")
@@ -223,19 +225,20 @@
 	require.False(t, b.m.ShouldWithhold(b.now, last.ID))
 }
 
-// TestLeavingAndBackoff has the only server of a service say both with one answer, while requests
-// wait for it: they are no reason to send it one more as a last resort.
+// TestLeavingAndBackoff has the only server of a service announce both in one response while
+// requests are queued: none of them is sent to it as a last resort.
 func TestLeavingAndBackoff(t *testing.T) {
 	b := newNoticeBench(t, "p0")
 	for range 4 + plainQueue {
 		b.sent(b.arrive(b.plainRequest()))
 	}
-	require.Empty(t, b.arrive(b.plainRequest()), "it waits")
+	require.Empty(t, b.arrive(b.plainRequest()), "the request must be queued")
 	_, sent := find[SendCmd](b.notice("p0", Notice{Leaving: true, Backoff: time.Second}))
 	require.False(t, sent)
 }
 
-// TestNoticesOfManyLives forgets what servers said long ago, once there were many since.
+// TestForgottenNoticesAreBounded drops the oldest notices of forgotten servers when there are
+// too many.
 func TestForgottenNoticesAreBounded(t *testing.T) {
 	var forgotten forgottenNotices
 	for i := range 2 * maxForgottenNotices {
--- a/direct/outcome.go
+++ b/direct/outcome.go
@@ -1,23 +1,23 @@
 package direct
 
-// Outcome says how an attempt at a server ended.
+// Outcome is the result of an attempt at a server.
 type Outcome uint8
 
 // The outcomes of an attempt.
 const (
-	Done      Outcome = iota // a whole answer
+	Done      Outcome = iota // whole response
 	Unsent                   // no byte of the request left the router
-	NotRun                   // the server says that it did not run it
-	Elsewhere                // another server has the address; it did not run it
-	Failed                   // the server's own failure, a whole answer
-	Broken                   // sent; no whole answer came
-	Hung                     // sent; nothing came in good time, and it was cut
-	GivenUp                  // the caller or the route's timeout ended it
-	Moved                    // it was broken off to go on at a server of another version
-	Withheld                 // placed, and not sent as its server said since that it wants nothing
+	NotRun                   // the server reports that it did not run the request
+	Elsewhere                // another server has the address; the request did not run
+	Failed                   // whole response that reports a failure of the server
+	Broken                   // sent, but no whole response arrived
+	Hung                     // sent, but nothing arrived in time, and the attempt was canceled
+	GivenUp                  // ended by the caller or by the route's timeout
+	Moved                    // interrupted to continue at a server of another version
+	Withheld                 // placed, but not sent because of a notice of the server
 )
 
-// String names the outcome for logs.
+// String returns the outcome's name for logs.
 func (o Outcome) String() string {
 	return [...]string{"done", "unsent", "not_run", "elsewhere", "failed", "broken", "hung", "given_up", "moved", "withheld"}[o]
 }
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// lostAfter is how many servers of a data hall in a row must turn out to be out of
-	// reach, with no answer from any other, before the hall counts as lost. Where one
-	// server in six is down, three in a row with no answer between are one case in 200.
+	// lostThreshold is the number of servers of a data hall that must turn out to be
+	// unreachable in a row, without a response of any other, before the hall counts as lost. If
+	// one server in six is down, three in a row without a response between them are one case in
+	// 200.
 	lostThreshold = 3
-	// lostWithin bounds the time between the first and the last of them.
+	// lostWindow is the maximum time between the first and the last of them.
 	lostWindow = time.Second
-	// answerFresh is how recent an answer must be for a silent hall not to be probed: some
-	// times the usual time to a first event.
+	// recentResponse is the maximum age of a response that keeps a hall without router
+	// heartbeats from being probed. It is several times the usual time to a first event.
 	recentResponse = 250 * time.Millisecond
-	// probesEach is how many servers of a hall are probed at once.
+	// probesPerRound is the number of servers of a hall that are probed at once.
 	probesPerRound = 3
-	// probeFirst and probeLongest bound the time between two rounds of probes of a hall
-	// that is lost. A probe opens a connection, so it costs little more than a caller's
-	// request would that is sent there in vain.
+	// minProbeInterval and maxProbeInterval bound the time between two rounds of probes of a
+	// lost hall. A probe opens a connection, so it costs little more than a caller's request to
+	// an unreachable server.
 	minProbeInterval = 200 * time.Millisecond
 	maxProbeInterval = 800 * time.Millisecond
 )
 
-// hallReach is what a router knows of whether the servers of a data hall can be reached
-// at all. Without it, each router finds each of the servers of a hall without power by
-// itself, one hung connection at a time.
+// hallReach tracks whether the servers of a data hall can be reached at all. Without it, each
+// router detects each server of a hall without power on its own, one timed-out connection at a
+// time.
 type hallReach struct {
-	// unreached are the servers that could not be reached since a server of the hall last
-	// answered; since is when the first of them was found.
+	// unreachable holds the servers that could not be reached since a server of the hall last
+	// responded. firstUnreachableAt is when the first of them was detected.
 	unreachable        map[string]bool
 	firstUnreachableAt time.Duration
 	respondedAt        time.Duration
 	lost               bool
-	routersSilent      bool // none of its routers is heard any more
+	routersSilent      bool // no router of the hall sends heartbeats any more
 	nextProbeAt        time.Duration
 	probeInterval      time.Duration // between rounds of probes
-	probesSent         int           // probes sent, so that each round takes other servers
+	probesSent         int           // so that each round probes other servers
 }
 
 func (m *Machine) reachOf(hall string) *hallReach {
@@ -50,7 +51,7 @@
 	return h
 }
 
-// answered takes in that a server has answered: its hall can be reached.
+// recordResponse records that a server has responded, so its hall can be reached.
 func (m *Machine) recordResponse(now time.Duration, s *server) {
 	h := m.reachOf(s.Zone)
 	h.respondedAt = now
@@ -62,8 +63,8 @@
 	}
 }
 
-// outOfReach takes in that nothing could be sent to a server. One that was out of reach
-// before says nothing new of its hall.
+// recordUnreachable records that nothing could be sent to a server. A server that was
+// unreachable before is no new evidence about its hall.
 func (m *Machine) recordUnreachable(now time.Duration, s *server) {
 	if s.probation {
 		return
@@ -81,7 +82,7 @@
 	}
 }
 
-// serversIn counts the servers of a hall that are not gone.
+// countHallServers counts the servers of a hall that are neither gone nor barred.
 func (m *Machine) countHallServers(hall string) int {
 	n := 0
 	for _, s := range m.byServer {
@@ -92,7 +93,7 @@
 	return n
 }
 
-// setLost puts in force whether a hall counts as lost.
+// setHallLost marks a hall as lost or as reachable again.
 func (m *Machine) setHallLost(now time.Duration, hall string, h *hallReach, lost bool) {
 	h.lost = lost
 	h.probeInterval = minProbeInterval
@@ -108,7 +109,7 @@
 	m.emit(ReachCmd{Hall: hall, Lost: lost, Unreached: len(h.unreachable), Servers: servers})
 }
 
-// takeQuiet takes in of which halls no router is heard any more.
+// setSilentHalls sets the halls whose routers no longer send heartbeats.
 func (m *Machine) setSilentHalls(halls []string) {
 	for hall, h := range m.reach {
 		h.routersSilent = slices.Contains(halls, hall)
@@ -118,8 +119,8 @@
 	}
 }
 
-// probeHalls probes the halls that are lost, and those whose routers have fallen silent
-// and whose servers have said nothing since: so no caller has to find it out.
+// probeHalls probes lost halls, and halls without heartbeats of routers and without recent
+// responses of servers, so that no caller's request has to detect an outage.
 func (m *Machine) probeHalls(now time.Duration) {
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
@@ -133,7 +134,7 @@
 	}
 }
 
-// probe sends one round of probes to servers of a hall, to others each time.
+// probeHall sends one round of probes to servers of a hall, to other servers each time.
 func (m *Machine) probeHall(hall string, h *hallReach) {
 	var all []*server
 	for _, name := range m.poolNames() {
@@ -149,13 +150,13 @@
 	}
 }
 
-// probeEnded takes in whether a probed server could be reached.
+// handleProbe handles the result of a probe.
 func (m *Machine) handleProbe(msg ProbeMsg) {
 	s := m.byServer[msg.Server]
 	switch {
 	case s == nil:
 	case m.resolveCrashCheck(msg, s):
-		// Its process has ended, which says nothing of the others of its hall.
+		// Its process has ended, which is no evidence about the other servers of its hall.
 	case msg.Reached:
 		m.recordResponse(msg.Now, s)
 	case !msg.Slow:
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hallsOf returns a bench with many servers in halls a and b.
+// newHallBench returns a bench with many servers in halls a and b.
 func newHallBench(t *testing.T, servers int) *bench {
 	b := newTwoHallBench(t)
 	d := Directory{Revision: 2}
@@ -19,9 +19,9 @@
 	return b
 }
 
-// dead plays callers of a router while no server of some halls can be reached: what is sent
-// there ends unsent after dial, and is tried elsewhere. It returns how many were sent in
-// vain and how many probes went out.
+// runWithDeadHalls sends requests while no server of some halls can be reached: attempts there
+// end as unsent after dial and are retried. It returns the number of failed attempts and of
+// probes.
 func (b *bench) runWithDeadHalls(d, dial time.Duration, halls ...string) (failed, probes int) {
 	type call struct {
 		at     time.Duration
@@ -78,9 +78,9 @@
 	return failed, probes
 }
 
-// TestLostHallIsFoundOnce takes the power from a hall of many servers: a router sends few
-// requests there in vain, however many servers the hall has: 5, 7 and 10 in 5 s, and 24, 169
-// and 191 where it finds out server by server.
+// TestLostHallIsFoundOnce cuts off a hall of many servers: a router sends few requests there,
+// however many servers the hall has. In 5 s these are 5, 7 and 10, compared with 24, 169 and
+// 191 if each server is detected separately.
 func TestLostHallIsFoundOnce(t *testing.T) {
 	for _, servers := range []int{12, 200, 2000} {
 		b := newHallBench(t, servers)
@@ -90,11 +90,11 @@
 		require.LessOrEqual(t, probes, 40, "%d servers", servers)
 		vain, _ = b.runWithDeadHalls(5*time.Second, 300*time.Millisecond)
 		require.Zero(t, vain)
-		require.NotZero(t, b.countByHall(time.Second)["b"], "the hall is used again")
+		require.NotZero(t, b.countByHall(time.Second)["b"], "the hall must be used again")
 	}
 }
 
-// TestFewDeadServersLoseNoHall has one server in six of a hall out of reach.
+// TestFewDeadServersLoseNoHall makes one server in six of a hall unreachable.
 func TestFewDeadServersLoseNoHall(t *testing.T) {
 	b := newHallBench(t, 60)
 	lost := 0
@@ -124,8 +124,8 @@
 	require.Zero(t, lost)
 }
 
-// TestFalseAlarmEndsAtOnce takes a hall for lost that lives: the first answer to a probe
-// ends that.
+// TestFalseAlarmEndsAtOnce marks a hall as lost that is alive: the first successful probe ends
+// that.
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
 	b := newHallBench(t, 60)
 	for i := range lostThreshold {
@@ -138,8 +138,8 @@
 	require.NotZero(t, b.countByHall(time.Second)["b"])
 }
 
-// TestQuietHallIsProbed has the routers of a hall fall silent: its servers are probed, so
-// that no caller has to find out that they are gone too.
+// TestQuietHallIsProbed stops the heartbeats of all routers of a hall. Its servers are probed,
+// so that no caller's request has to detect that they are gone too.
 func TestQuietHallIsProbed(t *testing.T) {
 	b := newHallBench(t, 60)
 	b.pass(time.Second)
@@ -152,12 +152,12 @@
 	require.Zero(t, b.countByHall(time.Second)["b"])
 	b.m.Update(PeersMsg{Now: b.now, Routers: 9, Hold: time.Second, Known: 9})
 	probe, ok := find[ProbeCmd](b.pass(maxProbeInterval))
-	require.True(t, ok, "a lost hall is probed on")
+	require.True(t, ok, "a lost hall must be probed again")
 	b.m.Update(ProbeMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
 	require.NotZero(t, b.countByHall(time.Second)["b"])
 }
 
-// TestLateRouterLosesNoHall has a router that is late itself reach nobody.
+// TestLateRouterLosesNoHall checks that a router that is late itself marks no hall as lost.
 func TestLateRouterLosesNoHall(t *testing.T) {
 	b := newHallBench(t, 60)
 	for i := range 2 * lostThreshold {
--- a/direct/region.go
+++ b/direct/region.go
@@ -2,14 +2,15 @@
 
 import "slices"
 
-// Regions are those that a request may be served in. Its zero value allows all.
+// Regions is the set of regions that a request may be served in. The zero value allows all
+// regions.
 type Regions struct {
 	restricted bool
-	allowed    []string // sorted; empty where bound: none
+	allowed    []string // sorted; if restricted and empty, no region is allowed
 }
 
-// RegionsOf returns the regions that are allowed by each of several lists, such as those of
-// a route and of a team. An empty list allows all.
+// RegionsOf returns the regions that all lists allow, such as those of a route and of a team.
+// An empty list allows all regions.
 func RegionsOf(lists ...[]string) Regions {
 	var r Regions
 	for _, list := range lists {
@@ -25,17 +26,17 @@
 	return r
 }
 
-// Allows tells whether a region is among them. An unknown region, the empty one, is outside
-// wherever a request is bound.
+// Allows reports whether a region is allowed. An unknown region, given as "", is allowed only
+// if all regions are.
 func (r Regions) Allows(region string) bool {
 	return !r.restricted || (region != "" && slices.Contains(r.allowed, region))
 }
 
-// Restricted tells whether not all regions are allowed.
+// Restricted reports whether only some regions, or none, are allowed.
 func (r Regions) Restricted() bool { return r.restricted }
 
-// AllowsNone tells whether no region is allowed.
+// AllowsNone reports whether no region is allowed.
 func (r Regions) AllowsNone() bool { return r.restricted && len(r.allowed) == 0 }
 
-// Names returns the allowed regions in order; nil where all are.
+// Names returns the allowed regions in sorted order, or nil if all are allowed.
 func (r Regions) Names() []string { return slices.Clone(r.allowed) }
--- a/direct/region_oracle_test.go
+++ b/direct/region_oracle_test.go
@@ -10,26 +10,26 @@
 	"pgregory.net/rapid"
 )
 
-// regionOracle holds the rules of allowed regions against a machine. It keeps its own plain
-// lists of what is allowed, and which data hall lies where.
+// regionSim checks a machine against the rules of allowed regions. It keeps its own lists of
+// allowed regions and of the regions of data halls.
 type regionSim struct {
 	t        *rapid.T
 	m        *Machine
 	now      time.Duration
 	revision uint64
-	halls    map[string]string   // region by hall; none: unknown
-	teams    map[string][]string // the regions that the configuration binds teams to
+	halls    map[string]string   // region by hall; an unknown region has no entry
+	teams    map[string][]string // allowed regions of each team
 	requests map[RequestID]*regionRequest
 	next     RequestID
 }
 
-// regionRequest is what the oracle knows of a request that has not ended.
+// regionRequest is the state of a request that has not ended.
 type regionRequest struct {
 	route, team []string
-	sent        bool // and runs at the moment
+	sent        bool // running at a server
 }
 
-// allows tells whether a request may be served in a region.
+// allows reports whether a request may be served in a region.
 func (r *regionRequest) allows(region string) bool {
 	for _, list := range [][]string{r.route, r.team} {
 		if len(list) > 0 && (region == "" || !slices.Contains(list, region)) {
@@ -41,9 +41,10 @@
 
 func (r *regionRequest) restricted() bool { return len(r.route)+len(r.team) > 0 }
 
-// TestRegionRules plays random days against the machine: no request leaves its regions,
-// and none waits for servers that are not there. By hand:
-// go test ./direct -run TestRegionRules -rapid.checks=10000 -rapid.steps=100
+// TestRegionRules runs random histories: no request leaves its regions, and none waits for
+// servers that don't exist. For a longer run:
+//
+//	go test ./direct -run TestRegionRules -rapid.checks=10000 -rapid.steps=100
 func TestRegionRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := &regionSim{
@@ -73,7 +74,7 @@
 		switch c := c.(type) {
 		case SendCmd:
 			r := o.requests[c.ID]
-			require.True(o.t, r.allows(o.halls[c.Server.Zone]), "%v left its regions for %s", r, c.Server.Zone)
+			require.True(o.t, r.allows(o.halls[c.Server.Zone]), "%v was sent outside its regions to hall %s", r, c.Server.Zone)
 			r.sent = true
 		case RefuseCmd:
 			o.refused(c.ID, c.Reason)
@@ -85,13 +86,13 @@
 
 func (o *regionSim) refused(id RequestID, reason Reason) {
 	if reason == ReasonRegion {
-		require.True(o.t, o.requests[id].restricted(), "nothing binds it")
-		require.False(o.t, o.hasServer(o.requests[id]), "a server of its regions may get it")
+		require.True(o.t, o.requests[id].restricted(), "refused because of regions, but not restricted")
+		require.False(o.t, o.hasServer(o.requests[id]), "refused, but its regions have a usable server")
 	}
 	delete(o.requests, id)
 }
 
-// served tells whether some server of a request's regions may get requests.
+// hasServer reports whether some server of a request's regions may get requests.
 func (o *regionSim) hasServer(r *regionRequest) bool {
 	return slices.ContainsFunc(o.m.Servers(o.now), func(s ServerState) bool {
 		return s.Usable && r.allows(o.halls[s.Zone])
@@ -102,7 +103,7 @@
 	return rapid.SampledFrom([][]string{nil, nil, {"east"}, {"west"}, {"west", "east"}, {"north"}}).Draw(o.t, label)
 }
 
-// configure binds teams, or loosens them.
+// configure draws new regions for all teams.
 func (o *regionSim) configure() {
 	config := Config{
 		Limits:   Limits{TokensPerSecond: 50_000},
@@ -116,7 +117,7 @@
 	o.update(ConfigMsg{Now: o.now, Config: config})
 }
 
-// list lists servers of some halls, some of them draining or cold.
+// list applies a list of servers in some halls, some of them draining or cold.
 func (o *regionSim) list() {
 	o.revision++
 	d := Directory{Revision: o.revision}
@@ -138,7 +139,7 @@
 	o.update(EvacuationsMsg{Now: o.now, Evacuations: Evacuations{Revision: o.revision, Halls: halls}})
 }
 
-// moveHalls brings settings that know more halls, or fewer.
+// moveHalls draws new regions for all halls; some get none.
 func (o *regionSim) moveHalls() {
 	o.halls = make(map[string]string)
 	for _, hall := range []string{"a", "b", "c", "d"} {
@@ -163,7 +164,7 @@
 	}})
 }
 
-// running returns the requests that run, in order.
+// running returns the running requests in order.
 func (o *regionSim) running() []RequestID {
 	var out []RequestID
 	for id, r := range o.requests {
@@ -195,14 +196,14 @@
 	o.update(EndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry})
 }
 
-// tick lets time pass. No bound request waits afterwards for servers that are not there.
+// tick advances time and checks that no restricted request waits for servers that don't exist.
 func (o *regionSim) tick(n int) {
 	for range n {
 		o.now += TickEvery
 		o.update(TickMsg{Now: o.now})
 		for id, r := range o.requests {
 			if r.restricted() && !r.sent {
-				require.True(o.t, o.hasServer(r), "request %d waits in vain", id)
+				require.True(o.t, o.hasServer(r), "request %d is queued without a usable server", id)
 			}
 		}
 	}
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newRegionBench returns a router of hall a in region east, with engines in the halls a and
-// b of that region, c of region west, and d, whose region is not known.
+// newRegionBench returns a router of hall a in region east, with engines in halls a and b of
+// that region, c of region west, and d, whose region is unknown.
 func newRegionBench(t *testing.T, config Config, each int) *bench {
 	b := &bench{t: t, now: 3 * time.Second, m: NewMachine(Options{
 		Zone: "a", Region: "east", HallRegions: map[string]string{"a": "east", "b": "east", "c": "west"},
@@ -28,7 +28,7 @@
 	return b
 }
 
-// in returns a request that may be served in some regions.
+// requestIn returns a request that may be served in some regions.
 func (b *bench) requestIn(regions ...string) Request {
 	r := b.request("red", Part{ID: 1, Tokens: 1000}, Part{ID: 1 << 20, Tokens: 1000})
 	r.Regions = RegionsOf(regions)
@@ -42,8 +42,8 @@
 	return refuse.Reason
 }
 
-// TestRegionRefusedAtOnce refuses what no server of its regions may get, and says whether
-// that is because of the regions.
+// TestRegionRefusedAtOnce refuses requests without an available server in their regions, and
+// checks that the reason is the region only if servers in other regions are available.
 func TestRegionRefusedAtOnce(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(b.requestIn("north"))))
@@ -54,8 +54,8 @@
 	require.Equal(t, ReasonNoServers, b.refused(b.arrive(b.requestIn())))
 }
 
-// TestRegionNoneInCommon refuses a request whose route and team have no region in common
-// before its body is read.
+// TestRegionNoneInCommon refuses a request whose route and team have no common region before
+// its body is read.
 func TestRegionNoneInCommon(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	r := b.requestIn()
@@ -65,7 +65,7 @@
 	require.Empty(t, b.m.Update(DoorMsg{Now: b.now, Request: b.requestIn("east")}))
 }
 
-// TestRegionRefusedWhileItWaits has the last server of a waiting request's regions go.
+// TestRegionRefusedWhileItWaits removes the last server of a queued request's regions.
 func TestRegionRefusedWhileItWaits(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	for range 100 {
@@ -76,8 +76,8 @@
 	require.Empty(t, b.m.pool("llm").queue.waiting)
 }
 
-// TestRegionUnknownHall keeps bound requests from a hall whose region is not known, until
-// the settings name it; others may go there.
+// TestRegionUnknownHall keeps restricted requests away from a hall of unknown region until the
+// settings name its region. Other requests may go there.
 func TestRegionUnknownHall(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	b.evacuate(1, "a", "b", "c")
@@ -87,8 +87,8 @@
 	require.Equal(t, "d0", b.sent(b.arrive(b.requestIn("west"))))
 }
 
-// TestRegionHomeOutside has a part whose first holder lies outside of a request's regions:
-// the server inside that ranks first counts as the one to keep the part there.
+// TestRegionHolderOutside has a prompt part whose first holder is outside a request's regions:
+// the server that ranks first inside counts as the part's holder there.
 func TestRegionHolderOutside(t *testing.T) {
 	b := newRegionBench(t, Config{}, 3)
 	p := b.m.pool("llm")
@@ -99,12 +99,12 @@
 		require.Equal(t, "c", inside.Zone)
 		b.m.holders.note(b.now, part, "a0")
 		require.Equal(t, "a0", b.m.firstHolder(b.now, p, unrestricted).ID)
-		require.Equal(t, inside, b.m.firstHolder(b.now, p, restricted), "what is kept outside is of no use")
+		require.Equal(t, inside, b.m.firstHolder(b.now, p, restricted), "a holder outside the regions must not count")
 	}
 }
 
-// TestRegionRetryStaysInside breaks attempts one after the other: the next ones stay inside,
-// and there is none where all servers inside have been tried.
+// TestRegionRetryStaysInside breaks attempts one after the other: retries stay inside the
+// regions, and there is none once all servers inside have been tried.
 func TestRegionRetryStaysInside(t *testing.T) {
 	b := newRegionBench(t, Config{}, 2)
 	r := b.requestIn("west")
@@ -119,8 +119,8 @@
 	require.True(t, failed)
 }
 
-// TestRegionLastResortInside sends to a server that leaves where no other of the regions is
-// known, though others outside stay, and never to one that leaves outside.
+// TestRegionLastResortInside uses a leaving server if its regions have no other, even if
+// servers in other regions are available, and never a leaving server outside.
 func TestRegionLastResortInside(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	list := func(revision uint64, draining ...string) {
@@ -137,8 +137,8 @@
 	require.Equal(t, ReasonNoServers, b.refused(b.arrive(b.requestIn("north"))))
 }
 
-// TestRegionComeBack tells a bound caller to come back when the servers inside have room,
-// whatever those outside have to do.
+// TestRegionComeBack checks that the retry delay of a restricted request depends only on the
+// load of the servers inside its regions.
 func TestRegionComeBack(t *testing.T) {
 	after := func(busy string) time.Duration {
 		b := newRegionBench(t, Config{}, 1)
@@ -151,7 +151,7 @@
 	require.Less(t, after("a0"), time.Second)
 }
 
-// TestRegionDistance has three tiers where more than one region is known, and two where not.
+// TestRegionDistance has three tiers if more than one region is known, and two otherwise.
 func TestRegionDistance(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	distances := func() []float64 {
@@ -168,7 +168,7 @@
 	require.Equal(t, []float64{0, zoneCost, zoneCost, zoneCost}, distances())
 }
 
-// TestRegionOfRouter takes the router's region from its hall's where its own is not given.
+// TestRegionOfRouter takes the router's region from its hall if none is configured.
 func TestRegionOfRouter(t *testing.T) {
 	g := newGeography("", "a", map[string]string{"a": "east", "c": "west"})
 	require.True(t, g.near("east"))
@@ -176,8 +176,8 @@
 	require.False(t, g.near(""))
 }
 
-// TestRegionNearerFirst sends what is alike everywhere to the own region while it has room,
-// and to others when it has none.
+// TestRegionNearerFirst prefers the router's own region while it has capacity, and uses others
+// when it has none.
 func TestRegionNearerFirst(t *testing.T) {
 	b := newRegionBench(t, Config{}, 1)
 	b.evacuate(1, "d")
--- a/direct/side.go
+++ b/direct/side.go
@@ -2,31 +2,30 @@
 
 import "time"
 
-// Side says why a request goes to a server of the version that it goes to, while its
-// service moves from one version to another.
+// Side is the reason why, during a rollout, a request goes to an old server or to one of the
+// target version.
 type Side string
 
-// The reasons. The empty one: its service does not move.
+// The reasons. Without a rollout, Side is empty.
 const (
-	SideOld    Side = "old"          // its part has not moved yet
-	SideTarget Side = "target"       // its part has moved
-	SideSample Side = "sample"       // its part has not moved, and too few of its route have
-	SideLimit  Side = "limit"        // its part has moved; this router may not send more to the target now
-	SideFull   Side = "no_place"     // its part has moved; no server of the target would serve it in time
-	SideRetry  Side = "after_target" // an attempt at the target brought no answer
-	SideMoved  Side = "moved"        // it was broken off at an old server to go on at the target
+	SideOld    Side = "old"          // its prompt part has not moved yet
+	SideTarget Side = "target"       // its prompt part has moved
+	SideSample Side = "sample"       // its prompt part has not moved, but too few requests of its route go to the target version
+	SideLimit  Side = "limit"        // its prompt part has moved, but this router may not send more to the target version now
+	SideFull   Side = "no_place"     // its prompt part has moved, but no server of the target version would serve it in time
+	SideRetry  Side = "after_target" // an attempt at the target version was unsuccessful
+	SideMoved  Side = "moved"        // interrupted at an old server to continue at the target version
 )
 
-// placement is where a request was placed, or is being placed, while its service moves from
-// one version to another.
+// placement records where a request was placed, or is being placed, during a rollout.
 type placement struct {
-	target       bool // the side that it is being placed on, or was sent to
+	target       bool // the request is being placed on, or was sent to, the side of the target version
 	side         Side
-	targetFailed bool   // an attempt at a server of the target brought no answer
-	moving       bool   // a MoveCmd was emitted for it; the budget has been charged
-	moved        bool   // it was broken off to go on at the target
-	targetEpoch  uint64 // see exposure; of the present attempt
-	counted      bool   // the present attempt was counted as having come to its server
+	targetFailed bool   // an attempt at a server of the target version was unsuccessful
+	moving       bool   // a MoveCmd was emitted and charged to the budget
+	moved        bool   // interrupted to continue at the target version
+	targetEpoch  uint64 // of the current attempt; see exposure
+	counted      bool   // the current attempt was counted as having reached its server
 }
 
 // candidateSide is one of the sides that a request may go to.
@@ -35,8 +34,8 @@
 	side   Side
 }
 
-// The sides that a request may go to, in the order in which they are tried. Old servers
-// that are closed are on no side, so trying theirs finds nothing.
+// The sides that a request may go to, in the order in which they are tried. If old servers are
+// closed, the old side is empty.
 var (
 	sidesOld    = []candidateSide{{false, SideOld}}
 	sidesTarget = []candidateSide{{true, SideTarget}, {false, SideFull}}
@@ -45,7 +44,7 @@
 	sidesMoved  = []candidateSide{{true, SideMoved}, {false, SideFull}}
 )
 
-// sidesFor returns the sides that a request may go to, in order.
+// sidesFor returns the sides that a request may go to, in the order in which they are tried.
 func (g *gate) sidesFor(r *run) []candidateSide {
 	switch {
 	case r.placement.targetFailed:
@@ -60,8 +59,8 @@
 	return sidesOld
 }
 
-// position is a request's place in the order in which parts move to another version,
-// from 0 to 1. It is the same in all routers.
+// rolloutPosition returns the position of a request, from 0 to 1, in the order in which prompt
+// parts move to the target version. It is the same in all routers.
 func rolloutPosition(r *run) float64 {
 	if part, shared := r.lastShared(); shared {
 		return unitHash(part.ID)
@@ -69,11 +68,10 @@
 	return unitHash(uint64(r.ID))
 }
 
-// chance maps an id to a number from 0 to 1, always the same one.
+// unitHash maps an ID to a number from 0 to 1.
 func unitHash(x uint64) float64 { return float64(splitMix64(x)>>11) / (1 << 53) }
 
-// scramble mixes the bits of an id (SplitMix64), so that ids that follow one another give
-// unrelated numbers.
+// splitMix64 mixes the bits of an ID, so that consecutive IDs yield unrelated numbers.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -81,7 +79,7 @@
 	return x ^ x>>31
 }
 
-// placeBySide picks a server on the first side that has a place for a request.
+// placeOnSide picks a server on the first side that has capacity for a request.
 func (m *Machine) placeOnSide(now time.Duration, p *pool, r *run) (choice, bool) {
 	g := p.gate
 	if g == nil || g.Target == "" {
@@ -105,8 +103,8 @@
 	return choice{}, false
 }
 
-// noteSent counts a request that is being sent against the exposure, before the load of
-// its server is counted.
+// recordSent counts a request that is being sent in the exposure, before it is added to the
+// load of its server.
 func (m *Machine) recordSent(now time.Duration, p *pool, r *run, c choice) choice {
 	if p.gate == nil {
 		return c
@@ -118,14 +116,15 @@
 	if c.server.target {
 		p.gate.exposure.countTarget(r.Route)
 		if p.engine != nil {
-			// A new version's servers keep nothing yet, not even the first for the part.
+			// Servers of a new version have no cached parts yet, not even the server that
+			// ranks first for a part.
 			c.miss = m.missing(now, p, c.server, r)
 		}
 	}
 	return c
 }
 
-// noteEnded takes in, for the exposure and for the next placement, how an attempt ended.
+// recordEnded updates the exposure and the placement with the outcome of an attempt.
 func (p *pool) recordEnded(r *run, s *server, o Outcome) {
 	if p.gate == nil {
 		return
--- a/direct/state.go
+++ b/direct/state.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// ServerState is what the machine takes a server to be.
+// ServerState is the state of a server as this router sees it.
 type ServerState struct {
 	ID, Service, Address, Zone string
 	Version                    string
 	Slots                      int
 	Usable, Leaving, Probation bool
 	Evacuated, HallLost        bool
-	Barred                     bool          // servers of its version get nothing at present, or it takes no part in a trial
-	ColdFor                    time.Duration // how much longer it bears only few requests; 0: it is not cold
-	BackoffFor                 time.Duration // how much longer it wants nothing from this router
-	Running                    int           // all routers
-	Pending                    int           // tokens that all routers have there
-	TokensPerMS                float64       // measured; 0: not yet
-	Failures                   float64       // average, 0 to 1
+	Barred                     bool          // its version gets no requests at the moment, or it is not part of a canary
+	ColdFor                    time.Duration // remaining time with a reduced request rate; 0: not cold
+	BackoffFor                 time.Duration // remaining time in which it must be sent nothing
+	Running                    int           // requests of all routers
+	Pending                    int           // unread prompt tokens of all routers
+	TokensPerMS                float64       // reading speed; 0: not measured
+	Failures                   float64       // failure average, 0 to 1
 }
 
-// Servers returns what the machine takes the servers to be, by service and id.
+// Servers returns the states of all known servers, by service and ID.
 func (m *Machine) Servers(now time.Duration) []ServerState {
 	var out []ServerState
 	for _, name := range m.poolNames() {
