--- a/direct/canary.go
+++ b/direct/canary.go
@@ -52,12 +52,12 @@
 	seen := make(map[string]bool)
 	var leaders, rest []*server
 	for _, s := range all {
-		c := cohortOf(s, oneHall)
-		if seen[c] {
+		cohort := cohortOf(s, oneHall)
+		if seen[cohort] {
 			rest = append(rest, s)
 			continue
 		}
-		seen[c] = true
+		seen[cohort] = true
 		leaders = append(leaders, s)
 	}
 	return append(leaders, rest...)
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -49,22 +49,22 @@
 
 // addAbandoned records a request whose caller left, or that was moved. If the server turns out
 // to have crashed right after that, the request is as suspect as those that broke.
-func (b *crashCheck) addAbandoned(now time.Duration, c quarantine.Content) {
-	b.abandoned = slices.DeleteFunc(b.abandoned, func(l abandonedRequest) bool { return now-l.at > crashWindow })
-	if len(b.abandoned) < maxAbandoned {
-		b.abandoned = append(b.abandoned, abandonedRequest{c, now})
+func (c *crashCheck) addAbandoned(now time.Duration, fingerprint quarantine.Content) {
+	c.abandoned = slices.DeleteFunc(c.abandoned, func(a abandonedRequest) bool { return now-a.at > crashWindow })
+	if len(c.abandoned) < maxAbandoned {
+		c.abandoned = append(c.abandoned, abandonedRequest{fingerprint, now})
 	}
 }
 
 // takeAbandoned removes all abandoned requests and returns those within crashWindow.
-func (b *crashCheck) takeAbandoned(now time.Duration) []quarantine.Content {
+func (c *crashCheck) takeAbandoned(now time.Duration) []quarantine.Content {
 	var out []quarantine.Content
-	for _, l := range b.abandoned {
-		if now-l.at <= crashWindow {
-			out = append(out, l.fingerprint)
+	for _, a := range c.abandoned {
+		if now-a.at <= crashWindow {
+			out = append(out, a.fingerprint)
 		}
 	}
-	b.abandoned = nil
+	c.abandoned = nil
 	return out
 }
 
@@ -94,13 +94,13 @@
 // suspectIfCrashed records a broken attempt as a suspect if its server has crashed, and starts
 // a probe if that is not known yet.
 func (m *Machine) suspectIfCrashed(now time.Duration, r *run, s *server) {
-	b := &s.blamed
-	if b.crashed && now-b.crashedAt < crashWindow {
+	check := &s.blamed
+	if check.crashed && now-check.crashedAt < crashWindow {
 		m.suspects.Crashed(now, r.Content, quarantine.Server(s.key))
 		return
 	}
-	b.awaitingProbe = append(b.awaitingProbe, r.Content)
-	if len(b.awaitingProbe) == 1 {
+	check.awaitingProbe = append(check.awaitingProbe, r.Content)
+	if len(check.awaitingProbe) == 1 {
 		m.emit(ProbeCmd{Server: s.Server})
 	}
 }
@@ -109,26 +109,26 @@
 // whether the server has crashed. Only a refused connection proves a crash: if the host doesn't
 // respond, the network may have failed.
 func (m *Machine) resolveCrashCheck(msg ProbeMsg, s *server) bool {
-	b := &s.blamed
-	if len(b.awaitingProbe) == 0 {
+	check := &s.blamed
+	if len(check.awaitingProbe) == 0 {
 		return false
 	}
-	if msg.Reached && b.reachedAt == 0 {
-		b.reachedAt = msg.Now
+	if msg.Reached && check.reachedAt == 0 {
+		check.reachedAt = msg.Now
 		m.reprobed = append(m.reprobed, s)
 		return false
 	}
-	contents := b.awaitingProbe
-	b.awaitingProbe, b.reachedAt = nil, 0
+	fingerprints := check.awaitingProbe
+	check.awaitingProbe, check.reachedAt = nil, 0
 	if !msg.Refused {
 		return false
 	}
-	b.crashed, b.crashedAt = true, msg.Now
-	contents = append(contents, b.takeAbandoned(msg.Now)...)
-	for _, c := range contents {
-		m.suspects.Crashed(msg.Now, c, quarantine.Server(s.key))
+	check.crashed, check.crashedAt = true, msg.Now
+	fingerprints = append(fingerprints, check.takeAbandoned(msg.Now)...)
+	for _, f := range fingerprints {
+		m.suspects.Crashed(msg.Now, f, quarantine.Server(s.key))
 	}
-	m.emit(CrashCmd{Server: s.Server, Suspects: contents})
+	m.emit(CrashCmd{Server: s.Server, Suspects: fingerprints})
 	return true
 }
 
--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -12,27 +12,27 @@
 const crashingFingerprint quarantine.Content = 99
 
 // requestWith returns a request with a fingerprint.
-func (b *bench) requestWith(c quarantine.Content) Request {
+func (b *bench) requestWith(fingerprint quarantine.Content) Request {
 	r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 1000})
-	r.Content = c
+	r.Content = fingerprint
 	return r
 }
 
 // breakAttempt ends the attempt of a request as broken, answers a probe of its server with
-// probed, and returns the resulting commands.
-func (b *bench) breakAttempt(id RequestID, probed ProbeMsg) []Cmd {
+// result, and returns the resulting commands.
+func (b *bench) breakAttempt(id RequestID, result ProbeMsg) []Cmd {
 	cmds := b.end(id, Broken, true)
 	if probe, ok := find[ProbeCmd](cmds); ok {
-		probed.Now, probed.Server = b.now, probe.Server.ID
-		cmds = append(cmds, b.m.Update(probed)...)
+		result.Now, result.Server = b.now, probe.Server.ID
+		cmds = append(cmds, b.m.Update(result)...)
 	}
 	return cmds
 }
 
 // crashServer sends a request with one attempt, which crashes its server.
-func (b *bench) crashServer(c quarantine.Content) {
+func (b *bench) crashServer(fingerprint quarantine.Content) {
 	b.t.Helper()
-	r := b.requestWith(c)
+	r := b.requestWith(fingerprint)
 	b.sent(b.arrive(r))
 	r.Attempts = 1
 	b.m.runs[r.ID].Attempts = 1
@@ -73,12 +73,12 @@
 // TestBrokenConnectionIsNotACrash breaks attempts at servers that are reachable or in an
 // unknown state: no request becomes a suspect.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
-	for _, probed := range []ProbeMsg{{Reached: true}, {}, {Slow: true}} {
+	for _, result := range []ProbeMsg{{Reached: true}, {}, {Slow: true}} {
 		b := newBench(t, 8)
 		for range 4 {
 			r := b.requestWith(crashingFingerprint)
 			b.sent(b.arrive(r))
-			b.breakAttempt(r.ID, probed)
+			b.breakAttempt(r.ID, result)
 			b.pass(5 * time.Second)
 		}
 		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint))
@@ -108,12 +108,12 @@
 // TestLongRunningRequestIsNotSuspected crashes a server while it runs a request that has run
 // for long, and one that has just started.
 func TestLongRunningRequestIsNotSuspected(t *testing.T) {
-	for settled, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickEvery: 1} {
+	for runTime, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickEvery: 1} {
 		b := newBench(t, 2)
 		r := b.requestWith(crashingFingerprint)
 		b.sent(b.arrive(r))
 		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
-		b.pass(settled)
+		b.pass(runTime)
 		b.breakAttempt(r.ID, ProbeMsg{Refused: true})
 		require.Equal(t, crashes, b.m.suspects.Crashes(crashingFingerprint))
 		b.m.Update(FirstMsg{Now: b.now, ID: r.ID})
--- a/direct/crashsim_test.go
+++ b/direct/crashsim_test.go
@@ -34,12 +34,12 @@
 }
 
 // sendCrashing sends a crashing request to one router and crashes a server at each attempt.
-func (p *crashSim) sendCrashing(content quarantine.Content) {
+func (p *crashSim) sendCrashing(fingerprint quarantine.Content) {
 	b := p.routers[p.random.IntN(len(p.routers))]
-	r := b.requestWith(content)
+	r := b.requestWith(fingerprint)
 	cmds := b.arrive(r)
 	for send, sent := find[SendCmd](cmds); sent; send, sent = find[SendCmd](cmds) {
-		p.crashes[content]++
+		p.crashes[fingerprint]++
 		p.crashed = append(p.crashed, send.Server.ID)
 		harmless := p.startHarmless(send.Server.ID)
 		cmds = b.breakAttempt(r.ID, ProbeMsg{Refused: true})
@@ -132,11 +132,11 @@
 // crashTogether sends copies of requests to routers before any of them gets a response, crashes
 // all their servers at the same time, and does the same with the retries. It returns the number
 // of crashed servers by fingerprint.
-func (p *crashSim) crashTogether(contents []quarantine.Content) map[quarantine.Content]int {
+func (p *crashSim) crashTogether(fingerprints []quarantine.Content) map[quarantine.Content]int {
 	var running []requestCopy
-	for _, content := range contents {
+	for _, fingerprint := range fingerprints {
 		b := p.routers[p.random.IntN(len(p.routers))]
-		r := b.requestWith(content)
+		r := b.requestWith(fingerprint)
 		running = p.appendRunning(running, requestCopy{router: b, r: r}, b.arrive(r))
 	}
 	crashes := make(map[quarantine.Content]int)
@@ -154,8 +154,8 @@
 // crashServers crashes the servers of running requests and counts them by fingerprint.
 func (p *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Content]int) {
 	type crashKey struct {
-		content quarantine.Content
-		server  string
+		fingerprint quarantine.Content
+		server      string
 	}
 	seen := make(map[crashKey]bool)
 	for _, c := range running {
@@ -195,8 +195,8 @@
 			p.sendCrashing(crashingFingerprint + quarantine.Content(i%10))
 			p.pass()
 		}
-		for content, crashes := range p.crashes {
-			require.LessOrEqual(t, crashes, quarantine.CrashesMost+2, "seed %d, fingerprint %d", seed, content)
+		for fingerprint, crashes := range p.crashes {
+			require.LessOrEqual(t, crashes, quarantine.CrashesMost+2, "seed %d, fingerprint %d", seed, fingerprint)
 		}
 		sent, refused = sent+p.harmlessSent, refused+p.harmlessRefused
 	}
@@ -213,23 +213,23 @@
 		p := newCrashSim(t, seed)
 		crashes, late := make(map[quarantine.Content]int), make(map[quarantine.Content]int)
 		for range 30 {
-			var contents []quarantine.Content
-			for content := crashingFingerprint; content < crashingFingerprint+2; content++ {
+			var fingerprints []quarantine.Content
+			for fingerprint := crashingFingerprint; fingerprint < crashingFingerprint+2; fingerprint++ {
 				for range p.random.IntN(4) {
-					contents = append(contents, content)
+					fingerprints = append(fingerprints, fingerprint)
 				}
 			}
-			for content, servers := range p.crashTogether(contents) {
-				if crashes[content] >= quarantine.CrashesMost {
-					late[content] += servers
+			for fingerprint, servers := range p.crashTogether(fingerprints) {
+				if crashes[fingerprint] >= quarantine.CrashesMost {
+					late[fingerprint] += servers
 				}
-				crashes[content] += servers
+				crashes[fingerprint] += servers
 			}
 			p.pass()
 			p.pass()
 		}
-		for content, servers := range late {
-			require.LessOrEqual(t, servers, 3, "seed %d, fingerprint %d, %d in total", seed, content, crashes[content])
+		for fingerprint, servers := range late {
+			require.LessOrEqual(t, servers, 3, "seed %d, fingerprint %d, %d in total", seed, fingerprint, crashes[fingerprint])
 		}
 	}
 }
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -166,8 +166,8 @@
 	jitter := float64(xxhash.Sum64String(r.Team)^uint64(r.ID)*0x9e3779b97f4a7c15) / (1 << 64)
 	after := milliseconds(backlog) + time.Duration(float64(r.Objective)*(0.5+jitter))
 	if n == 0 {
-		soonest, _ := p.shortestBackoff(now, r.Regions)
-		after += soonest
+		backoff, _ := p.shortestBackoff(now, r.Regions)
+		after += backoff
 	}
 	if reason == ReasonShare {
 		after += m.allowanceDelay(now, r.Team)
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -83,23 +83,23 @@
 	if p.gate == nil {
 		return
 	}
-	seen := &r.observed
+	observed := &r.observed
 	switch {
 	case msg.Outcome == Failed:
 		m.reportFailure(msg.Now, p, r, s)
 	case msg.Outcome == Hung:
-		if !msg.Slow && seen.firstEventAt == 0 && s.respondedToOthers(r.sentAt, msg.Now) {
+		if !msg.Slow && observed.firstEventAt == 0 && s.respondedToOthers(r.sentAt, msg.Now) {
 			m.reportResponse(msg.Now, r, s, false, true)
 		}
 	case msg.Outcome != Done:
 		// Such an outcome is not evidence, but the start of the stream is.
-		if seen.firstEventAt > 0 && !seen.reported {
-			m.reportSpeed(msg.Now, p, r, s, false, seen.firstEventSpeed)
+		if observed.firstEventAt > 0 && !observed.reported {
+			m.reportSpeed(msg.Now, p, r, s, false, observed.firstEventSpeed)
 		}
-	case seen.reported:
+	case observed.reported:
 		m.reportSpeed(msg.Now, p, r, s, true, m.compareStream(msg.Now, p, r, s))
-	case seen.firstEventAt > 0:
-		m.reportSpeed(msg.Now, p, r, s, false, seen.firstEventSpeed)
+	case observed.firstEventAt > 0:
+		m.reportSpeed(msg.Now, p, r, s, false, observed.firstEventSpeed)
 	default:
 		m.reportSpeed(msg.Now, p, r, s, false, m.compareFirstEvent(msg.Now, p, r, s))
 	}
@@ -117,13 +117,13 @@
 
 // reportSpeed reports a response that did not fail. If a response of the target version can't
 // be compared, it is held back until a failure occurs.
-func (m *Machine) reportSpeed(now time.Duration, p *pool, r *run, s *server, afterStart bool, is speed) {
-	if s.target && is == unknownSpeed && r.observed.eligible {
+func (m *Machine) reportSpeed(now time.Duration, p *pool, r *run, s *server, afterStart bool, rating speed) {
+	if s.target && rating == unknownSpeed && r.observed.eligible {
 		r.observed.reported = true
 		p.gate.unrated.hold(unratedKey{r.Route, s.cohort, afterStart})
 		return
 	}
-	m.reportResponse(now, r, s, afterStart, is == slowSpeed)
+	m.reportResponse(now, r, s, afterStart, rating == slowSpeed)
 }
 
 // reportFailure reports a failure, and before it the responses that were held back, so that the
@@ -131,9 +131,9 @@
 func (m *Machine) reportFailure(now time.Duration, p *pool, r *run, s *server) {
 	afterStart := r.observed.reported
 	if s.target && r.observed.eligible {
-		for _, afterStart := range []bool{false, true} {
-			for range p.gate.unrated.take(unratedKey{r.Route, s.cohort, afterStart}) {
-				m.reportResponse(now, r, s, afterStart, false)
+		for _, heldAfterStart := range []bool{false, true} {
+			for range p.gate.unrated.take(unratedKey{r.Route, s.cohort, heldAfterStart}) {
+				m.reportResponse(now, r, s, heldAfterStart, false)
 			}
 		}
 	}
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -36,13 +36,13 @@
 // stream runs one request to its end at a server that reads 60 tokens per millisecond and
 // writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
 // target version read uncached tokens in addition.
-func (b *bench) stream(r Request, slow slowFactors, uncached int) []rollout.AnswerMsg {
+func (b *bench) stream(r Request, factors slowFactors, uncached int) []rollout.AnswerMsg {
 	cmds := b.arrive(r)
 	c, ok := find[SendCmd](cmds)
 	require.True(b.t, ok)
-	times, read := slow.old, r.ownTokens()
+	times, read := factors.old, r.ownTokens()
 	if c.Basis.Target {
-		times = slow.target
+		times = factors.target
 		read += uncached
 	}
 	b.now += milliseconds(times * (10 + float64(read)/60))
@@ -52,20 +52,20 @@
 }
 
 // streams runs requests one after the other and counts the evidence.
-func (b *bench) streams(n int, slow slowFactors) (begun, later, old tally) {
+func (b *bench) streams(n int, factors slowFactors) (starts, later, old tally) {
 	for range n {
-		for _, a := range b.stream(b.routeRequest("chat"), slow, 0) {
+		for _, a := range b.stream(b.routeRequest("chat"), factors, 0) {
 			switch {
 			case !a.Target:
 				old.add(a.Bad)
 			case a.Later:
 				later.add(a.Bad)
 			default:
-				begun.add(a.Bad)
+				starts.add(a.Bad)
 			}
 		}
 	}
-	return begun, later, old
+	return starts, later, old
 }
 
 // TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
@@ -74,19 +74,19 @@
 	b := newRolloutBench(t, canaryGate(0.5))
 	_, _, old := b.streams(60, slowFactors{1, 1})
 	require.Zero(t, old.bad)
-	begun, later, old := b.streams(100, slowFactors{1, 4})
-	require.Zero(t, begun.good)
+	starts, later, old := b.streams(100, slowFactors{1, 4})
+	require.Zero(t, starts.good)
 	require.Zero(t, later.good)
-	require.Greater(t, begun.bad, 30)
-	require.Equal(t, begun.bad, later.bad)
+	require.Greater(t, starts.bad, 30)
+	require.Equal(t, starts.bad, later.bad)
 	require.Zero(t, old.bad)
 
 	b = newRolloutBench(t, canaryGate(0.5))
 	b.streams(60, slowFactors{1, 1})
 	b.streams(200, slowFactors{4, 4})
-	begun, later, _ = b.streams(100, slowFactors{4, 4})
-	require.Greater(t, begun.good, 30)
-	require.Zero(t, begun.bad)
+	starts, later, _ = b.streams(100, slowFactors{4, 4})
+	require.Greater(t, starts.good, 30)
+	require.Zero(t, starts.bad)
 	require.Zero(t, later.bad)
 }
 
@@ -155,10 +155,10 @@
 
 // seedBaseline sets the speed of old servers for a route.
 func (b *bench) seedBaseline(route string) {
-	pace := b.m.pool("llm").baseline.routes.of(route)
+	baseline := b.m.pool("llm").baseline.routes.of(route)
 	for range baselineMinResponses {
-		pace.delayRatio.add(1, minFirstEventMS)
-		pace.tokenMS.add(5, minTokenMS)
+		baseline.delayRatio.add(1, minFirstEventMS)
+		baseline.tokenMS.add(5, minTokenMS)
 	}
 }
 
@@ -241,7 +241,7 @@
 // TestRolloutEvidenceOfSilence counts a timeout as slow only if the server responds to others
 // meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
-	for _, answering := range []bool{false, true} {
+	for _, responding := range []bool{false, true} {
 		b := newRolloutBench(t, canaryGate(1))
 		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 1, "v2")})
 		b.pass(2 * lapseHold)
@@ -249,11 +249,11 @@
 		b.sent(b.arrive(silent))
 		b.sent(b.arrive(other))
 		b.pass(time.Second)
-		if answering {
+		if responding {
 			b.complete(other.ID)
 		}
 		got := responsesIn(b.end(silent.ID, Hung, false))
-		require.Equal(t, answering, len(got) == 1 && got[0].Bad && !got[0].Later)
+		require.Equal(t, responding, len(got) == 1 && got[0].Bad && !got[0].Later)
 	}
 }
 
@@ -283,8 +283,8 @@
 // TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
 	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-	begun, later, old := b.streams(20, slowFactors{1, 1})
-	require.Equal(t, []tally{{}, {}, {}}, []tally{begun, later, old})
+	starts, later, old := b.streams(20, slowFactors{1, 1})
+	require.Equal(t, []tally{{}, {}, {}}, []tally{starts, later, old})
 }
 
 // TestRolloutCohorts checks that cohorts are halls, and parts of the hall if the target version
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -40,11 +40,11 @@
 // simRequest is a running attempt.
 type simRequest struct {
 	Request
-	version   string
-	reached   bool
-	begun     bool
-	moved     bool
-	attempted int
+	version string
+	reached bool
+	started bool
+	moved   bool
+	attempt int
 }
 
 // TestRolloutRules checks random histories of several routers against the counts of their
@@ -221,15 +221,15 @@
 	require.False(s.t, !target && r.gate.OldClosed, "request to an old version after these were closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
-		seen := s.parts[part.ID]
+		ranges := s.parts[part.ID]
 		switch {
 		case c.Basis.Side == SideOld:
-			seen.old = max(seen.old, r.gate.Part)
-		case c.Basis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Part < seen.target):
-			seen.target = r.gate.Part
+			ranges.old = max(ranges.old, r.gate.Part)
+		case c.Basis.Side == SideTarget && c.Attempt == 1 && (ranges.target == 0 || r.gate.Part < ranges.target):
+			ranges.target = r.gate.Part
 		}
-		s.parts[part.ID] = seen
-		require.False(s.t, seen.target > 0 && seen.old >= seen.target, "prompt part %d is on both sides: %v", part.ID, seen)
+		s.parts[part.ID] = ranges
+		require.False(s.t, ranges.target > 0 && ranges.old >= ranges.target, "prompt part %d is on both sides: %v", part.ID, ranges)
 	}
 	reached := rapid.IntRange(0, 5).Draw(s.t, "reaches") > 0
 	if reached {
@@ -238,14 +238,14 @@
 			s.target++
 		}
 	}
-	r.running = append(r.running, &simRequest{Request: request, version: c.Server.Version, reached: reached, attempted: c.Attempt})
+	r.running = append(r.running, &simRequest{Request: request, version: c.Server.Version, reached: reached, attempt: c.Attempt})
 }
 
 func (s *gateSim) move(r *simRouter, c MoveCmd) {
 	for _, q := range r.running {
 		if q.ID == c.ID {
 			require.Equal(s.t, "v1", q.version)
-			require.True(s.t, q.MayRepeat && q.attempted < q.Attempts, "moved, but may not be repeated")
+			require.True(s.t, q.MayRepeat && q.attempt < q.Attempts, "moved, but may not be repeated")
 			require.False(s.t, q.moved, "moved twice")
 			q.moved = true
 			return
@@ -257,8 +257,8 @@
 func (s *gateSim) first() {
 	r := s.drawRouter()
 	for _, q := range r.running {
-		if q.reached && !q.begun {
-			q.begun = true
+		if q.reached && !q.started {
+			q.started = true
 			s.update(r, FirstMsg{Now: s.now, ID: q.ID})
 			return
 		}
@@ -274,7 +274,7 @@
 	q := r.running[i]
 	outcomes := []Outcome{Unsent, Elsewhere, Broken, Hung, GivenUp}
 	switch {
-	case q.begun:
+	case q.started:
 		outcomes = []Outcome{Done, Failed, Broken, Hung, GivenUp}
 	case q.reached:
 		outcomes = []Outcome{Done, Failed, NotRun, Broken, Hung, GivenUp}
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -38,8 +38,8 @@
 }
 
 // canaryGate returns a gate that admits a part of the requests, without a limit on their count.
-func canaryGate(part float64) rollout.Gate {
-	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: part, Limit: 1, Servers: 1}
+func canaryGate(fraction float64) rollout.Gate {
+	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: fraction, Limit: 1, Servers: 1}
 }
 
 func (b *bench) gate(g rollout.Gate) []Cmd {
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestRolloutPartZero sends no requests to the target version.
-func TestRolloutPartZero(t *testing.T) {
+// TestRolloutFractionZero sends no requests to the target version.
+func TestRolloutFractionZero(t *testing.T) {
 	b := newRolloutBench(t, canaryGate(0))
 	require.Equal(t, map[string]int{"v1": 200}, b.countByVersion("chat", 200))
 }
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -68,16 +68,16 @@
 // shortestBackoff returns the shortest remaining backoff of the servers that would otherwise
 // get requests of these regions, and whether there is one.
 func (p *pool) shortestBackoff(now time.Duration, regions Regions) (time.Duration, bool) {
-	soonest, found := time.Duration(0), false
+	shortest, found := time.Duration(0), false
 	for _, s := range p.order {
 		if !s.inBackoff(now) || !s.available() || !regions.Allows(s.region) {
 			continue
 		}
-		if left := s.notices.backoffUntil - now; !found || left < soonest {
-			soonest, found = left, true
+		if left := s.notices.backoffUntil - now; !found || left < shortest {
+			shortest, found = left, true
 		}
 	}
-	return soonest, found
+	return shortest, found
 }
 
 // applyLeaving stops sending to a server that announced that it is leaving.
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// lostThreshold is the number of servers of a data hall that must turn out to be
+	// minUnreachable is the number of servers of a data hall that must turn out to be
 	// unreachable in a row, without a response of any other, before the hall counts as lost. If
 	// one server in six is down, three in a row without a response between them are one case in
 	// 200.
-	lostThreshold = 3
+	minUnreachable = 3
 	// lostWindow is the maximum time between the first and the last of them.
 	lostWindow = time.Second
-	// recentResponse is the maximum age of a response that keeps a hall without router
+	// maxResponseAge is the maximum age of a response that keeps a hall without router
 	// heartbeats from being probed. It is several times the usual time to a first event.
-	recentResponse = 250 * time.Millisecond
+	maxResponseAge = 250 * time.Millisecond
 	// probesPerRound is the number of servers of a hall that are probed at once.
 	probesPerRound = 3
 	// minProbeInterval and maxProbeInterval bound the time between two rounds of probes of a
@@ -77,7 +77,7 @@
 		h.firstUnreachableAt = now
 	}
 	h.unreachable[s.ID] = true
-	if !h.lost && len(h.unreachable) >= min(lostThreshold, m.countHallServers(s.Zone)) && m.uses(HallReach) {
+	if !h.lost && len(h.unreachable) >= min(minUnreachable, m.countHallServers(s.Zone)) && m.uses(HallReach) {
 		m.setHallLost(now, s.Zone, h, true)
 	}
 }
@@ -124,7 +124,7 @@
 func (m *Machine) probeHalls(now time.Duration) {
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
-		suspected := h.routersSilent && now-h.respondedAt > recentResponse
+		suspected := h.routersSilent && now-h.respondedAt > maxResponseAge
 		if now < h.nextProbeAt || !m.uses(HallReach) || (!h.lost && !suspected) {
 			continue
 		}
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -128,7 +128,7 @@
 // that.
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
 	b := newHallBench(t, 60)
-	for i := range lostThreshold {
+	for i := range minUnreachable {
 		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
 	require.Zero(t, b.countByHall(100 * time.Millisecond)["b"])
@@ -160,7 +160,7 @@
 // TestLateRouterLosesNoHall checks that a router that is late itself marks no hall as lost.
 func TestLateRouterLosesNoHall(t *testing.T) {
 	b := newHallBench(t, 60)
-	for i := range 2 * lostThreshold {
+	for i := range 2 * minUnreachable {
 		b.m.Update(ProbeMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), Slow: true})
 	}
 	require.NotZero(t, b.countByHall(time.Second)["b"])
