--- a/direct/baseline.go
+++ b/direct/baseline.go
@@ -33,28 +33,28 @@
 
 // updateRate updates the reading speed with the time to a first event at an old server.
 func (b *baseline) updateRate(tokens int, elapsed, initial float64) {
-	if tokens < learnFromTokens {
+	if tokens < minRateSampleTokens {
 		return
 	}
 	if b.tokensPerMS == 0 {
 		b.tokensPerMS = initial
 	}
-	b.tokensPerMS += learnStep / 4 * (readingRate(tokens, elapsed) - b.tokensPerMS)
+	b.tokensPerMS += rateWeight / 4 * (measuredTokenRate(tokens, elapsed) - b.tokensPerMS)
 }
 
 // expectedMS returns the expected milliseconds to the first event of a request that is sent
 // now, or to its whole response, before the route's delayRatio is applied.
-func (p *pool) expectedMS(r *run, s *server) float64 {
+func (p *pool) expectedMS(r *requestState, s *server) float64 {
 	if p.engine == nil {
 		slots := max(s.Slots, 1)
-		excess := max(s.allRunning()-slots, 0)
-		return plainLatencyInit * (1 + float64(excess)/float64(slots))
+		excess := max(s.totalRunning()-slots, 0)
+		return initialPlainLatencyMS * (1 + float64(excess)/float64(slots))
 	}
 	rate := p.baseline.tokensPerMS
 	if rate == 0 {
 		rate = p.tokenRate
 	}
-	return float64(firstEventBase/time.Millisecond) + float64(r.ahead)/max(rate, 1)
+	return float64(firstEventOverhead/time.Millisecond) + float64(r.tokensAhead)/max(rate, 1)
 }
 
 // geometricMean is a running geometric mean. A few very late responses hardly move it.
--- a/direct/canary.go
+++ b/direct/canary.go
@@ -39,7 +39,7 @@
 		return out
 	}
 	slices.SortFunc(out, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(rank(canarySeed, b), rank(canarySeed, a)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(rendezvousWeight(canarySeed, b), rendezvousWeight(canarySeed, a)), cmp.Compare(a.ID, b.ID))
 	})
 	out = cohortLeadersFirst(out)[:limit]
 	sortByID(out)
@@ -84,7 +84,7 @@
 	if !oneHall {
 		return s.Zone
 	}
-	return fmt.Sprintf("%s/%d", s.Zone, s.key%cohortsPerHall)
+	return fmt.Sprintf("%s/%d", s.Zone, s.loadKey%cohortsPerHall)
 }
 
 // inOneHall reports whether there are servers and all of them are in one data hall.
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -69,37 +69,37 @@
 }
 
 // recordCrashEvidence updates the suspects with the outcome of an attempt.
-func (m *Machine) recordCrashEvidence(now time.Duration, r *run, s *server, o Outcome) {
-	if r.Content == 0 || !m.uses(Quarantine) {
+func (m *Machine) recordCrashEvidence(now time.Duration, r *requestState, s *server, o Outcome) {
+	if r.Fingerprint == 0 || !m.enabled(Quarantine) {
 		return
 	}
 	switch {
 	case o == Done:
-		m.suspects.Answered(now, r.Content)
+		m.suspects.Answered(now, r.Fingerprint)
 	case r.clearedOfCrash(now): // a request that crashes servers does so sooner
 	case o == Broken, o == Hung:
 		// A server may crash after the attempt has timed out: a busy server starts to run it
 		// late.
 		m.suspectIfCrashed(now, r, s)
 	case o == GivenUp, o == Moved:
-		s.blamed.addAbandoned(now, r.Content)
+		s.blamed.addAbandoned(now, r.Fingerprint)
 	}
 }
 
 // clearedOfCrash reports whether the attempt has run too long to be the cause of a crash.
-func (r *run) clearedOfCrash(now time.Duration) bool {
-	return r.firstAt > 0 && now-r.firstAt >= clearedAfter
+func (r *requestState) clearedOfCrash(now time.Duration) bool {
+	return r.firstEventAt > 0 && now-r.firstEventAt >= clearedAfter
 }
 
 // suspectIfCrashed records a broken attempt as a suspect if its server has crashed, and starts
 // a probe if that is not known yet.
-func (m *Machine) suspectIfCrashed(now time.Duration, r *run, s *server) {
+func (m *Machine) suspectIfCrashed(now time.Duration, r *requestState, s *server) {
 	check := &s.blamed
 	if check.crashed && now-check.crashedAt < crashWindow {
-		m.suspects.Crashed(now, r.Content, quarantine.Server(s.key))
+		m.suspects.Crashed(now, r.Fingerprint, quarantine.Server(s.loadKey))
 		return
 	}
-	check.awaitingProbe = append(check.awaitingProbe, r.Content)
+	check.awaitingProbe = append(check.awaitingProbe, r.Fingerprint)
 	if len(check.awaitingProbe) == 1 {
 		m.emit(ProbeCmd{Server: s.Server})
 	}
@@ -108,25 +108,25 @@
 // resolveCrashCheck handles the result of a probe of a server with broken attempts and reports
 // whether the server has crashed. Only a refused connection proves a crash: if the host doesn't
 // respond, the network may have failed.
-func (m *Machine) resolveCrashCheck(msg ProbeMsg, s *server) bool {
+func (m *Machine) resolveCrashCheck(msg ProbeResultMsg, s *server) bool {
 	check := &s.blamed
 	if len(check.awaitingProbe) == 0 {
 		return false
 	}
 	if msg.Reached && check.reachedAt == 0 {
 		check.reachedAt = msg.Now
-		m.reprobed = append(m.reprobed, s)
+		m.pendingReprobes = append(m.pendingReprobes, s)
 		return false
 	}
 	fingerprints := check.awaitingProbe
 	check.awaitingProbe, check.reachedAt = nil, 0
-	if !msg.Refused {
+	if !msg.ConnRefused {
 		return false
 	}
 	check.crashed, check.crashedAt = true, msg.Now
 	fingerprints = append(fingerprints, check.takeAbandoned(msg.Now)...)
 	for _, f := range fingerprints {
-		m.suspects.Crashed(msg.Now, f, quarantine.Server(s.key))
+		m.suspects.Crashed(msg.Now, f, quarantine.Server(s.loadKey))
 	}
 	m.emit(CrashCmd{Server: s.Server, Suspects: fingerprints})
 	return true
@@ -134,8 +134,8 @@
 
 // reprobe probes the servers again that a probe has reached during a crash check.
 func (m *Machine) reprobe(now time.Duration) {
-	kept := m.reprobed[:0]
-	for _, s := range m.reprobed {
+	kept := m.pendingReprobes[:0]
+	for _, s := range m.pendingReprobes {
 		switch {
 		case len(s.blamed.awaitingProbe) == 0:
 		case now-s.blamed.reachedAt < reprobeDelay:
@@ -144,13 +144,13 @@
 			m.emit(ProbeCmd{Server: s.Server})
 		}
 	}
-	clear(m.reprobed[len(kept):])
-	m.reprobed = kept
+	clear(m.pendingReprobes[len(kept):])
+	m.pendingReprobes = kept
 }
 
 // mergeSuspects merges the suspects of another router's report.
 func (m *Machine) mergeSuspects(now time.Duration, report Report) {
-	if !m.uses(Quarantine) {
+	if !m.enabled(Quarantine) {
 		return
 	}
 	m.suspects.Hear(now, report.Suspects)
@@ -159,10 +159,10 @@
 
 // expireSuspects removes old suspects, once per suspectExpiryInterval.
 func (m *Machine) expireSuspects(now time.Duration) {
-	if now-m.suspectsDroppedAt < suspectExpiryInterval {
+	if now-m.suspectsPrunedAt < suspectExpiryInterval {
 		return
 	}
-	m.suspectsDroppedAt = now
+	m.suspectsPrunedAt = now
 	m.suspects.Drop(now)
 }
 
--- a/direct/drain.go
+++ b/direct/drain.go
@@ -12,11 +12,11 @@
 
 // lastResortDuration returns how long a leaving server is used if no other server is available.
 func (m *Machine) lastResortDuration() time.Duration {
-	return m.limitToDrain(lastResortTime, lastResortFraction)
+	return m.limitToDrain(maxLastResortTime, lastResortFraction)
 }
 
 // lapseDuration returns how long servers are used after their entries have lapsed.
-func (m *Machine) lapseDuration() time.Duration { return m.limitToDrain(lapseHold, lapseFraction) }
+func (m *Machine) lapseDuration() time.Duration { return m.limitToDrain(maxLapseGrace, lapseFraction) }
 
 // limitToDrain returns limit, or a fraction of the drain time if that is known and shorter.
 func (m *Machine) limitToDrain(limit time.Duration, fraction float64) time.Duration {
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -19,31 +19,31 @@
 )
 
 // endAttempt handles the end of an attempt and decides whether to retry.
-func (m *Machine) endAttempt(msg EndMsg) {
-	r := m.runs[msg.ID]
-	if r == nil || r.at == nil {
+func (m *Machine) endAttempt(msg AttemptEndMsg) {
+	r := m.requests[msg.ID]
+	if r == nil || r.currentServer == nil {
 		return
 	}
 	p := m.pool(r.Service)
-	s := r.at
-	r.at = nil
+	s := r.currentServer
+	r.currentServer = nil
 	s.release(r)
 	m.refund(msg.Now, r, msg.Outcome)
 	m.recordCrashEvidence(msg.Now, r, s, msg.Outcome)
 	m.observeEnd(p, msg, r, s)
 	p.recordEnded(r, s, msg.Outcome)
 	switch {
-	case msg.Outcome == Unsent && msg.Refused && s.lapsedAt > 0:
+	case msg.Outcome == Unsent && msg.ConnRefused && s.lapsedAt > 0:
 		m.dropRefusing(msg.Now, p, s)
-	case !msg.Slow || msg.Outcome == Done:
+	case !msg.RouterLate || msg.Outcome == Done:
 		m.recordOutcome(msg.Now, p, s, msg.Outcome)
 	}
 	if msg.Retry {
 		m.retry(msg.Now, p, r, msg.Outcome)
 	} else {
-		delete(m.runs, r.ID)
+		delete(m.requests, r.ID)
 	}
-	m.serve(msg.Now, p, serveEach)
+	m.serveQueue(msg.Now, p, serveBatch)
 }
 
 // recordOutcome updates the health of a server with the outcome of an attempt.
@@ -56,14 +56,14 @@
 	}
 	switch o {
 	case Done:
-		if s.succeeded() {
-			s.pause /= 2
-			m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBack, Cause: "answered"})
+		if s.recordSuccess() {
+			s.lastPause /= 2
+			m.emit(ServerStatusCmd{Server: s.Server, Status: StatusRestored, Cause: "answered"})
 		}
 	case NotRun:
-		s.fullUntil = now + fullPause
+		s.fullUntil = now + defaultFullPause
 	case Unsent, Elsewhere:
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.down(now)})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.markDown(now)})
 	case Failed, Broken:
 		m.recordFailure(now, p, s, 1, o)
 	case Hung:
@@ -73,19 +73,19 @@
 
 func (m *Machine) recordFailure(now time.Duration, p *pool, s *server, weight int, o Outcome) {
 	side := p.sameSide(s)
-	if !s.failed(weight, medianFailures(side)) || mostEjected(now, side) || !m.uses(Ejection) {
+	if !s.recordFailure(weight, medianFailureRate(side)) || ejectionCapReached(now, side) || !m.enabled(Ejection) {
 		return
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefEjected, Cause: o.String(), For: s.eject(now)})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusEjected, Cause: o.String(), For: s.eject(now)})
 }
 
 // retry decides whether a request whose last attempt was unsuccessful gets another one.
-func (m *Machine) retry(now time.Duration, p *pool, r *run, o Outcome) {
+func (m *Machine) retry(now time.Duration, p *pool, r *requestState, o Outcome) {
 	switch o {
 	case Unsent, Withheld:
 		r.attempt--
-		r.unsent++
-		if r.unsent >= unsentTries {
+		r.unsentAttempts++
+		if r.unsentAttempts >= maxUnsentAttempts {
 			m.giveUp(now, p, r, ReasonNoServers)
 			return
 		}
@@ -93,70 +93,70 @@
 		return
 	case NotRun, Elsewhere:
 	default:
-		r.mayRan = true
+		r.mayHaveRun = true
 		if !r.MayRepeat {
-			m.giveUp(now, p, r, ReasonOnce)
+			m.giveUp(now, p, r, ReasonAtMostOnce)
 			return
 		}
 	}
 	switch {
 	// The probe that detects a crash is still running, and a retry might crash a fourth server.
-	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneMore(r.Content):
-		m.giveUp(now, p, r, ReasonCrashes)
+	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneMore(r.Fingerprint):
+		m.giveUp(now, p, r, ReasonQuarantined)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
 	case r.attempt >= r.Attempts:
 		m.giveUp(now, p, r, ReasonAttempts)
 	case o == Moved && r.placement.moving: // the move was charged to the budget already
 		m.enqueue(now, p, r)
-	case !p.budget.spend(now, m.options.Budget, m.routers):
-		m.giveUp(now, p, r, ReasonBudget)
+	case !p.retryWindow.trySpend(now, m.options.RetryBudget, m.routers):
+		m.giveUp(now, p, r, ReasonRetryBudget)
 	default:
 		m.enqueue(now, p, r)
 	}
 }
 
 // refuseWaiting refuses a queued request.
-func (m *Machine) refuseWaiting(now time.Duration, p *pool, r *run) {
+func (m *Machine) refuseWaiting(now time.Duration, p *pool, r *requestState) {
 	p.queue.remove(r)
 	reason := ReasonOverload
 	switch {
-	case len(p.order) == 0:
+	case len(p.admitted) == 0:
 		reason = ReasonNoServers
-	case r.above:
-		reason = ReasonShare
+	case r.throttled:
+		reason = ReasonOverShare
 	}
 	m.giveUp(now, p, r, reason)
 }
 
 // giveUp ends a request. It is refused if it has certainly not run, and fails otherwise.
-func (m *Machine) giveUp(now time.Duration, p *pool, r *run, reason Reason) {
+func (m *Machine) giveUp(now time.Duration, p *pool, r *requestState, reason Reason) {
 	r.waiting = false
-	delete(m.runs, r.ID)
-	if r.mayRan {
+	delete(m.requests, r.ID)
+	if r.mayHaveRun {
 		m.emit(FailCmd{ID: r.ID, Reason: reason})
 		return
 	}
-	m.emit(RefuseCmd{ID: r.ID, Reason: reason, After: m.retryAfter(now, p, r, reason), Share: r.over})
+	m.emit(RefuseCmd{ID: r.ID, Reason: reason, RetryAfter: m.retryAfter(now, p, r, reason), Share: r.shareRatio})
 }
 
 // retryAfter returns when a refused request is expected to find capacity: when the servers have
 // processed their backlog or, if none takes requests, when the first backoff ends. An offset of
 // 0.5 to 1.5 objectives, by a hash of team and ID, keeps callers from returning all at once. A
 // team above its share also waits for its allowance.
-func (m *Machine) retryAfter(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
-	if reason == ReasonCrashes {
+func (m *Machine) retryAfter(now time.Duration, p *pool, r *requestState, reason Reason) time.Duration {
+	if reason == ReasonQuarantined {
 		return quarantine.Hold
 	}
 	backlog, n := 0.0, 0
-	for _, s := range p.order {
-		if !s.takes(now, r.Regions) {
+	for _, s := range p.admitted {
+		if !s.accepts(now, r.Regions) {
 			continue
 		}
 		if p.engine != nil {
-			backlog += float64(s.allPending()) / p.rateOf(s)
+			backlog += float64(s.totalPending()) / p.tokenRateOf(s)
 		} else {
-			backlog += s.latency * float64(s.allRunning()) / float64(max(s.Slots, 1))
+			backlog += s.latencyMS * float64(s.totalRunning()) / float64(max(s.Slots, 1))
 		}
 		n++
 	}
@@ -169,7 +169,7 @@
 		backoff, _ := p.shortestBackoff(now, r.Regions)
 		after += backoff
 	}
-	if reason == ReasonShare {
+	if reason == ReasonOverShare {
 		after += m.allowanceDelay(now, r.Team)
 	}
 	return after
@@ -179,12 +179,12 @@
 // served lately. A caller that returns sooner finds other requests of its team ahead of it.
 func (m *Machine) allowanceDelay(now time.Duration, name string) time.Duration {
 	t := m.team(name)
-	bounds := m.boundsOf(t)
-	rate := min(bounds.level, bounds.even)
+	bounds := m.limitsOf(t)
+	rate := min(bounds.level, bounds.evenCap)
 	if rate <= 0 || math.IsInf(rate, 0) {
 		return minAllowanceDelay
 	}
-	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * useWindow.Seconds()
+	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * usageWindow.Seconds()
 	seconds := min(unserved/rate, maxAllowanceDelay.Seconds())
 	return max(time.Duration(seconds*float64(time.Second)), minAllowanceDelay)
 }
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -10,10 +10,10 @@
 // get no new requests; running requests continue. The routers of the hall continue to work:
 // only its servers are out of use.
 func (m *Machine) applyEvacuations(msg EvacuationsMsg) {
-	if msg.Evacuations.Revision < m.evacuationsAt {
+	if msg.Evacuations.Revision < m.evacuationsRevision {
 		return
 	}
-	m.evacuationsAt = msg.Evacuations.Revision
+	m.evacuationsRevision = msg.Evacuations.Revision
 	halls := make(map[string]bool, len(msg.Evacuations.Halls))
 	for _, hall := range msg.Evacuations.Halls {
 		halls[hall] = true
@@ -30,7 +30,7 @@
 			}
 		}
 		p.updateEligible()
-		m.serve(msg.Now, p, maxQueued)
+		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
 
@@ -38,7 +38,7 @@
 // have become cold shortly before, and its entry shows that only after its next heartbeat. If
 // it is warm, it gets requests at the cold rate for a few seconds.
 func (m *Machine) markReturnedCold(now time.Duration, p *pool, s *server) {
-	m.noteCold(now, s, p.cold.Lasts, "its data hall was evacuated")
+	m.markCold(now, s, p.cold.Lasts, "its data hall was evacuated")
 }
 
 // emitHallChanges emits the differences from an earlier set of evacuated halls.
@@ -55,6 +55,6 @@
 				servers++
 			}
 		}
-		m.emit(HallCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsAt, Servers: servers})
+		m.emit(EvacuationCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsRevision, Servers: servers})
 	}
 }
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -40,46 +40,46 @@
 }
 
 // startObservation starts the observation of an attempt that has just been sent.
-func (m *Machine) startObservation(now time.Duration, p *pool, r *run, s *server) {
+func (m *Machine) startObservation(now time.Duration, p *pool, r *requestState, s *server) {
 	if p.gate == nil {
 		return
 	}
 	r.observed = observation{
-		eligible:   !s.cold.at(now) && now-s.listedAt >= evidenceDelay,
+		eligible:   !s.cold.active(now) && now-s.listedAt >= evidenceDelay,
 		expectedMS: p.expectedMS(r, s),
 	}
 }
 
 // observeFirstEvent handles the first event of an attempt. The start of a stream is reported at
 // the next tick, not here: if a failure follows at once, it counts instead of the good start.
-func (m *Machine) observeFirstEvent(now time.Duration, p *pool, r *run) {
+func (m *Machine) observeFirstEvent(now time.Duration, p *pool, r *requestState) {
 	if p.gate == nil || r.observed.firstEventAt > 0 {
 		return
 	}
 	p.gate.exposure.countReached(r)
-	r.at.answeredAt = now
+	r.currentServer.respondedAt = now
 	if r.Kind != Stream {
 		return
 	}
 	r.observed.firstEventAt = now
-	r.observed.firstEventSpeed = m.compareFirstEvent(now, p, r, r.at)
-	m.begun = append(m.begun, r)
+	r.observed.firstEventSpeed = m.compareFirstEvent(now, p, r, r.currentServer)
+	m.startedRequests = append(m.startedRequests, r)
 }
 
 // reportStreamStarts reports the start of each stream whose first event arrived since the last
 // tick.
 func (m *Machine) reportStreamStarts(now time.Duration) {
-	for i, r := range m.begun {
-		if r.at != nil && r.observed.firstEventAt > 0 && !r.observed.reported {
-			m.reportSpeed(now, m.pool(r.Service), r, r.at, false, r.observed.firstEventSpeed)
+	for i, r := range m.startedRequests {
+		if r.currentServer != nil && r.observed.firstEventAt > 0 && !r.observed.reported {
+			m.reportSpeed(now, m.pool(r.Service), r, r.currentServer, false, r.observed.firstEventSpeed)
 		}
-		m.begun[i] = nil
+		m.startedRequests[i] = nil
 	}
-	m.begun = m.begun[:0]
+	m.startedRequests = m.startedRequests[:0]
 }
 
 // observeEnd handles the end of an attempt.
-func (m *Machine) observeEnd(p *pool, msg EndMsg, r *run, s *server) {
+func (m *Machine) observeEnd(p *pool, msg AttemptEndMsg, r *requestState, s *server) {
 	if p.gate == nil {
 		return
 	}
@@ -88,7 +88,7 @@
 	case msg.Outcome == Failed:
 		m.reportFailure(msg.Now, p, r, s)
 	case msg.Outcome == Hung:
-		if !msg.Slow && observed.firstEventAt == 0 && s.respondedToOthers(r.sentAt, msg.Now) {
+		if !msg.RouterLate && observed.firstEventAt == 0 && s.respondedToOthers(r.sentAt, msg.Now) {
 			m.reportResponse(msg.Now, r, s, false, true)
 		}
 	case msg.Outcome != Done:
@@ -104,7 +104,7 @@
 		m.reportSpeed(msg.Now, p, r, s, false, m.compareFirstEvent(msg.Now, p, r, s))
 	}
 	if msg.Outcome == Done || msg.Outcome == Failed {
-		s.answeredAt = msg.Now
+		s.respondedAt = msg.Now
 	}
 }
 
@@ -112,15 +112,15 @@
 // the time that one request waited for it. A server that responds to nobody has stopped, which
 // is not evidence about its version.
 func (s *server) respondedToOthers(since, now time.Duration) bool {
-	return s.answeredAt > since+(now-since)/2
+	return s.respondedAt > since+(now-since)/2
 }
 
 // reportSpeed reports a response that did not fail. If a response of the target version can't
 // be compared, it is held back until a failure occurs.
-func (m *Machine) reportSpeed(now time.Duration, p *pool, r *run, s *server, afterStart bool, rating speed) {
+func (m *Machine) reportSpeed(now time.Duration, p *pool, r *requestState, s *server, afterStart bool, rating speed) {
 	if s.target && rating == unknownSpeed && r.observed.eligible {
 		r.observed.reported = true
-		p.gate.unrated.hold(unratedKey{r.Route, s.cohort, afterStart})
+		p.gate.unrated.add(unratedKey{r.Route, s.cohort, afterStart})
 		return
 	}
 	m.reportResponse(now, r, s, afterStart, rating == slowSpeed)
@@ -128,7 +128,7 @@
 
 // reportFailure reports a failure, and before it the responses that were held back, so that the
 // failure is weighed against them.
-func (m *Machine) reportFailure(now time.Duration, p *pool, r *run, s *server) {
+func (m *Machine) reportFailure(now time.Duration, p *pool, r *requestState, s *server) {
 	afterStart := r.observed.reported
 	if s.target && r.observed.eligible {
 		for _, heldAfterStart := range []bool{false, true} {
@@ -141,22 +141,22 @@
 }
 
 // reportResponse emits one response as evidence about the version of its server.
-func (m *Machine) reportResponse(now time.Duration, r *run, s *server, afterStart, bad bool) {
+func (m *Machine) reportResponse(now time.Duration, r *requestState, s *server, afterStart, bad bool) {
 	g := m.pool(r.Service).gate
 	r.observed.reported = true
 	if g.Target == "" || !r.observed.eligible || (!s.target && !g.Uses(s.Version)) {
 		return
 	}
-	m.emit(AnswerCmd{Answer: rollout.AnswerMsg{
+	m.emit(ResponseCmd{Response: rollout.AnswerMsg{
 		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: afterStart, Bad: bad,
 	}})
 }
 
 // compareFirstEvent compares the time to a first event, or to a whole response, with the
 // expected time of old servers. Responses of old servers then update the baseline.
-func (m *Machine) compareFirstEvent(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) compareFirstEvent(now time.Duration, p *pool, r *requestState, s *server) speed {
 	elapsed := inMilliseconds(now - r.sentAt)
-	delay := &p.baseline.routes.of(r.Route).delayRatio
+	delay := &p.baseline.routes.get(r.Route).delayRatio
 	usual := delay.mean() * r.observed.expectedMS
 	rating := rateSpeed(delay, elapsed > slowFactor*usual+inMilliseconds(slowFirstEventMargin))
 	if !s.target && r.observed.eligible {
@@ -179,21 +179,21 @@
 
 // updateBaseline updates the baseline with the time in milliseconds that an old server took to
 // a first event or a whole response.
-func (p *pool) updateBaseline(r *run, elapsed float64) {
-	p.baseline.routes.of(r.Route).delayRatio.add(elapsed/r.observed.expectedMS, minFirstEventMS/r.observed.expectedMS)
+func (p *pool) updateBaseline(r *requestState, elapsed float64) {
+	p.baseline.routes.get(r.Route).delayRatio.add(elapsed/r.observed.expectedMS, minFirstEventMS/r.observed.expectedMS)
 	if p.engine != nil {
-		p.baseline.updateRate(r.ahead, elapsed, p.tokenRate)
+		p.baseline.updateRate(r.tokensAhead, elapsed, p.tokenRate)
 	}
 }
 
 // compareStream compares the time of a stream's tokens with that of streams of old servers.
-func (m *Machine) compareStream(now time.Duration, p *pool, r *run, s *server) speed {
+func (m *Machine) compareStream(now time.Duration, p *pool, r *requestState, s *server) speed {
 	if r.OutputTokens <= 0 {
 		return normalSpeed
 	}
 	tokens := float64(r.OutputTokens)
 	elapsed := inMilliseconds(now - r.observed.firstEventAt)
-	token := &p.baseline.routes.of(r.Route).tokenMS
+	token := &p.baseline.routes.get(r.Route).tokenMS
 	usual := token.mean() * tokens
 	rating := rateSpeed(token, elapsed > slowFactor*usual && elapsed > usual+inMilliseconds(slowStreamMargin))
 	if !s.target && r.observed.eligible {
--- a/direct/exposure.go
+++ b/direct/exposure.go
@@ -37,7 +37,7 @@
 
 // allows reports whether one more request of a route may go to the target version.
 func (e *exposure) allows(route string, limit float64) bool {
-	return limit >= 1 || (e.routes.of(route).allows(limit, routeBurst) && e.total.allows(limit, 0))
+	return limit >= 1 || (e.routes.get(route).allows(limit, routeBurst) && e.total.allows(limit, 0))
 }
 
 // allows reports whether one more attempt may go to the target version if it may exceed the
@@ -49,24 +49,24 @@
 // behind reports whether a route sends much less to the target version than the limit allows.
 // This happens if most of its requests share a few prompt parts, none of which has moved yet.
 func (e *exposure) behind(route string, limit float64) bool {
-	counts := e.routes.of(route)
+	counts := e.routes.get(route)
 	allowed := limit * float64(counts.reached)
 	return limit < 1 && allowed >= behindMinAllowed && float64(counts.toTarget) < behindFraction*allowed
 }
 
 // countTarget counts an attempt at a server of the target version.
 func (e *exposure) countTarget(route string) {
-	e.routes.of(route).toTarget++
+	e.routes.get(route).toTarget++
 	e.total.toTarget++
 }
 
 // countReached counts an attempt that is known to have reached a server.
-func (e *exposure) countReached(r *run) {
+func (e *exposure) countReached(r *requestState) {
 	if r.placement.counted || r.placement.targetEpoch != e.targetEpoch {
 		return
 	}
 	r.placement.counted = true
-	e.routes.of(r.Route).reached++
+	e.routes.get(r.Route).reached++
 	e.total.reached++
 }
 
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -30,7 +30,7 @@
 	p.gate.Gate = msg.Gate
 	p.gate.movePending = msg.Gate.Move
 	p.updateEligible()
-	m.serve(msg.Now, p, maxQueued)
+	m.serveQueue(msg.Now, p, maxQueued)
 	m.moveStreams(msg.Now, p)
 }
 
@@ -47,7 +47,7 @@
 func (p *pool) updateEligible() {
 	g := p.gate
 	if g == nil {
-		p.order = p.all
+		p.admitted = p.all
 		return
 	}
 	g.old, g.target = nil, nil
@@ -58,14 +58,14 @@
 		}
 	}
 	g.target = g.canaryServers(p.all)
-	p.order = make([]*server, 0, len(g.old)+len(g.target))
-	p.order = append(append(p.order, g.old...), g.target...)
-	sortByID(p.order)
+	p.admitted = make([]*server, 0, len(g.old)+len(g.target))
+	p.admitted = append(append(p.admitted, g.old...), g.target...)
+	sortByID(p.admitted)
 	for _, s := range p.all {
-		s.barred = true
+		s.versionBarred = true
 	}
-	for _, s := range p.order {
-		s.barred = false
+	for _, s := range p.admitted {
+		s.versionBarred = false
 	}
 	p.assignCohorts()
 }
@@ -81,7 +81,7 @@
 func (p *pool) side(target bool) []*server {
 	switch {
 	case p.gate == nil:
-		return p.order
+		return p.admitted
 	case target:
 		return p.gate.target
 	}
@@ -89,7 +89,7 @@
 }
 
 // eligible returns the eligible servers of the side that a request is being placed on.
-func (p *pool) eligible(r *run) []*server { return p.side(r.placement.target) }
+func (p *pool) eligible(r *requestState) []*server { return p.side(r.placement.target) }
 
 // sameSide returns the servers that a server is compared with for ejection: those of its own
 // side. Compared with the old servers, each server of a bad version would be an outlier and
@@ -98,7 +98,7 @@
 
 // noUsableServer reports whether none of the sides that a request may go to has a usable
 // server.
-func (p *pool) noUsableServer(now time.Duration, r *run) bool {
+func (p *pool) noUsableServer(now time.Duration, r *requestState) bool {
 	if p.gate == nil {
 		return false
 	}
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -11,14 +11,14 @@
 		p := m.pools[name]
 		unlisted := p.newlyUnlisted(listed)
 		eligible := countEligible(unlisted)
-		lapsed := m.uses(LapseHold) && eligible >= lapseLeast && float64(eligible) >= lapseShare*float64(p.countPresent())
+		lapsed := m.enabled(LapseGrace) && eligible >= minMassLapse && float64(eligible) >= massLapseFraction*float64(p.countPresent())
 		for _, s := range unlisted {
 			switch {
-			case !lapsed || s.Draining || s.barred:
+			case !lapsed || s.Draining || s.versionBarred:
 				m.dropServer(now, s, "not listed")
 			case s.lapsedAt == 0:
 				s.lapsedAt = now
-				m.emit(BeliefCmd{Server: s.Server, Belief: BeliefLapsed, Cause: "not listed, with many others", For: m.lapseDuration()})
+				m.emit(ServerStatusCmd{Server: s.Server, Status: StatusLapsed, Cause: "not listed, with many others", For: m.lapseDuration()})
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 		// longer.
 		s.leavingAt, s.lapsedAt = s.lapsedAt, 0
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefGone, Cause: cause})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusGone, Cause: cause})
 }
 
 // newlyUnlisted returns the known servers that are not listed, without those that have lapsed
@@ -74,7 +74,7 @@
 func countEligible(servers []*server) int {
 	n := 0
 	for _, s := range servers {
-		if !s.barred {
+		if !s.versionBarred {
 			n++
 		}
 	}
@@ -84,7 +84,7 @@
 // countPresent counts the eligible servers that are not gone.
 func (p *pool) countPresent() int {
 	n := 0
-	for _, s := range p.order {
+	for _, s := range p.admitted {
 		if !s.gone {
 			n++
 		}
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -9,10 +9,10 @@
 
 // applyDirectory applies a newer list of servers.
 func (m *Machine) applyDirectory(msg ServersMsg) {
-	if msg.Directory.Revision < m.revision {
+	if msg.Directory.Revision < m.serversRevision {
 		return
 	}
-	m.revision = msg.Directory.Revision
+	m.serversRevision = msg.Directory.Revision
 	listed := make(map[string]bool, len(msg.Directory.Servers))
 	changed := make(map[*pool]bool)
 	for _, s := range msg.Directory.Servers {
@@ -25,14 +25,14 @@
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		if changed[p] {
-			p.reorder()
+			p.refreshServers()
 		} else {
 			p.updateEligible()
 		}
 		if service, ok := m.services[name]; ok {
 			p.configure(&service, m.limits)
 		}
-		m.serve(msg.Now, p, maxQueued)
+		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
 
@@ -40,36 +40,36 @@
 func (m *Machine) applyListed(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
-		s = &server{Server: listed, key: loads.Key(listed.ID), hash: xxhash.Sum64String(listed.ID), listedAt: now}
+		s = &server{Server: listed, loadKey: loads.Key(listed.ID), idHash: xxhash.Sum64String(listed.ID), listedAt: now}
 		m.byServer[listed.ID] = s
-		m.byKey[s.key] = s
-		s.region = m.geography.regionOf(listed.Zone)
+		m.byKey[s.loadKey] = s
+		s.region = m.hallRegions.regionOf(listed.Zone)
 		m.pool(listed.Service).servers[listed.ID] = s
 		m.restoreNotices(s)
 		if listed.Draining {
 			s.markLeaving(now)
 		}
 		s.evacuated = m.evacuated[listed.Zone]
-		s.hallLost = m.reachOf(listed.Zone).lost
-		m.noteCold(now, s, listed.ColdFor, "listed as cold")
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefListed, Cause: "listed"})
+		s.hallUnreachable = m.reachOf(listed.Zone).lost
+		m.markCold(now, s, listed.ColdFor, "listed as cold")
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusListed, Cause: "listed"})
 		return true
 	}
 	s.lapsedAt = 0
 	wasDraining := s.Draining
 	s.Server = listed
-	s.region = m.geography.regionOf(listed.Zone)
+	s.region = m.hallRegions.regionOf(listed.Zone)
 	s.gone = false
 	s.evacuated = m.evacuated[listed.Zone]
-	m.noteCold(now, s, listed.ColdFor, "listed as cold")
+	m.markCold(now, s, listed.ColdFor, "listed as cold")
 	switch {
 	case listed.Draining && !wasDraining:
 		s.markLeaving(now)
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefDrain, Cause: "listed as draining"})
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusDraining, Cause: "listed as draining"})
 	case !listed.Draining && s.leaving && !s.notices.leaving: // the server's own notice overrules the list
 		s.leaving = false
 		s.listedAt = now
-		m.emit(BeliefCmd{Server: listed, Belief: BeliefListed, Cause: "listed again"})
+		m.emit(ServerStatusCmd{Server: listed, Status: StatusListed, Cause: "listed again"})
 	}
 	return false
 }
@@ -85,15 +85,15 @@
 func (m *Machine) forgetGone(now time.Duration, p *pool) {
 	dropped := false
 	for id, s := range p.servers {
-		if s.gone && s.running == 0 && now-s.leavingAt > goneMemory {
+		if s.gone && s.running == 0 && now-s.leavingAt > goneRetention {
 			m.oldNotices.add(now, s)
 			delete(p.servers, id)
 			delete(m.byServer, id)
-			delete(m.byKey, s.key)
+			delete(m.byKey, s.loadKey)
 			dropped = true
 		}
 	}
 	if dropped {
-		p.reorder()
+		p.refreshServers()
 	}
 }
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -44,10 +44,10 @@
 // that are already running don't end the backoff.
 func (m *Machine) applyBackoff(now time.Duration, s *server, backoff time.Duration) {
 	if !s.inBackoff(now) {
-		m.emit(BeliefCmd{Server: s.Server, Belief: BeliefBackoff, Cause: "announced in a response", For: backoff})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusBackoff, Cause: "announced in a response", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
-	m.serve(now, m.pool(s.Service), maxQueued)
+	m.serveQueue(now, m.pool(s.Service), maxQueued)
 }
 
 // inBackoff reports whether a server has asked this router to send nothing for now.
@@ -57,11 +57,11 @@
 // has since announced a backoff or that it is leaving. A router that runs late may have placed
 // many requests by then.
 func (m *Machine) ShouldWithhold(now time.Duration, id RequestID) bool {
-	r := m.runs[id]
-	if r == nil || r.at == nil {
+	r := m.requests[id]
+	if r == nil || r.currentServer == nil {
 		return false
 	}
-	s := r.at
+	s := r.currentServer
 	return s.inBackoff(now) || (s.notices.leaving && s.notices.leavingAt > r.sentAt)
 }
 
@@ -69,7 +69,7 @@
 // get requests of these regions, and whether there is one.
 func (p *pool) shortestBackoff(now time.Duration, regions Regions) (time.Duration, bool) {
 	shortest, found := time.Duration(0), false
-	for _, s := range p.order {
+	for _, s := range p.admitted {
 		if !s.inBackoff(now) || !s.available() || !regions.Allows(s.region) {
 			continue
 		}
@@ -88,10 +88,10 @@
 	if known {
 		return
 	}
-	m.emit(BeliefCmd{Server: s.Server, Belief: BeliefDrain, Cause: "announced in a response"})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "announced in a response"})
 	p := m.pool(s.Service)
 	p.updateEligible()
-	m.serve(now, p, maxQueued)
+	m.serveQueue(now, p, maxQueued)
 }
 
 // restoreNotices restores the notices of a server that is listed again after it was forgotten.
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -77,7 +77,7 @@
 		h.firstUnreachableAt = now
 	}
 	h.unreachable[s.ID] = true
-	if !h.lost && len(h.unreachable) >= min(minUnreachable, m.countHallServers(s.Zone)) && m.uses(HallReach) {
+	if !h.lost && len(h.unreachable) >= min(minUnreachable, m.countHallServers(s.Zone)) && m.enabled(HallReachability) {
 		m.setHallLost(now, s.Zone, h, true)
 	}
 }
@@ -86,7 +86,7 @@
 func (m *Machine) countHallServers(hall string) int {
 	n := 0
 	for _, s := range m.byServer {
-		if s.Zone == hall && !s.gone && !s.barred {
+		if s.Zone == hall && !s.gone && !s.versionBarred {
 			n++
 		}
 	}
@@ -101,12 +101,12 @@
 	servers := 0
 	for _, s := range m.byServer {
 		if s.Zone == hall {
-			s.hallLost = lost
+			s.hallUnreachable = lost
 			servers++
 		}
 	}
 	m.updateAllEligible()
-	m.emit(ReachCmd{Hall: hall, Lost: lost, Unreached: len(h.unreachable), Servers: servers})
+	m.emit(HallReachabilityCmd{Hall: hall, Lost: lost, Unreached: len(h.unreachable), Servers: servers})
 }
 
 // setSilentHalls sets the halls whose routers no longer send heartbeats.
@@ -125,7 +125,7 @@
 	for _, hall := range slices.Sorted(maps.Keys(m.reach)) {
 		h := m.reach[hall]
 		suspected := h.routersSilent && now-h.respondedAt > maxResponseAge
-		if now < h.nextProbeAt || !m.uses(HallReach) || (!h.lost && !suspected) {
+		if now < h.nextProbeAt || !m.enabled(HallReachability) || (!h.lost && !suspected) {
 			continue
 		}
 		h.probeInterval = min(max(2*h.probeInterval, minProbeInterval), maxProbeInterval)
@@ -138,7 +138,7 @@
 func (m *Machine) probeHall(hall string, h *hallReach) {
 	var all []*server
 	for _, name := range m.poolNames() {
-		for _, s := range m.pools[name].order {
+		for _, s := range m.pools[name].admitted {
 			if s.Zone == hall && !s.leaving {
 				all = append(all, s)
 			}
@@ -151,7 +151,7 @@
 }
 
 // handleProbe handles the result of a probe.
-func (m *Machine) handleProbe(msg ProbeMsg) {
+func (m *Machine) handleProbe(msg ProbeResultMsg) {
 	s := m.byServer[msg.Server]
 	switch {
 	case s == nil:
@@ -159,7 +159,7 @@
 		// Its process has ended, which is no evidence about the other servers of its hall.
 	case msg.Reached:
 		m.recordResponse(msg.Now, s)
-	case !msg.Slow:
+	case !msg.RouterLate:
 		m.recordUnreachable(msg.Now, s)
 	}
 }
--- a/direct/side.go
+++ b/direct/side.go
@@ -45,7 +45,7 @@
 )
 
 // sidesFor returns the sides that a request may go to, in the order in which they are tried.
-func (g *gate) sidesFor(r *run) []candidateSide {
+func (g *gate) sidesFor(r *requestState) []candidateSide {
 	switch {
 	case r.placement.targetFailed:
 		return sidesRetry
@@ -61,7 +61,7 @@
 
 // rolloutPosition returns the position of a request, from 0 to 1, in the order in which prompt
 // parts move to the target version. It is the same in all routers.
-func rolloutPosition(r *run) float64 {
+func rolloutPosition(r *requestState) float64 {
 	if part, shared := r.lastShared(); shared {
 		return unitHash(part.ID)
 	}
@@ -80,7 +80,7 @@
 }
 
 // placeOnSide picks a server on the first side that has capacity for a request.
-func (m *Machine) placeOnSide(now time.Duration, p *pool, r *run) (choice, bool) {
+func (m *Machine) placeOnSide(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	g := p.gate
 	if g == nil || g.Target == "" {
 		r.placement.target, r.placement.side = false, ""
@@ -105,7 +105,7 @@
 
 // recordSent counts a request that is being sent in the exposure, before it is added to the
 // load of its server.
-func (m *Machine) recordSent(now time.Duration, p *pool, r *run, c choice) choice {
+func (m *Machine) recordSent(now time.Duration, p *pool, r *requestState, c choice) choice {
 	if p.gate == nil {
 		return c
 	}
@@ -118,14 +118,14 @@
 		if p.engine != nil {
 			// Servers of a new version have no cached parts yet, not even the server that
 			// ranks first for a part.
-			c.miss = m.missing(now, p, c.server, r)
+			c.missTokens = m.missingTokens(now, p, c.server, r)
 		}
 	}
 	return c
 }
 
 // recordEnded updates the exposure and the placement with the outcome of an attempt.
-func (p *pool) recordEnded(r *run, s *server, o Outcome) {
+func (p *pool) recordEnded(r *requestState, s *server, o Outcome) {
 	if p.gate == nil {
 		return
 	}
