--- a/direct/candidates.go
+++ b/direct/candidates.go
@@ -29,7 +29,7 @@
 		hashKey = part.ID
 		holders = m.partHolders.holdersOf(part.ID)
 	}
-	for _, s := range p.eligible(r) {
+	for _, s := range p.sideServers(r) {
 		if !m.eligible(now, p, s, r) {
 			continue
 		}
@@ -75,7 +75,7 @@
 	var first *server
 	var top uint64
 	held := false
-	for _, s := range p.eligible(r) {
+	for _, s := range p.sideServers(r) {
 		if !s.accepts(now, r.Regions) || s.probation {
 			continue
 		}
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -29,7 +29,7 @@
 				m.markReturnedCold(msg.Now, p, s)
 			}
 		}
-		p.updateEligible()
+		p.updateBarred()
 		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -29,22 +29,22 @@
 	}
 	p.gate.Gate = msg.Gate
 	p.gate.movePending = msg.Gate.Move
-	p.updateEligible()
+	p.updateBarred()
 	m.serveQueue(msg.Now, p, maxQueued)
 	m.moveStreams(msg.Now, p)
 }
 
-// updateAllEligible recomputes the eligible servers of all pools after states of servers have
+// updateAllBarred recomputes the eligible servers of all pools after states of servers have
 // changed.
-func (m *Machine) updateAllEligible() {
+func (m *Machine) updateAllBarred() {
 	for _, p := range m.pools {
-		p.updateEligible()
+		p.updateBarred()
 	}
 }
 
-// updateEligible recomputes which servers may get requests. The others are marked as barred:
+// updateBarred recomputes which servers may get requests. The others are marked as barred:
 // they get no requests and are excluded from averages and shares.
-func (p *pool) updateEligible() {
+func (p *pool) updateBarred() {
 	g := p.gate
 	if g == nil {
 		p.admitted = p.all
@@ -88,8 +88,8 @@
 	return p.gate.old
 }
 
-// eligible returns the eligible servers of the side that a request is being placed on.
-func (p *pool) eligible(r *requestState) []*server { return p.side(r.placement.target) }
+// sideServers returns the eligible servers of the side that a request is being placed on.
+func (p *pool) sideServers(r *requestState) []*server { return p.side(r.placement.target) }
 
 // sameSide returns the servers that a server is compared with for ejection: those of its own
 // side. Compared with the old servers, each server of a bad version would be an outlier and
--- a/direct/place.go
+++ b/direct/place.go
@@ -112,7 +112,7 @@
 // known.
 func (m *Machine) lastResort(now time.Duration, p *pool, r *requestState) (choice, bool) {
 	var best *server
-	for _, s := range p.eligible(r) {
+	for _, s := range p.sideServers(r) {
 		if !r.Regions.Allows(s.region) {
 			continue
 		}
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -61,7 +61,7 @@
 		p.all = append(p.all, s)
 	}
 	sortByID(p.all)
-	p.updateEligible()
+	p.updateBarred()
 }
 
 func sortByID(servers []*server) {
