--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -237,7 +237,7 @@
 // TestColdServerKeepsItsParts sends a part's requests elsewhere while its server is cold
 // and back to it afterwards.
 func TestColdServerKeepsItsParts(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	part := PromptPart{ID: 4711, Tokens: 1000}
 	sendRequest := func() string {
 		r := b.request("red", part, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
--- a/direct/drain_test.go
+++ b/direct/drain_test.go
@@ -13,15 +13,15 @@
 // more seconds, but here requests go to stopped servers.
 func TestDrainTimeBoundsLastResort(t *testing.T) {
 	const drain = 500 * time.Millisecond
-	for name, leave := range map[string]func(*noticeBench){
-		"answers": func(b *noticeBench) {
+	for name, leave := range map[string]func(*noticeHarness){
+		"answers": func(b *noticeHarness) {
 			b.notice("p0", Notice{Leaving: true})
 			b.notice("p1", Notice{Leaving: true})
 		},
-		"entries": func(b *noticeBench) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
-		"lapse":   func(b *noticeBench) { b.list() },
+		"entries": func(b *noticeHarness) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
+		"lapse":   func(b *noticeHarness) { b.list() },
 	} {
-		b := newNoticeBench(t, "p0", "p1")
+		b := newNoticeHarness(t, "p0", "p1")
 		b.m.Update(DrainMsg{Drain: drain})
 		leave(b)
 		require.Zero(t, b.distribute(2)[""], name)
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -12,10 +12,10 @@
 const hungFailureWeight = 2
 
 const (
-	// minAllowanceDelay and maxAllowanceDelay bound the retry delay for callers of a team that
+	// minRefillDelay and maxRefillDelay bound the retry delay for callers of a team that
 	// has exceeded its allowance.
-	minAllowanceDelay = time.Second
-	maxAllowanceDelay = 10 * time.Second
+	minRefillDelay = time.Second
+	maxRefillDelay = 10 * time.Second
 )
 
 // endAttempt handles the end of an attempt and decides whether to retry.
@@ -170,21 +170,21 @@
 		after += backoff
 	}
 	if reason == ReasonOverShare {
-		after += m.allowanceDelay(now, r.Team)
+		after += m.refillDelay(now, r.Team)
 	}
 	return after
 }
 
-// allowanceDelay returns how long a team's allowance takes to cover the demand that was not
+// refillDelay returns how long a team's allowance takes to cover the demand that was not
 // served lately. A caller that returns sooner finds other requests of its team ahead of it.
-func (m *Machine) allowanceDelay(now time.Duration, name string) time.Duration {
+func (m *Machine) refillDelay(now time.Duration, name string) time.Duration {
 	t := m.team(name)
-	bounds := m.limitsOf(t)
-	rate := min(bounds.level, bounds.evenCap)
+	limits := m.limitsOf(t)
+	rate := min(limits.level, limits.evenCap)
 	if rate <= 0 || math.IsInf(rate, 0) {
-		return minAllowanceDelay
+		return minRefillDelay
 	}
 	unserved := max(t.offeredRate(now)-t.servedRate(now), 0) * usageWindow.Seconds()
-	seconds := min(unserved/rate, maxAllowanceDelay.Seconds())
-	return max(time.Duration(seconds*float64(time.Second)), minAllowanceDelay)
+	seconds := min(unserved/rate, maxRefillDelay.Seconds())
+	return max(time.Duration(seconds*float64(time.Second)), minRefillDelay)
 }
--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -29,7 +29,7 @@
 				m.markReturnedCold(msg.Now, p, s)
 			}
 		}
-		p.updateBarred()
+		p.updateAdmitted()
 		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTwoHallBench returns a bench with three servers in hall a and three in hall b, which get
+// newTwoHallHarness returns a bench with three servers in hall a and three in hall b, which get
 // requests at a reduced rate while they are cold.
-func newTwoHallBench(t *testing.T) *harness {
+func newTwoHallHarness(t *testing.T) *harness {
 	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
@@ -52,7 +52,7 @@
 
 // TestEvacuatedHallGetsNothing evacuates one hall, then another instead, then none.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	both := b.countByHall(time.Second)
 	require.NotZero(t, both["a"])
 	require.NotZero(t, both["b"])
@@ -68,7 +68,7 @@
 
 // TestOlderEvacuationsAreNotTaken applies an older set of evacuations after a newer one.
 func TestOlderEvacuationsAreNotTaken(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	b.evacuate(5, "b")
 	b.evacuate(4)
 	require.Zero(t, b.countByHall(time.Second)["b"])
@@ -76,7 +76,7 @@
 
 // TestNewServersOfAnEvacuatedHall adds a server to a hall that is evacuated.
 func TestNewServersOfAnEvacuatedHall(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	b.evacuate(2, "b")
 	d := hallDirectory(3)
 	d.Servers = append(d.Servers, Server{ID: "new", Service: "llm", Zone: "b", Slots: 48})
@@ -87,7 +87,7 @@
 // TestEvacuatedEverywhere refuses requests at once if all halls are evacuated. Running requests
 // continue.
 func TestEvacuatedEverywhere(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	before := b.request("red")
 	b.sent(b.arrive(before))
 	b.evacuate(2, "a", "b")
@@ -101,7 +101,7 @@
 // TestReturnedServersCountAsCold ends an evacuation. Until the entries of the hall's servers
 // have had time to show that they are cold, they get requests at the cold rate.
 func TestReturnedServersCountAsCold(t *testing.T) {
-	b := newTwoHallBench(t)
+	b := newTwoHallHarness(t)
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 3})
 	b.evacuate(2, "b")
 	b.advance(time.Second)
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -40,7 +40,7 @@
 func newLoadSim(t *testing.T, slow float64) *loadSim {
 	g := canaryGate(0.1)
 	g.Servers = 0.1
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 30, "v1", "v2")})
 	b.advance(2 * evidenceDelay)
 	w := &loadSim{
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -71,7 +71,7 @@
 // TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
 // slower, and none if old and new servers are equally slow.
 func TestRolloutEvidenceOfSlowVersions(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0.5))
+	b := newRolloutHarness(t, canaryGate(0.5))
 	_, _, old := b.streams(60, slowFactors{1, 1})
 	require.Zero(t, old.bad)
 	starts, later, old := b.streams(100, slowFactors{1, 4})
@@ -81,7 +81,7 @@
 	require.Equal(t, starts.bad, later.bad)
 	require.Zero(t, old.bad)
 
-	b = newRolloutBench(t, canaryGate(0.5))
+	b = newRolloutHarness(t, canaryGate(0.5))
 	b.streams(60, slowFactors{1, 1})
 	b.streams(200, slowFactors{4, 4})
 	starts, later, _ = b.streams(100, slowFactors{4, 4})
@@ -96,7 +96,7 @@
 	for _, times := range []time.Duration{1, 4} {
 		g := canaryGate(0.5)
 		g.Service = "app"
-		b := newRolloutBench(t, g)
+		b := newRolloutHarness(t, g)
 		d := versionDirectory(2, 6, "v1", "v2")
 		for i := range d.Servers {
 			d.Servers[i].Service = "app"
@@ -132,7 +132,7 @@
 // parts that old servers have cached.
 func TestRolloutEvidenceAllowsForReading(t *testing.T) {
 	const shared = 12000
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	request := func(i int) Request {
 		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 500})
 		r.PromptTokens = shared + 500
@@ -167,7 +167,7 @@
 // each failure one of them counts, or a good version with few failures would be rejected as
 // bad.
 func TestRolloutEvidenceOfUnknownSpeed(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	attempt := func(o Outcome) (good, bad int) {
 		r := b.routeRequest("chat")
 		r.Kind = Repeatable
@@ -201,7 +201,7 @@
 	for outcome, want := range map[Outcome][]bool{
 		Done: {false}, Failed: {true}, Unsent: nil, NotRun: nil, Elsewhere: nil, Broken: nil, Hung: nil, GivenUp: nil, Moved: nil,
 	} {
-		b := newRolloutBench(t, canaryGate(1))
+		b := newRolloutHarness(t, canaryGate(1))
 		b.seedBaseline("chat")
 		r := b.routeRequest("chat")
 		r.Kind = Repeatable
@@ -219,7 +219,7 @@
 // TestRolloutEvidenceOfFailures distinguishes a failure that is a whole response from one that
 // ends a stream.
 func TestRolloutEvidenceOfFailures(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	b.seedBaseline("chat")
 	whole := b.routeRequest("chat")
 	b.sent(b.arrive(whole))
@@ -242,7 +242,7 @@
 // meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
 	for _, responding := range []bool{false, true} {
-		b := newRolloutBench(t, canaryGate(1))
+		b := newRolloutHarness(t, canaryGate(1))
 		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 1, "v2")})
 		b.advance(2 * maxLapseGrace)
 		silent, other := b.routeRequest("chat"), b.routeRequest("chat")
@@ -260,7 +260,7 @@
 // TestRolloutEvidenceIgnoresColdAndNewServers gets no evidence from cold servers and from newly
 // listed ones.
 func TestRolloutEvidenceIgnoresColdAndNewServers(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	d := versionDirectory(2, 7, "v1", "v2")
 	for i := range d.Servers {
 		d.Servers[i].ColdFor = time.Minute
@@ -271,7 +271,7 @@
 	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold servers")
 
 	g := canaryGate(1)
-	b = newRolloutBench(t, g)
+	b = newRolloutHarness(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, "v1", "v2", "v3")})
 	g.Target = "v3"
 	b.gate(g)
@@ -282,7 +282,7 @@
 
 // TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	starts, later, old := b.streams(20, slowFactors{1, 1})
 	require.Equal(t, []tally{{}, {}, {}}, []tally{starts, later, old})
 }
@@ -302,11 +302,11 @@
 		}
 		return out
 	}
-	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newRolloutBench(t, canaryGate(1))))
+	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newRolloutHarness(t, canaryGate(1))))
 
 	g := canaryGate(1)
 	g.Servers = 0.05
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	d := versionDirectory(2, 30, "v1", "v2")
 	for i := range d.Servers {
 		if d.Servers[i].Version == "v2" {
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -29,22 +29,22 @@
 	}
 	p.gate.Gate = msg.Gate
 	p.gate.movePending = msg.Gate.Move
-	p.updateBarred()
+	p.updateAdmitted()
 	m.serveQueue(msg.Now, p, maxQueued)
 	m.moveStreams(msg.Now, p)
 }
 
-// updateAllBarred recomputes the eligible servers of all pools after states of servers have
+// updateAllAdmitted recomputes the eligible servers of all pools after states of servers have
 // changed.
-func (m *Machine) updateAllBarred() {
+func (m *Machine) updateAllAdmitted() {
 	for _, p := range m.pools {
-		p.updateBarred()
+		p.updateAdmitted()
 	}
 }
 
-// updateBarred recomputes which servers may get requests. The others are marked as barred:
+// updateAdmitted recomputes which servers may get requests. The others are marked as barred:
 // they get no requests and are excluded from averages and shares.
-func (p *pool) updateBarred() {
+func (p *pool) updateAdmitted() {
 	g := p.gate
 	if g == nil {
 		p.admitted = p.all
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newRolloutBench returns a bench with six old and six new servers in three halls, whose
+// newRolloutHarness returns a bench with six old and six new servers in three halls, whose
 // service has the given gate from v1 to v2. It has run until all servers give evidence.
-func newRolloutBench(t *testing.T, g rollout.Gate) *harness {
+func newRolloutHarness(t *testing.T, g rollout.Gate) *harness {
 	b := &harness{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
 		Version:  1,
@@ -81,7 +81,7 @@
 // TestRolloutGatedWithoutAGate refuses requests at once while nothing is known about the
 // service.
 func TestRolloutGatedWithoutAGate(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm"})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm"})
 	refused, ok := findCmd[RefuseCmd](b.arrive(b.routeRequest("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
@@ -90,7 +90,7 @@
 // TestRolloutOnlyVersionsInUse sends no requests to other versions, even if no server of a
 // version in use is left.
 func TestRolloutOnlyVersionsInUse(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	require.Equal(t, map[string]int{"v1": 100}, b.countByVersion("chat", 100))
 	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, "v2")})
 	b.advance(2 * maxLapseGrace)
@@ -101,7 +101,7 @@
 // that the machine computes doesn't change.
 func TestRolloutBarredServersAreNotAveraged(t *testing.T) {
 	busy := func(names ...string) (float64, float64, time.Duration) {
-		b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+		b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, names...)})
 		for range 150 {
 			b.arrive(b.routeRequest("chat"))
@@ -119,7 +119,7 @@
 // TestRolloutBarredServersDoNotCountAsLapsed removes all entries of a version that gets no
 // requests together with one of a version in use: this doesn't count as a lapse.
 func TestRolloutBarredServersDoNotCountAsLapsed(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	d := versionDirectory(2, 6, "v1")
 	d.Servers = d.Servers[1:]
 	cmds := b.m.Update(ServersMsg{Now: b.now, Directory: d})
@@ -134,7 +134,7 @@
 
 // TestRolloutStates checks that barred servers are reported as such.
 func TestRolloutStates(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	states := b.m.Servers(b.now)
 	require.Len(t, states, 12)
 	for _, s := range states {
@@ -144,7 +144,7 @@
 
 // TestRolloutCrossSection sends about the same part of each route's requests to the canary.
 func TestRolloutCrossSection(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0.1))
+	b := newRolloutHarness(t, canaryGate(0.1))
 	for _, route := range []string{"chat", "tag", "plan"} {
 		require.InDelta(t, 200, b.countByVersion(route, 2000)["v2"], 45, route)
 	}
@@ -152,7 +152,7 @@
 
 // TestRolloutFractionZero sends no requests to the target version.
 func TestRolloutFractionZero(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	require.Equal(t, map[string]int{"v1": 200}, b.countByVersion("chat", 200))
 }
 
@@ -161,7 +161,7 @@
 func TestRolloutLimit(t *testing.T) {
 	g := canaryGate(0.5)
 	g.Limit = 0.05
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	require.InDelta(t, 19, b.countByVersion("chat", 400)["v2"], 1)
 	require.Equal(t, 1, b.countByVersion("tag", 19)["v2"], "a burst of one per route, within the limit of the service")
 	require.Equal(t, 1, b.countByVersion("tag", 20)["v2"])
@@ -173,7 +173,7 @@
 func TestRolloutLimitHasNothingInAdvance(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.05
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	for _, route := range []string{"chat", "tag", "plan"} {
 		require.Zero(t, b.countByVersion(route, 6)["v2"])
 	}
@@ -186,7 +186,7 @@
 func TestRolloutTrialOfFewParts(t *testing.T) {
 	g := canaryGate(0.05)
 	g.Limit = 0.05
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	unmoved := uint64(1)
 	for unitHash(unmoved) < g.Part {
 		unmoved++
@@ -212,7 +212,7 @@
 func TestRolloutLimitIsKeptThroughGates(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.1
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	require.Equal(t, 10, b.countByVersion("chat", 100)["v2"])
 	g.Part = 0.9
 	b.gate(g)
@@ -226,7 +226,7 @@
 func TestRolloutLimitCountsWhatArrives(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.5
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	for range 40 {
 		r := b.routeRequest("chat")
 		r.Attempts = 1
@@ -245,7 +245,7 @@
 	for _, closed := range []bool{false, true} {
 		g := canaryGate(1)
 		g.OldClosed = closed
-		b := newRolloutBench(t, g)
+		b := newRolloutHarness(t, g)
 		var full []loads.Load
 		for i := range 6 {
 			full = append(full, loads.Load{Server: loads.Key(fmt.Sprint("v2-", i)), Running: 48})
@@ -263,7 +263,7 @@
 // TestRolloutSideWithoutServersIsRefusedAtOnce doesn't queue a request whose side has no
 // servers.
 func TestRolloutSideWithoutServersIsRefusedAtOnce(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1e-9))
+	b := newRolloutHarness(t, canaryGate(1e-9))
 	d := versionDirectory(2, 6, "v1", "v2")
 	for i := range d.Servers {
 		d.Servers[i].Draining = d.Servers[i].Version == "v1"
@@ -279,7 +279,7 @@
 // TestRolloutRetryGoesToOldServers retries at an old server after a failure at the target
 // version.
 func TestRolloutRetryGoesToOldServers(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	r := b.routeRequest("chat")
 	c, _ := findCmd[SendCmd](b.arrive(r))
 	require.Equal(t, "v2", c.Server.Version)
@@ -296,7 +296,7 @@
 func TestRolloutRetryWithOldClosed(t *testing.T) {
 	g := canaryGate(1)
 	g.OldClosed = true
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	r := b.routeRequest("chat")
 	b.arrive(r)
 	c, ok := findCmd[SendCmd](b.end(r.ID, Failed, true))
@@ -320,7 +320,7 @@
 func TestRolloutTrialServers(t *testing.T) {
 	g := canaryGate(0.02)
 	g.Servers = 0.02
-	b, other := newRolloutBench(t, g), newRolloutBench(t, g)
+	b, other := newRolloutHarness(t, g), newRolloutHarness(t, g)
 	for _, router := range []*harness{b, other} {
 		router.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 60, "v1", "v2")})
 	}
@@ -348,7 +348,7 @@
 func TestRolloutEjectionKeepsCanaryServers(t *testing.T) {
 	g := canaryGate(1)
 	g.Servers = 0.5
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	for range 200 {
 		r := b.routeRequest("chat")
 		c, ok := findCmd[SendCmd](b.arrive(r))
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -10,8 +10,8 @@
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		unlisted := p.newlyUnlisted(listed)
-		unbarred := countUnbarred(unlisted)
-		lapsed := m.enabled(LapseGrace) && unbarred >= minMassLapse && float64(unbarred) >= massLapseFraction*float64(p.countPresent())
+		admitted := countAdmitted(unlisted)
+		lapsed := m.enabled(LapseGrace) && admitted >= minMassLapse && float64(admitted) >= massLapseFraction*float64(p.countPresent())
 		for _, s := range unlisted {
 			switch {
 			case !lapsed || s.Draining || s.versionBarred:
@@ -36,7 +36,7 @@
 		}
 	}
 	if dropped {
-		m.updateAllBarred()
+		m.updateAllAdmitted()
 	}
 }
 
@@ -44,7 +44,7 @@
 // process has ended. This doesn't count against the other servers of its hall.
 func (m *Machine) dropRefusing(now time.Duration, p *pool, s *server) {
 	m.dropServer(now, s, "not listed, and its host refuses connections")
-	p.updateBarred()
+	p.updateAdmitted()
 }
 
 func (m *Machine) dropServer(now time.Duration, s *server, cause string) {
@@ -70,8 +70,8 @@
 	return out
 }
 
-// countUnbarred counts the servers that may get requests.
-func countUnbarred(servers []*server) int {
+// countAdmitted counts the servers that may get requests.
+func countAdmitted(servers []*server) int {
 	n := 0
 	for _, s := range servers {
 		if !s.versionBarred {
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -32,7 +32,7 @@
 // though three servers of the hall were serving. Such a server must be removed and must not
 // count against its hall.
 func TestLapsedServersThatRefuse(t *testing.T) {
-	b := newNoticeBench(t, "p0", "p1", "p2", "p3", "p4", "p5")
+	b := newNoticeHarness(t, "p0", "p1", "p2", "p3", "p4", "p5")
 	b.list("p3", "p4", "p5")
 	gone := make(map[string]bool)
 	for range 40 {
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -27,7 +27,7 @@
 		if changed[p] {
 			p.refreshServers()
 		} else {
-			p.updateBarred()
+			p.updateAdmitted()
 		}
 		if service, ok := m.services[name]; ok {
 			p.configure(&service, m.limits)
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -21,7 +21,7 @@
 // TestRolloutMoves moves each repeatable stream once, a few at a time. They continue at the
 // target version.
 func TestRolloutMoves(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	repeatable := make(map[RequestID]bool)
 	for i := range 40 {
 		r := b.routeRequest("chat")
@@ -52,7 +52,7 @@
 // TestRolloutMovesKeepToTheBudget moves no more streams than the retry budget allows. The
 // others continue where they are.
 func TestRolloutMovesKeepToTheBudget(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	b.m.Update(RetryBudgetMsg{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
 	for range 50 {
 		b.sent(b.arrive(b.routeRequest("chat")))
@@ -66,7 +66,7 @@
 // TestRolloutMoveIsNoServerFailure checks that a move doesn't change the state of the old
 // server.
 func TestRolloutMoveIsNoServerFailure(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	r := b.routeRequest("chat")
 	id := b.sent(b.arrive(r))
 	b.end(r.ID, Moved, false)
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -90,7 +90,7 @@
 	}
 	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "announced in a response"})
 	p := m.pool(s.Service)
-	p.updateBarred()
+	p.updateAdmitted()
 	m.serveQueue(now, p, maxQueued)
 }
 
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// noticeBench is a bench with plain servers that numbers its lists.
-type noticeBench struct {
+// noticeHarness is a bench with plain servers that numbers its lists.
+type noticeHarness struct {
 	*harness
 	revision uint64
 }
 
-// newNoticeBench returns a bench with some plain servers.
-func newNoticeBench(t *testing.T, ids ...string) *noticeBench {
-	b := &noticeBench{harness: newHarness(t, 0), revision: 1}
+// newNoticeHarness returns a bench with some plain servers.
+func newNoticeHarness(t *testing.T, ids ...string) *noticeHarness {
+	b := &noticeHarness{harness: newHarness(t, 0), revision: 1}
 	b.list(ids...)
 	return b
 }
 
 // list applies a list of plain servers, none of them draining.
-func (b *noticeBench) list(ids ...string) {
+func (b *noticeHarness) list(ids ...string) {
 	var all []Server
 	for _, id := range ids {
 		all = append(all, plainServer(id))
@@ -30,7 +30,7 @@
 }
 
 // listAs applies a list of servers.
-func (b *noticeBench) listAs(all ...Server) []Cmd {
+func (b *noticeHarness) listAs(all ...Server) []Cmd {
 	b.revision++
 	return append([]Cmd(nil), b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: b.revision, Servers: all}})...)
 }
@@ -40,7 +40,7 @@
 }
 
 // plainRequest returns a repeatable request to the service with plain servers.
-func (b *noticeBench) plainRequest() Request {
+func (b *noticeHarness) plainRequest() Request {
 	b.lastID++
 	return Request{
 		ID: b.lastID, Team: "red", Route: "r", Service: "app", Kind: Repeatable, MayRepeat: true, Attempts: 2,
@@ -48,13 +48,13 @@
 	}
 }
 
-func (b *noticeBench) notice(server string, n Notice) []Cmd {
+func (b *noticeHarness) notice(server string, n Notice) []Cmd {
 	return append([]Cmd(nil), b.m.Update(NoticeMsg{Now: b.now, Server: server, Notice: n})...)
 }
 
 // distribute sends some requests at once and returns how many each server got; "" counts those
 // that were refused or queued.
-func (b *noticeBench) distribute(n int) map[string]int {
+func (b *noticeHarness) distribute(n int) map[string]int {
 	got := make(map[string]int)
 	var sent, waiting []RequestID
 	for range n {
@@ -81,7 +81,7 @@
 
 // requireExcluded removes the entry of p1 and lists it again, after a short time and after a
 // time in which the router has forgotten the server: p1 gets no requests in either case.
-func (b *noticeBench) requireExcluded(longAbsence time.Duration) {
+func (b *noticeHarness) requireExcluded(longAbsence time.Duration) {
 	b.t.Helper()
 	for _, away := range []time.Duration{goneRetention / 2, longAbsence} {
 		b.list("p0", "p2")
@@ -95,7 +95,7 @@
 // otherwise. The list may be older, and the entry may lapse and come back. Only a restart of
 // the server ends the notice.
 func TestLeavingOutlastsEntries(t *testing.T) {
-	b := newNoticeBench(t, "p0", "p1", "p2")
+	b := newNoticeHarness(t, "p0", "p1", "p2")
 	require.Positive(t, b.distribute(9)["p1"])
 	_, emitted := findCmd[ServerStatusCmd](b.notice("p1", Notice{Leaving: true}))
 	require.True(t, emitted, "the first notice must be logged")
@@ -114,13 +114,13 @@
 // TestLeavingIsNoLastResortLater has both servers of a service announce that they are leaving.
 // They serve as a last resort right after that, but not later, however their entries change.
 func TestLeavingIsNoLastResortLater(t *testing.T) {
-	for name, after := range map[string]func(b *noticeBench){
-		"entries stay":      func(*noticeBench) {},
-		"entries drain":     func(b *noticeBench) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
-		"entries lapse":     func(b *noticeBench) { b.list() },
-		"entries came back": func(b *noticeBench) { b.list(); b.advance(2 * goneRetention); b.list("p0", "p1") },
+	for name, after := range map[string]func(b *noticeHarness){
+		"entries stay":      func(*noticeHarness) {},
+		"entries drain":     func(b *noticeHarness) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
+		"entries lapse":     func(b *noticeHarness) { b.list() },
+		"entries came back": func(b *noticeHarness) { b.list(); b.advance(2 * goneRetention); b.list("p0", "p1") },
 	} {
-		b := newNoticeBench(t, "p0", "p1")
+		b := newNoticeHarness(t, "p0", "p1")
 		b.notice("p0", Notice{Leaving: true})
 		b.notice("p1", Notice{Leaving: true})
 		require.Zero(t, b.distribute(2)[""], name)
@@ -143,7 +143,7 @@
 // for a shorter time.
 func TestBackoff(t *testing.T) {
 	const backoff = 30 * time.Second
-	b := newNoticeBench(t, "p0", "p1", "p2")
+	b := newNoticeHarness(t, "p0", "p1", "p2")
 	cmd, _ := findCmd[ServerStatusCmd](b.notice("p1", Notice{Backoff: backoff}))
 	require.Equal(t, StatusBackoff, cmd.Status)
 	end := b.now + backoff
@@ -166,7 +166,7 @@
 // TestBackoffOfAll has all servers of a service ask for a backoff. Requests are refused at
 // once, and no server serves as a last resort, not even a leaving one.
 func TestBackoffOfAll(t *testing.T) {
-	b := newNoticeBench(t, "p0", "p1")
+	b := newNoticeHarness(t, "p0", "p1")
 	b.notice("p0", Notice{Backoff: time.Second})
 	b.notice("p1", Notice{Backoff: 3 * time.Second, Leaving: true})
 	refused, ok := findCmd[RefuseCmd](b.arrive(b.plainRequest()))
@@ -183,12 +183,12 @@
 // backoff, leaves, or is no longer listed. They are refused at once: waiting would only delay
 // their callers.
 func TestLastServerGone(t *testing.T) {
-	for name, goes := range map[string]func(b *noticeBench) []Cmd{
-		"backs off": func(b *noticeBench) []Cmd { return b.notice("p0", Notice{Backoff: time.Second}) },
-		"leaves":    func(b *noticeBench) []Cmd { return b.notice("p0", Notice{Leaving: true}) },
-		"is gone":   func(b *noticeBench) []Cmd { return b.listAs() },
+	for name, goes := range map[string]func(b *noticeHarness) []Cmd{
+		"backs off": func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Backoff: time.Second}) },
+		"leaves":    func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Leaving: true}) },
+		"is gone":   func(b *noticeHarness) []Cmd { return b.listAs() },
 	} {
-		b := newNoticeBench(t, "p0")
+		b := newNoticeHarness(t, "p0")
 		for range 4 + maxPlainExcess {
 			b.sent(b.arrive(b.plainRequest()))
 		}
@@ -206,7 +206,7 @@
 // later, as a last resort, is sent.
 func TestWithheld(t *testing.T) {
 	for name, n := range map[string]Notice{"backs off": {Backoff: time.Second}, "leaves": {Leaving: true}} {
-		b := newNoticeBench(t, "p0", "p1")
+		b := newNoticeHarness(t, "p0", "p1")
 		r := b.plainRequest()
 		r.Attempts = 1
 		server := b.sent(b.arrive(r))
@@ -217,7 +217,7 @@
 		require.NotEqual(t, server, b.sent(b.end(r.ID, Withheld, true)), name)
 		require.False(t, b.m.byServer[server].probation, name)
 	}
-	b := newNoticeBench(t, "p0")
+	b := newNoticeHarness(t, "p0")
 	b.notice("p0", Notice{Leaving: true})
 	b.advance(TickInterval)
 	last := b.plainRequest()
@@ -228,7 +228,7 @@
 // TestLeavingAndBackoff has the only server of a service announce both in one response while
 // requests are queued: none of them is sent to it as a last resort.
 func TestLeavingAndBackoff(t *testing.T) {
-	b := newNoticeBench(t, "p0")
+	b := newNoticeHarness(t, "p0")
 	for range 4 + maxPlainExcess {
 		b.sent(b.arrive(b.plainRequest()))
 	}
--- a/direct/pool.go
+++ b/direct/pool.go
@@ -61,7 +61,7 @@
 		p.all = append(p.all, s)
 	}
 	sortByID(p.all)
-	p.updateBarred()
+	p.updateAdmitted()
 }
 
 func sortByID(servers []*server) {
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -105,7 +105,7 @@
 			servers++
 		}
 	}
-	m.updateAllBarred()
+	m.updateAllAdmitted()
 	m.emit(HallReachabilityCmd{Hall: hall, Lost: lost, Unreached: len(h.unreachable), Servers: servers})
 }
 
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newHallBench returns a bench with many servers in halls a and b.
-func newHallBench(t *testing.T, servers int) *harness {
-	b := newTwoHallBench(t)
+// newHallHarness returns a bench with many servers in halls a and b.
+func newHallHarness(t *testing.T, servers int) *harness {
+	b := newTwoHallHarness(t)
 	d := Directory{Revision: 2}
 	for i := range servers {
 		d.Servers = append(d.Servers, Server{ID: fmt.Sprint("e", i), Service: "llm", Zone: hallOf(i), Slots: 48})
@@ -83,7 +83,7 @@
 // 191 if each server is detected separately.
 func TestLostHallIsFoundOnce(t *testing.T) {
 	for _, servers := range []int{12, 200, 2000} {
-		b := newHallBench(t, servers)
+		b := newHallHarness(t, servers)
 		b.countByHall(time.Second)
 		vain, probes := b.runWithDeadHalls(5*time.Second, 300*time.Millisecond, "b")
 		require.LessOrEqual(t, vain, 15, "%d servers", servers)
@@ -96,7 +96,7 @@
 
 // TestFewDeadServersLoseNoHall makes one server in six of a hall unreachable.
 func TestFewDeadServersLoseNoHall(t *testing.T) {
-	b := newHallBench(t, 60)
+	b := newHallHarness(t, 60)
 	lost := 0
 	for range 400 {
 		r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
@@ -127,7 +127,7 @@
 // TestFalseAlarmEndsAtOnce marks a hall as lost that is alive: the first successful probe ends
 // that.
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
-	b := newHallBench(t, 60)
+	b := newHallHarness(t, 60)
 	for i := range minUnreachable {
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
@@ -141,7 +141,7 @@
 // TestQuietHallIsProbed stops the heartbeats of all routers of a hall. Its servers are probed,
 // so that no caller's request has to detect that they are gone too.
 func TestQuietHallIsProbed(t *testing.T) {
-	b := newHallBench(t, 60)
+	b := newHallHarness(t, 60)
 	b.advance(time.Second)
 	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9, SilentHalls: []string{"b"}})
 	probes := b.advance(TickInterval)
@@ -159,7 +159,7 @@
 
 // TestLateRouterLosesNoHall checks that a router that is late itself marks no hall as lost.
 func TestLateRouterLosesNoHall(t *testing.T) {
-	b := newHallBench(t, 60)
+	b := newHallHarness(t, 60)
 	for i := range 2 * minUnreachable {
 		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), RouterLate: true})
 	}
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newRegionBench returns a router of hall a in region east, with engines in halls a and b of
+// newRegionHarness returns a router of hall a in region east, with engines in halls a and b of
 // that region, c of region west, and d, whose region is unknown.
-func newRegionBench(t *testing.T, config Config, each int) *harness {
+func newRegionHarness(t *testing.T, config Config, each int) *harness {
 	b := &harness{t: t, now: 3 * time.Second, m: NewMachine(Options{
 		Zone: "a", Region: "east", HallRegions: map[string]string{"a": "east", "b": "east", "c": "west"},
 		RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second},
@@ -45,7 +45,7 @@
 // TestRegionRefusedAtOnce refuses requests without an available server in their regions, and
 // checks that the reason is the region only if servers in other regions are available.
 func TestRegionRefusedAtOnce(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(b.requestIn("north"))))
 	b.evacuate(1, "c")
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(b.requestIn("west"))))
@@ -57,7 +57,7 @@
 // TestRegionNoneInCommon refuses a request whose route and team have no common region before
 // its body is read.
 func TestRegionNoneInCommon(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	r := b.requestIn()
 	r.Regions = RegionsOf([]string{"east"}, []string{"west"})
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(r)))
@@ -67,7 +67,7 @@
 
 // TestRegionRefusedWhileItWaits removes the last server of a queued request's regions.
 func TestRegionRefusedWhileItWaits(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	for range 100 {
 		b.arrive(b.requestIn("west"))
 	}
@@ -79,7 +79,7 @@
 // TestRegionUnknownHall keeps restricted requests away from a hall of unknown region until the
 // settings name its region. Other requests may go there.
 func TestRegionUnknownHall(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	b.evacuate(1, "a", "b", "c")
 	require.Equal(t, "d0", b.sent(b.arrive(b.requestIn())))
 	require.Equal(t, ReasonRegion, b.refused(b.arrive(b.requestIn("west", "east"))))
@@ -90,7 +90,7 @@
 // TestRegionHolderOutside has a prompt part whose first holder is outside a request's regions:
 // the server that ranks first inside counts as the part's holder there.
 func TestRegionHolderOutside(t *testing.T) {
-	b := newRegionBench(t, Config{}, 3)
+	b := newRegionHarness(t, Config{}, 3)
 	p := b.m.pool("llm")
 	for part := range uint64(40) {
 		unrestricted, restricted := &requestState{Request: b.requestIn()}, &requestState{Request: b.requestIn("west")}
@@ -106,7 +106,7 @@
 // TestRegionRetryStaysInside breaks attempts one after the other: retries stay inside the
 // regions, and there is none once all servers inside have been tried.
 func TestRegionRetryStaysInside(t *testing.T) {
-	b := newRegionBench(t, Config{}, 2)
+	b := newRegionHarness(t, Config{}, 2)
 	r := b.requestIn("west")
 	r.Attempts = 5
 	first := b.sent(b.arrive(r))
@@ -122,7 +122,7 @@
 // TestRegionLastResortInside uses a leaving server if its regions have no other, even if
 // servers in other regions are available, and never a leaving server outside.
 func TestRegionLastResortInside(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	list := func(revision uint64, draining ...string) {
 		d := Directory{Revision: revision}
 		for _, hall := range []string{"a", "b", "c"} {
@@ -141,7 +141,7 @@
 // load of the servers inside its regions.
 func TestRegionComeBack(t *testing.T) {
 	after := func(busy string) time.Duration {
-		b := newRegionBench(t, Config{}, 1)
+		b := newRegionHarness(t, Config{}, 1)
 		b.m.byServer[busy].pendingTokens = 1_000_000
 		r := &requestState{Request: b.requestIn("west")}
 		r.ID = 1
@@ -153,7 +153,7 @@
 
 // TestRegionDistance has three tiers if more than one region is known, and two otherwise.
 func TestRegionDistance(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	distances := func() []float64 {
 		var out []float64
 		for _, id := range []string{"a0", "b0", "c0", "d0"} {
@@ -179,7 +179,7 @@
 // TestRegionNearerFirst prefers the router's own region while it has capacity, and uses others
 // when it has none.
 func TestRegionNearerFirst(t *testing.T) {
-	b := newRegionBench(t, Config{}, 1)
+	b := newRegionHarness(t, Config{}, 1)
 	b.evacuate(1, "d")
 	halls := make(map[string]int)
 	for range 120 {
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -36,7 +36,7 @@
 // TestRegionSharesOfBoundTeams gives a flood that is bound to a quarter of the servers no
 // more than these have, and the others the rest.
 func TestRegionSharesOfBoundTeams(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
 	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
 	require.InDelta(t, totalTokenRate*3/8, b.teamBase("one"), 1)
@@ -46,7 +46,7 @@
 // TestRegionShareOfFewBound gives a bound team beside many that may go anywhere as much as
 // each of them, while its region has that.
 func TestRegionShareOfFewBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	teams := []loads.TeamUse{{Team: "bound", Offered: 500_000}}
 	for i := range 7 {
 		teams = append(teams, loads.TeamUse{Team: fmt.Sprint("free", i), Offered: 500_000})
@@ -59,7 +59,7 @@
 // TestRegionShareWithoutBoundTeams has nobody bound: the levels are waterLevel's to the last
 // bit, and there are no groups.
 func TestRegionShareWithoutBoundTeams(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "one", Offered: 33_333}, loads.TeamUse{Team: "two", Offered: 500_000, Served: 1}, loads.TeamUse{Team: "three", Offered: 77_777})
 	require.Empty(t, b.m.groups)
 	baseLevel := waterLevel([]float64{33_333, 500_000, 77_777}, totalTokenRate)
@@ -71,7 +71,7 @@
 // TestRegionEvenBound has a bound team get a part of what it may: that holds back those
 // that share its region, in proportion, and no others.
 func TestRegionEvenBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
 	b.setPeerUse(
 		loads.TeamUse{Team: "bound", Offered: 500_000, Served: 0.6 * totalTokenRate / 4},
 		loads.TeamUse{Team: "near", Offered: 500_000, Served: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000, Served: 500_000},
@@ -85,7 +85,7 @@
 
 // TestRegionWithoutEvenBound switches the even bound off for bound teams too.
 func TestRegionWithoutEvenBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	without, err := ParseDisabledMechanisms(string(EvenCap))
 	require.NoError(t, err)
 	b.m.options.DisabledMechanisms = without
@@ -95,7 +95,7 @@
 
 // TestRegionRestrictionRemoved binds a team by a configuration, and frees it by the next.
 func TestRegionRestrictionRemoved(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
 	b.setPeerUse(flood...)
 	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
@@ -107,7 +107,7 @@
 // TestRegionShareWithoutServers evacuates the only hall that a team may use, and all halls:
 // the others then have everything.
 func TestRegionShareWithoutServers(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
 	b.evacuate(1, "c")
 	b.setPeerUse(flood...)
@@ -120,7 +120,7 @@
 
 // TestRegionSharesInState shows operators the levels of bound teams where they differ.
 func TestRegionSharesInState(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 10}, loads.TeamUse{Team: "free", Offered: 10})
 	require.Empty(t, b.m.Shares(b.now, 1).Bound)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 5e6}, loads.TeamUse{Team: "free", Offered: 10})
@@ -189,7 +189,7 @@
 func measureServed(t *testing.T, config Config, rates map[string]float64, teams ...string) map[string]float64 {
 	const warmUp, measured = 400, 400 // ticks
 	w := &engineSim{
-		harness: newRegionBench(t, config, 2), tokensPerMS: totalTokenRate / 8 / 1000.0,
+		harness: newRegionHarness(t, config, 2), tokensPerMS: totalTokenRate / 8 / 1000.0,
 		idleAt: make(map[string]time.Duration), requests: make(map[RequestID]Request), served: make(map[string]float64),
 	}
 	bound := make(map[string]Regions)
--- a/direct/tokenbucket_test.go
+++ b/direct/tokenbucket_test.go
@@ -413,12 +413,12 @@
 	b.m.level, b.m.evenCap = 100_000, 100_000
 	after := func(offered, served float32) time.Duration {
 		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "red", Offered: offered, Served: served}}})
-		return b.m.allowanceDelay(b.now, "red")
+		return b.m.refillDelay(b.now, "red")
 	}
 	require.Equal(t, time.Second, after(110_000, 100_000))
 	require.Equal(t, 3*time.Second, after(200_000, 100_000))
-	require.Equal(t, maxAllowanceDelay, after(5e6, 100_000))
+	require.Equal(t, maxRefillDelay, after(5e6, 100_000))
 	b.m.evenCap = math.Inf(1)
 	b.m.level = math.Inf(1)
-	require.Equal(t, minAllowanceDelay, after(5e6, 100_000), "nothing is bounded at the moment")
+	require.Equal(t, minRefillDelay, after(5e6, 100_000), "nothing is bounded at the moment")
 }
