--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -8,41 +8,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harmful is a content under which servers crash.
+// crashingFingerprint is the fingerprint of requests that crash servers.
 const crashingFingerprint quarantine.Content = 99
 
-// with returns a request of a content.
-func (b *harness) requestWith(c quarantine.Content) Request {
+// requestWith returns a request with a fingerprint.
+func (b *harness) requestWith(fingerprint quarantine.Content) Request {
 	r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 1000})
-	r.Fingerprint = c
+	r.Fingerprint = fingerprint
 	return r
 }
 
-// crash has the attempt of a request break off, with its server's host answering the probe as
-// said, and returns what the request gets next.
-func (b *harness) breakAttempt(id RequestID, probed ProbeResultMsg) []Cmd {
+// breakAttempt ends the attempt of a request as broken, answers a probe of its server with
+// result, and returns the resulting commands.
+func (b *harness) breakAttempt(id RequestID, result ProbeResultMsg) []Cmd {
 	cmds := b.end(id, Broken, true)
 	if probe, ok := findCmd[ProbeCmd](cmds); ok {
-		probed.Now, probed.Server = b.now, probe.Server.ID
-		cmds = append(cmds, b.m.Update(probed)...)
+		result.Now, result.Server = b.now, probe.Server.ID
+		cmds = append(cmds, b.m.Update(result)...)
 	}
 	return cmds
 }
 
-// crashOnce sends a request once, which crashes its server.
-func (b *harness) crashServer(c quarantine.Content) {
+// crashServer sends a request with one attempt, which crashes its server.
+func (b *harness) crashServer(fingerprint quarantine.Content) {
 	b.t.Helper()
-	r := b.requestWith(c)
+	r := b.requestWith(fingerprint)
 	b.sent(b.arrive(r))
 	r.Attempts = 1
 	b.m.requests[r.ID].Attempts = 1
 	b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
-	b.advance(5 * time.Second) // others are there meanwhile
+	b.advance(5 * time.Second) // the crashed server is replaced meanwhile
 }
 
-// TestThirdCrashIsTheLast has servers crash under one content: its third crash ends the
-// request, though it has attempts left, and who asks for it again is refused at once.
-// Requests of other contents are sent.
+// TestThirdCrashQuarantines crashes servers with one fingerprint. The third crash ends the
+// request, though it has attempts left, and further requests of the fingerprint are refused at
+// once. Requests of other fingerprints are sent.
 func TestThirdCrashQuarantines(t *testing.T) {
 	b := newHarness(t, 8)
 	first := b.requestWith(crashingFingerprint)
@@ -56,7 +56,7 @@
 	b.sent(b.arrive(second))
 	cmds := b.breakAttempt(second.ID, ProbeResultMsg{ConnRefused: true})
 	failed, ok = findCmd[FailCmd](cmds)
-	require.True(t, ok, "no further server: %v", cmds)
+	require.True(t, ok, "sent to a further server: %v", cmds)
 	require.Equal(t, ReasonQuarantined, failed.Reason)
 	began, ok := findCmd[QuarantineCmd](cmds)
 	require.True(t, ok)
@@ -70,22 +70,22 @@
 	b.sent(b.arrive(b.requestWith(0)))
 }
 
-// TestBrokenConnectionIsNoCrash has attempts break off at servers that live, or of which
-// nobody knows: that blames nobody.
+// TestBrokenConnectionIsNotACrash breaks attempts at servers that are reachable or in an
+// unknown state: no request becomes a suspect.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
-	for _, probed := range []ProbeResultMsg{{Reached: true}, {}, {RouterLate: true}} {
+	for _, result := range []ProbeResultMsg{{Reached: true}, {}, {RouterLate: true}} {
 		b := newHarness(t, 8)
 		for range 4 {
 			r := b.requestWith(crashingFingerprint)
 			b.sent(b.arrive(r))
-			b.breakAttempt(r.ID, probed)
+			b.breakAttempt(r.ID, result)
 			b.advance(5 * time.Second)
 		}
 		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint))
 	}
 }
 
-// TestEndingServerIsProbedAgain has a server that ends break its connections off before it stops
+// TestReachableServerIsProbedAgain has a stopping server close its connections before it stops
 // listening: the first probe still reaches it, the second doesn't.
 func TestReachableServerIsProbedAgain(t *testing.T) {
 	for refused, crashes := range map[bool]int{true: 1, false: 0} {
@@ -105,25 +105,25 @@
 	}
 }
 
-// TestSettledRequestIsNotBlamed has a server crash under a request that it has worked on for
-// long, and under one that has just begun.
+// TestLongRunningRequestIsNotSuspected crashes a server while it runs a request that has run
+// for long, and one that has just started.
 func TestLongRunningRequestIsNotSuspected(t *testing.T) {
-	for settled, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickInterval: 1} {
+	for runTime, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickInterval: 1} {
 		b := newHarness(t, 2)
 		r := b.requestWith(crashingFingerprint)
 		b.sent(b.arrive(r))
 		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-		b.advance(settled)
+		b.advance(runTime)
 		b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
 		require.Equal(t, crashes, b.m.suspects.Crashes(crashingFingerprint))
 		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
 		b.end(r.ID, Done, false)
-		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint), "it was answered elsewhere")
+		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint), "another server completed it")
 	}
 }
 
-// TestAllThatBrokeOffAreBlamed has a server crash with several requests: one probe tells of
-// all, also of those that are looked at after it.
+// TestAllBrokenAttemptsAreSuspected crashes a server that runs several requests: one probe
+// covers all of them, including those that are processed after it.
 func TestAllBrokenAttemptsAreSuspected(t *testing.T) {
 	b := newHarness(t, 1)
 	var all []Request
@@ -136,7 +136,7 @@
 	probe, ok := findCmd[ProbeCmd](b.end(all[0].ID, Broken, true))
 	require.True(t, ok)
 	_, ok = findCmd[ProbeCmd](b.end(all[1].ID, Broken, true))
-	require.False(t, ok, "one probe is enough")
+	require.False(t, ok, "only one probe per server")
 	crashed, ok := findCmd[CrashCmd](b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true}))
 	require.True(t, ok)
 	require.Len(t, crashed.Suspects, 2)
@@ -147,18 +147,18 @@
 	}
 }
 
-// TestQuarantineReachesAllRouters has servers crash at one router: another one refuses what
-// crashes them, also a request that waits in its queue.
+// TestQuarantineReachesAllRouters crashes servers at one router: another router refuses
+// requests of that fingerprint, including one in its queue.
 func TestQuarantineReachesAllRouters(t *testing.T) {
 	reporter, receiver := newHarness(t, 8), newHarness(t, 1)
 	for range quarantine.CrashesMost {
 		reporter.crashServer(crashingFingerprint)
 	}
-	for range 60 { // its server is busy
+	for range 60 { // fills its server
 		receiver.arrive(receiver.requestWith(1))
 	}
 	queued := receiver.requestWith(crashingFingerprint)
-	require.Empty(t, receiver.arrive(queued), "it waits")
+	require.Empty(t, receiver.arrive(queued), "the request must be queued")
 	receiver.m.Update(PeerReportMsg{Now: receiver.now, Peer: "here", Report: reporter.m.Report(reporter.now)})
 	refused := receiver.advance(TickInterval)
 	found := false
@@ -174,9 +174,10 @@
 	require.Equal(t, ReasonQuarantined, cmd.Reason)
 }
 
-// TestCrashesAreToldAtOnce has servers crash at one router, which tells of the second and the third
-// crash without waiting for its next heartbeat, as does another router that hears of the third: copies
-// of a request ended four servers more at routers that were not yet told.
+// TestCrashesAreToldAtOnce checks that a router reports the second and the third crash without
+// waiting for its next heartbeat, and that a router that receives a report of the third
+// forwards it. Without this, copies of a request crashed four more servers at routers that had
+// no report yet.
 func TestCrashesAreToldAtOnce(t *testing.T) {
 	reporter, receiver := newHarness(t, 8), newHarness(t, 8)
 	var received []Cmd
@@ -198,9 +199,9 @@
 	require.Equal(t, ReasonQuarantined, refused.Reason)
 }
 
-// TestAttemptGivenUpIsBlamed has a server crash after the attempt at it was given up: as it said
-// nothing in good time, which is found out by a probe, or as the caller left, which is no
-// reason for one, but counts when others break off with the server.
+// TestAbandonedAttemptIsSuspected crashes a server after an attempt at it has ended on the
+// router's side. A timeout starts a probe. A caller that left, or a move, starts none, but
+// counts if another attempt breaks at the server.
 func TestAbandonedAttemptIsSuspected(t *testing.T) {
 	for outcome, probes := range map[Outcome]bool{Hung: true, GivenUp: false, Moved: false} {
 		b := newHarness(t, 1)
@@ -220,7 +221,8 @@
 	}
 }
 
-// TestCallersThatLeftLongAgo are not blamed for what a server does later.
+// TestOldAbandonedAttemptsAreNotSuspected checks that attempts abandoned before crashWindow are
+// not suspects of a crash, and that the number that is kept is bounded.
 func TestOldAbandonedAttemptsAreNotSuspected(t *testing.T) {
 	b := newHarness(t, 1)
 	for i := range maxAbandoned + 10 {
--- a/direct/drain_test.go
+++ b/direct/drain_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainTimeBoundsLastResort has all servers of a service leave, by their answers or by their
-// entries, and their entries lapse, on a platform that ends them half a second after. Settings named
-// that time and nothing read it: servers were used for 0.8 and 1.2 s in any case, which holds
-// where they serve on for two seconds, and came too late for one that is gone after half a second.
+// TestDrainTimeBoundsLastResort has all servers of a service leave, by notices, by their
+// entries or by lapsed entries, on a platform that stops them after half a second. If the drain
+// time is ignored, servers are used for 0.8 and 1.2 s. That suits servers that serve for two
+// more seconds, but here requests go to stopped servers.
 func TestDrainTimeBoundsLastResort(t *testing.T) {
 	const drain = 500 * time.Millisecond
-	for name, leave := range map[string]func(*noticeBench){
-		"answers": func(b *noticeBench) {
+	for name, leave := range map[string]func(*noticeHarness){
+		"answers": func(b *noticeHarness) {
 			b.notice("p0", Notice{Leaving: true})
 			b.notice("p1", Notice{Leaving: true})
 		},
-		"entries": func(b *noticeBench) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
-		"lapse":   func(b *noticeBench) { b.list() },
+		"entries": func(b *noticeHarness) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
+		"lapse":   func(b *noticeHarness) { b.list() },
 	} {
-		b := newNoticeBench(t, "p0", "p1")
+		b := newNoticeHarness(t, "p0", "p1")
 		b.m.Update(DrainMsg{Drain: drain})
 		leave(b)
 		require.Zero(t, b.distribute(2)[""], name)
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answers returns what commands say of versions.
+// responsesIn returns the evidence in commands.
 func responsesIn(cmds []Cmd) []rollout.AnswerMsg {
 	var out []rollout.AnswerMsg
 	for _, c := range cmds {
@@ -30,18 +30,19 @@
 	t.good++
 }
 
-// speeds says how many times slower than usual servers read and write.
+// slowFactors holds how many times slower than usual servers read and write.
 type slowFactors struct{ old, target float64 }
 
-// stream runs one request to its end at a server that reads 60 tokens a millisecond and
-// writes one token in 5, times its slowness, and returns the evidence.
-func (b *harness) stream(r Request, slow slowFactors, uncached int) []rollout.AnswerMsg {
+// stream runs one request to its end at a server that reads 60 tokens per millisecond and
+// writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
+// target version read uncached tokens in addition.
+func (b *harness) stream(r Request, factors slowFactors, uncached int) []rollout.AnswerMsg {
 	cmds := b.arrive(r)
 	c, ok := findCmd[SendCmd](cmds)
 	require.True(b.t, ok)
-	times, read := slow.old, r.ownTokens()
+	times, read := factors.old, r.ownTokens()
 	if c.PlacementBasis.Target {
-		times = slow.target
+		times = factors.target
 		read += uncached
 	}
 	b.now += milliseconds(times * (10 + float64(read)/60))
@@ -50,52 +51,52 @@
 	return responsesIn(append(cmds, b.end(r.ID, Done, false)...))
 }
 
-// streams runs requests one after the other and counts the evidence on the target.
-func (b *harness) streams(n int, slow slowFactors) (begun, later, old tally) {
+// streams runs requests one after the other and counts the evidence.
+func (b *harness) streams(n int, factors slowFactors) (starts, later, old tally) {
 	for range n {
-		for _, a := range b.stream(b.routeRequest("chat"), slow, 0) {
+		for _, a := range b.stream(b.routeRequest("chat"), factors, 0) {
 			switch {
 			case !a.Target:
 				old.add(a.Bad)
 			case a.Later:
 				later.add(a.Bad)
 			default:
-				begun.add(a.Bad)
+				starts.add(a.Bad)
 			}
 		}
 	}
-	return begun, later, old
+	return starts, later, old
 }
 
-// TestRolloutEvidenceOfSlowVersions speaks against a target that is four times slower, and
-// not where old and new servers are slow alike.
+// TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
+// slower, and none if old and new servers are equally slow.
 func TestRolloutEvidenceOfSlowVersions(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(0.5))
+	b := newRolloutHarness(t, canaryGate(0.5))
 	_, _, old := b.streams(60, slowFactors{1, 1})
 	require.Zero(t, old.bad)
-	begun, later, old := b.streams(100, slowFactors{1, 4})
-	require.Zero(t, begun.good)
+	starts, later, old := b.streams(100, slowFactors{1, 4})
+	require.Zero(t, starts.good)
 	require.Zero(t, later.good)
-	require.Greater(t, begun.bad, 30)
-	require.Equal(t, begun.bad, later.bad)
+	require.Greater(t, starts.bad, 30)
+	require.Equal(t, starts.bad, later.bad)
 	require.Zero(t, old.bad)
 
-	b = newRolloutBench(t, canaryGate(0.5))
+	b = newRolloutHarness(t, canaryGate(0.5))
 	b.streams(60, slowFactors{1, 1})
 	b.streams(200, slowFactors{4, 4})
-	begun, later, _ = b.streams(100, slowFactors{4, 4})
-	require.Greater(t, begun.good, 30)
-	require.Zero(t, begun.bad)
+	starts, later, _ = b.streams(100, slowFactors{4, 4})
+	require.Greater(t, starts.good, 30)
+	require.Zero(t, starts.bad)
 	require.Zero(t, later.bad)
 }
 
-// TestRolloutEvidenceOfSlowPlainServers speaks against plain servers of the target that
-// are four times slower, and not against those that are as fast.
+// TestRolloutEvidenceOfSlowPlainServers gives evidence against plain servers of the target
+// version that are four times slower, and none against equally fast ones.
 func TestRolloutEvidenceOfSlowPlainServers(t *testing.T) {
 	for _, times := range []time.Duration{1, 4} {
 		g := canaryGate(0.5)
 		g.Service = "app"
-		b := newRolloutBench(t, g)
+		b := newRolloutHarness(t, g)
 		d := versionDirectory(2, 6, "v1", "v2")
 		for i := range d.Servers {
 			d.Servers[i].Service = "app"
@@ -127,11 +128,11 @@
 	}
 }
 
-// TestRolloutEvidenceAllowsForReading does not speak against servers that must read anew
-// what old ones keep.
+// TestRolloutEvidenceAllowsForReading gives no evidence against servers that must read prompt
+// parts that old servers have cached.
 func TestRolloutEvidenceAllowsForReading(t *testing.T) {
 	const shared = 12000
-	b := newRolloutBench(t, canaryGate(0))
+	b := newRolloutHarness(t, canaryGate(0))
 	request := func(i int) Request {
 		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 500})
 		r.PromptTokens = shared + 500
@@ -152,20 +153,21 @@
 	require.Equal(t, tally{good: 60}, target)
 }
 
-// rateOld lets the router know how fast old servers answer a route.
+// seedBaseline sets the speed of old servers for a route.
 func (b *harness) seedBaseline(route string) {
-	pace := b.m.pool("llm").baseline.routes.get(route)
+	baseline := b.m.pool("llm").baseline.routes.get(route)
 	for range baselineMinResponses {
-		pace.delayRatio.add(1, minFirstEventMS)
-		pace.tokenMS.add(5, minTokenMS)
+		baseline.delayRatio.add(1, minFirstEventMS)
+		baseline.tokenMS.add(5, minTokenMS)
 	}
 }
 
-// TestRolloutEvidenceOfUnknownSpeed has the target answer where no old server's speed is known: its
-// successes say nothing, or a slow version would pass for a good one, and each failure counts
-// beside them, or a good version with few failures would pass for a bad one.
+// TestRolloutEvidenceOfUnknownSpeed has the target version respond before the speed of old
+// servers is known. Its successes don't count, or a slow version would pass as a good one. With
+// each failure one of them counts, or a good version with few failures would be rejected as
+// bad.
 func TestRolloutEvidenceOfUnknownSpeed(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	attempt := func(o Outcome) (good, bad int) {
 		r := b.routeRequest("chat")
 		r.Kind = Repeatable
@@ -191,15 +193,15 @@
 	require.Equal(t, 30, bads)
 	require.Equal(t, 30, goods)
 	good, _ := attempt(Failed)
-	require.Zero(t, good, "told once")
+	require.Zero(t, good, "each held response must be reported only once")
 }
 
-// TestRolloutEvidenceOfOutcomes says which outcomes speak for or against a version.
+// TestRolloutEvidenceOfOutcomes checks which outcomes are evidence for or against a version.
 func TestRolloutEvidenceOfOutcomes(t *testing.T) {
 	for outcome, want := range map[Outcome][]bool{
 		Done: {false}, Failed: {true}, Unsent: nil, NotRun: nil, Elsewhere: nil, Broken: nil, Hung: nil, GivenUp: nil, Moved: nil,
 	} {
-		b := newRolloutBench(t, canaryGate(1))
+		b := newRolloutHarness(t, canaryGate(1))
 		b.seedBaseline("chat")
 		r := b.routeRequest("chat")
 		r.Kind = Repeatable
@@ -214,10 +216,10 @@
 	}
 }
 
-// TestRolloutEvidenceOfFailures tells a failure that comes as a whole answer from one
-// that ends a stream.
+// TestRolloutEvidenceOfFailures distinguishes a failure that is a whole response from one that
+// ends a stream.
 func TestRolloutEvidenceOfFailures(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	b.seedBaseline("chat")
 	whole := b.routeRequest("chat")
 	b.sent(b.arrive(whole))
@@ -236,29 +238,29 @@
 	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
 }
 
-// TestRolloutEvidenceOfSilence counts a silence as slow only where the server answers
-// others meanwhile.
+// TestRolloutEvidenceOfSilence counts a timeout as slow only if the server responds to others
+// meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
-	for _, answering := range []bool{false, true} {
-		b := newRolloutBench(t, canaryGate(1))
+	for _, responding := range []bool{false, true} {
+		b := newRolloutHarness(t, canaryGate(1))
 		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 1, "v2")})
 		b.advance(2 * maxLapseGrace)
 		silent, other := b.routeRequest("chat"), b.routeRequest("chat")
 		b.sent(b.arrive(silent))
 		b.sent(b.arrive(other))
 		b.advance(time.Second)
-		if answering {
+		if responding {
 			b.complete(other.ID)
 		}
 		got := responsesIn(b.end(silent.ID, Hung, false))
-		require.Equal(t, answering, len(got) == 1 && got[0].Bad && !got[0].Later)
+		require.Equal(t, responding, len(got) == 1 && got[0].Bad && !got[0].Later)
 	}
 }
 
-// TestRolloutEvidenceOfUnsettledServers takes nothing from cold servers and from those
-// that are new.
+// TestRolloutEvidenceIgnoresColdAndNewServers gets no evidence from cold servers and from newly
+// listed ones.
 func TestRolloutEvidenceIgnoresColdAndNewServers(t *testing.T) {
-	b := newRolloutBench(t, canaryGate(1))
+	b := newRolloutHarness(t, canaryGate(1))
 	d := versionDirectory(2, 7, "v1", "v2")
 	for i := range d.Servers {
 		d.Servers[i].ColdFor = time.Minute
@@ -266,27 +268,27 @@
 	b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	r := b.routeRequest("chat")
 	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold")
+	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold servers")
 
 	g := canaryGate(1)
-	b = newRolloutBench(t, g)
+	b = newRolloutHarness(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, "v1", "v2", "v3")})
 	g.Target = "v3"
 	b.gate(g)
 	r = b.routeRequest("chat")
 	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "new")
+	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "newly listed servers")
 }
 
-// TestRolloutEvidenceOnlyUnderWay says nothing while no service moves.
+// TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
-	b := newRolloutBench(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-	begun, later, old := b.streams(20, slowFactors{1, 1})
-	require.Equal(t, []tally{{}, {}, {}}, []tally{begun, later, old})
+	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	starts, later, old := b.streams(20, slowFactors{1, 1})
+	require.Equal(t, []tally{{}, {}, {}}, []tally{starts, later, old})
 }
 
-// TestRolloutCohorts are the halls; where the target is in one hall only, its servers
-// are told apart.
+// TestRolloutCohorts checks that cohorts are halls, and parts of the hall if the target version
+// has servers in only one.
 func TestRolloutCohorts(t *testing.T) {
 	cohorts := func(b *harness) map[string]bool {
 		out := make(map[string]bool)
@@ -300,11 +302,11 @@
 		}
 		return out
 	}
-	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newRolloutBench(t, canaryGate(1))))
+	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newRolloutHarness(t, canaryGate(1))))
 
 	g := canaryGate(1)
 	g.Servers = 0.05
-	b := newRolloutBench(t, g)
+	b := newRolloutHarness(t, g)
 	d := versionDirectory(2, 30, "v1", "v2")
 	for i := range d.Servers {
 		if d.Servers[i].Version == "v2" {
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -36,7 +36,7 @@
 // TestRegionSharesOfBoundTeams checks that a flooding team that is restricted to a quarter of
 // the servers gets at most their capacity, and that the other teams get the rest.
 func TestRegionSharesOfBoundTeams(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
 	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
 	require.InDelta(t, totalTokenRate*3/8, b.teamBase("one"), 1)
@@ -46,7 +46,7 @@
 // TestRegionShareOfFewBound checks that a restricted team gets as much as each of many
 // unrestricted ones, as long as its region has the capacity.
 func TestRegionShareOfFewBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	teams := []loads.TeamUse{{Team: "bound", Offered: 500_000}}
 	for i := range 7 {
 		teams = append(teams, loads.TeamUse{Team: fmt.Sprint("free", i), Offered: 500_000})
@@ -59,7 +59,7 @@
 // TestRegionShareWithoutBoundTeams checks that without restricted teams there are no groups,
 // and that the levels equal those of waterLevel exactly.
 func TestRegionShareWithoutBoundTeams(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "one", Offered: 33_333}, loads.TeamUse{Team: "two", Offered: 500_000, Served: 1}, loads.TeamUse{Team: "three", Offered: 77_777})
 	require.Empty(t, b.m.groups)
 	baseLevel := waterLevel([]float64{33_333, 500_000, 77_777}, totalTokenRate)
@@ -71,7 +71,7 @@
 // TestRegionEvenBound serves a restricted team less than its share. Teams that may use its
 // region must be capped in proportion, and other teams must not.
 func TestRegionEvenBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
 	b.setPeerUse(
 		loads.TeamUse{Team: "bound", Offered: 500_000, Served: 0.6 * totalTokenRate / 4},
 		loads.TeamUse{Team: "near", Offered: 500_000, Served: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000, Served: 500_000},
@@ -86,7 +86,7 @@
 // TestRegionWithoutEvenBound checks that switching the even cap off also applies to restricted
 // teams.
 func TestRegionWithoutEvenBound(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	without, err := ParseDisabledMechanisms(string(EvenCap))
 	require.NoError(t, err)
 	b.m.options.DisabledMechanisms = without
@@ -97,7 +97,7 @@
 // TestRegionRestrictionRemoved restricts a team by one configuration and removes the
 // restriction by the next.
 func TestRegionRestrictionRemoved(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
 	b.setPeerUse(flood...)
 	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
@@ -109,7 +109,7 @@
 // TestRegionShareWithoutServers evacuates the only hall that a team may use, and then all
 // halls. The other team must then have the whole capacity.
 func TestRegionShareWithoutServers(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
 	b.evacuate(1, "c")
 	b.setPeerUse(flood...)
@@ -123,7 +123,7 @@
 // TestRegionSharesInState checks that the dumped shares include the levels of restricted teams
 // if they differ.
 func TestRegionSharesInState(t *testing.T) {
-	b := newRegionBench(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 10}, loads.TeamUse{Team: "free", Offered: 10})
 	require.Empty(t, b.m.Shares(b.now, 1).Bound)
 	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 5e6}, loads.TeamUse{Team: "free", Offered: 10})
@@ -192,7 +192,7 @@
 func measureServed(t *testing.T, config Config, rates map[string]float64, teams ...string) map[string]float64 {
 	const warmUp, measured = 400, 400 // ticks
 	w := &engineSim{
-		harness: newRegionBench(t, config, 2), tokensPerMS: totalTokenRate / 8 / 1000.0,
+		harness: newRegionHarness(t, config, 2), tokensPerMS: totalTokenRate / 8 / 1000.0,
 		idleAt: make(map[string]time.Duration), requests: make(map[RequestID]Request), served: make(map[string]float64),
 	}
 	bound := make(map[string]Regions)
