--- a/direct/candidates.go
+++ b/direct/candidates.go
@@ -74,8 +74,8 @@
 	}
 	part := last.ID
 	holders := m.partHolders.holdersOf(part)
-	var first *server
-	var top uint64
+	var best *server
+	var maxWeight uint64
 	held := false
 	for _, s := range p.sideServers(r) {
 		if !s.accepts(now, r.Regions) || s.probation {
@@ -86,11 +86,11 @@
 			continue
 		}
 		weight := rendezvousWeight(part, s)
-		if first == nil || weight > top || (holds && !held) {
-			first, top, held = s, weight, holds
+		if best == nil || weight > maxWeight || (holds && !held) {
+			best, maxWeight, held = s, weight, holds
 		}
 	}
-	return first
+	return best
 }
 
 // rendezvousWeight returns the weight of a server for a part in rendezvous hashing.
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -82,7 +82,7 @@
 		// late.
 		m.suspectIfCrashed(now, r, s)
 	case o == GivenUp, o == Moved:
-		s.blamed.addAbandoned(now, r.Fingerprint)
+		s.crashState.addAbandoned(now, r.Fingerprint)
 	}
 }
 
@@ -94,7 +94,7 @@
 // suspectIfCrashed records a broken attempt as a suspect if its server has crashed, and starts
 // a probe if that is not known yet.
 func (m *Machine) suspectIfCrashed(now time.Duration, r *requestState, s *server) {
-	check := &s.blamed
+	check := &s.crashState
 	if check.crashed && now-check.crashedAt < crashWindow {
 		m.suspects.Crashed(now, r.Fingerprint, quarantine.Server(s.loadKey))
 		return
@@ -109,7 +109,7 @@
 // whether the server has crashed. Only a refused connection proves a crash: if the host doesn't
 // respond, the network may have failed.
 func (m *Machine) resolveCrashCheck(msg ProbeResultMsg, s *server) bool {
-	check := &s.blamed
+	check := &s.crashState
 	if len(check.awaitingProbe) == 0 {
 		return false
 	}
@@ -137,8 +137,8 @@
 	kept := m.pendingReprobes[:0]
 	for _, s := range m.pendingReprobes {
 		switch {
-		case len(s.blamed.awaitingProbe) == 0:
-		case now-s.blamed.reachedAt < reprobeDelay:
+		case len(s.crashState.awaitingProbe) == 0:
+		case now-s.crashState.reachedAt < reprobeDelay:
 			kept = append(kept, s)
 		default:
 			m.emit(ProbeCmd{Server: s.Server})
--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -230,7 +230,7 @@
 		b.sent(b.arrive(r))
 		b.end(r.ID, GivenUp, false)
 	}
-	require.Len(t, b.m.byServer["e0"].blamed.abandoned, maxAbandoned)
+	require.Len(t, b.m.byServer["e0"].crashState.abandoned, maxAbandoned)
 	b.advance(crashWindow + TickInterval)
 	r := b.requestWith(crashingFingerprint + 1000)
 	b.sent(b.arrive(r))
--- a/direct/evencap.go
+++ b/direct/evencap.go
@@ -29,38 +29,38 @@
 	if !m.enabled(EvenCap) {
 		return
 	}
-	unbound := m.lowestServed(now)
-	m.evenCap = m.evenCapFor(nil, m.baseLevel, unbound)
+	unrestricted := m.lowestServed(now)
+	m.evenCap = m.evenCapFor(nil, m.baseLevel, unrestricted)
 	for _, g := range m.groups {
-		g.evenCap = m.evenCapFor(g, g.baseLevel, unbound)
+		g.evenCap = m.evenCapFor(g, g.baseLevel, unrestricted)
 	}
 }
 
 // lowestServed stores in each group the lowest rate among its unsatisfied teams that ask for
 // more than their share, and returns the lowest such rate among the unrestricted teams.
 func (m *Machine) lowestServed(now time.Duration) float64 {
-	unbound := math.Inf(1)
+	unrestricted := math.Inf(1)
 	for _, t := range m.teams {
 		offered, served := t.offeredRate(now), t.servedRate(now)
 		switch {
 		case offered <= unsatisfiedDemandFactor*m.limitsOf(t).baseLevel || served >= satisfiedFraction*offered:
 		case t.group == nil:
-			unbound = min(unbound, served)
+			unrestricted = min(unrestricted, served)
 		default:
 			t.group.lowest = min(t.group.lowest, served)
 		}
 	}
-	return unbound
+	return unrestricted
 }
 
 // evenCapFor returns the even cap of a group's teams, or of the unrestricted teams if group is
 // nil. It is derived from the lowest rate among unsatisfied teams that may use some of the same
 // regions, scaled to the group's share.
-func (m *Machine) evenCapFor(group *teamGroup, baseLevel, unbound float64) float64 {
+func (m *Machine) evenCapFor(group *teamGroup, baseLevel, unrestricted float64) float64 {
 	if math.IsInf(baseLevel, 1) {
 		return baseLevel
 	}
-	lowest := scaleToShare(unbound, m.baseLevel, baseLevel)
+	lowest := scaleToShare(unrestricted, m.baseLevel, baseLevel)
 	for _, g := range m.groups {
 		if group.intersects(g) {
 			lowest = min(lowest, scaleToShare(g.lowest, g.baseLevel, baseLevel))
--- a/direct/hallregions.go
+++ b/direct/hallregions.go
@@ -23,12 +23,12 @@
 }
 
 // regionOf returns the region of a data hall, or an empty string if it is unknown.
-func (g hallRegions) regionOf(hall string) string { return g.halls[hall] }
+func (h hallRegions) regionOf(hall string) string { return h.halls[hall] }
 
 // isLocal reports whether a region counts as this router's own. If at most one region is known,
 // every hall counts as local, because nothing shows that one is farther away than another.
-func (g hallRegions) isLocal(region string) bool {
-	return !g.multipleRegions || (region != "" && region == g.ownRegion)
+func (h hallRegions) isLocal(region string) bool {
+	return !h.multipleRegions || (region != "" && region == h.ownRegion)
 }
 
 // setHallRegions applies a new mapping of data halls to regions and serves the queues by it.
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -86,7 +86,7 @@
 	dropped := false
 	for id, s := range p.servers {
 		if s.gone && s.running == 0 && now-s.leavingAt > goneRetention {
-			m.oldNotices.add(now, s)
+			m.forgottenNotices.add(now, s)
 			delete(p.servers, id)
 			delete(m.byServer, id)
 			delete(m.byKey, s.loadKey)
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -74,7 +74,7 @@
 	peerLoadsAt      time.Duration // when the peers' loads were received
 	suspects         quarantine.Suspects
 	pendingReprobes  []*server // to be probed again; see probeAgain
-	oldNotices       forgottenNotices
+	forgottenNotices forgottenNotices
 	startedRequests  []*requestState // whose first event came since the last tick, as evidence about versions
 }
 
--- a/direct/maxmin.go
+++ b/direct/maxmin.go
@@ -91,7 +91,7 @@
 // union of regions use up its capacity, or infinity if there is none.
 func saturationLevel(capacity []float64, sets []*demandSet, union regionSet, low, high float64) float64 {
 	available := capacityOf(capacity, union)
-	if allocated, _, open := allocatedWithin(sets, union, high); !open || allocated <= available {
+	if allocated, _, unsettled := allocatedWithin(sets, union, high); !unsettled || allocated <= available {
 		return math.Inf(1)
 	}
 	// The allocated total is concave in the level. Each step follows its slope and approaches
@@ -109,7 +109,7 @@
 
 // allocatedWithin returns what the teams restricted to a union of regions get at a level, how
 // many of them ask for more, and whether any of their sets is not settled.
-func allocatedWithin(sets []*demandSet, union regionSet, level float64) (allocated float64, unsatisfied int, open bool) {
+func allocatedWithin(sets []*demandSet, union regionSet, level float64) (allocated float64, unsatisfied int, unsettled bool) {
 	for _, d := range sets {
 		if !d.allowed.subsetOf(union) {
 			continue
@@ -117,9 +117,9 @@
 		amount, more := d.allocatedAt(level)
 		allocated += amount
 		unsatisfied += more
-		open = open || !d.settled
+		unsettled = unsettled || !d.settled
 	}
-	return allocated, unsatisfied, open
+	return allocated, unsatisfied, unsettled
 }
 
 func capacityOf(capacity []float64, set regionSet) float64 {
@@ -135,14 +135,14 @@
 // unionsOf returns the unions of allowed sets. Other sets of regions need no check: each limits
 // the teams no more than the largest union within it.
 func unionsOf(sets []*demandSet) []regionSet {
-	var own, all []regionSet
-	together := regionSet(0)
+	var distinct, all []regionSet
+	union := regionSet(0)
 	for _, d := range sets {
-		together |= d.allowed
-		if slices.Contains(own, d.allowed) {
+		union |= d.allowed
+		if slices.Contains(distinct, d.allowed) {
 			continue
 		}
-		own = append(own, d.allowed)
+		distinct = append(distinct, d.allowed)
 		for _, u := range slices.Clone(all) {
 			if u |= d.allowed; len(all) <= maxUnions && !slices.Contains(all, u) {
 				all = append(all, u)
@@ -155,8 +155,8 @@
 	if len(all) <= maxUnions {
 		return all
 	}
-	if !slices.Contains(own, together) {
-		own = append(own, together)
+	if !slices.Contains(distinct, union) {
+		distinct = append(distinct, union)
 	}
-	return own
+	return distinct
 }
--- a/direct/mechanism.go
+++ b/direct/mechanism.go
@@ -47,27 +47,27 @@
 
 // ParseDisabledMechanisms parses a comma-separated list of mechanism names.
 func ParseDisabledMechanisms(names string) (DisabledMechanisms, error) {
-	var w DisabledMechanisms
+	var d DisabledMechanisms
 	if names == "" {
-		return w, nil
+		return d, nil
 	}
 	for name := range strings.SplitSeq(names, ",") {
 		m := Mechanism(strings.TrimSpace(name))
 		if !slices.Contains(mechanisms, m) {
 			return DisabledMechanisms{}, errors.Wrapf(ErrUnknownMechanism, "%q; known mechanisms: %v", name, mechanisms)
 		}
-		w.disabled = append(w.disabled, m)
+		d.disabled = append(d.disabled, m)
 	}
-	return w, nil
+	return d, nil
 }
 
 // Enabled reports whether a mechanism is not in the set.
-func (w DisabledMechanisms) Enabled(m Mechanism) bool { return !slices.Contains(w.disabled, m) }
+func (d DisabledMechanisms) Enabled(m Mechanism) bool { return !slices.Contains(d.disabled, m) }
 
 // String returns the names of the set, separated by commas.
-func (w DisabledMechanisms) String() string {
-	names := make([]string, len(w.disabled))
-	for i, m := range w.disabled {
+func (d DisabledMechanisms) String() string {
+	names := make([]string, len(d.disabled))
+	for i, m := range d.disabled {
 		names[i] = string(m)
 	}
 	return strings.Join(names, ",")
--- a/direct/notice.go
+++ b/direct/notice.go
@@ -96,7 +96,7 @@
 
 // restoreNotices restores the notices of a server that is listed again after it was forgotten.
 func (m *Machine) restoreNotices(s *server) {
-	s.notices = m.oldNotices.take(s.ID)
+	s.notices = m.forgottenNotices.take(s.ID)
 	if s.notices.leaving {
 		s.markLeaving(s.notices.leavingAt)
 	}
--- a/direct/place.go
+++ b/direct/place.go
@@ -146,34 +146,34 @@
 	if s != preferred {
 		missTokens = m.missingTokens(now, p, s, r)
 	}
-	wait := float64(s.totalPending()) / perMS
-	own := float64(r.ownTokens()+missTokens) / perMS
-	first := float64(firstEventOverhead/time.Millisecond) + wait + own
+	waitMS := float64(s.totalPending()) / perMS
+	ownMS := float64(r.ownTokens()+missTokens) / perMS
+	firstMS := float64(firstEventOverhead/time.Millisecond) + waitMS + ownMS
 	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
 	// A request beyond its team's share goes only to servers that need not read a shared part
 	// again. If no holder is known, the preferred server is assumed to hold it.
 	surplus := r.shareRatio > 1 && r.attempt == 0 && m.enabled(SurplusReads)
-	if !fits(r, first/objectiveMS, wait/objectiveMS, p.objectiveMS) || (surplus && missTokens > 0) {
+	if !fits(r, firstMS/objectiveMS, waitMS/objectiveMS, p.objectiveMS) || (surplus && missTokens > 0) {
 		return choice{}, false
 	}
-	late := min(max((first/objectiveMS-lateRiskFrom)/(lateRiskTo-lateRiskFrom), 0), 1)
-	cost := lateCost*late + missCost*float64(missTokens) + waitCost*wait + slotCost*float64(s.totalRunning())
+	late := min(max((firstMS/objectiveMS-lateRiskFrom)/(lateRiskTo-lateRiskFrom), 0), 1)
+	cost := lateCost*late + missCost*float64(missTokens) + waitCost*waitMS + slotCost*float64(s.totalRunning())
 	cost += m.distance(s)
 	if preferred != nil && s != preferred {
 		cost += copyPlacementCost(r, s, missTokens)
 	}
-	return choice{server: s, missTokens: missTokens, estimate: milliseconds(first), cost: cost}, true
+	return choice{server: s, missTokens: missTokens, estimate: milliseconds(firstMS), cost: cost}, true
 }
 
 // fits reports whether a server would serve a request in time. first is the expected time to
 // the first event and wait the backlog, both as fractions of the request's objective. average
 // is the average objective of all requests, in milliseconds.
-func fits(r *requestState, first, wait, average float64) bool {
+func fits(r *requestState, first, wait, averageMS float64) bool {
 	switch {
 	case r.attempt > 0:
 		return first <= 1 || wait <= 1
 	case r.shareRatio > 1:
-		return first <= maxFirstEventFraction && wait*float64(r.Objective) <= overShareBacklogFraction*average*float64(time.Millisecond)
+		return first <= maxFirstEventFraction && wait*float64(r.Objective) <= overShareBacklogFraction*averageMS*float64(time.Millisecond)
 	}
 	return first <= maxFirstEventFraction || wait <= maxBacklogFraction
 }
@@ -185,11 +185,11 @@
 	}
 	slots := max(s.Slots, 1)
 	excess := max(s.totalRunning()+1-slots, 0)
-	first := latencyMS * (1 + float64(excess)/float64(slots))
+	firstMS := latencyMS * (1 + float64(excess)/float64(slots))
 	objectiveMS := float64(r.Objective) / float64(time.Millisecond)
-	fits := excess == 0 || (excess <= maxPlainExcess && first <= maxFirstEventFraction*objectiveMS)
-	cost := first + latencyMS*float64(s.totalRunning())/float64(slots) + m.distance(s) + objectiveMS*s.failureRate
-	return choice{server: s, estimate: milliseconds(first), cost: cost}, fits
+	fits := excess == 0 || (excess <= maxPlainExcess && firstMS <= maxFirstEventFraction*objectiveMS)
+	cost := firstMS + latencyMS*float64(s.totalRunning())/float64(slots) + m.distance(s) + objectiveMS*s.failureRate
+	return choice{server: s, estimate: milliseconds(firstMS), cost: cost}, fits
 }
 
 // distance returns the cost of a server in another zone or region.
@@ -218,14 +218,14 @@
 // missingTokens returns the tokens of shared parts that a server would have to read. A part is
 // usable only if the server holds all parts before it as well.
 func (m *Machine) missingTokens(now time.Duration, p *pool, s *server, r *requestState) int {
-	miss := 0
+	missing := 0
 	for i := len(r.Parts) - 2; i >= 0; i-- {
 		if m.partHolders.isHolder(now, p.cacheTTL, r.Parts[i].ID, s.ID) {
-			return miss
+			return missing
 		}
-		miss += r.Parts[i].Tokens
+		missing += r.Parts[i].Tokens
 	}
-	return miss
+	return missing
 }
 
 func milliseconds(ms float64) time.Duration {
--- a/direct/retrywindow.go
+++ b/direct/retrywindow.go
@@ -27,38 +27,38 @@
 	newest   int64 // number of the newest bucket, counted from time 0
 }
 
-func (b *retryWindow) advance(now time.Duration) int64 {
+func (w *retryWindow) advance(now time.Duration) int64 {
 	n := int64(now / retryBucketWidth)
-	if n-b.newest > retryBuckets {
-		b.newest = n - retryBuckets
+	if n-w.newest > retryBuckets {
+		w.newest = n - retryBuckets
 	}
-	for b.newest < n {
-		b.newest++
-		b.requests[b.newest%retryBuckets] = 0
-		b.retries[b.newest%retryBuckets] = 0
+	for w.newest < n {
+		w.newest++
+		w.requests[w.newest%retryBuckets] = 0
+		w.retries[w.newest%retryBuckets] = 0
 	}
 	return n
 }
 
-func (b *retryWindow) addRequest(now time.Duration) { b.requests[b.advance(now)%retryBuckets]++ }
+func (w *retryWindow) addRequest(now time.Duration) { w.requests[w.advance(now)%retryBuckets]++ }
 
 // trySpend takes one retry from this router's part of the budget and reports whether one was
 // left.
-func (b *retryWindow) trySpend(now time.Duration, o RetryBudgetOptions, routers int) bool {
-	n := b.advance(now)
+func (w *retryWindow) trySpend(now time.Duration, o RetryBudgetOptions, routers int) bool {
+	n := w.advance(now)
 	buckets := min(int64(o.Window/retryBucketWidth)+1, retryBuckets-1)
 	requests, retries := 0, 0
 	for i := n - buckets + 1; i <= n; i++ {
 		if i < 0 {
 			continue
 		}
-		requests += b.requests[i%retryBuckets]
-		retries += b.retries[i%retryBuckets]
+		requests += w.requests[i%retryBuckets]
+		retries += w.retries[i%retryBuckets]
 	}
 	allowed := retryBudgetMargin * (o.Ratio*float64(requests) + o.Slack/float64(max(routers, 1)))
 	if float64(retries)+1 > allowed {
 		return false
 	}
-	b.retries[n%retryBuckets]++
+	w.retries[n%retryBuckets]++
 	return true
 }
--- a/direct/server.go
+++ b/direct/server.go
@@ -68,7 +68,7 @@
 	lastPause     time.Duration // of the last ejection or down time
 	probation     bool          // must first serve one repeatable request
 	fullUntil     time.Duration
-	blamed        crashCheck
+	crashState    crashCheck
 }
 
 // usable reports whether new requests may go to a server now.
@@ -116,9 +116,9 @@
 
 // measuredTokenRate returns the rate at which a server read tokens in an elapsed time in
 // milliseconds, in tokens per millisecond.
-func measuredTokenRate(tokens int, elapsed float64) float64 {
-	spent := max(elapsed-float64(firstEventOverhead/time.Millisecond), 1)
-	return min(max(float64(tokens)/spent, minTokenRate), maxTokenRate)
+func measuredTokenRate(tokens int, elapsedMS float64) float64 {
+	readMS := max(elapsedMS-float64(firstEventOverhead/time.Millisecond), 1)
+	return min(max(float64(tokens)/readMS, minTokenRate), maxTokenRate)
 }
 
 // movingAverage moves an average towards a value. An average of 0 has no value yet and starts
--- a/direct/share.go
+++ b/direct/share.go
@@ -69,20 +69,20 @@
 
 // demands adds the demand of each active restricted team to its group. It returns the demands
 // of the unrestricted active teams, and what all teams get.
-func (m *Machine) demands(now time.Duration) (unbound []float64, served float64) {
-	unbound = make([]float64, 0, len(m.teams))
+func (m *Machine) demands(now time.Duration) (unrestricted []float64, served float64) {
+	unrestricted = make([]float64, 0, len(m.teams))
 	for _, t := range m.teams {
 		served += t.servedRate(now)
 		d := t.offeredRate(now)
 		switch {
 		case d <= minActiveRate:
 		case t.group == nil:
-			unbound = append(unbound, d)
+			unrestricted = append(unrestricted, d)
 		default:
 			t.group.demands = append(t.group.demands, d)
 		}
 	}
-	return unbound, served
+	return unrestricted, served
 }
 
 // updateTeamWeights computes the scale of the teams' weights at this router. Requests refused
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -111,13 +111,13 @@
 func (m *Machine) updateGroupLevels(demands []float64) {
 	capacity := m.regionCapacities(newRegionIndex(m.groups))
 	everywhere := regionSet(1)<<len(capacity) - 1
-	unbound := newDemandSet(everywhere, demands)
-	sets := []*demandSet{unbound}
+	unrestricted := newDemandSet(everywhere, demands)
+	sets := []*demandSet{unrestricted}
 	for _, g := range m.groups {
 		sets = append(sets, newDemandSet(g.mask, g.demands))
 	}
 	maxMin(capacity, sets)
-	m.baseLevel = unbound.level
+	m.baseLevel = unrestricted.level
 	for i, g := range m.groups {
 		g.baseLevel = max(sets[i+1].level, minLevel)
 	}
@@ -125,7 +125,7 @@
 		capacity[i] *= m.headroom
 	}
 	maxMin(capacity, sets)
-	m.level = unbound.level
+	m.level = unrestricted.level
 	for i, g := range m.groups {
 		g.level = max(sets[i+1].level, minLevel)
 	}
--- a/direct/tokenbucket.go
+++ b/direct/tokenbucket.go
@@ -29,33 +29,33 @@
 }
 
 // refill adds the tokens for the elapsed time and caps the balance at the bucket's depth.
-func (a *tokenBucket) refill(rate float64, elapsed time.Duration) {
-	if a.rate == 0 {
-		a.tokens = 0
+func (b *tokenBucket) refill(rate float64, elapsed time.Duration) {
+	if b.rate == 0 {
+		b.tokens = 0
 	}
-	a.rate = rate
-	a.tokens = min(a.tokens+rate*elapsed.Seconds(), rate*bucketDepth.Seconds())
+	b.rate = rate
+	b.tokens = min(b.tokens+rate*elapsed.Seconds(), rate*bucketDepth.Seconds())
 }
 
 // empty reports whether the bucket is limited and has no tokens left.
-func (a *tokenBucket) empty() bool { return a.rate > 0 && a.tokens <= 0 }
+func (b *tokenBucket) empty() bool { return b.rate > 0 && b.tokens <= 0 }
 
 // aboveReserve reports whether the balance exceeds the reserve that is kept for requests that
 // are not late.
-func (a *tokenBucket) aboveReserve() bool {
-	return a.rate == 0 || a.tokens > lateReserveFraction*a.rate*bucketDepth.Seconds()
+func (b *tokenBucket) aboveReserve() bool {
+	return b.rate == 0 || b.tokens > lateReserveFraction*b.rate*bucketDepth.Seconds()
 }
 
 // covers reports whether one more request can be granted within the given time, after waiting
 // tokens for the team's requests that are queued before it.
-func (a *tokenBucket) covers(waiting float64, wait time.Duration) bool {
-	return a.rate == 0 || a.tokens+a.rate*wait.Seconds() > waiting
+func (b *tokenBucket) covers(waiting float64, wait time.Duration) bool {
+	return b.rate == 0 || b.tokens+b.rate*wait.Seconds() > waiting
 }
 
 // subtract removes tokens; a negative amount returns them.
-func (a *tokenBucket) subtract(tokens float64) {
-	if a.rate > 0 {
-		a.tokens -= tokens
+func (b *tokenBucket) subtract(tokens float64) {
+	if b.rate > 0 {
+		b.tokens -= tokens
 	}
 }
 
