--- a/direct/candidates.go
+++ b/direct/candidates.go
@@ -65,8 +65,8 @@
 
 // preferredServer returns the usable server with the highest rendezvous weight for the
 // request's last shared part, among the known holders of the part or, if there are none, among
-// all servers. All routers choose the same one. It returns nil for a request without a shared
-// part.
+// all servers. All routers with the same knowledge choose the same server. It returns nil for a
+// request without a shared part.
 func (m *Machine) preferredServer(now time.Duration, p *pool, r *requestState) *server {
 	last, shared := r.lastShared()
 	if !shared {
--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -187,8 +187,8 @@
 				case listRound[i] == round:
 					f.sendList(i)
 				case rapid.IntRange(0, 99).Draw(t, "trouble") == 0:
-					// The restarted router knows only some of the others; they remember it for
-					// the whole test.
+					// The restarted router knows only some of the others; they all remember it
+					// for a minute.
 					f.start(i, f.now)
 					f.setKnownRouters(i, rapid.IntRange(1, routers).Draw(t, "knows"))
 					listRound[i] = -1
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -73,7 +73,7 @@
 	candidateBuf     []candidate
 	peerLoadsAt      time.Duration // when the peers' loads were received
 	suspects         quarantine.Suspects
-	pendingReprobes  []*server // to be probed again; see probeAgain
+	pendingReprobes  []*server // to be probed again; see reprobe
 	forgottenNotices forgottenNotices
 	startedRequests  []*requestState // whose first event came since the last tick, as evidence about versions
 }
--- a/direct/maxmin.go
+++ b/direct/maxmin.go
@@ -132,8 +132,8 @@
 	return sum
 }
 
-// unionsOf returns the unions of allowed sets. Other sets of regions need no check: each limits
-// the teams no more than the largest union within it.
+// unionsOf returns the unions of allowed sets. Any other set of regions needs no check, because
+// it limits the teams no more than the largest union within it.
 func unionsOf(sets []*demandSet) []regionSet {
 	var distinct, all []regionSet
 	union := regionSet(0)
--- a/direct/partholders.go
+++ b/direct/partholders.go
@@ -69,8 +69,8 @@
 	return false
 }
 
-// evict drops the parts whose first holder is older than maxCacheTTL, and all parts if that
-// does not free any space.
+// evict drops the parts whose first holder last used them maxCacheTTL ago or earlier. If that
+// frees no space, it drops all parts.
 func (h *partHolders) evict(now time.Duration) {
 	for part, list := range h.parts {
 		if now-list[0].lastUsed >= maxCacheTTL {
--- a/direct/retrywindow.go
+++ b/direct/retrywindow.go
@@ -15,8 +15,8 @@
 	Window time.Duration
 }
 
-// retryBudgetMargin is the fraction of the fleet's budget that all routers use together. Their
-// windows are not aligned; the margin keeps the sum within the budget.
+// retryBudgetMargin is the fraction of the fleet's budget that all routers use together. It
+// keeps the sum of their windows, which are not aligned, within the budget.
 const retryBudgetMargin = 0.8
 
 // retryWindow counts one router's requests and retries for one service, in buckets of
--- a/direct/server.go
+++ b/direct/server.go
@@ -10,17 +10,17 @@
 	failureWeight         = 0.08 // weight of one response in a server's failure rate
 	minEjectSamples       = 8    // responses before the failure rate may eject
 	ejectStreak           = 4    // failures in a row that eject
-	ejectFailureRate      = 0.3  // failure rate that ejects ...
-	ejectMedianFactor     = 3.0  // ... if it also is this multiple of the pool's median
+	ejectFailureRate      = 0.3  // failure rate above which a server is ejected ...
+	ejectMedianFactor     = 3.0  // ... if it also exceeds this multiple of the pool's median
 	minEjection           = time.Second
 	maxEjection           = 5 * time.Second
 	minDownTime           = 250 * time.Millisecond
 	maxDownTime           = 2 * time.Second
-	maxLapseGrace         = 1200 * time.Millisecond // upper bound; see lapsedFor
+	maxLapseGrace         = 1200 * time.Millisecond // upper bound; see lapseDuration
 	massLapseFraction     = 0.3                     // of a service's servers that vanish at once
 	minMassLapse          = 2
-	maxLastResortTime     = 800 * time.Millisecond // upper bound; see lastResortFor
-	defaultFullPause      = 60 * time.Millisecond  // after a server declined a request without a duration
+	maxLastResortTime     = 800 * time.Millisecond // upper bound; see lastResortDuration
+	defaultFullPause      = 60 * time.Millisecond  // after a server declined a request and named no duration
 	rateWeight            = 0.1
 	minRateSampleTokens   = 1500
 	minTokenRate          = 4.0   // tokens per millisecond
@@ -38,7 +38,7 @@
 	gone      bool
 	notices   serverNotices
 	// lapsedAt is when the server's entry vanished together with many others. The server stays
-	// in use for lapsedFor. 0: it has not lapsed.
+	// in use for lapseDuration. 0: it has not lapsed.
 	lapsedAt time.Duration
 
 	evacuated       bool // its data hall is evacuated
@@ -121,8 +121,8 @@
 	return min(max(float64(tokens)/readMS, minTokenRate), maxTokenRate)
 }
 
-// movingAverage moves an average towards a value. An average of 0 has no value yet and starts
-// at first.
+// movingAverage returns an exponentially weighted moving average after a new value. An old
+// average of 0 is unset and replaced by first.
 func movingAverage(old, value, first float64) float64 {
 	if old == 0 {
 		old = first
--- a/direct/share.go
+++ b/direct/share.go
@@ -68,7 +68,7 @@
 }
 
 // demands adds the demand of each active restricted team to its group. It returns the demands
-// of the unrestricted active teams, and what all teams get.
+// of the active unrestricted teams, and the total rate at which teams are served.
 func (m *Machine) demands(now time.Duration) (unrestricted []float64, served float64) {
 	unrestricted = make([]float64, 0, len(m.teams))
 	for _, t := range m.teams {
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -24,8 +24,8 @@
 	return g == other || g == nil || other == nil || g.mask.intersects(other.mask)
 }
 
-// minLevel is the minimum, in tokens per second, that a restricted team may get while its
-// regions have no servers, so that the next server that appears can serve it at once.
+// minLevel is the minimum level of a restricted team, in tokens per second. It applies while the
+// team's regions have no servers, so that the next server that appears can serve it at once.
 const minLevel = minActiveRate
 
 // setTeamRegions applies the regions to which the configuration restricts teams.
--- a/direct/tokenbucket.go
+++ b/direct/tokenbucket.go
@@ -46,8 +46,8 @@
 	return b.rate == 0 || b.tokens > lateReserveFraction*b.rate*bucketDepth.Seconds()
 }
 
-// covers reports whether one more request can be granted within the given time, after waiting
-// tokens for the team's requests that are queued before it.
+// covers reports whether the balance, refilled for the given wait, exceeds the waiting tokens:
+// those that the team's queued requests take first.
 func (b *tokenBucket) covers(waiting float64, wait time.Duration) bool {
 	return b.rate == 0 || b.tokens+b.rate*wait.Seconds() > waiting
 }
@@ -80,10 +80,10 @@
 	}
 }
 
-// correction returns the factor applied to a router's part of a team's limit. Above 1, the team
-// is served less than its limit, because routers short of processor time don't use their parts;
-// the other routers make up for them. Below 1, the team is served more than its limit, because
-// its callers switch routers faster than routers exchange reports; all routers then grant less.
+// correction returns the factor applied to a router's part of a team's limit. It is above 1 if
+// the team is served less than its limit: routers short of processor time don't use their parts,
+// and the others make up for them. It is below 1 if the team is served more than its limit: its
+// callers switch routers faster than routers exchange reports, and all routers then grant less.
 func correction(limit, served float64) float64 {
 	if served <= limit/maxCorrection {
 		return maxCorrection
--- a/direct/tokenbucket_test.go
+++ b/direct/tokenbucket_test.go
@@ -27,7 +27,7 @@
 	for i := range teams {
 		teams[i] = map[RequestID]string{}
 	}
-	// finish completes the requests that were sent at once.
+	// finish immediately completes the requests that were sent.
 	finish := func(i int, cmds []Cmd) {
 		for _, c := range cmds {
 			if c, ok := c.(SendCmd); ok {
--- a/direct/unrated.go
+++ b/direct/unrated.go
@@ -5,9 +5,9 @@
 const maxUnrated = 64
 
 // unrated counts responses of the target version that did not fail and whose speed can't be
-// compared with that of old servers. They are no evidence for the version, which may be
-// arbitrarily slow. They are counted next to its failures, because otherwise a few failures in
-// a thousand responses would look like nothing but failures.
+// compared with that of old servers. On their own they are no evidence for the version, which
+// may be arbitrarily slow. They count beside its failures, because otherwise a few failures in
+// a thousand responses would look like failures only.
 type unrated map[unratedKey]int
 
 // unratedKey identifies the cell of evidence of a response; see rollout.Cell.
