--- a/direct/ending.go
+++ b/direct/ending.go
@@ -12,8 +12,8 @@
 const hungFailureWeight = 2
 
 const (
-	// minRefillDelay and maxRefillDelay bound the retry delay for callers of a team that
-	// has exceeded its allowance.
+	// minRefillDelay and maxRefillDelay bound the retry delay for callers of a team that has
+	// exceeded its rate limit.
 	minRefillDelay = time.Second
 	maxRefillDelay = 10 * time.Second
 )
@@ -141,9 +141,9 @@
 }
 
 // retryAfter returns when a refused request is expected to find capacity: when the servers have
-// processed their backlog or, if none takes requests, when the first backoff ends. An offset of
-// 0.5 to 1.5 objectives, by a hash of team and ID, keeps callers from returning all at once. A
-// team above its share also waits for its allowance.
+// processed their backlog or, if none accepts requests, when the first backoff ends. An offset
+// of 0.5 to 1.5 objectives, by a hash of team and ID, keeps callers from returning all at once.
+// A team above its share also waits until its rate limit covers its demand.
 func (m *Machine) retryAfter(now time.Duration, p *pool, r *requestState, reason Reason) time.Duration {
 	if reason == ReasonQuarantined {
 		return quarantine.Hold
@@ -175,7 +175,7 @@
 	return after
 }
 
-// refillDelay returns how long a team's allowance takes to cover the demand that was not
+// refillDelay returns how long a team's rate limit takes to cover the demand that was not
 // served lately. A caller that returns sooner finds other requests of its team ahead of it.
 func (m *Machine) refillDelay(now time.Duration, name string) time.Duration {
 	t := m.team(name)
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTwoHallHarness returns a bench with three servers in hall a and three in hall b, which get
-// requests at a reduced rate while they are cold.
+// newTwoHallHarness returns a harness with three servers in hall a and three in hall b, which
+// get requests at a reduced rate while they are cold.
 func newTwoHallHarness(t *testing.T) *harness {
 	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -32,11 +32,11 @@
 
 // observation is the evidence that an attempt has given so far about the version of its server.
 type observation struct {
-	eligible        bool          // the server was neither cold nor newly listed, so its responses are evidence
+	eligible        bool          // false: the server was cold or newly listed, so its responses are no evidence
 	expectedMS      float64       // expected time to the first event, in milliseconds
 	firstEventAt    time.Duration // when the first event of a stream arrived; 0: not yet
 	firstEventSpeed speed
-	reported        bool // an AnswerCmd was emitted about the start
+	reported        bool // a ResponseCmd was emitted about the start
 }
 
 // startObservation starts the observation of an attempt that has just been sent.
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -11,7 +11,7 @@
 // no server: nothing is known about the service yet.
 type gate struct {
 	rollout.Gate
-	old, target []*server // eligible servers, by ID
+	old, target []*server // admitted servers, by ID
 	exposure    exposure
 	unrated     unrated
 	movePending bool // streams at old servers may still have to be moved
@@ -34,7 +34,7 @@
 	m.moveStreams(msg.Now, p)
 }
 
-// updateAllAdmitted recomputes the eligible servers of all pools after states of servers have
+// updateAllAdmitted recomputes the admitted servers of all pools after states of servers have
 // changed.
 func (m *Machine) updateAllAdmitted() {
 	for _, p := range m.pools {
@@ -42,8 +42,8 @@
 	}
 }
 
-// updateAdmitted recomputes which servers may get requests. The others are marked as barred:
-// they get no requests and are excluded from averages and shares.
+// updateAdmitted recomputes the admitted servers, which may get requests. The others are
+// barred: they get no requests and are excluded from averages and shares.
 func (p *pool) updateAdmitted() {
 	g := p.gate
 	if g == nil {
@@ -76,7 +76,7 @@
 // oldVersionsClosed reports whether old versions get no new requests.
 func (g *gate) oldVersionsClosed() bool { return g.OldClosed && g.Target != "" }
 
-// side returns the eligible servers of the target version, or of the old versions. Without a
+// side returns the admitted servers of the target version, or of the old versions. Without a
 // gate there is only one side.
 func (p *pool) side(target bool) []*server {
 	switch {
@@ -88,7 +88,7 @@
 	return p.gate.old
 }
 
-// sideServers returns the eligible servers of the side that a request is being placed on.
+// sideServers returns the admitted servers of the side that a request is being placed on.
 func (p *pool) sideServers(r *requestState) []*server { return p.side(r.placement.target) }
 
 // sameSide returns the servers that a server is compared with for ejection: those of its own
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newRolloutHarness returns a bench with six old and six new servers in three halls, whose
-// service has the given gate from v1 to v2. It has run until all servers give evidence.
+// newRolloutHarness returns a harness with six old and six new servers in three halls and a
+// gate for the rollout from v1 to v2. It runs until the responses of all servers count as
+// evidence.
 func newRolloutHarness(t *testing.T, g rollout.Gate) *harness {
 	b := &harness{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
 	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
@@ -37,7 +38,8 @@
 	return d
 }
 
-// canaryGate returns a gate that admits a part of the requests, without a limit on their count.
+// canaryGate returns a gate that admits a fraction of the requests to the target version,
+// without a limit on their count.
 func canaryGate(fraction float64) rollout.Gate {
 	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: fraction, Limit: 1, Servers: 1}
 }
@@ -142,7 +144,7 @@
 	}
 }
 
-// TestRolloutCrossSection sends about the same part of each route's requests to the canary.
+// TestRolloutCrossSection sends about the same fraction of each route's requests to the canary.
 func TestRolloutCrossSection(t *testing.T) {
 	b := newRolloutHarness(t, canaryGate(0.1))
 	for _, route := range []string{"chat", "tag", "plan"} {
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -70,7 +70,7 @@
 	return out
 }
 
-// countAdmitted counts the servers that may get requests.
+// countAdmitted counts the servers that are not barred.
 func countAdmitted(servers []*server) int {
 	n := 0
 	for _, s := range servers {
@@ -81,7 +81,7 @@
 	return n
 }
 
-// countPresent counts the eligible servers that are not gone.
+// countPresent counts the admitted servers that are not gone.
 func (p *pool) countPresent() int {
 	n := 0
 	for _, s := range p.admitted {
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// forgetGone removes the servers that left longer than goneMemory ago.
+// forgetGone removes the servers that have been gone for more than goneRetention.
 func (m *Machine) forgetGone(now time.Duration, p *pool) {
 	dropped := false
 	for id, s := range p.servers {
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// noticeHarness is a bench with plain servers that numbers its lists.
+// noticeHarness is a harness with plain servers. It numbers its lists.
 type noticeHarness struct {
 	*harness
 	revision uint64
 }
 
-// newNoticeHarness returns a bench with some plain servers.
+// newNoticeHarness returns a harness with some plain servers.
 func newNoticeHarness(t *testing.T, ids ...string) *noticeHarness {
 	b := &noticeHarness{harness: newHarness(t, 0), revision: 1}
 	b.list(ids...)
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newHallHarness returns a bench with many servers in halls a and b.
+// newHallHarness returns a harness with many servers in halls a and b.
 func newHallHarness(t *testing.T, servers int) *harness {
 	b := newTwoHallHarness(t)
 	d := Directory{Revision: 2}
