--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -81,8 +81,8 @@
 		if server == "e0" {
 			outcome = Failed
 		}
-		if belief, ok := findCmd[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && belief.Status == StatusEjected {
-			ejected = belief.Server.ID
+		if status, ok := findCmd[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && status.Status == StatusEjected {
+			ejected = status.Server.ID
 		}
 	}
 	require.Equal(t, "e0", ejected)
@@ -96,8 +96,8 @@
 	for i := 0; i < 100 && !back; i++ {
 		r := b.request("red", PromptPart{ID: uint64(i), Tokens: 1}, PromptPart{ID: 9, Tokens: 1})
 		b.sent(b.arrive(r))
-		belief, ok := findCmd[ServerStatusCmd](b.end(r.ID, Done, false))
-		back = ok && belief.Status == StatusRestored
+		status, ok := findCmd[ServerStatusCmd](b.end(r.ID, Done, false))
+		back = ok && status.Status == StatusRestored
 	}
 	require.True(t, back)
 }
@@ -128,8 +128,8 @@
 		r := b.request("red")
 		b.sent(b.arrive(r))
 		for _, c := range b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, RouterLate: true}) {
-			_, belief := c.(ServerStatusCmd)
-			require.False(t, belief)
+			_, isStatus := c.(ServerStatusCmd)
+			require.False(t, isStatus)
 		}
 	}
 }
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -32,7 +32,7 @@
 	m        *Machine
 	gate     rollout.Gate // the applied gate
 	isolated bool         // it gets no updates
-	next     RequestID
+	lastID   RequestID
 	running  []*simRequest
 	waiting  map[RequestID]Request
 }
@@ -181,9 +181,9 @@
 }
 
 func (s *gateSim) arriveAt(r *simRouter, shared bool) {
-	r.next++
+	r.lastID++
 	request := Request{
-		ID: r.next, Team: "red", Service: "llm", Kind: Stream, Route: rapid.SampledFrom([]string{"chat", "tag"}).Draw(s.t, "route"),
+		ID: r.lastID, Team: "red", Service: "llm", Kind: Stream, Route: rapid.SampledFrom([]string{"chat", "tag"}).Draw(s.t, "route"),
 		MayRepeat: rapid.Bool().Draw(s.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(s.t, "attempts"),
 		Objective: 300 * time.Millisecond, Deadline: s.now + 5*time.Second, PromptTokens: 600, OutputTokens: 50,
 	}
@@ -332,7 +332,7 @@
 			require.Equal(t, cmds, append([]Cmd(nil), gated.Update(msg)...))
 			return cmds
 		}
-		now, next := time.Second, RequestID(0)
+		now, lastID := time.Second, RequestID(0)
 		update(ConfigMsg{Now: now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}}}})
 		gated.Update(GateMsg{Now: now, Gate: rollout.Gate{Service: "llm", InUse: []string{"v1"}}})
@@ -342,10 +342,10 @@
 			var cmds []Cmd
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step < 3:
-				next++
+				lastID++
 				cmds = update(RequestMsg{Now: now, Request: Request{
-					ID: next, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
-					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
+					ID: lastID, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
+					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(lastID % 9), Tokens: 500}, {ID: uint64(lastID) + 100, Tokens: 10}},
 				}})
 			case step == 3 && len(running) > 0:
 				id := running[0]
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -126,8 +126,8 @@
 	d.Servers = d.Servers[1:]
 	cmds := b.m.Update(ServersMsg{Now: b.now, Directory: d})
 	for _, c := range cmds {
-		if belief, ok := c.(ServerStatusCmd); ok {
-			require.Equal(t, StatusGone, belief.Status, belief.Server.ID)
+		if status, ok := c.(ServerStatusCmd); ok {
+			require.Equal(t, StatusGone, status.Status, status.Server.ID)
 		}
 	}
 	require.Len(t, b.m.pool("llm").admitted, 6, "gone servers must be kept until they are forgotten")
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -10,10 +10,10 @@
 // the order of services and IDs, not in that of a map.
 func TestLapsesAreReportedInOrder(t *testing.T) {
 	b := newHarness(t, 6)
-	order := func(cmds []Cmd, belief Status) []string {
+	order := func(cmds []Cmd, status Status) []string {
 		var ids []string
 		for _, c := range cmds {
-			if c, ok := c.(ServerStatusCmd); ok && c.Status == belief {
+			if c, ok := c.(ServerStatusCmd); ok && c.Status == status {
 				ids = append(ids, c.Server.ID)
 			}
 		}
@@ -48,8 +48,8 @@
 			cmds = append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, ConnRefused: true, Retry: true})...)
 			_, lost := findCmd[HallReachabilityCmd](cmds)
 			require.False(t, lost)
-			belief, _ := findCmd[ServerStatusCmd](cmds)
-			require.Equal(t, StatusGone, belief.Status)
+			status, _ := findCmd[ServerStatusCmd](cmds)
+			require.Equal(t, StatusGone, status.Status)
 		}
 	}
 	require.Len(t, gone, 3, "each stopped server must have been tried")
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -17,7 +17,7 @@
 	m             *Machine
 	now           time.Duration
 	revision      uint64
-	next          RequestID
+	lastID        RequestID
 	running       []RequestID
 	at            map[RequestID]string
 	leftAt        map[string]time.Duration // when a server first announced that it is leaving
@@ -114,11 +114,11 @@
 }
 
 func (h *noticeSim) arrive() {
-	h.next++
+	h.lastID++
 	h.update(RequestMsg{Now: h.now, Request: Request{
-		ID: h.next, Team: "red", Route: "r", Service: "llm", Kind: Stream, MayRepeat: rapid.Bool().Draw(h.t, "repeat"), Attempts: 3,
+		ID: h.lastID, Team: "red", Route: "r", Service: "llm", Kind: Stream, MayRepeat: rapid.Bool().Draw(h.t, "repeat"), Attempts: 3,
 		Objective: 400 * time.Millisecond, Deadline: h.now + 10*time.Second, PromptTokens: 100, OutputTokens: 10,
-		Parts: []PromptPart{{ID: rapid.Uint64Range(1, 6).Draw(h.t, "part"), Tokens: 50}, {ID: uint64(h.next) << 32, Tokens: 50}},
+		Parts: []PromptPart{{ID: rapid.Uint64Range(1, 6).Draw(h.t, "part"), Tokens: 50}, {ID: uint64(h.lastID) << 32, Tokens: 50}},
 	}})
 }
 
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -183,7 +183,7 @@
 // backoff, leaves, or is no longer listed. They are refused at once: waiting would only delay
 // their callers.
 func TestLastServerGone(t *testing.T) {
-	for name, goes := range map[string]func(b *noticeHarness) []Cmd{
+	for name, remove := range map[string]func(b *noticeHarness) []Cmd{
 		"backs off": func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Backoff: time.Second}) },
 		"leaves":    func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Leaving: true}) },
 		"is gone":   func(b *noticeHarness) []Cmd { return b.listAs() },
@@ -194,7 +194,7 @@
 		}
 		queued := b.plainRequest()
 		require.Empty(t, b.arrive(queued), "the request must be queued")
-		refused, ok := findCmd[RefuseCmd](goes(b))
+		refused, ok := findCmd[RefuseCmd](remove(b))
 		require.True(t, ok, name)
 		require.Equal(t, queued.ID, refused.ID)
 	}
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -28,7 +28,7 @@
 		id     RequestID
 		server string // probed; empty: a request was sent
 	}
-	var hung []call
+	var inFlight []call
 	isDead := func(s Server) bool {
 		for _, h := range halls {
 			if h == s.Zone {
@@ -37,14 +37,14 @@
 		}
 		return false
 	}
-	var take func(cmds []Cmd)
-	take = func(cmds []Cmd) {
+	var handleCmds func(cmds []Cmd)
+	handleCmds = func(cmds []Cmd) {
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case SendCmd:
 				if isDead(c.Server) {
 					failed++
-					hung = append(hung, call{at: b.now + dial, id: c.ID})
+					inFlight = append(inFlight, call{at: b.now + dial, id: c.ID})
 					continue
 				}
 				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
@@ -52,28 +52,28 @@
 			case ProbeCmd:
 				probes++
 				if isDead(c.Server) {
-					hung = append(hung, call{at: b.now + dial, server: c.Server.ID})
+					inFlight = append(inFlight, call{at: b.now + dial, server: c.Server.ID})
 					continue
 				}
-				take(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.Server.ID, Reached: true})...))
+				handleCmds(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.Server.ID, Reached: true})...))
 			}
 		}
 	}
 	for end := b.now + d; b.now < end; {
-		take(b.arrive(b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})))
-		take(b.advance(TickInterval))
-		kept := hung[:0]
-		for _, c := range hung {
+		handleCmds(b.arrive(b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})))
+		handleCmds(b.advance(TickInterval))
+		kept := inFlight[:0]
+		for _, c := range inFlight {
 			switch {
 			case c.at > b.now:
 				kept = append(kept, c)
 			case c.server != "":
-				take(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.server})...))
+				handleCmds(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.server})...))
 			default:
-				take(b.end(c.id, Unsent, true))
+				handleCmds(b.end(c.id, Unsent, true))
 			}
 		}
-		hung = append([]call(nil), kept...)
+		inFlight = append([]call(nil), kept...)
 	}
 	return failed, probes
 }
@@ -85,11 +85,11 @@
 	for _, servers := range []int{12, 200, 2000} {
 		b := newHallHarness(t, servers)
 		b.countByHall(time.Second)
-		vain, probes := b.runWithDeadHalls(5*time.Second, 300*time.Millisecond, "b")
-		require.LessOrEqual(t, vain, 15, "%d servers", servers)
+		failed, probes := b.runWithDeadHalls(5*time.Second, 300*time.Millisecond, "b")
+		require.LessOrEqual(t, failed, 15, "%d servers", servers)
 		require.LessOrEqual(t, probes, 40, "%d servers", servers)
-		vain, _ = b.runWithDeadHalls(5*time.Second, 300*time.Millisecond)
-		require.Zero(t, vain)
+		failed, _ = b.runWithDeadHalls(5*time.Second, 300*time.Millisecond)
+		require.Zero(t, failed)
 		require.NotZero(t, b.countByHall(time.Second)["b"], "the hall must be used again")
 	}
 }
--- a/direct/region_oracle_test.go
+++ b/direct/region_oracle_test.go
@@ -20,7 +20,7 @@
 	halls    map[string]string   // region by hall; an unknown region has no entry
 	teams    map[string][]string // allowed regions of each team
 	requests map[RequestID]*regionRequest
-	next     RequestID
+	lastID   RequestID
 }
 
 // regionRequest is the state of a request that has not ended.
@@ -151,16 +151,16 @@
 }
 
 func (o *regionSim) arrive() {
-	o.next++
+	o.lastID++
 	team := rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "who")
 	r := &regionRequest{route: o.regions("route"), team: o.teams[team]}
-	o.requests[o.next] = r
+	o.requests[o.lastID] = r
 	o.update(RequestMsg{Now: o.now, Request: Request{
-		ID: o.next, Team: team, Service: "llm", Kind: Stream, Regions: RegionsOf(r.route, r.team),
+		ID: o.lastID, Team: team, Service: "llm", Kind: Stream, Regions: RegionsOf(r.route, r.team),
 		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 4).Draw(o.t, "attempts"),
 		Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
 		PromptTokens: rapid.IntRange(1, 20_000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.next) + 100, Tokens: 10}},
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.lastID) + 100, Tokens: 10}},
 	}})
 }
 
