--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -23,7 +23,7 @@
 	parts       map[uint64]partRange // by shared prompt part
 }
 
-// partRange records for one shared prompt part the highest part of the gate at which its
+// partRange records, for one shared prompt part, the highest fraction of the gate at which its
 // requests went to old servers, and the lowest at which they went to the target version.
 type partRange struct{ old, target float64 }
 
@@ -32,7 +32,7 @@
 	m        *Machine
 	gate     rollout.Gate // the applied gate
 	isolated bool         // it gets no updates
-	next     RequestID
+	lastID   RequestID
 	running  []*simRequest
 	waiting  map[RequestID]Request
 }
@@ -77,7 +77,7 @@
 	})
 }
 
-// start adds a router, with the gate or without it.
+// start adds a router, with or without the gate.
 func (s *gateSim) start() {
 	r := &simRouter{waiting: make(map[RequestID]Request), m: NewMachine(Options{
 		Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
@@ -149,7 +149,8 @@
 	s.start()
 }
 
-// stage advances the gate. Each router that is not isolated gets it now or later.
+// stage advances the gate. Each router that is not isolated gets it at once or with a later
+// stage.
 func (s *gateSim) stage() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "stage") {
 	case 0:
@@ -180,9 +181,9 @@
 }
 
 func (s *gateSim) arriveAt(r *simRouter, shared bool) {
-	r.next++
+	r.lastID++
 	request := Request{
-		ID: r.next, Team: "red", Service: "llm", Kind: Stream, Route: rapid.SampledFrom([]string{"chat", "tag"}).Draw(s.t, "route"),
+		ID: r.lastID, Team: "red", Service: "llm", Kind: Stream, Route: rapid.SampledFrom([]string{"chat", "tag"}).Draw(s.t, "route"),
 		MayRepeat: rapid.Bool().Draw(s.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(s.t, "attempts"),
 		Objective: 300 * time.Millisecond, Deadline: s.now + 5*time.Second, PromptTokens: 600, OutputTokens: 50,
 	}
@@ -217,7 +218,7 @@
 	require.NotEmpty(s.t, r.gate.Service, "request sent without a gate")
 	target := c.Server.Version == "v2"
 	require.Equal(s.t, target, c.PlacementBasis.Target)
-	require.False(s.t, target && r.gate.Part == 0, "request to the target version, whose part is 0")
+	require.False(s.t, target && r.gate.Part == 0, "request to the target version, whose fraction is 0")
 	require.False(s.t, !target && r.gate.OldClosed, "request to an old version after these were closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
@@ -331,7 +332,7 @@
 			require.Equal(t, cmds, append([]Cmd(nil), gated.Update(msg)...))
 			return cmds
 		}
-		now, next := time.Second, RequestID(0)
+		now, lastID := time.Second, RequestID(0)
 		update(ConfigMsg{Now: now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}}}})
 		gated.Update(GateMsg{Now: now, Gate: rollout.Gate{Service: "llm", InUse: []string{"v1"}}})
@@ -341,10 +342,10 @@
 			var cmds []Cmd
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step < 3:
-				next++
+				lastID++
 				cmds = update(RequestMsg{Now: now, Request: Request{
-					ID: next, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
-					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
+					ID: lastID, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
+					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(lastID % 9), Tokens: 500}, {ID: uint64(lastID) + 100, Tokens: 10}},
 				}})
 			case step == 3 && len(running) > 0:
 				id := running[0]
