--- a/direct/blame.go
+++ b/direct/blame.go
@@ -27,9 +27,9 @@
 // blame is what broke off at a server, or was given up there, and may have crashed it. Whether
 // the server has crashed, or only a connection broke, a probe tells. The zero value is ready.
 type blame struct {
-	contents  []quarantine.Content // that wait for a probe to end
-	left      []leftContent        // whose callers left a moment ago, the oldest first; no reason for a probe
-	reachedAt time.Duration        // when a probe reached the server; 0: none has since they came
+	contents  []quarantine.Fingerprint // that wait for a probe to end
+	left      []leftContent            // whose callers left a moment ago, the oldest first; no reason for a probe
+	reachedAt time.Duration            // when a probe reached the server; 0: none has since they came
 	crashed   bool
 	crashedAt time.Duration // when a probe last told that it has
 }
@@ -40,13 +40,13 @@
 
 // leftContent is a content whose attempt ended while its server may have begun to run it.
 type leftContent struct {
-	content quarantine.Content
+	content quarantine.Fingerprint
 	at      time.Duration
 }
 
 // callerLeft remembers a content whose caller left, or which was moved: if its server turns out to
 // have crashed right after that, it is as suspect as those that broke off.
-func (b *blame) callerLeft(now time.Duration, c quarantine.Content) {
+func (b *blame) callerLeft(now time.Duration, c quarantine.Fingerprint) {
 	b.left = slices.DeleteFunc(b.left, func(l leftContent) bool { return now-l.at > crashKnown })
 	if len(b.left) < leftMost {
 		b.left = append(b.left, leftContent{c, now})
@@ -54,8 +54,8 @@
 }
 
 // takeLeft returns the contents that callers left a moment ago, and forgets them.
-func (b *blame) takeLeft(now time.Duration) []quarantine.Content {
-	var out []quarantine.Content
+func (b *blame) takeLeft(now time.Duration) []quarantine.Fingerprint {
+	var out []quarantine.Fingerprint
 	for _, l := range b.left {
 		if now-l.at <= crashKnown {
 			out = append(out, l.content)
@@ -72,7 +72,7 @@
 	}
 	switch {
 	case o == Done:
-		m.suspects.Answered(now, r.Content)
+		m.suspects.RecordSuccess(now, r.Content)
 	case r.settled(now): // what crashes servers does so sooner
 	case o == Broken, o == Hung:
 		// An attempt that was given up may crash its server after that: a busy server begins
@@ -90,7 +90,7 @@
 func (m *Machine) blameFor(now time.Duration, r *run, s *server) {
 	b := &s.blamed
 	if b.crashed && now-b.crashedAt < crashKnown {
-		m.suspects.Crashed(now, r.Content, quarantine.Server(s.key))
+		m.suspects.RecordCrash(now, r.Content, quarantine.Server(s.key))
 		return
 	}
 	b.contents = append(b.contents, r.Content)
@@ -120,7 +120,7 @@
 	b.crashed, b.crashedAt = true, msg.Now
 	contents = append(contents, b.takeLeft(msg.Now)...)
 	for _, c := range contents {
-		m.suspects.Crashed(msg.Now, c, quarantine.Server(s.key))
+		m.suspects.RecordCrash(msg.Now, c, quarantine.Server(s.key))
 	}
 	m.emit(CrashCmd{Server: s.Server, Suspects: contents})
 	return true
@@ -147,8 +147,8 @@
 	if !m.uses(Quarantine) {
 		return
 	}
-	m.suspects.Hear(now, told.Suspects)
-	m.suspects.HearDigest(now, told.SuspectsDigest)
+	m.suspects.ApplyReports(now, told.Suspects)
+	m.suspects.CompareDigest(now, told.SuspectsDigest)
 }
 
 // dropSuspects forgets old suspects, now and then.
@@ -157,22 +157,22 @@
 		return
 	}
 	m.suspectsDroppedAt = now
-	m.suspects.Drop(now)
+	m.suspects.Expire(now)
 }
 
 // tellQuarantine says what a message has barred, and what it has released.
 func (m *Machine) tellQuarantine() {
-	if m.suspects.Urgent() {
+	if m.suspects.TakeUrgent() {
 		m.emit(ReportCmd{})
 	}
-	for _, c := range m.suspects.Changes() {
+	for _, c := range m.suspects.TakeChanges() {
 		m.emit(QuarantineCmd{Change: c})
 	}
 }
 
 // Records returns which records of barred contents the store should get, and which it should
 // lose.
-func (m *Machine) Records() (add, remove []quarantine.Content) {
+func (m *Machine) Records() (add, remove []quarantine.Fingerprint) {
 	return m.suspects.Unrecorded(), m.suspects.Outdated()
 }
 
--- a/direct/blame_test.go
+++ b/direct/blame_test.go
@@ -9,10 +9,10 @@
 )
 
 // harmful is a content under which servers crash.
-const harmful quarantine.Content = 99
+const harmful quarantine.Fingerprint = 99
 
 // with returns a request of a content.
-func (b *bench) with(c quarantine.Content) Request {
+func (b *bench) with(c quarantine.Fingerprint) Request {
 	r := b.request("red", Part{ID: uint64(b.next), Tokens: 100}, Part{ID: uint64(b.next) << 20, Tokens: 1000})
 	r.Content = c
 	return r
@@ -30,7 +30,7 @@
 }
 
 // crashOnce sends a request once, which crashes its server.
-func (b *bench) crashOnce(c quarantine.Content) {
+func (b *bench) crashOnce(c quarantine.Fingerprint) {
 	b.t.Helper()
 	r := b.with(c)
 	b.sent(b.arrive(r))
@@ -60,12 +60,12 @@
 	require.Equal(t, ReasonCrashes, failed.Reason)
 	began, ok := find[QuarantineCmd](cmds)
 	require.True(t, ok)
-	require.Equal(t, quarantine.Change{Content: harmful, Barred: true, Crashes: 3}, began.Change)
+	require.Equal(t, quarantine.Change{Fingerprint: harmful, Barred: true, Crashes: 3}, began.Change)
 
 	refused, ok := find[RefuseCmd](b.arrive(b.with(harmful)))
 	require.True(t, ok)
 	require.Equal(t, ReasonCrashes, refused.Reason)
-	require.Equal(t, quarantine.Hold, refused.After)
+	require.Equal(t, quarantine.Retention, refused.After)
 	b.sent(b.arrive(b.with(harmful + 1)))
 	b.sent(b.arrive(b.with(0)))
 }
@@ -127,7 +127,7 @@
 func TestAllThatBrokeOffAreBlamed(t *testing.T) {
 	b := newBench(t, 1)
 	var all []Request
-	for i := range quarantine.Content(3) {
+	for i := range quarantine.Fingerprint(3) {
 		r := b.with(harmful + i)
 		r.Attempts = 1
 		b.sent(b.arrive(r))
@@ -142,7 +142,7 @@
 	require.Len(t, crashed.Suspects, 2)
 	_, ok = find[ProbeCmd](b.end(all[2].ID, Broken, true))
 	require.False(t, ok)
-	for i := range quarantine.Content(3) {
+	for i := range quarantine.Fingerprint(3) {
 		require.Equal(t, 1, b.m.suspects.Crashes(harmful+i))
 	}
 }
@@ -151,7 +151,7 @@
 // crashes them, also a request that waits in its queue.
 func TestQuarantineReachesAllRouters(t *testing.T) {
 	here, there := newBench(t, 8), newBench(t, 1)
-	for range quarantine.CrashesMost {
+	for range quarantine.CrashThreshold {
 		here.crashOnce(harmful)
 	}
 	for range 60 { // its server is busy
@@ -180,7 +180,7 @@
 func TestCrashesAreToldAtOnce(t *testing.T) {
 	here, there := newBench(t, 8), newBench(t, 8)
 	var heard []Cmd
-	for crashes := 1; crashes <= quarantine.CrashesMost; crashes++ {
+	for crashes := 1; crashes <= quarantine.CrashThreshold; crashes++ {
 		r := here.with(harmful)
 		r.Attempts = 1
 		here.sent(here.arrive(r))
@@ -224,7 +224,7 @@
 func TestCallersThatLeftLongAgo(t *testing.T) {
 	b := newBench(t, 1)
 	for i := range leftMost + 10 {
-		r := b.with(harmful + quarantine.Content(i))
+		r := b.with(harmful + quarantine.Fingerprint(i))
 		b.sent(b.arrive(r))
 		b.end(r.ID, GivenUp, false)
 	}
--- a/direct/commands.go
+++ b/direct/commands.go
@@ -76,7 +76,7 @@
 // begun to run; it changes nothing outside and is there to be logged.
 type CrashCmd struct {
 	Server   Server
-	Suspects []quarantine.Content
+	Suspects []quarantine.Fingerprint
 }
 
 // QuarantineCmd says that requests of a content are refused from now on, or no longer; it
@@ -92,7 +92,7 @@
 
 // AnswerCmd tells of an answer from a server of a service that is being rolled out, for
 // the judging of its version.
-type AnswerCmd struct{ Answer rollout.AnswerMsg }
+type AnswerCmd struct{ Answer rollout.ResponseMsg }
 
 // MoveCmd breaks off a stream that runs at a server of an old version, so that it goes on
 // at one of the target's. An EndMsg with the outcome Moved follows.
--- a/direct/crashplay_test.go
+++ b/direct/crashplay_test.go
@@ -17,15 +17,15 @@
 	random  *rand.Rand
 	servers Directory
 	crashed []string // servers that are to be followed by others
-	ended   map[quarantine.Content]int
-	content quarantine.Content // of the next request that does no harm
-	asked   int                // such requests
-	refused int                // of these, for what crashed servers
+	ended   map[quarantine.Fingerprint]int
+	content quarantine.Fingerprint // of the next request that does no harm
+	asked   int                    // such requests
+	refused int                    // of these, for what crashed servers
 }
 
 func newCrashPlay(t *testing.T, seed uint64) *crashPlay {
 	p := &crashPlay{
-		random: rand.New(rand.NewPCG(seed, 1)), servers: directory(1, 12), ended: make(map[quarantine.Content]int), content: 1 << 32,
+		random: rand.New(rand.NewPCG(seed, 1)), servers: directory(1, 12), ended: make(map[quarantine.Fingerprint]int), content: 1 << 32,
 	}
 	for range 4 {
 		p.fleet = append(p.fleet, newBench(t, 12))
@@ -34,7 +34,7 @@
 }
 
 // ask has a request that crashes servers come to one router, and be tried as often as that allows.
-func (p *crashPlay) ask(content quarantine.Content) {
+func (p *crashPlay) ask(content quarantine.Fingerprint) {
 	b := p.fleet[p.random.IntN(len(p.fleet))]
 	r := b.with(content)
 	cmds := b.arrive(r)
@@ -132,14 +132,14 @@
 // wave has copies of requests arrive at routers before any of them is answered, and end all servers
 // that run them at the same moment; those that are tried on are the next to do so. It tells how many
 // servers ended under each content.
-func (p *crashPlay) wave(contents []quarantine.Content) map[quarantine.Content]int {
+func (p *crashPlay) wave(contents []quarantine.Fingerprint) map[quarantine.Fingerprint]int {
 	var running []copyOf
 	for _, content := range contents {
 		b := p.fleet[p.random.IntN(len(p.fleet))]
 		r := b.with(content)
 		running = p.runs(running, copyOf{at: b, r: r}, b.arrive(r))
 	}
-	ended := make(map[quarantine.Content]int)
+	ended := make(map[quarantine.Fingerprint]int)
 	for len(running) > 0 {
 		p.endServers(running, ended)
 		var next []copyOf
@@ -152,9 +152,9 @@
 }
 
 // endServers ends the servers that run requests, and counts them by content.
-func (p *crashPlay) endServers(running []copyOf, ended map[quarantine.Content]int) {
+func (p *crashPlay) endServers(running []copyOf, ended map[quarantine.Fingerprint]int) {
 	type end struct {
-		content quarantine.Content
+		content quarantine.Fingerprint
 		server  string
 	}
 	seen := make(map[end]bool)
@@ -191,11 +191,11 @@
 	for seed := range uint64(20) {
 		p := newCrashPlay(t, seed)
 		for i := range 100 {
-			p.ask(harmful + quarantine.Content(i%10))
+			p.ask(harmful + quarantine.Fingerprint(i%10))
 			p.pass()
 		}
 		for content, ended := range p.ended {
-			require.LessOrEqual(t, ended, quarantine.CrashesMost+2, "seed %d, content %d", seed, content)
+			require.LessOrEqual(t, ended, quarantine.CrashThreshold+2, "seed %d, content %d", seed, content)
 		}
 		asked, refused = asked+p.asked, refused+p.refused
 	}
@@ -209,16 +209,16 @@
 func TestCrashesTogetherStayFew(t *testing.T) {
 	for seed := range uint64(200) {
 		p := newCrashPlay(t, seed)
-		ended, late := make(map[quarantine.Content]int), make(map[quarantine.Content]int)
+		ended, late := make(map[quarantine.Fingerprint]int), make(map[quarantine.Fingerprint]int)
 		for range 30 {
-			var contents []quarantine.Content
+			var contents []quarantine.Fingerprint
 			for content := harmful; content < harmful+2; content++ {
 				for range p.random.IntN(4) {
 					contents = append(contents, content)
 				}
 			}
 			for content, servers := range p.wave(contents) {
-				if ended[content] >= quarantine.CrashesMost {
+				if ended[content] >= quarantine.CrashThreshold {
 					late[content] += servers
 				}
 				ended[content] += servers
@@ -246,7 +246,7 @@
 				p.pass()
 			}
 		}
-		require.Equal(t, quarantine.CrashesMost, p.ended[harmful], "seed %d", seed)
+		require.Equal(t, quarantine.CrashThreshold, p.ended[harmful], "seed %d", seed)
 	}
 }
 
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -102,7 +102,7 @@
 	}
 	switch {
 	// The probe that tells of a crash has not ended yet, and a fourth server would be lost.
-	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneMore(r.Content):
+	case (o == Broken || o == Hung) && !r.settled(now) && m.suspects.OneCrashFromBarred(r.Content):
 		m.giveUp(now, p, r, ReasonCrashes)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
@@ -147,7 +147,7 @@
 // told to wait for its allowance too.
 func (m *Machine) comeBack(now time.Duration, p *pool, r *run, reason Reason) time.Duration {
 	if reason == ReasonCrashes {
-		return quarantine.Hold
+		return quarantine.Retention
 	}
 	backlog, n := 0.0, 0
 	for _, s := range p.order {
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -145,8 +145,8 @@
 	if g.Target == "" || !r.observed.counts || (!s.target && !g.Uses(s.Version)) {
 		return
 	}
-	m.emit(AnswerCmd{Answer: rollout.AnswerMsg{
-		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: later, Bad: bad,
+	m.emit(AnswerCmd{Answer: rollout.ResponseMsg{
+		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, AfterStart: later, Bad: bad,
 	}})
 }
 
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -39,7 +39,7 @@
 
 func newWorkload(t *testing.T, slow float64) *workload {
 	g := trial(0.1)
-	g.Servers = 0.1
+	g.ServerFraction = 0.1
 	b := newMove(t, g)
 	b.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 30, "v1", "v2")})
 	b.pass(2 * settleTime)
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -9,8 +9,8 @@
 )
 
 // answers returns what commands say of versions.
-func answers(cmds []Cmd) []rollout.AnswerMsg {
-	var out []rollout.AnswerMsg
+func answers(cmds []Cmd) []rollout.ResponseMsg {
+	var out []rollout.ResponseMsg
 	for _, c := range cmds {
 		if a, ok := c.(AnswerCmd); ok {
 			out = append(out, a.Answer)
@@ -35,7 +35,7 @@
 
 // stream runs one request to its end at a server that reads 60 tokens a millisecond and
 // writes one token in 5, times its slowness, and returns the evidence.
-func (b *bench) stream(r Request, slow speeds, anew int) []rollout.AnswerMsg {
+func (b *bench) stream(r Request, slow speeds, anew int) []rollout.ResponseMsg {
 	cmds := b.arrive(r)
 	c, ok := find[SendCmd](cmds)
 	require.True(b.t, ok)
@@ -57,7 +57,7 @@
 			switch {
 			case !a.Target:
 				old.add(a.Bad)
-			case a.Later:
+			case a.AfterStart:
 				later.add(a.Bad)
 			default:
 				begun.add(a.Bad)
@@ -115,7 +115,7 @@
 			}
 			b.now += took
 			for _, a := range answers(b.answer(r.ID)) {
-				require.False(t, a.Later)
+				require.False(t, a.AfterStart)
 				if a.Target {
 					got.add(a.Bad)
 				}
@@ -206,7 +206,7 @@
 		b.sent(b.arrive(r))
 		var got []bool
 		for _, a := range answers(b.end(r.ID, outcome, false)) {
-			require.False(t, a.Later)
+			require.False(t, a.AfterStart)
 			require.True(t, a.Target)
 			got = append(got, a.Bad)
 		}
@@ -224,7 +224,7 @@
 	b.m.Update(FirstMsg{Now: b.now, ID: whole.ID})
 	got := answers(b.end(whole.ID, Failed, false))
 	require.Len(t, got, 1)
-	require.False(t, got[0].Later)
+	require.False(t, got[0].AfterStart)
 	require.True(t, got[0].Bad)
 
 	stream := b.one("chat")
@@ -233,7 +233,7 @@
 	got = append(answers(b.pass(TickEvery)), answers(b.end(stream.ID, Failed, false))...)
 	require.Len(t, got, 2)
 	require.Equal(t, []bool{false, true}, []bool{got[0].Bad, got[1].Bad})
-	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
+	require.Equal(t, []bool{false, true}, []bool{got[0].AfterStart, got[1].AfterStart})
 }
 
 // TestRolloutEvidenceOfSilence counts a silence as slow only where the server answers
@@ -251,7 +251,7 @@
 			b.answer(other.ID)
 		}
 		got := answers(b.end(silent.ID, Hung, false))
-		require.Equal(t, answering, len(got) == 1 && got[0].Bad && !got[0].Later)
+		require.Equal(t, answering, len(got) == 1 && got[0].Bad && !got[0].AfterStart)
 	}
 }
 
@@ -303,7 +303,7 @@
 	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newMove(t, trial(1))))
 
 	g := trial(1)
-	g.Servers = 0.05
+	g.ServerFraction = 0.05
 	b := newMove(t, g)
 	d := versions(2, 30, "v1", "v2")
 	for i := range d.Servers {
--- a/direct/flood_bench_test.go
+++ b/direct/flood_bench_test.go
@@ -21,7 +21,7 @@
 // version, which half of the servers are of.
 func BenchmarkRolloutFlood(b *testing.B) {
 	for _, servers := range []int{54, 1000, 10_000} {
-		gate := &rollout.Gate{Service: "llm", InUse: []string{"v0"}, Target: "v1", Part: 0.1, Limit: 0.1, Servers: 0.1}
+		gate := &rollout.Gate{Service: "llm", InUse: []string{"v0"}, Target: "v1", Fraction: 0.1, Limit: 0.1, ServerFraction: 0.1}
 		b.Run(fmt.Sprint(servers), func(b *testing.B) { flood(b, servers, gate) })
 	}
 }
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -29,7 +29,7 @@
 		p.gate.unrated = nil
 	}
 	p.gate.Gate = msg.Gate
-	p.gate.movePending = msg.Gate.Move
+	p.gate.movePending = msg.Gate.MoveStreams
 	p.admit()
 	m.serve(msg.Now, p, maxQueued)
 	m.move(msg.Now, p)
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -52,9 +52,9 @@
 func TestRolloutRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &site{t: t, now: time.Second, parts: make(map[uint64]span), gate: rollout.Gate{
-			Service: "llm", InUse: []string{"v1"}, Target: "v2", Servers: 0.3,
-			Part:  rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
-			Limit: rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
+			Service: "llm", InUse: []string{"v1"}, Target: "v2", ServerFraction: 0.3,
+			Fraction: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
+			Limit:    rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
 		}}
 		for range 3 {
 			s.start()
@@ -151,9 +151,9 @@
 func (s *site) stage() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "stage") {
 	case 0:
-		s.gate.Part = max(s.gate.Part, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
+		s.gate.Fraction = max(s.gate.Fraction, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
 	case 1:
-		s.gate.Part, s.gate.OldClosed, s.gate.Move = 1, true, true
+		s.gate.Fraction, s.gate.OldClosed, s.gate.MoveStreams = 1, true, true
 	}
 	for _, r := range s.routers {
 		if !r.cut && rapid.Bool().Draw(s.t, "hears") {
@@ -215,16 +215,16 @@
 	require.NotEmpty(s.t, r.gate.Service, "sent without a gate")
 	target := c.Server.Version == "v2"
 	require.Equal(s.t, target, c.Basis.Target)
-	require.False(s.t, target && r.gate.Part == 0, "no part of the requests is the target's")
+	require.False(s.t, target && r.gate.Fraction == 0, "no part of the requests is the target's")
 	require.False(s.t, !target && r.gate.OldClosed, "old versions are closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
 		seen := s.parts[part.ID]
 		switch {
 		case c.Basis.Side == SideOld:
-			seen.old = max(seen.old, r.gate.Part)
-		case c.Basis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Part < seen.target):
-			seen.target = r.gate.Part
+			seen.old = max(seen.old, r.gate.Fraction)
+		case c.Basis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Fraction < seen.target):
+			seen.target = r.gate.Fraction
 		}
 		s.parts[part.ID] = seen
 		require.False(s.t, seen.target > 0 && seen.old >= seen.target, "part %d is on both sides: %v", part.ID, seen)
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -39,7 +39,7 @@
 
 // trial is a gate that lets a part through, without bounds on the count.
 func trial(part float64) rollout.Gate {
-	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: part, Limit: 1, Servers: 1}
+	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Fraction: part, Limit: 1, ServerFraction: 1}
 }
 
 func (b *bench) gate(g rollout.Gate) []Cmd {
@@ -186,7 +186,7 @@
 	g.Limit = 0.05
 	b := newMove(t, g)
 	unmoved := uint64(1)
-	for chance(unmoved) < g.Part {
+	for chance(unmoved) < g.Fraction {
 		unmoved++
 	}
 	sent := 0
@@ -212,10 +212,10 @@
 	g.Limit = 0.1
 	b := newMove(t, g)
 	require.Equal(t, 10, b.byVersion("chat", 100)["v2"])
-	g.Part = 0.9
+	g.Fraction = 0.9
 	b.gate(g)
 	require.Equal(t, 1, b.byVersion("chat", 10)["v2"])
-	g.InUse, g.Target, g.Part = []string{"v2"}, "v1", 1
+	g.InUse, g.Target, g.Fraction = []string{"v2"}, "v1", 1
 	b.gate(g)
 	require.Zero(t, b.byVersion("chat", 9)["v1"])
 }
@@ -315,7 +315,7 @@
 // routers; those that get nothing are passed over.
 func TestRolloutTrialServers(t *testing.T) {
 	g := trial(0.02)
-	g.Servers = 0.02
+	g.ServerFraction = 0.02
 	b, other := newMove(t, g), newMove(t, g)
 	for _, router := range []*bench{b, other} {
 		router.m.Update(ServersMsg{Now: b.now, Directory: versions(2, 60, "v1", "v2")})
@@ -333,7 +333,7 @@
 	for _, id := range b.taking() {
 		require.NotEqual(t, "a", b.m.byServer[id].Zone)
 	}
-	g.Servers = 0.1
+	g.ServerFraction = 0.1
 	b.evacuate(3)
 	b.gate(g)
 	require.Len(t, b.taking(), 6)
@@ -343,7 +343,7 @@
 // half of its servers in the trial go on, so that the version can be judged.
 func TestRolloutEjectionLeavesSomeOfTheTarget(t *testing.T) {
 	g := trial(1)
-	g.Servers = 0.5
+	g.ServerFraction = 0.5
 	b := newMove(t, g)
 	for range 200 {
 		r := b.one("chat")
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -121,7 +121,7 @@
 	case EvacuationsMsg:
 		m.evacuate(msg)
 	case QuarantineMsg:
-		m.suspects.Record(msg.Now, msg.Listed)
+		m.suspects.SetRecorded(msg.Now, msg.Listed)
 	case GateMsg:
 		m.takeGate(msg)
 	case ArriveMsg:
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -45,7 +45,7 @@
 // QuarantineMsg brings the contents that the store lists as barred.
 type QuarantineMsg struct {
 	Now    time.Duration
-	Listed []quarantine.Content
+	Listed []quarantine.Fingerprint
 }
 
 // GateMsg says which of a service's servers may get requests, by their version.
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -31,7 +31,7 @@
 	}
 	require.Equal(t, 40, b.m.OldRunning("llm"))
 	g := trial(1)
-	g.OldClosed, g.Move = true, true
+	g.OldClosed, g.MoveStreams = true, true
 	first := moves(b.gate(g))
 	require.LessOrEqual(t, len(first), movesLeast)
 	all := append(first, moves(b.pass(time.Second))...)
@@ -58,7 +58,7 @@
 		b.sent(b.arrive(b.one("chat")))
 	}
 	g := trial(1)
-	g.OldClosed, g.Move = true, true
+	g.OldClosed, g.MoveStreams = true, true
 	all := append(moves(b.gate(g)), moves(b.pass(5*time.Second))...)
 	require.Len(t, all, int(budgetMargin*0.2*50))
 }
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -95,12 +95,12 @@
 
 // stage moves the service to the other version, by some part, or not at all.
 func (h *noticeHistory) stage() {
-	g := rollout.Gate{Service: "llm", InUse: []string{"v1", "v2"}, Servers: 1}
+	g := rollout.Gate{Service: "llm", InUse: []string{"v1", "v2"}, ServerFraction: 1}
 	if rapid.Bool().Draw(h.t, "moves") {
 		g.InUse, g.Target, g.Limit = []string{"v1"}, "v2", 1
-		g.Part = rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(h.t, "part")
-		g.OldClosed = g.Part == 1 && rapid.Bool().Draw(h.t, "closed")
-		g.Move = g.OldClosed
+		g.Fraction = rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(h.t, "part")
+		g.OldClosed = g.Fraction == 1 && rapid.Bool().Draw(h.t, "closed")
+		g.MoveStreams = g.OldClosed
 	}
 	h.update(GateMsg{Now: h.now, Gate: g})
 }
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -70,7 +70,7 @@
 // suspects is in a few reports.
 func (m *Machine) Report(now time.Duration) Report {
 	return Report{
-		Headroom: m.ownHeadroom, Suspects: m.suspects.Tell(now, suspectsTold), SuspectsDigest: m.suspects.Digest(),
+		Headroom: m.ownHeadroom, Suspects: m.suspects.TakeReports(now, suspectsTold), SuspectsDigest: m.suspects.Digest(),
 	}
 }
 
--- a/direct/request.go
+++ b/direct/request.go
@@ -32,7 +32,7 @@
 	PromptTokens int           // of the whole prompt
 	OutputTokens int           // expected
 	Parts        []Part        // of the prompt, in order; the last is the request's own
-	Content      quarantine.Content
+	Content      quarantine.Fingerprint
 }
 
 // ownTokens counts the tokens of the prompt that no other request shares.
--- a/direct/side.go
+++ b/direct/side.go
@@ -52,9 +52,9 @@
 		return sidesRetry
 	case r.placement.moved:
 		return sidesMoved
-	case g.closed() || position(r) < g.Part:
+	case g.closed() || position(r) < g.Fraction:
 		return sidesTarget
-	case g.exposure.behind(r.Route, g.Limit) && chance(uint64(r.ID)) < g.Part:
+	case g.exposure.behind(r.Route, g.Limit) && chance(uint64(r.ID)) < g.Fraction:
 		return sidesSample
 	}
 	return sidesOld
--- a/direct/trial.go
+++ b/direct/trial.go
@@ -25,7 +25,7 @@
 // resort only once old servers are closed: before that, the old ones serve.
 func (g *gate) openTargets(all []*server) []*server {
 	var out []*server
-	if g.Part <= 0 {
+	if g.Fraction <= 0 {
 		return nil
 	}
 	for _, s := range all {
@@ -33,8 +33,8 @@
 			out = append(out, s)
 		}
 	}
-	most := max(int(math.Ceil(g.Servers*float64(len(out)))), trialLeast)
-	if g.Servers >= 1 || most >= len(out) {
+	most := max(int(math.Ceil(g.ServerFraction*float64(len(out)))), trialLeast)
+	if g.ServerFraction >= 1 || most >= len(out) {
 		return out
 	}
 	slices.SortFunc(out, func(a, b *server) int {
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -70,7 +70,7 @@
 		x.w.Header().Set("Connection", "close")
 		return bodyRefusal(err)
 	}
-	x.content = quarantine.ContentOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
+	x.content = quarantine.FingerprintOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
 	return nil
 }
 
--- a/gateway/cluster/demandrow.go
+++ b/gateway/cluster/demandrow.go
@@ -18,7 +18,7 @@
 	for _, r := range reports {
 		d := r.Demand
 		rows = append(rows, demandRow{
-			Known: d.Known, PerSecond: float32(d.PerSecond), Watched: uint32(max(0, d.Watched.Milliseconds())),
+			Known: d.Complete, PerSecond: float32(d.PerSecond), Watched: uint32(max(0, d.Observed.Milliseconds())),
 		})
 	}
 	return rows
@@ -26,6 +26,6 @@
 
 func (d demandRow) unpack() rollout.Demand {
 	return rollout.Demand{
-		Known: d.Known, PerSecond: float64(d.PerSecond), Watched: time.Duration(d.Watched) * time.Millisecond,
+		Complete: d.Known, PerSecond: float64(d.PerSecond), Observed: time.Duration(d.Watched) * time.Millisecond,
 	}
 }
--- a/gateway/cluster/rolloutrow.go
+++ b/gateway/cluster/rolloutrow.go
@@ -33,11 +33,11 @@
 	var rows []rolloutRow
 	for _, r := range reports {
 		row := rolloutRow{
-			Service: r.Service, Order: r.Order, Routers: r.Routers, Known: r.Known, InForce: r.InForce,
+			Service: r.Service, Order: r.Order, Routers: r.Routers, Known: r.MaxStage, InForce: r.MinAppliedStage,
 			Age: r.Age, OldRunning: r.OldRunning, Rejected: r.Rejected,
 		}
 		for _, c := range r.Cells {
-			cell := cellRow{Target: c.Target, Later: c.Later, Good: c.Good, Bad: c.Bad}
+			cell := cellRow{Target: c.Target, Later: c.AfterStart, Good: c.Good, Bad: c.Bad}
 			row.Routes, cell.Route = intern(row.Routes, c.Route)
 			row.Cohorts, cell.Cohort = intern(row.Cohorts, c.Cohort)
 			row.Cells = append(row.Cells, cell)
@@ -64,7 +64,7 @@
 	var reports []rollout.Report
 	for i, row := range rows {
 		r := rollout.Report{
-			Service: row.Service, Order: row.Order, Routers: row.Routers, Known: row.Known, InForce: row.InForce,
+			Service: row.Service, Order: row.Order, Routers: row.Routers, MaxStage: row.Known, MinAppliedStage: row.InForce,
 			Age: row.Age, OldRunning: row.OldRunning, Rejected: row.Rejected,
 		}
 		if i < len(demands) {
@@ -75,7 +75,7 @@
 				continue // a datagram may come from anywhere
 			}
 			r.Cells = append(r.Cells, rollout.Cell{
-				Route: row.Routes[c.Route], Cohort: row.Cohorts[c.Cohort], Target: c.Target, Later: c.Later, Good: c.Good, Bad: c.Bad,
+				Route: row.Routes[c.Route], Cohort: row.Cohorts[c.Cohort], Target: c.Target, AfterStart: c.Later, Good: c.Good, Bad: c.Bad,
 			})
 		}
 		reports = append(reports, r)
--- a/gateway/cluster/rolloutrow_test.go
+++ b/gateway/cluster/rolloutrow_test.go
@@ -15,15 +15,15 @@
 // nothing are passed over.
 func TestRolloutDatagram(t *testing.T) {
 	said := rollout.Report{
-		Service: "llm", Order: 1 << 63, Routers: 12, Known: rollout.All, InForce: rollout.Half, Age: time.Minute, OldRunning: 3, Rejected: true,
-		Demand: rollout.Demand{Known: true, PerSecond: 1200.5, Watched: 2 * time.Second},
+		Service: "llm", Order: 1 << 63, Routers: 12, MaxStage: rollout.All, MinAppliedStage: rollout.Half, Age: time.Minute, OldRunning: 3, Rejected: true,
+		Demand: rollout.Demand{Complete: true, PerSecond: 1200.5, Observed: 2 * time.Second},
 	}
 	for route := range 100 {
 		for hall := range 3 {
 			for kind := range 4 {
 				said.Cells = append(said.Cells, rollout.Cell{
 					Route: fmt.Sprint("team-of-long-name/route-", route), Cohort: fmt.Sprint("hall-", hall),
-					Target: kind < 2, Later: kind%2 == 0, Good: 60000, Bad: 200,
+					Target: kind < 2, AfterStart: kind%2 == 0, Good: 60000, Bad: 200,
 				})
 			}
 		}
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -45,7 +45,7 @@
 }
 
 // records returns which records of barred contents the store should get, and which it should lose.
-func (c *core) records() (add, remove []quarantine.Content) {
+func (c *core) records() (add, remove []quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Records()
--- a/gateway/eventlog/beliefs.go
+++ b/gateway/eventlog/beliefs.go
@@ -61,7 +61,7 @@
 	if c.Barred {
 		name = "quarantine_begun"
 	}
-	l.Event(name).Str("content", c.Content.String()).Int("crashes", c.Crashes).Msg("")
+	l.Event(name).Str("content", c.Fingerprint.String()).Int("crashes", c.Crashes).Msg("")
 }
 
 // Shares logs what the teams that ask for most get.
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -37,8 +37,8 @@
 	regions  direct.Regions // that the route and the team allow
 	priority int
 	body     []byte
-	memory   memory.Account     // of the body, and of an answer that is read before it is forwarded
-	content  quarantine.Content // 0 until the body has been read
+	memory   memory.Account         // of the body, and of an answer that is read before it is forwarded
+	content  quarantine.Fingerprint // 0 until the body has been read
 	start    time.Duration
 	age      time.Duration // since its caller first asked, as far as is known
 	deadline time.Duration
--- a/gateway/feed/pull_test.go
+++ b/gateway/feed/pull_test.go
@@ -24,7 +24,7 @@
 	knows.Config.Offer(&direct.Config{Version: 3}, fromSource)
 	knows.Servers.OfferAll(&direct.Directory{Revision: 9, Servers: []direct.Server{{ID: "i-1"}}}, fromSource)
 	knows.Evacuations.Offer(&direct.Evacuations{Revision: 11, Halls: []string{"b"}}, fromSource)
-	knows.Quarantine.Offer(&Listing[quarantine.Content]{Revision: 13, All: []quarantine.Content{7}}, fromSource)
+	knows.Quarantine.Offer(&Listing[quarantine.Fingerprint]{Revision: 13, All: []quarantine.Fingerprint{7}}, fromSource)
 	server := httptest.NewServer(knows.Handler())
 	defer server.Close()
 	pulls, counter := newTestSet(), traffic.NewCounter(tally.NoopScope)
@@ -38,7 +38,7 @@
 	require.Equal(t, Revisions{3, 9, 11, 13}, pulls.Revisions())
 	require.True(t, pulls.Complete())
 	require.Equal(t, []string{"b"}, pulls.Evacuations.Newest().Halls)
-	require.Equal(t, []quarantine.Content{7}, pulls.Quarantine.Newest().All)
+	require.Equal(t, []quarantine.Fingerprint{7}, pulls.Quarantine.Newest().All)
 	require.Equal(t, "i-1", pulls.Servers.Newest().Servers[0].ID)
 }
 
--- a/gateway/feed/quarantine_test.go
+++ b/gateway/feed/quarantine_test.go
@@ -12,16 +12,16 @@
 // quarantineSource has some contents at a revision.
 type quarantineSource struct {
 	Source
-	contents []quarantine.Content
+	contents []quarantine.Fingerprint
 	revision uint64
 }
 
-func (s *quarantineSource) ReadQuarantine(context.Context) ([]quarantine.Content, uint64, error) {
+func (s *quarantineSource) ReadQuarantine(context.Context) ([]quarantine.Fingerprint, uint64, error) {
 	return s.contents, s.revision, nil
 }
 
-func (s *quarantineSource) WatchQuarantine(context.Context, uint64, time.Duration) ([]Change[quarantine.Content], uint64, error) {
-	return []Change[quarantine.Content]{{Object: 7}}, s.revision, nil
+func (s *quarantineSource) WatchQuarantine(context.Context, uint64, time.Duration) ([]Change[quarantine.Fingerprint], uint64, error) {
+	return []Change[quarantine.Fingerprint]{{Object: 7}}, s.revision, nil
 }
 
 // TestSameQuarantineIsNotTold reads the source again while nothing changes in the quarantine: no
@@ -43,7 +43,7 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, 2, told)
-	require.Equal(t, []quarantine.Content{7}, q.Newest().All)
+	require.Equal(t, []quarantine.Fingerprint{7}, q.Newest().All)
 	source.contents = nil
 	source.revision += 10
 	_, err := q.Read(t.Context())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,7 +65,7 @@
 	g.grace.Store(int64(s.Grace))
 	g.core = newCore(direct.Options{
 		Zone: s.Zone, Region: s.Region, HallRegions: s.HallRegions, Budget: s.Budget, Drain: s.Drain, Without: s.Without,
-		Gated: s.Rollout.On(),
+		Gated: s.Rollout.Enabled(),
 	}, g.log)
 	g.admin = admin.New(admin.Source{Ready: g.ready, State: g.dump})
 	g.stats = stats.New(g.admin.Scope())
@@ -78,7 +78,7 @@
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
 		pool:   backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: silentPeer, MaxIdle: maxIdle}),
 		queues: queues, callers: newCallers(callersMost(s.Descriptors), s.Power, queues), eventDelay: s.EventDelay,
-		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.Rollout.On(),
+		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.Rollout.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
@@ -95,7 +95,7 @@
 	parts := cluster.Parts{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
-	if s.Rollout.On() {
+	if s.Rollout.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
 			Bounds: s.Rollout, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
--- a/gateway/keeper.go
+++ b/gateway/keeper.go
@@ -27,8 +27,8 @@
 type QuarantineStore interface {
 	// AddQuarantine records that a content is barred; RemoveQuarantine deletes its record. Both
 	// may be repeated.
-	AddQuarantine(ctx context.Context, c quarantine.Content) error
-	RemoveQuarantine(ctx context.Context, c quarantine.Content) error
+	AddQuarantine(ctx context.Context, c quarantine.Fingerprint) error
+	RemoveQuarantine(ctx context.Context, c quarantine.Fingerprint) error
 }
 
 // keeper writes the records of barred contents, as long as its router leads.
@@ -63,7 +63,7 @@
 
 // write makes one call for each content that none was made for lately, and tells whether all
 // were done.
-func (k *keeper) write(ctx context.Context, w *recordWriter, contents []quarantine.Content) bool {
+func (k *keeper) write(ctx context.Context, w *recordWriter, contents []quarantine.Fingerprint) bool {
 	now := k.core.Now()
 	w.forget(now)
 	for _, c := range contents {
@@ -82,20 +82,20 @@
 // recordWriter makes one kind of call for contents, and remembers for which it was made.
 type recordWriter struct {
 	what string // as logs name it
-	call func(ctx context.Context, c quarantine.Content) error
-	done map[quarantine.Content]time.Duration // when a call was done
+	call func(ctx context.Context, c quarantine.Fingerprint) error
+	done map[quarantine.Fingerprint]time.Duration // when a call was done
 }
 
-func newRecordWriter(what string, call func(context.Context, quarantine.Content) error) *recordWriter {
-	return &recordWriter{what: what, call: call, done: make(map[quarantine.Content]time.Duration)}
+func newRecordWriter(what string, call func(context.Context, quarantine.Fingerprint) error) *recordWriter {
+	return &recordWriter{what: what, call: call, done: make(map[quarantine.Fingerprint]time.Duration)}
 }
 
 // forget drops the calls of which the feed should long have brought what they changed.
 func (w *recordWriter) forget(now time.Duration) {
-	maps.DeleteFunc(w.done, func(_ quarantine.Content, at time.Duration) bool { return now-at > keepAgain })
+	maps.DeleteFunc(w.done, func(_ quarantine.Fingerprint, at time.Duration) bool { return now-at > keepAgain })
 }
 
-func (w *recordWriter) write(ctx context.Context, now time.Duration, c quarantine.Content) error {
+func (w *recordWriter) write(ctx context.Context, now time.Duration, c quarantine.Fingerprint) error {
 	limited, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	err := w.call(limited, c)
--- a/gateway/keeper_test.go
+++ b/gateway/keeper_test.go
@@ -20,10 +20,10 @@
 	mu    sync.Mutex
 	down  bool
 	calls int
-	names map[quarantine.Content]bool
+	names map[quarantine.Fingerprint]bool
 }
 
-func (s *recordStore) write(c quarantine.Content, there bool) error {
+func (s *recordStore) write(c quarantine.Fingerprint, there bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
@@ -34,16 +34,16 @@
 	return nil
 }
 
-func (s *recordStore) AddQuarantine(_ context.Context, c quarantine.Content) error {
+func (s *recordStore) AddQuarantine(_ context.Context, c quarantine.Fingerprint) error {
 	return s.write(c, true)
 }
 
-func (s *recordStore) RemoveQuarantine(_ context.Context, c quarantine.Content) error {
+func (s *recordStore) RemoveQuarantine(_ context.Context, c quarantine.Fingerprint) error {
 	return s.write(c, false)
 }
 
 // has tells whether a record is there.
-func (s *recordStore) has(c quarantine.Content) bool {
+func (s *recordStore) has(c quarantine.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.names[c]
@@ -58,14 +58,14 @@
 		log := eventlog.New(io.Discard, "test")
 		defer log.Close()
 		core := newCore(direct.Options{}, log)
-		store := &recordStore{names: make(map[quarantine.Content]bool), down: true}
+		store := &recordStore{names: make(map[quarantine.Fingerprint]bool), down: true}
 		leads := false
 		var mu sync.Mutex
 		keeper := newKeeper(core, store, func() bool { mu.Lock(); defer mu.Unlock(); return leads }, log)
 		ended := make(chan error)
 		go func() { ended <- keeper.run(ctx) }()
 		crashes := quarantine.Report{Content: 7}
-		for i := range quarantine.Server(quarantine.CrashesMost) {
+		for i := range quarantine.Server(quarantine.CrashThreshold) {
 			crashes.Crashes = append(crashes.Crashes, quarantine.CrashReport{Server: i})
 		}
 		core.Update(direct.PeerMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{crashes}}})
@@ -82,7 +82,7 @@
 		store.mu.Unlock()
 		time.Sleep(2 * time.Second)
 		require.True(t, store.has(7))
-		core.Update(direct.QuarantineMsg{Now: core.Now(), Listed: []quarantine.Content{7}})
+		core.Update(direct.QuarantineMsg{Now: core.Now(), Listed: []quarantine.Fingerprint{7}})
 		time.Sleep(time.Minute)
 		require.LessOrEqual(t, store.calls, 2)
 		core.Update(direct.PeerMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
--- a/gateway/rollouts/queue.go
+++ b/gateway/rollouts/queue.go
@@ -27,7 +27,7 @@
 func (q *queue) put(msg rollout.Msg) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, answer := msg.(rollout.AnswerMsg); answer {
+	if _, answer := msg.(rollout.ResponseMsg); answer {
 		if q.answers == answersMost {
 			q.dropped++
 			return
--- a/gateway/rollouts/queue_test.go
+++ b/gateway/rollouts/queue_test.go
@@ -12,7 +12,7 @@
 func TestRolloutQueue(t *testing.T) {
 	b := newQueue()
 	for range answersMost + 3 {
-		b.put(rollout.AnswerMsg{})
+		b.put(rollout.ResponseMsg{})
 	}
 	require.Empty(t, b.wake)
 	b.put(rollout.OrdersMsg{})
@@ -21,7 +21,7 @@
 	require.Len(t, waiting, answersMost+1)
 	require.Equal(t, rollout.OrdersMsg{}, waiting[answersMost])
 	require.EqualValues(t, 3, dropped)
-	b.put(rollout.AnswerMsg{})
+	b.put(rollout.ResponseMsg{})
 	waiting, dropped = b.take()
 	require.Len(t, waiting, 1)
 	require.Zero(t, dropped)
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -123,7 +123,7 @@
 
 // Run hands queued messages and ticks to the machine, until ctx ends.
 func (r *Runner) Run(ctx context.Context, peers Peers) error {
-	ticker := time.NewTicker(rollout.TickEvery)
+	ticker := time.NewTicker(rollout.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -135,7 +135,7 @@
 			r.takeQueued(ctx)
 			r.update(ctx, rollout.TickMsg{
 				Now: r.o.Core.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
-				OldRunning: r.o.Core.AllOldRunning(), Asked: r.o.Core.AllAsked(),
+				OldRunning: r.o.Core.AllOldRunning(), Requests: r.o.Core.AllAsked(),
 			})
 		}
 	}
@@ -144,7 +144,7 @@
 func (r *Runner) takeQueued(ctx context.Context) {
 	waiting, dropped := r.queue.take()
 	for _, msg := range waiting {
-		if answer, ok := msg.(rollout.AnswerMsg); ok {
+		if answer, ok := msg.(rollout.ResponseMsg); ok {
 			r.o.Stats.RolloutAnswer(answer.Target, answer.Bad)
 		}
 		r.update(ctx, msg)
--- a/gateway/rollouts/store.go
+++ b/gateway/rollouts/store.go
@@ -39,7 +39,7 @@
 		}
 	}
 	r.logWrite(cmd, result, err)
-	r.queue.put(rollout.WrittenMsg{Now: r.o.Core.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
+	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Core.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
 }
 
 // orderWritten takes in an order as it is after a write. Other routers learn of it from the
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -94,9 +94,9 @@
 
 // rolloutsOf returns what a router reports: r2 has the lowest stage in force.
 func rolloutsOf(r Router) []rollout.Report {
-	report := rollout.Report{Service: "chat", Order: 7, Routers: 1, Known: rollout.Half, InForce: rollout.Half, Age: time.Second, OldRunning: 3}
+	report := rollout.Report{Service: "chat", Order: 7, Routers: 1, MaxStage: rollout.Half, MinAppliedStage: rollout.Half, Age: time.Second, OldRunning: 3}
 	if r.Address == "r2" {
-		report.InForce = rollout.Trial
+		report.MinAppliedStage = rollout.Trial
 	}
 	report.Cells = []rollout.Cell{{Route: "route", Cohort: "hall", Target: true, Good: 5, Bad: 1}}
 	return []rollout.Report{report}
--- a/quarantine/content.go
+++ b/quarantine/content.go
@@ -9,17 +9,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Content names what a request asks for: requests of one team with the same method, host,
+// Fingerprint names what a request asks for: requests of one team with the same method, host,
 // target and body have the same content, whichever router they come to and however often.
 // Each try of a caller has an id of its own, so the id doesn't tell. The zero value names
 // nothing.
 //
 // It is a hash of 64 bits. Contents that share one by chance are treated as one: with a
 // thousand suspects and 10,000 other contents a second, that is one request in 60,000 years.
-type Content uint64
+type Fingerprint uint64
 
-// ContentOf returns the content of a request.
-func ContentOf(team, method, host, target string, body []byte) Content {
+// FingerprintOf returns the content of a request.
+func FingerprintOf(team, method, host, target string, body []byte) Fingerprint {
 	var h xxhash.Digest
 	h.Reset()
 	var length [8]byte
@@ -30,20 +30,20 @@
 		_, _ = h.WriteString(field)
 	}
 	_, _ = h.Write(body)
-	return Content(max(h.Sum64(), 1))
+	return Fingerprint(max(h.Sum64(), 1))
 }
 
-// ErrContent says that a text names no content.
-var ErrContent = errors.New("no content of requests: it has 16 hexadecimal digits")
+// ErrFingerprint says that a text names no content.
+var ErrFingerprint = errors.New("no content of requests: it has 16 hexadecimal digits")
 
-// ParseContent reads what String wrote.
-func ParseContent(text string) (Content, error) {
+// ParseFingerprint reads what String wrote.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
-	if err != nil || n == 0 || Content(n).String() != text {
-		return 0, errors.Wrapf(ErrContent, "%q", text)
+	if err != nil || n == 0 || Fingerprint(n).String() != text {
+		return 0, errors.Wrapf(ErrFingerprint, "%q", text)
 	}
-	return Content(n), nil
+	return Fingerprint(n), nil
 }
 
 // String returns the content as logs write it.
-func (c Content) String() string { return fmt.Sprintf("%016x", uint64(c)) }
+func (c Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(c)) }
--- a/quarantine/judge.go
+++ b/quarantine/judge.go
@@ -20,7 +20,7 @@
 // content explains some. Of two that crash servers together the one that has crashed more explains
 // the other's; once that has seen as many crashes as bar a content, one by itself is enough.
 func harmful(crashes, unexplained int) bool {
-	return unexplained >= CrashesMost || crashes > CrashesMost && unexplained > 0
+	return unexplained >= CrashThreshold || crashes > CrashThreshold && unexplained > 0
 }
 
 // explained tells whether another content was there when a server crashed that has seen
@@ -40,11 +40,11 @@
 		}
 		s.digest.add(x)
 	}
-	slices.SortStableFunc(s.changed, func(a, b Change) int { return cmp.Compare(a.Content, b.Content) })
+	slices.SortStableFunc(s.changed, func(a, b Change) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 }
 
 func (s *Suspects) setBarred(x *suspect, barred bool) {
 	x.barred = barred
 	s.urgent = s.urgent || barred
-	s.changed = append(s.changed, Change{Content: x.content, Barred: barred, Crashes: len(x.crashes)})
+	s.changed = append(s.changed, Change{Fingerprint: x.content, Barred: barred, Crashes: len(x.crashes)})
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Record takes in which contents the store lists as barred, so that routers which all lost what
+// SetRecorded takes in which contents the store lists as barred, so that routers which all lost what
 // they knew still bar them. A content that is listed no longer was released: what is known of it
 // counts no more.
-func (s *Suspects) Record(now time.Duration, listed []Content) {
+func (s *Suspects) SetRecorded(now time.Duration, listed []Fingerprint) {
 	before := s.listed
-	s.listed = make(map[Content]bool, len(listed))
+	s.listed = make(map[Fingerprint]bool, len(listed))
 	for _, c := range listed {
 		s.listed[c] = true
 		if before[c] {
@@ -31,8 +31,8 @@
 }
 
 // Unrecorded returns the contents that are barred and not in the store.
-func (s *Suspects) Unrecorded() []Content {
-	var out []Content
+func (s *Suspects) Unrecorded() []Fingerprint {
+	var out []Fingerprint
 	for c, x := range s.known {
 		if x.barred && !s.listed[c] {
 			out = append(out, c)
@@ -43,8 +43,8 @@
 }
 
 // Outdated returns the contents that are in the store and not barred any more.
-func (s *Suspects) Outdated() []Content {
-	var out []Content
+func (s *Suspects) Outdated() []Fingerprint {
+	var out []Fingerprint
 	for _, c := range slices.Sorted(maps.Keys(s.listed)) {
 		if x := s.known[c]; x == nil || !x.barred {
 			out = append(out, c)
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -8,10 +8,10 @@
 )
 
 // barredBy returns suspects that have seen servers crash under a content.
-func barredBy(c Content) *Suspects {
+func barredBy(c Fingerprint) *Suspects {
 	s := &Suspects{}
-	for i := range Server(CrashesMost) {
-		s.Crashed(at(0), c, i)
+	for i := range Server(CrashThreshold) {
+		s.RecordCrash(at(0), c, i)
 	}
 	return s
 }
@@ -19,33 +19,33 @@
 // TestRecordBars has a router that has seen nothing read from the store what is barred.
 func TestRecordBars(t *testing.T) {
 	seen := barredBy(bad)
-	require.Equal(t, []Content{bad}, seen.Unrecorded())
-	seen.Record(at(1), []Content{bad})
+	require.Equal(t, []Fingerprint{bad}, seen.Unrecorded())
+	seen.SetRecorded(at(1), []Fingerprint{bad})
 	require.Empty(t, seen.Unrecorded())
 	require.Empty(t, seen.Outdated())
 
 	var started Suspects
-	started.Record(time.Second, []Content{bad})
+	started.SetRecorded(time.Second, []Fingerprint{bad})
 	require.True(t, started.Barred(time.Second, bad))
 	require.Empty(t, started.Unrecorded())
 	require.Equal(t, seen.Digest(), started.Digest())
-	started.Drop(Hold)
-	require.True(t, started.Barred(Hold, bad), "it counts as asked for when it was read")
+	started.Expire(Retention)
+	require.True(t, started.Barred(Retention, bad), "it counts as asked for when it was read")
 }
 
 // TestReleaseClears has an operator delete a record: its content is tried again, also at routers
 // that are told of the old crashes once more.
 func TestReleaseClears(t *testing.T) {
 	a, b := barredBy(bad), barredBy(bad)
-	a.Record(at(1), []Content{bad, innocent})
+	a.SetRecorded(at(1), []Fingerprint{bad, innocent})
 	require.True(t, a.Barred(at(1), innocent))
-	a.Record(at(2), nil)
+	a.SetRecorded(at(2), nil)
 	require.False(t, a.Barred(at(2), bad))
 	require.False(t, a.Barred(at(2), innocent))
 	require.Empty(t, a.Unrecorded(), "it isn't recorded again")
-	a.Hear(at(3), b.Tell(at(3), 8))
+	a.ApplyReports(at(3), b.TakeReports(at(3), 8))
 	require.False(t, a.Barred(at(3), bad))
-	b.Hear(at(3), a.Tell(at(3), 8))
+	b.ApplyReports(at(3), a.TakeReports(at(3), 8))
 	require.False(t, b.Barred(at(3), bad), "the release was told")
 }
 
@@ -53,14 +53,14 @@
 // to be removed, and don't bar them again meanwhile.
 func TestOutdatedRecords(t *testing.T) {
 	s := barredBy(bad)
-	s.Record(at(1), []Content{bad, innocent})
-	s.Answered(at(2), bad)
-	require.Equal(t, []Content{bad}, s.Outdated())
-	s.Record(at(3), []Content{bad, innocent, 7})
+	s.SetRecorded(at(1), []Fingerprint{bad, innocent})
+	s.RecordSuccess(at(2), bad)
+	require.Equal(t, []Fingerprint{bad}, s.Outdated())
+	s.SetRecorded(at(3), []Fingerprint{bad, innocent, 7})
 	require.False(t, s.Barred(at(3), bad))
-	s.Drop(at(4) + Hold)
-	require.Equal(t, []Content{bad, innocent, 7}, s.Outdated())
-	s.Record(at(5)+Hold, nil)
+	s.Expire(at(4) + Retention)
+	require.Equal(t, []Fingerprint{bad, innocent, 7}, s.Outdated())
+	s.SetRecorded(at(5)+Retention, nil)
 	require.Empty(t, s.Outdated())
 }
 
@@ -70,24 +70,24 @@
 	asked, other := barredBy(bad), &Suspects{}
 	now := at(0)
 	for range 40 {
-		now += Hold / 10
+		now += Retention / 10
 		require.True(t, asked.Barred(now, bad))
-		other.Hear(now, asked.Tell(now, 8))
-		asked.Drop(now)
-		other.Drop(now)
+		other.ApplyReports(now, asked.TakeReports(now, 8))
+		asked.Expire(now)
+		other.Expire(now)
 		require.Equal(t, asked.Digest(), other.Digest())
 	}
-	require.Empty(t, asked.Tell(now, 8))
+	require.Empty(t, asked.TakeReports(now, 8))
 }
 
 func TestParseContent(t *testing.T) {
-	for _, c := range []Content{1, bad, 1 << 63} {
-		back, err := ParseContent(c.String())
+	for _, c := range []Fingerprint{1, bad, 1 << 63} {
+		back, err := ParseFingerprint(c.String())
 		require.NoError(t, err)
 		require.Equal(t, c, back)
 	}
 	for _, text := range []string{"", "x", "1", "0000000000000000", "00000000000000001", "000000000000000G", "-000000000000001", "000000000000000A"} {
-		_, err := ParseContent(text)
-		require.ErrorIs(t, err, ErrContent, text)
+		_, err := ParseFingerprint(text)
+		require.ErrorIs(t, err, ErrFingerprint, text)
 	}
 }
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -22,7 +22,7 @@
 // Report is what a router tells others of one content. Times are told as ages, since clocks
 // of hosts differ.
 type Report struct {
-	Content Content
+	Content Fingerprint
 	// Grave says that more than one server has crashed under it. Other reports needn't be told
 	// to other regions.
 	Grave    bool
@@ -46,9 +46,9 @@
 
 func (a Age) duration() time.Duration { return time.Duration(a) * time.Millisecond }
 
-// Tell returns what others have yet to be told, most at a time: first of the contents under which
+// TakeReports returns what others have yet to be told, most at a time: first of the contents under which
 // most servers crashed, then of those that were learned last.
-func (s *Suspects) Tell(now time.Duration, most int) []Report {
+func (s *Suspects) TakeReports(now time.Duration, most int) []Report {
 	var due []*suspect
 	for _, x := range s.known {
 		if x.tell > 0 {
@@ -81,9 +81,9 @@
 	return r
 }
 
-// Hear takes in what another router told. Reports may be late, lost, repeated and reordered:
+// ApplyReports takes in what another router told. Reports may be late, lost, repeated and reordered:
 // crashes are added up, and the newest clearing holds.
-func (s *Suspects) Hear(now time.Duration, reports []Report) {
+func (s *Suspects) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
 		s.hear(now, r)
 	}
@@ -124,13 +124,13 @@
 
 // old tells whether all that a report says is too old to be kept.
 func (r Report) old() bool {
-	hold := ageOf(Hold)
+	hold := ageOf(Retention)
 	fresh := (r.Cleared && r.ClearAge <= hold) || (r.Asked && r.AskAge <= hold)
 	return !fresh && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= hold })
 }
 
 // nearlyBarred tells whether one more crash may bar the content.
-func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashesMost-1 }
+func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashThreshold-1 }
 
 // Digest is short sums of contents, by which routers find out that they know others; 0 for none.
 type Digest struct {
@@ -151,9 +151,9 @@
 // Digest sums up what all routers have to know.
 func (s *Suspects) Digest() Digest { return s.digest }
 
-// HearDigest takes in the digest of another router. Where it differs, what it stands for is told
+// CompareDigest takes in the digest of another router. Where it differs, what it stands for is told
 // again, so that also a router that was away or has just started learns of it.
-func (s *Suspects) HearDigest(now time.Duration, digest Digest) {
+func (s *Suspects) CompareDigest(now time.Duration, digest Digest) {
 	if digest == s.Digest() || now-s.repeated < repeatEvery {
 		return
 	}
--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -13,68 +13,68 @@
 // it tell it on.
 func TestReportsAreToldAFewTimes(t *testing.T) {
 	var a, b Suspects
-	a.Crashed(at(0), bad, 10)
+	a.RecordCrash(at(0), bad, 10)
 	var told []Report
 	for range tellOwn {
-		told = a.Tell(at(0.1), 8)
+		told = a.TakeReports(at(0.1), 8)
 		require.Equal(t, []Report{{Content: bad, Crashes: []CrashReport{{Server: 10, Age: 100}}}}, told)
 	}
-	require.Empty(t, a.Tell(at(0.1), 8))
-	b.Hear(at(0.2), told)
-	b.Hear(at(0.2), told)
-	require.Empty(t, b.Tell(at(0.2), 8), "one crash is told by those who saw it")
+	require.Empty(t, a.TakeReports(at(0.1), 8))
+	b.ApplyReports(at(0.2), told)
+	b.ApplyReports(at(0.2), told)
+	require.Empty(t, b.TakeReports(at(0.2), 8), "one crash is told by those who saw it")
 	require.Equal(t, 1, b.Crashes(bad))
-	a.Crashed(at(1), bad, 11)
-	told = a.Tell(at(1), 8)
+	a.RecordCrash(at(1), bad, 11)
+	told = a.TakeReports(at(1), 8)
 	require.True(t, told[0].Grave)
-	b.Hear(at(1.1), told)
-	b.Hear(at(1.1), told)
-	require.Len(t, b.Tell(at(1.1), 8), tellHeard)
-	require.Empty(t, b.Tell(at(1.1), 8))
+	b.ApplyReports(at(1.1), told)
+	b.ApplyReports(at(1.1), told)
+	require.Len(t, b.TakeReports(at(1.1), 8), tellHeard)
+	require.Empty(t, b.TakeReports(at(1.1), 8))
 }
 
 // TestNobodyIsToldOfHarmless has a request that was there when a server crashed be answered by
 // another one, before anybody was told.
 func TestNobodyIsToldOfHarmless(t *testing.T) {
 	var s Suspects
-	s.Crashed(at(0), innocent, 10)
-	s.Answered(at(0.1), innocent)
-	require.Empty(t, s.Tell(at(0.2), 8))
-	s.Crashed(at(1), innocent, 11)
-	s.Tell(at(1.1), 8)
-	s.Answered(at(1.2), innocent)
-	require.Len(t, s.Tell(at(1.3), 8), 1, "who was told of the crash is told of this")
+	s.RecordCrash(at(0), innocent, 10)
+	s.RecordSuccess(at(0.1), innocent)
+	require.Empty(t, s.TakeReports(at(0.2), 8))
+	s.RecordCrash(at(1), innocent, 11)
+	s.TakeReports(at(1.1), 8)
+	s.RecordSuccess(at(1.2), innocent)
+	require.Len(t, s.TakeReports(at(1.3), 8), 1, "who was told of the crash is told of this")
 }
 
 // TestWorstIsToldFirst has more to tell than fits into a list.
 func TestWorstIsToldFirst(t *testing.T) {
 	var s Suspects
 	for i := range 20 {
-		s.Crashed(at(float64(i)), Content(100+i), Server(i))
+		s.RecordCrash(at(float64(i)), Fingerprint(100+i), Server(i))
 	}
-	s.Crashed(at(0), bad, 50)
-	s.Crashed(at(0), bad, 51)
-	told := s.Tell(at(30), 3)
+	s.RecordCrash(at(0), bad, 50)
+	s.RecordCrash(at(0), bad, 51)
+	told := s.TakeReports(at(30), 3)
 	require.Len(t, told, 3)
-	require.Equal(t, []Content{bad, 119, 118}, []Content{told[0].Content, told[1].Content, told[2].Content})
+	require.Equal(t, []Fingerprint{bad, 119, 118}, []Fingerprint{told[0].Content, told[1].Content, told[2].Content})
 }
 
 // TestRestartedRouterLearns has a router start anew that knew what is barred: its digest tells the
 // others to tell it again, also of crashes from before its start.
 func TestRestartedRouterLearns(t *testing.T) {
 	var a, b Suspects
-	for i := range Server(CrashesMost) {
-		a.Crashed(at(0), bad, i)
+	for i := range Server(CrashThreshold) {
+		a.RecordCrash(at(0), bad, i)
 	}
 	for range tellOwn {
-		a.Tell(at(0), 8)
+		a.TakeReports(at(0), 8)
 	}
-	a.HearDigest(at(60), b.Digest())
-	a.HearDigest(at(60.1), b.Digest())
-	told := a.Tell(at(60), 8)
+	a.CompareDigest(at(60), b.Digest())
+	a.CompareDigest(at(60.1), b.Digest())
+	told := a.TakeReports(at(60), 8)
 	require.Len(t, told, 1)
-	require.Empty(t, a.Tell(at(60), 8), "not each time it hears that router")
-	b.Hear(time.Second, told)
+	require.Empty(t, a.TakeReports(at(60), 8), "not each time it hears that router")
+	b.ApplyReports(time.Second, told)
 	require.True(t, b.Barred(time.Second, bad))
 	require.Equal(t, a.Digest(), b.Digest())
 }
@@ -84,39 +84,39 @@
 // one server crashed it learns nothing.
 func TestRestartedRouterLearnsOfTwoCrashes(t *testing.T) {
 	var a, b Suspects
-	a.Crashed(at(0), innocent, 9)
-	for i := range Server(CrashesMost - 1) {
-		a.Crashed(at(0), bad, i)
+	a.RecordCrash(at(0), innocent, 9)
+	for i := range Server(CrashThreshold - 1) {
+		a.RecordCrash(at(0), bad, i)
 	}
 	for range tellOwn {
-		a.Tell(at(0), 8)
+		a.TakeReports(at(0), 8)
 	}
 	require.Zero(t, a.Digest().Barred, "what older routers compare is what it was")
-	a.HearDigest(at(60), b.Digest())
-	b.Hear(time.Second, a.Tell(at(60), 8))
+	a.CompareDigest(at(60), b.Digest())
+	b.ApplyReports(time.Second, a.TakeReports(at(60), 8))
 	require.Equal(t, a.Digest(), b.Digest())
 	require.Zero(t, b.Crashes(innocent))
-	require.True(t, b.OneMore(bad))
-	a.HearDigest(at(61), b.Digest())
-	require.Empty(t, a.Tell(at(61), 8), "they agree")
+	require.True(t, b.OneCrashFromBarred(bad))
+	a.CompareDigest(at(61), b.Digest())
+	require.Empty(t, a.TakeReports(at(61), 8), "they agree")
 }
 
 // TestClearingWins has a router that hasn't heard of a clearing tell of crashes before it: it
 // is told that they don't count.
 func TestClearingWins(t *testing.T) {
 	var a, b Suspects
-	for i := range Server(CrashesMost) {
-		a.Crashed(at(0), bad, i)
+	for i := range Server(CrashThreshold) {
+		a.RecordCrash(at(0), bad, i)
 	}
-	b.Hear(at(1), a.Tell(at(1), 8))
-	a.Answered(at(2), bad)
+	b.ApplyReports(at(1), a.TakeReports(at(1), 8))
+	a.RecordSuccess(at(2), bad)
 	for range tellOwn { // these lists are lost
-		a.Tell(at(2), 8)
+		a.TakeReports(at(2), 8)
 	}
 	require.True(t, b.Barred(at(3), bad))
-	a.Hear(at(3), b.Tell(at(3), 8))
+	a.ApplyReports(at(3), b.TakeReports(at(3), 8))
 	require.False(t, a.Barred(at(3), bad))
-	b.Hear(at(4), a.Tell(at(4), 8))
+	b.ApplyReports(at(4), a.TakeReports(at(4), 8))
 	require.False(t, b.Barred(at(4), bad))
 	require.Equal(t, a.Digest(), b.Digest())
 }
@@ -124,7 +124,7 @@
 // TestOldReportsAreDropped has what nobody remembers any more come again.
 func TestOldReportsAreDropped(t *testing.T) {
 	var s Suspects
-	s.Hear(at(0), []Report{{Content: bad, Crashes: []CrashReport{{Server: 1, Age: ageOf(Hold + time.Second)}}}, {Content: 0}})
+	s.ApplyReports(at(0), []Report{{Content: bad, Crashes: []CrashReport{{Server: 1, Age: ageOf(Retention + time.Second)}}}, {Content: 0}})
 	require.Empty(t, s.known)
 }
 
@@ -144,28 +144,28 @@
 		now := at(0)
 		deliver := func(i int) {
 			l := post[i]
-			routers[l.to].Hear(now, aged(l.list, now-l.at))
+			routers[l.to].ApplyReports(now, aged(l.list, now-l.at))
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += 2 * sameCrash // a server needs seconds to be back
-			content := Content(rapid.IntRange(1, 4).Draw(t, "content"))
+			content := Fingerprint(rapid.IntRange(1, 4).Draw(t, "content"))
 			who := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				server := Server(rapid.IntRange(1, 6).Draw(t, "server"))
-				all.Crashed(now, content, server)
-				routers[who].Crashed(now, content, server)
+				all.RecordCrash(now, content, server)
+				routers[who].RecordCrash(now, content, server)
 				if also := rapid.IntRange(0, len(routers)-1).Draw(t, "also seen by"); also != who {
-					routers[also].Crashed(now+sameTime/2, content, server)
+					routers[also].RecordCrash(now+sameTime/2, content, server)
 				}
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "answered") == 0 {
 					// Only a router that knows of crashes has anything to clear.
-					routers[who].Answered(now, content)
+					routers[who].RecordSuccess(now, content)
 					all.clearSeen(now, content, &routers[who])
 				}
 			case 2:
-				list := routers[who].Tell(now, rapid.IntRange(1, 4).Draw(t, "most"))
+				list := routers[who].TakeReports(now, rapid.IntRange(1, 4).Draw(t, "most"))
 				for to := range routers {
 					if to != who {
 						post = append(post, letter{to, list, now})
@@ -182,16 +182,16 @@
 				for _, x := range routers[i].known {
 					x.tell = 1
 				}
-				list := routers[i].Tell(now, suspectsMost)
+				list := routers[i].TakeReports(now, suspectsMost)
 				for to := range routers {
 					if to != i {
-						routers[to].Hear(now, list)
+						routers[to].ApplyReports(now, list)
 					}
 				}
 			}
 		}
 		for i := range routers {
-			for c := Content(1); c <= 4; c++ {
+			for c := Fingerprint(1); c <= 4; c++ {
 				require.Equal(t, all.Crashes(c), routers[i].Crashes(c), fmt.Sprintf("router %d, content %d", i, c))
 				require.Equal(t, all.known[c] != nil && all.known[c].barred, routers[i].known[c] != nil && routers[i].known[c].barred)
 			}
@@ -201,7 +201,7 @@
 }
 
 // clearSeen clears a content where a router that answered it has cleared it.
-func (s *Suspects) clearSeen(now time.Duration, c Content, router *Suspects) {
+func (s *Suspects) clearSeen(now time.Duration, c Fingerprint, router *Suspects) {
 	x := router.known[c]
 	if x == nil || !x.cleared.known || x.cleared.at != now {
 		return
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -13,7 +13,7 @@
 
 // suspect is what is known of one content under which servers crashed.
 type suspect struct {
-	content Content
+	content Fingerprint
 	crashes []crash // the oldest first
 	cleared moment  // when it was last found to do no harm: older crashes don't count
 	asked   moment  // when it was last refused
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// CrashesMost is how many servers may crash under a content: one may crash by itself,
+	// CrashThreshold is how many servers may crash under a content: one may crash by itself,
 	// two in a row under one request are rare but do happen when hosts fail in series.
-	CrashesMost = 3
-	// Hold is how long a content is remembered after the last crash under it, or after it was last
+	CrashThreshold = 3
+	// Retention is how long a content is remembered after the last crash under it, or after it was last
 	// asked for while it was barred. It is far longer than the time between two tries of one that
 	// is asked for every few seconds or minutes, so that each stays barred.
-	Hold = 10 * time.Minute
+	Retention = 10 * time.Minute
 	// askToldEvery is the time between two lists that tell that a barred content is asked for.
-	askToldEvery = Hold / 4
+	askToldEvery = Retention / 4
 	// crashesKept bounds the crashes that are kept of one content; the oldest are dropped.
 	crashesKept = 16
 	// suspectsMost bounds the contents that are kept, which take some 150 bytes each: a hundred
@@ -33,10 +33,10 @@
 // Suspects are the contents under which servers have crashed, as one router knows them. The
 // zero value knows none. Times are of the router's monotonic clock.
 type Suspects struct {
-	known    map[Content]*suspect
+	known    map[Fingerprint]*suspect
 	byServer map[Server][]*suspect // that were there when it crashed
 	changed  []Change
-	listed   map[Content]bool // by the store, see Record
+	listed   map[Fingerprint]bool // by the store, see Record
 	digest   Digest
 	urgent   bool          // see Urgent
 	repeated time.Duration // when all that are barred were last told again
@@ -44,13 +44,13 @@
 
 // Change says that a content has become barred, or is no longer.
 type Change struct {
-	Content Content
-	Barred  bool
-	Crashes int // of servers that ran it
+	Fingerprint Fingerprint
+	Barred      bool
+	Crashes     int // of servers that ran it
 }
 
-// Crashed takes in that a server crashed while it ran a content, through this router.
-func (s *Suspects) Crashed(now time.Duration, c Content, server Server) {
+// RecordCrash takes in that a server crashed while it ran a content, through this router.
+func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
 	if x := s.suspect(now, c); s.addCrash(x, crash{server, now}) {
 		x.tell = tellOwn
 		s.urgent = s.urgent || x.nearlyBarred()
@@ -58,18 +58,18 @@
 	}
 }
 
-// Urgent tells whether anything was learned since the last call that other routers must be told at
+// TakeUrgent tells whether anything was learned since the last call that other routers must be told at
 // once: a crash after which one more may bar a content, or that one has become barred. Until they
 // hear of it they send copies of the request on to other servers.
-func (s *Suspects) Urgent() bool {
+func (s *Suspects) TakeUrgent() bool {
 	out := s.urgent
 	s.urgent = false
 	return out
 }
 
-// Answered takes in that a server has answered a content in full: no crash before it was
+// RecordSuccess takes in that a server has answered a content in full: no crash before it was
 // the content's doing.
-func (s *Suspects) Answered(now time.Duration, c Content) {
+func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
 	x := s.known[c]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
 		return
@@ -85,7 +85,7 @@
 
 // Barred tells whether requests of a content must not be sent, and takes in that one is
 // asked for.
-func (s *Suspects) Barred(now time.Duration, c Content) bool {
+func (s *Suspects) Barred(now time.Duration, c Fingerprint) bool {
 	x := s.known[c]
 	if x == nil || !x.barred {
 		return false
@@ -98,32 +98,32 @@
 	return true
 }
 
-// OneMore tells whether one more crash would bar a content.
-func (s *Suspects) OneMore(c Content) bool {
+// OneCrashFromBarred tells whether one more crash would bar a content.
+func (s *Suspects) OneCrashFromBarred(c Fingerprint) bool {
 	x := s.known[c]
 	return x != nil && harmful(len(x.crashes)+1, s.unexplained(x)+1)
 }
 
 // Crashes counts the servers that crashed under a content, those that another content
 // explains included.
-func (s *Suspects) Crashes(c Content) int {
+func (s *Suspects) Crashes(c Fingerprint) int {
 	if x := s.known[c]; x != nil {
 		return len(x.crashes)
 	}
 	return 0
 }
 
-// Changes returns the contents that became barred since the last call, or no longer are.
-func (s *Suspects) Changes() []Change {
+// TakeChanges returns the contents that became barred since the last call, or no longer are.
+func (s *Suspects) TakeChanges() []Change {
 	out := s.changed
 	s.changed = nil
 	return out
 }
 
-// Drop forgets what is old.
-func (s *Suspects) Drop(now time.Duration) {
+// Expire forgets what is old.
+func (s *Suspects) Expire(now time.Duration) {
 	for _, x := range s.known {
-		if now-x.lastAt() > Hold {
+		if now-x.lastAt() > Retention {
 			s.forget(x)
 		}
 	}
@@ -131,12 +131,12 @@
 }
 
 // suspect returns what is known of a content, and makes room for it where it is new.
-func (s *Suspects) suspect(now time.Duration, c Content) *suspect {
+func (s *Suspects) suspect(now time.Duration, c Fingerprint) *suspect {
 	if x := s.known[c]; x != nil {
 		return x
 	}
 	if s.known == nil {
-		s.known, s.byServer = make(map[Content]*suspect), make(map[Server][]*suspect)
+		s.known, s.byServer = make(map[Fingerprint]*suspect), make(map[Server][]*suspect)
 	}
 	if len(s.known) >= suspectsMost {
 		s.makeRoom()
--- a/quarantine/suspects_test.go
+++ b/quarantine/suspects_test.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	bad      Content = 1
-	innocent Content = 2
+	bad      Fingerprint = 1
+	innocent Fingerprint = 2
 )
 
 // at is a time, in seconds, well after a router's start.
@@ -22,26 +22,26 @@
 func TestThreeCrashesBar(t *testing.T) {
 	var s Suspects
 	require.False(t, s.Barred(at(0), bad))
-	s.Crashed(at(0), bad, 10)
-	s.Crashed(at(0.1), bad, 10) // the same crash, seen twice
-	require.False(t, s.OneMore(bad))
-	s.Crashed(at(3), bad, 11)
+	s.RecordCrash(at(0), bad, 10)
+	s.RecordCrash(at(0.1), bad, 10) // the same crash, seen twice
+	require.False(t, s.OneCrashFromBarred(bad))
+	s.RecordCrash(at(3), bad, 11)
 	require.False(t, s.Barred(at(3), bad))
-	require.True(t, s.OneMore(bad))
-	s.Crashed(at(6), bad, 12)
+	require.True(t, s.OneCrashFromBarred(bad))
+	s.RecordCrash(at(6), bad, 12)
 	require.True(t, s.Barred(at(6), bad))
-	require.Equal(t, []Change{{Content: bad, Barred: true, Crashes: 3}}, s.Changes())
-	require.Empty(t, s.Changes())
+	require.Equal(t, []Change{{Fingerprint: bad, Barred: true, Crashes: 3}}, s.TakeChanges())
+	require.Empty(t, s.TakeChanges())
 	require.False(t, s.Barred(at(6), innocent))
 
-	last := at(6) + Hold - time.Second
-	s.Drop(last)
+	last := at(6) + Retention - time.Second
+	s.Expire(last)
 	require.True(t, s.Barred(last, bad), "asked for again")
-	s.Drop(last + Hold)
-	require.True(t, s.Barred(last+Hold, bad))
-	s.Drop(last + 2*Hold + time.Second)
-	require.False(t, s.Barred(last+2*Hold+time.Second, bad))
-	require.Equal(t, []Change{{Content: bad, Barred: false, Crashes: 0}}, s.Changes())
+	s.Expire(last + Retention)
+	require.True(t, s.Barred(last+Retention, bad))
+	s.Expire(last + 2*Retention + time.Second)
+	require.False(t, s.Barred(last+2*Retention+time.Second, bad))
+	require.Equal(t, []Change{{Fingerprint: bad, Barred: false, Crashes: 0}}, s.TakeChanges())
 	require.Zero(t, s.Digest())
 	require.Empty(t, s.known)
 	require.Empty(t, s.byServer)
@@ -51,25 +51,25 @@
 // started anew: that is another crash.
 func TestServerCrashesTwice(t *testing.T) {
 	var s Suspects
-	for i := range CrashesMost {
-		s.Crashed(at(3*float64(i)), bad, 10)
+	for i := range CrashThreshold {
+		s.RecordCrash(at(3*float64(i)), bad, 10)
 	}
 	require.True(t, s.Barred(at(9), bad))
 	require.Len(t, s.byServer[10], 1)
-	s.Answered(at(10), bad)
+	s.RecordSuccess(at(10), bad)
 	require.Empty(t, s.byServer)
 }
 
 // TestAnswerClears has a content be answered after two crashes: they were not its doing.
 func TestAnswerClears(t *testing.T) {
 	var s Suspects
-	s.Crashed(at(0), innocent, 10)
-	s.Crashed(at(1), innocent, 11)
-	s.Answered(at(2), innocent)
-	s.Crashed(at(3), innocent, 12)
+	s.RecordCrash(at(0), innocent, 10)
+	s.RecordCrash(at(1), innocent, 11)
+	s.RecordSuccess(at(2), innocent)
+	s.RecordCrash(at(3), innocent, 12)
 	require.Equal(t, 1, s.Crashes(innocent))
 	require.False(t, s.Barred(at(3), innocent))
-	s.Answered(at(4), bad) // of whom nothing is known
+	s.RecordSuccess(at(4), bad) // of whom nothing is known
 	require.Len(t, s.known, 1)
 }
 
@@ -78,19 +78,19 @@
 func TestCompanyIsNotBlamed(t *testing.T) {
 	var s Suspects
 	for i := range Server(3) {
-		s.Crashed(at(float64(i)), bad, 10+i)
-		s.Crashed(at(float64(i)), innocent, 10+i)
+		s.RecordCrash(at(float64(i)), bad, 10+i)
+		s.RecordCrash(at(float64(i)), innocent, 10+i)
 	}
 	require.True(t, s.Barred(at(3), innocent), "nothing tells them apart")
-	s.Crashed(at(4), bad, 20)
+	s.RecordCrash(at(4), bad, 20)
 	require.True(t, s.Barred(at(4), bad))
 	require.False(t, s.Barred(at(4), innocent), "the other explains all its crashes")
 
 	var later Suspects
 	for i := range Server(4) {
-		later.Crashed(at(float64(i)), bad, 10+i)
+		later.RecordCrash(at(float64(i)), bad, 10+i)
 		if i > 0 {
-			later.Crashed(at(float64(i)), innocent, 10+i)
+			later.RecordCrash(at(float64(i)), innocent, 10+i)
 		}
 	}
 	require.True(t, later.Barred(at(4), bad))
@@ -103,27 +103,27 @@
 // that was released needed as many crashes again as one of which nothing is known; one more by
 // itself must do.
 func TestReleasedContentThatCrashesAlone(t *testing.T) {
-	const other Content = 3
+	const other Fingerprint = 3
 	var s Suspects
 	for i := range Server(6) {
-		s.Crashed(at(0), other, 10+i)
-		if i < CrashesMost {
-			s.Crashed(at(0), bad, 10+i)
+		s.RecordCrash(at(0), other, 10+i)
+		if i < CrashThreshold {
+			s.RecordCrash(at(0), bad, 10+i)
 		}
 	}
 	require.True(t, s.Barred(at(0.1), other))
 	require.False(t, s.Barred(at(0.1), bad), "the other explains its crashes")
-	require.True(t, s.OneMore(bad))
-	s.Crashed(at(5), bad, 20)
+	require.True(t, s.OneCrashFromBarred(bad))
+	s.RecordCrash(at(5), bad, 20)
 	require.True(t, s.Barred(at(5), bad), "nothing else was there")
 
 	var twice Suspects
 	for i := range Server(4) {
-		twice.Crashed(at(0), other, 10+i)
+		twice.RecordCrash(at(0), other, 10+i)
 	}
-	twice.Crashed(at(0), innocent, 10)
-	twice.Crashed(at(0), innocent, 11)
-	twice.Crashed(at(5), innocent, 20)
+	twice.RecordCrash(at(0), innocent, 10)
+	twice.RecordCrash(at(0), innocent, 11)
+	twice.RecordCrash(at(5), innocent, 20)
 	require.False(t, twice.Barred(at(5), innocent), "one crash more than another explains may happen by itself")
 }
 
@@ -131,18 +131,18 @@
 // kept.
 func TestSuspectsAreFew(t *testing.T) {
 	var s Suspects
-	for i := range Server(CrashesMost) {
-		s.Crashed(at(0), bad, i)
+	for i := range Server(CrashThreshold) {
+		s.RecordCrash(at(0), bad, i)
 	}
 	for i := range 3 * suspectsMost {
-		s.Crashed(at(1), Content(100+i), Server(1000+i))
+		s.RecordCrash(at(1), Fingerprint(100+i), Server(1000+i))
 	}
 	require.LessOrEqual(t, len(s.known), suspectsMost)
 	require.Greater(t, len(s.known), suspectsMost/2)
-	require.LessOrEqual(t, len(s.byServer), suspectsMost+CrashesMost)
+	require.LessOrEqual(t, len(s.byServer), suspectsMost+CrashThreshold)
 	require.True(t, s.Barred(at(1), bad))
 	for i := range 3 * crashesKept {
-		s.Crashed(at(2), innocent, Server(1e6+i))
+		s.RecordCrash(at(2), innocent, Server(1e6+i))
 	}
 	require.Equal(t, crashesKept, s.Crashes(innocent))
 }
@@ -151,7 +151,7 @@
 func BenchmarkBarred(b *testing.B) {
 	var s Suspects
 	for i := range suspectsMost {
-		s.Crashed(at(1), Content(100+i), Server(1000+i))
+		s.RecordCrash(at(1), Fingerprint(100+i), Server(1000+i))
 	}
 	for b.Loop() {
 		s.Barred(at(2), bad)
--- a/rollout/baseline.go
+++ b/rollout/baseline.go
@@ -22,8 +22,8 @@
 
 // routeKind names the answers of one route, of one kind.
 type routeKind struct {
-	Route string
-	Later bool
+	Route      string
+	AfterStart bool
 }
 
 // share is a count of bad answers among all, with weights.
@@ -51,7 +51,7 @@
 // expected returns the rate of bad answers that a good version has in a cell's cohort,
 // by the old servers in the same slice of time.
 func (b baseline) expected(slice cells, routes map[routeKind]share, k cellKey) float64 {
-	rk := routeKind{k.Route, k.Later}
+	rk := routeKind{k.Route, k.AfterStart}
 	before := b[rk].rate(firstGuess, firstWeight)
 	route := routes[rk].rate(before, shrinkWeight)
 	k.Target = false
@@ -66,7 +66,7 @@
 		if k.Target {
 			continue
 		}
-		rk := routeKind{k.Route, k.Later}
+		rk := routeKind{k.Route, k.AfterStart}
 		s := routes[rk]
 		routes[rk] = share{s.bad + float64(t.Bad), s.all + t.answers()}
 	}
--- a/rollout/bounds.go
+++ b/rollout/bounds.go
@@ -12,5 +12,5 @@
 	Slack float64
 }
 
-// On tells whether roll-outs are on.
-func (b Bounds) On() bool { return b.Share > 0 }
+// Enabled tells whether roll-outs are on.
+func (b Bounds) Enabled() bool { return b.Share > 0 }
--- a/rollout/cells.go
+++ b/rollout/cells.go
@@ -8,8 +8,8 @@
 
 // cellKey names a cell.
 type cellKey struct {
-	Route, Cohort string
-	Target, Later bool
+	Route, Cohort      string
+	Target, AfterStart bool
 }
 
 // cells counts answers by cell.
@@ -18,7 +18,7 @@
 func cellsOf(list []Cell) cells {
 	c := make(cells, len(list))
 	for _, l := range list {
-		c.count(cellKey{l.Route, l.Cohort, l.Target, l.Later}, Tally{l.Good, l.Bad})
+		c.count(cellKey{l.Route, l.Cohort, l.Target, l.AfterStart}, Tally{l.Good, l.Bad})
 	}
 	return c
 }
@@ -75,7 +75,7 @@
 		cmp.Compare(a.Route, b.Route),
 		cmp.Compare(a.Cohort, b.Cohort),
 		compareBools(a.Target, b.Target),
-		compareBools(a.Later, b.Later),
+		compareBools(a.AfterStart, b.AfterStart),
 	)
 }
 
@@ -93,7 +93,7 @@
 	var list []Cell
 	for _, k := range c.keys() {
 		t := c[k]
-		list = append(list, Cell{k.Route, k.Cohort, k.Target, k.Later, t.Good, t.Bad})
+		list = append(list, Cell{k.Route, k.Cohort, k.Target, k.AfterStart, t.Good, t.Bad})
 	}
 	return list
 }
@@ -102,7 +102,7 @@
 func (c cells) total(target bool) Tally {
 	var sum Tally
 	for k, t := range c {
-		if k.Target == target && !k.Later {
+		if k.Target == target && !k.AfterStart {
 			sum = sum.plus(t)
 		}
 	}
--- a/rollout/confirm_test.go
+++ b/rollout/confirm_test.go
@@ -22,7 +22,7 @@
 	t.Parallel()
 	s := inLastStage()
 	s.store.down = true
-	s.run(idleFor + 2*TickEvery)
+	s.run(idleFor + 2*TickInterval)
 	m := s.routers[0].machine
 	require.Equal(t, WaitStatus, m.Snapshots()[0].WaitsFor)
 	require.False(t, completes(s, m, Half))
@@ -38,10 +38,10 @@
 // router has a stage in force.
 func completes(s *sim, m *Machine, inForce Stage) bool {
 	other := m.Reports()[0]
-	other.InForce = inForce
+	other.MinAppliedStage = inForce
 	for end := s.now + writePause; s.now < end; {
-		s.now += TickEvery
-		m.Update(OthersMsg{Now: s.now, Reports: []Report{other}})
+		s.now += TickInterval
+		m.Update(PeerReportsMsg{Now: s.now, Reports: []Report{other}})
 		for _, c := range m.Update(TickMsg{Now: s.now, Wall: s.wallTime(), Leads: true, Routers: 2}) {
 			if w, is := c.(WriteCmd); is && w.Kind == WriteStatus && w.Status.State == Completed {
 				return true
@@ -64,7 +64,7 @@
 func settles(s *sim, routers int) bool {
 	m := s.routers[0].machine
 	for end := s.now + 2*idleFor; s.now < end; {
-		s.now += TickEvery
+		s.now += TickInterval
 		m.Update(TickMsg{Now: s.now, Wall: s.wallTime(), Leads: true, Routers: routers})
 		if m.Snapshots()[0].WaitsFor == WaitStatus {
 			return true
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -4,21 +4,21 @@
 
 // Demand is how many requests callers ask of one router, or of several together.
 type Demand struct {
-	// Known says that every router whose requests are in it has told of them. Routers of
+	// Complete says that every router whose requests are in it has told of them. Routers of
 	// earlier builds don't.
-	Known bool
+	Complete bool
 	// PerSecond is the rate of requests, over the time that each router has watched.
 	PerSecond float64
-	// Watched is the shortest time for which any of the routers has watched the service.
-	Watched time.Duration
+	// Observed is the shortest time for which any of the routers has watched the service.
+	Observed time.Duration
 }
 
 // plus adds what other routers are asked.
 func (d Demand) plus(o Demand) Demand {
 	return Demand{
-		Known:     d.Known && o.Known,
+		Complete:  d.Complete && o.Complete,
 		PerSecond: d.PerSecond + o.PerSecond,
-		Watched:   min(d.Watched, o.Watched),
+		Observed:  min(d.Observed, o.Observed),
 	}
 }
 
@@ -35,7 +35,7 @@
 	switch {
 	case r.others.Routers == 0:
 		return r.ownDemand()
-	case r.others.Demand.Known:
+	case r.others.Demand.Complete:
 		return r.ownDemand().plus(r.others.Demand)
 	}
 	return r.demandOf(r.estimatedRequests())
@@ -43,7 +43,7 @@
 
 // demandOf is the demand that so many requests make since this router began to watch.
 func (r *rollout) demandOf(requests float64) Demand {
-	d := Demand{Known: true, Watched: r.watched}
+	d := Demand{Complete: true, Observed: r.watched}
 	if r.watched > 0 {
 		d.PerSecond = requests / r.watched.Seconds()
 	}
--- a/rollout/flapping_test.go
+++ b/rollout/flapping_test.go
@@ -16,18 +16,18 @@
 	m.Update(VersionsMsg{Services: map[string][]string{"s": {oldVersion, newVersion}}})
 	m.Update(RecordsMsg{Records: []Record{{Service: "s", Revision: 1, InUse: []string{oldVersion}}}})
 	m.Update(OrdersMsg{Orders: []Order{order}})
-	there := Report{Service: "s", Order: order.Key(), Routers: 1, Known: Trial, InForce: Trial}
+	there := Report{Service: "s", Order: order.Key(), Routers: 1, MaxStage: Trial, MinAppliedStage: Trial}
 	for _, cohort := range []string{"x", "y", "z"} {
 		there.Cells = append(there.Cells,
 			Cell{Route: "a", Cohort: cohort, Target: true, Good: 3, Bad: 1},
 			Cell{Route: "a", Cohort: cohort, Good: 300, Bad: 3})
 	}
-	for now := TickEvery; now < 19*time.Second; now += TickEvery {
+	for now := TickInterval; now < 19*time.Second; now += TickInterval {
 		var heard []Report
 		if now%(3*time.Second) < 1500*time.Millisecond {
 			heard = append(heard, there)
 		}
-		m.Update(OthersMsg{Now: now, Reports: heard})
+		m.Update(PeerReportsMsg{Now: now, Reports: heard})
 		for _, c := range m.Update(TickMsg{Now: now, Leads: true, Routers: 2}) {
 			if step, ok := c.(StepCmd); ok {
 				require.NotEqual(t, StepRejected, step.Step, step.Cause)
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -29,10 +29,10 @@
 			require.Empty(t, d.fault)
 		},
 		"time": func(t *rapid.T) {
-			d.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "ticks")) * TickEvery)
+			d.run(time.Duration(rapid.IntRange(1, 20).Draw(t, "ticks")) * TickInterval)
 		},
 		"more time": func(t *rapid.T) {
-			d.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * TickEvery)
+			d.run(time.Duration(rapid.IntRange(1, 60).Draw(t, "ticks")) * TickInterval)
 		},
 		"pause": func(t *rapid.T) {
 			r := d.router(t)
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -183,7 +183,7 @@
 }
 
 func (s *sim) tick() {
-	s.now += TickEvery
+	s.now += TickInterval
 	s.ticks++
 	for i, r := range s.routers {
 		if !r.paused {
@@ -260,17 +260,17 @@
 	if merged.Routers > 0 {
 		reports = append(reports, merged)
 	}
-	s.send(r, OthersMsg{Now: now, Reports: reports})
+	s.send(r, PeerReportsMsg{Now: now, Reports: reports})
 }
 
 func (s *sim) answers(r *simRouter, now time.Duration) {
 	if r.gate.InUse == nil || r.gate.Target == "" {
 		return
 	}
-	each := s.load / float64(len(s.routers)) * TickEvery.Seconds()
-	s.answer(r, now, each*r.gate.Part, r.gate.Target, true)
+	each := s.load / float64(len(s.routers)) * TickInterval.Seconds()
+	s.answer(r, now, each*r.gate.Fraction, r.gate.Target, true)
 	if !r.gate.OldClosed {
-		s.answer(r, now, each*(1-r.gate.Part), r.gate.InUse[0], false)
+		s.answer(r, now, each*(1-r.gate.Fraction), r.gate.InUse[0], false)
 	}
 }
 
@@ -288,7 +288,7 @@
 		if bad {
 			s.bads[version]++
 		}
-		s.send(r, AnswerMsg{
+		s.send(r, ResponseMsg{
 			Now:     now,
 			Service: simService,
 			Route:   string(rune('a' + s.rng.Intn(3))),
@@ -319,7 +319,7 @@
 	if !s.store.down && !s.store.lossy && !s.store.slow {
 		s.show(r)
 	}
-	s.send(r, WrittenMsg{Now: s.now - r.started, Service: c.Service, Kind: c.Kind, Result: result})
+	s.send(r, WriteDoneMsg{Now: s.now - r.started, Service: c.Service, Kind: c.Kind, Result: result})
 }
 
 func (s *sim) checkWrite(r *simRouter, c WriteCmd) {
@@ -327,7 +327,7 @@
 		return
 	}
 	for _, report := range append(r.heard, r.machine.Reports()...) {
-		if report.InForce < All && report.Order == r.machine.services[simService].order.Key() {
+		if report.MinAppliedStage < All && report.Order == r.machine.services[simService].order.Key() {
 			s.fault = "completed is written while a router that is heard has not the last stage in force"
 		}
 	}
@@ -335,17 +335,17 @@
 
 func (s *sim) checkStage(r *simRouter) {
 	for _, report := range r.machine.Reports() {
-		if report.Order == r.key && report.Known < r.stage {
+		if report.Order == r.key && report.MaxStage < r.stage {
 			s.fault = "a stage fell"
 		}
-		r.key, r.stage = report.Order, report.Known
+		r.key, r.stage = report.Order, report.MaxStage
 	}
 }
 
 // checkGate finds versions that were never ordered, and targets that were rolled back.
 func (s *sim) checkGate(r *simRouter) {
 	sent := slices.Clone(r.gate.InUse)
-	if r.gate.Part > 0 {
+	if r.gate.Fraction > 0 {
 		sent = append(sent, r.gate.Target)
 	}
 	if slices.Contains(sent, "never") {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -11,20 +11,20 @@
 	InUse []string
 	// Target is the version that the service is moving to; empty: no roll-out is under way.
 	Target string
-	// Part, from 0 to 1, of the requests goes to the target's servers. Which requests follows
+	// Fraction, from 0 to 1, of the requests goes to the target's servers. Which requests follows
 	// from the shared parts of their prompts, so that these move together.
-	Part float64
+	Fraction float64
 	// Limit bounds the number of requests that this router sends to the target, as a part of
 	// those that it knows to have reached servers of any version since the target was set: in
 	// all, and for each route. At 1 or above nothing is bounded.
 	Limit float64
-	// Servers is the part of the target's servers that take requests.
-	Servers float64
+	// ServerFraction is the part of the target's servers that take requests.
+	ServerFraction float64
 	// OldClosed says that versions in use other than the target get nothing new.
 	OldClosed bool
-	// Move says that streams which run at old servers and may be resumed are broken off, to
+	// MoveStreams says that streams which run at old servers and may be resumed are broken off, to
 	// go on at the target's servers.
-	Move bool
+	MoveStreams bool
 }
 
 // Uses tells whether a version is in use: it gets requests without being the target.
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -32,28 +32,28 @@
 	switch r.inForce() {
 	case Waiting:
 	case Trial:
-		g.Part = share * trialPart
+		g.Fraction = share * trialPart
 		g.Limit = share * trialPart
-		g.Servers = share * trialPart
+		g.ServerFraction = share * trialPart
 		if r.watching {
-			g.Part = share * watchPart
+			g.Fraction = share * watchPart
 		}
 	case Quarter:
-		g.Part, g.Limit, g.Servers = quarterPart, quarterPart*rampSlack, quarterPart
+		g.Fraction, g.Limit, g.ServerFraction = quarterPart, quarterPart*rampSlack, quarterPart
 	case Half:
-		g.Part, g.Limit, g.Servers = halfPart, halfPart*rampSlack, halfPart
+		g.Fraction, g.Limit, g.ServerFraction = halfPart, halfPart*rampSlack, halfPart
 	case All:
-		g.Part, g.Limit, g.Servers = 1, 1, 1
+		g.Fraction, g.Limit, g.ServerFraction = 1, 1, 1
 		g.OldClosed = true
-		g.Move = r.age >= r.plan.move
+		g.MoveStreams = r.age >= r.plan.move
 	}
 	return g
 }
 
 func gatesEqual(a, b Gate) bool {
 	inUse := slices.Equal(a.InUse, b.InUse) && (a.InUse == nil) == (b.InUse == nil)
-	return inUse && a.Target == b.Target && a.Part == b.Part && a.Limit == b.Limit &&
-		a.Servers == b.Servers && a.OldClosed == b.OldClosed && a.Move == b.Move
+	return inUse && a.Target == b.Target && a.Fraction == b.Fraction && a.Limit == b.Limit &&
+		a.ServerFraction == b.ServerFraction && a.OldClosed == b.OldClosed && a.MoveStreams == b.MoveStreams
 }
 
 // awaitsList tells whether a gate must not be put in force before a newer list of servers
--- a/rollout/gates_test.go
+++ b/rollout/gates_test.go
@@ -16,7 +16,7 @@
 		m.Update(RecordsMsg{Records: []Record{{Service: "s", Revision: 1, InUse: []string{oldVersion}}}})
 		m.Update(OrdersMsg{})
 		gates := gatesOf(m.Update(OrdersMsg{Orders: []Order{{Service: "s", Target: oldVersion, Within: within, Made: "1", Revision: 2}}}))
-		gates = append(gates, gatesOf(m.Update(TickMsg{Now: TickEvery}))...)
+		gates = append(gates, gatesOf(m.Update(TickMsg{Now: TickInterval}))...)
 		for _, g := range gates {
 			require.NotEqual(t, oldVersion, g.Target, "its servers are closed and there are no others")
 		}
--- a/rollout/hold_test.go
+++ b/rollout/hold_test.go
@@ -17,13 +17,13 @@
 	r := s.routers[2]
 	r.cut = true
 	s.answerBadly(r, 20)
-	s.run(TickEvery)
-	require.Zero(t, r.gate.Part)
-	require.Equal(t, Waiting, r.machine.Reports()[0].InForce)
-	require.Equal(t, Trial, r.machine.Reports()[0].Known)
-	require.Positive(t, s.routers[0].gate.Part)
-	s.run(firstHold + TickEvery)
-	require.Positive(t, r.gate.Part)
+	s.run(TickInterval)
+	require.Zero(t, r.gate.Fraction)
+	require.Equal(t, Waiting, r.machine.Reports()[0].MinAppliedStage)
+	require.Equal(t, Trial, r.machine.Reports()[0].MaxStage)
+	require.Positive(t, s.routers[0].gate.Fraction)
+	s.run(firstHold + TickInterval)
+	require.Positive(t, r.gate.Fraction)
 	s.run(simWithin - (s.now - s.orderAt))
 	require.Empty(t, s.fault)
 	require.Equal(t, Completed, s.status())
@@ -32,7 +32,7 @@
 // answerBadly tells a router of bad answers of the target, in several cohorts.
 func (s *sim) answerBadly(r *simRouter, n int) {
 	for i := range n {
-		s.send(r, AnswerMsg{
+		s.send(r, ResponseMsg{
 			Now:     s.now - r.started,
 			Service: simService,
 			Route:   "a",
@@ -63,7 +63,7 @@
 	s.answerBadly(s.routers[0], 30)
 	s.run(2 * firstHold)
 	for _, r := range s.routers {
-		require.Zero(t, r.gate.Part)
+		require.Zero(t, r.gate.Fraction)
 		require.True(t, r.machine.Reports()[0].Rejected)
 	}
 	s.routers = s.routers[1:]
--- a/rollout/interleaving_test.go
+++ b/rollout/interleaving_test.go
@@ -26,7 +26,7 @@
 
 // turn gives one router the time of two ticks.
 func (s *sim) turn(i int) {
-	s.now += 2 * TickEvery
+	s.now += 2 * TickInterval
 	s.tickRouter(i, s.routers[i])
 	if s.store.fault != "" {
 		s.fault = s.store.fault
@@ -76,7 +76,7 @@
 	s := newSim(2, 1)
 	s.routers[1].leads = true
 	s.load = 150
-	s.run(TickEvery)
+	s.run(TickInterval)
 	s.order(newVersion, "m1", within)
 	s.run(newTimeline(within).due(All) + 900*time.Millisecond)
 	return s
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Look takes in the counts of all routers since the order, and returns the verdict.
-func (j *Judge) Look(now time.Duration, counts []Cell) Verdict {
+// Evaluate takes in the counts of all routers since the order, and returns the verdict.
+func (j *Judge) Evaluate(now time.Duration, counts []Cell) Verdict {
 	return j.look(now, cellsOf(counts))
 }
 
@@ -186,7 +186,7 @@
 // testsOf returns the tests that a cell's answers count in.
 func testsOf(k cellKey) []testKey {
 	kind := beginning
-	if k.Later {
+	if k.AfterStart {
 		kind = later
 	}
 	return []testKey{{k.Route, kind}, {k.Route, anyKind}, {"", kind}, {"", anyKind}}
@@ -208,13 +208,13 @@
 	return Good
 }
 
-// Suspects tells whether so much speaks against the version that it must get no more than
+// Suspected tells whether so much speaks against the version that it must get no more than
 // it takes to judge it: too little to reject it, as more answers may yet clear it.
-func (j *Judge) Suspects() bool { return j.against() >= suspectAt() }
+func (j *Judge) Suspected() bool { return j.against() >= suspectAt() }
 
-// Doubts tells whether as much speaks against the version as makes it suspect when no cohort is left
+// WeaklySuspected tells whether as much speaks against the version as makes it suspect when no cohort is left
 // out: it may be one faulty server, or the first servers of a version that turns bad.
-func (j *Judge) Doubts() bool {
+func (j *Judge) WeaklySuspected() bool {
 	for _, e := range j.looked {
 		if e.all >= suspectAt() {
 			return true
@@ -241,9 +241,9 @@
 	return most
 }
 
-// Relax lets a version that was judged bad be tried again. Part of the evidence against it
+// CapEvidence lets a version that was judged bad be tried again. Part of the evidence against it
 // stays, so that a few more bad answers are enough the next time.
-func (j *Judge) Relax() {
+func (j *Judge) CapEvidence() {
 	for _, e := range j.tests {
 		e.relax(relaxedPart * badAt())
 	}
--- a/rollout/judge_bench_test.go
+++ b/rollout/judge_bench_test.go
@@ -23,6 +23,6 @@
 		}
 		counts := cells{}
 		counts.add(all)
-		judge.look(time.Duration(look)*TickEvery/2, counts)
+		judge.look(time.Duration(look)*TickInterval/2, counts)
 	}
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -75,7 +75,7 @@
 			bads++
 		}
 		if s.later || !bad {
-			k.Later = true
+			k.AfterStart = true
 			t := Tally{Good: 1}
 			if bad {
 				t = Tally{Bad: 1}
--- a/rollout/killed_test.go
+++ b/rollout/killed_test.go
@@ -13,7 +13,7 @@
 	t.Parallel()
 	within := 20 * time.Second
 	late := newTimeline(within).ramp - 3*time.Second
-	for at := time.Duration(0); at < within; at += TickEvery {
+	for at := time.Duration(0); at < within; at += TickInterval {
 		for _, bad := range []float64{0, 0.4} {
 			s := begun(1, bad, within)
 			s.run(at)
@@ -36,7 +36,7 @@
 func TestRolloutLeaderKilledAnywhere(t *testing.T) {
 	t.Parallel()
 	within := 20 * time.Second
-	for at := time.Duration(0); at < within-newTimeline(within).end/10; at += TickEvery {
+	for at := time.Duration(0); at < within-newTimeline(within).end/10; at += TickInterval {
 		s := begun(1, 0, within)
 		s.run(at)
 		s.routers = s.routers[1:]
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -26,7 +26,7 @@
 
 // Update tells the machine what happened and returns what is to be done.
 func (m *Machine) Update(msg Msg) []Cmd {
-	if !m.bounds.On() {
+	if !m.bounds.Enabled() {
 		return nil
 	}
 	m.cmds = nil
@@ -40,11 +40,11 @@
 	case VersionsMsg:
 		m.takeVersions(msg)
 		m.reconcile(msg.Now)
-	case AnswerMsg:
+	case ResponseMsg:
 		m.count(msg)
-	case OthersMsg:
+	case PeerReportsMsg:
 		m.hear(msg)
-	case WrittenMsg:
+	case WriteDoneMsg:
 		m.written(msg)
 		m.reconcile(msg.Now)
 	case TickMsg:
@@ -124,7 +124,7 @@
 }
 
 // count adds one answer to this router's own evidence.
-func (m *Machine) count(msg AnswerMsg) {
+func (m *Machine) count(msg ResponseMsg) {
 	s := m.services[msg.Service]
 	if s == nil || s.rollout == nil {
 		return
@@ -133,11 +133,11 @@
 	if msg.Bad {
 		t = Tally{Bad: 1}
 	}
-	s.rollout.own.count(cellKey{msg.Route, msg.Cohort, msg.Target, msg.Later}, t)
+	s.rollout.own.count(cellKey{msg.Route, msg.Cohort, msg.Target, msg.AfterStart}, t)
 }
 
 // hear takes in the reports of the other routers.
-func (m *Machine) hear(msg OthersMsg) {
+func (m *Machine) hear(msg PeerReportsMsg) {
 	for _, s := range m.sorted() {
 		if s.rollout == nil {
 			continue
@@ -165,8 +165,8 @@
 	if r.others.Rejected {
 		m.reject(s, causeTold)
 	}
-	if r.others.Known > r.stage {
-		m.raise(s, r.others.Known, causePeers)
+	if r.others.MaxStage > r.stage {
+		m.raise(s, r.others.MaxStage, causePeers)
 	}
 }
 
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -15,8 +15,8 @@
 	}
 	sum := a
 	sum.Routers += b.Routers
-	sum.Known = max(a.Known, b.Known)
-	sum.InForce = min(a.InForce, b.InForce)
+	sum.MaxStage = max(a.MaxStage, b.MaxStage)
+	sum.MinAppliedStage = min(a.MinAppliedStage, b.MinAppliedStage)
 	sum.Age = max(a.Age, b.Age)
 	sum.OldRunning += b.OldRunning
 	sum.Rejected = a.Rejected || b.Rejected
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -12,26 +12,26 @@
 // any order and may repeat.
 func drawReport(t *rapid.T, orders int) Report {
 	r := Report{
-		Service:    simService,
-		Order:      uint64(rapid.IntRange(1, orders).Draw(t, "order")),
-		Routers:    rapid.Uint32Range(0, 9).Draw(t, "routers"),
-		Known:      Stage(rapid.IntRange(0, 4).Draw(t, "known")),
-		InForce:    Stage(rapid.IntRange(0, 4).Draw(t, "in force")),
-		Age:        time.Duration(rapid.IntRange(0, 9).Draw(t, "age")),
-		OldRunning: uint32(rapid.IntRange(0, 9).Draw(t, "running")),
-		Rejected:   rapid.Bool().Draw(t, "rejected"),
+		Service:         simService,
+		Order:           uint64(rapid.IntRange(1, orders).Draw(t, "order")),
+		Routers:         rapid.Uint32Range(0, 9).Draw(t, "routers"),
+		MaxStage:        Stage(rapid.IntRange(0, 4).Draw(t, "known")),
+		MinAppliedStage: Stage(rapid.IntRange(0, 4).Draw(t, "in force")),
+		Age:             time.Duration(rapid.IntRange(0, 9).Draw(t, "age")),
+		OldRunning:      uint32(rapid.IntRange(0, 9).Draw(t, "running")),
+		Rejected:        rapid.Bool().Draw(t, "rejected"),
 	}
 	if r.Routers == 0 {
 		return Report{}
 	}
 	for range rapid.IntRange(0, 5).Draw(t, "cells") {
 		r.Cells = append(r.Cells, Cell{
-			Route:  rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"),
-			Cohort: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "cohort"),
-			Target: rapid.Bool().Draw(t, "target"),
-			Later:  rapid.Bool().Draw(t, "later"),
-			Good:   rapid.Uint32Range(0, 9).Draw(t, "good"),
-			Bad:    rapid.Uint32Range(0, 1).Draw(t, "bad"),
+			Route:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "route"),
+			Cohort:     rapid.SampledFrom([]string{"x", "y"}).Draw(t, "cohort"),
+			Target:     rapid.Bool().Draw(t, "target"),
+			AfterStart: rapid.Bool().Draw(t, "later"),
+			Good:       rapid.Uint32Range(0, 9).Draw(t, "good"),
+			Bad:        rapid.Uint32Range(0, 1).Draw(t, "bad"),
 		})
 	}
 	return r
@@ -55,13 +55,13 @@
 func TestRolloutMergeCountsAll(t *testing.T) {
 	t.Parallel()
 	cell := Cell{Route: "r", Cohort: "h", Good: 2, Bad: 1}
-	later := Cell{Route: "r", Cohort: "h", Later: true, Good: 4}
+	later := Cell{Route: "r", Cohort: "h", AfterStart: true, Good: 4}
 	got := Merge(
-		Report{Service: "s", Order: 1, Routers: 2, Known: Half, InForce: Quarter, Age: 5, OldRunning: 3, Cells: []Cell{later, cell}},
-		Report{Service: "s", Order: 1, Routers: 1, Known: Quarter, InForce: Trial, Age: 7, OldRunning: 1, Cells: []Cell{cell}},
+		Report{Service: "s", Order: 1, Routers: 2, MaxStage: Half, MinAppliedStage: Quarter, Age: 5, OldRunning: 3, Cells: []Cell{later, cell}},
+		Report{Service: "s", Order: 1, Routers: 1, MaxStage: Quarter, MinAppliedStage: Trial, Age: 7, OldRunning: 1, Cells: []Cell{cell}},
 	)
 	require.Equal(t, Report{
-		Service: "s", Order: 1, Routers: 3, Known: Half, InForce: Trial, Age: 7, OldRunning: 4,
+		Service: "s", Order: 1, Routers: 3, MaxStage: Half, MinAppliedStage: Trial, Age: 7, OldRunning: 4,
 		Cells: []Cell{{Route: "r", Cohort: "h", Good: 4, Bad: 2}, later},
 	}, got)
 }
--- a/rollout/messages.go
+++ b/rollout/messages.go
@@ -26,27 +26,27 @@
 	Services map[string][]string // sorted
 }
 
-// AnswerMsg tells how one answer began, or how it went on until its end, from a server of a
+// ResponseMsg tells how one answer began, or how it went on until its end, from a server of a
 // service that is being rolled out.
-type AnswerMsg struct {
-	Now     time.Duration
-	Service string
-	Route   string
-	Cohort  string
-	Target  bool // from a server of the target
-	Later   bool // see Cell
-	Bad     bool // it failed, or came several times too late
+type ResponseMsg struct {
+	Now        time.Duration
+	Service    string
+	Route      string
+	Cohort     string
+	Target     bool // from a server of the target
+	AfterStart bool // see Cell
+	Bad        bool // it failed, or came several times too late
 }
 
-// OthersMsg brings the reports of all other routers, merged by service and order. While an
+// PeerReportsMsg brings the reports of all other routers, merged by service and order. While an
 // order is being replaced there may be two reports of a service, of different orders.
-type OthersMsg struct {
+type PeerReportsMsg struct {
 	Now     time.Duration
 	Reports []Report
 }
 
-// WrittenMsg tells how a WriteCmd ended.
-type WrittenMsg struct {
+// WriteDoneMsg tells how a WriteCmd ended.
+type WriteDoneMsg struct {
 	Now     time.Duration
 	Service string
 	Kind    WriteKind
@@ -64,19 +64,19 @@
 	// OldRunning counts, by service, this router's requests at servers that are not of
 	// the target's version.
 	OldRunning map[string]int
-	// Asked counts, by service, the requests that came to this router since the service began to
+	// Requests counts, by service, the requests that came to this router since the service began to
 	// move, whatever became of them.
-	Asked map[string]int
+	Requests map[string]int
 }
 
-// TickEvery is the time between two ticks: short beside the second within which evidence is
+// TickInterval is the time between two ticks: short beside the second within which evidence is
 // compared, so that a bad version is stopped soon after the answers that show it.
-const TickEvery = 100 * time.Millisecond
+const TickInterval = 100 * time.Millisecond
 
-func (OrdersMsg) isMsg()   {}
-func (RecordsMsg) isMsg()  {}
-func (VersionsMsg) isMsg() {}
-func (AnswerMsg) isMsg()   {}
-func (OthersMsg) isMsg()   {}
-func (WrittenMsg) isMsg()  {}
-func (TickMsg) isMsg()     {}
+func (OrdersMsg) isMsg()      {}
+func (RecordsMsg) isMsg()     {}
+func (VersionsMsg) isMsg()    {}
+func (ResponseMsg) isMsg()    {}
+func (PeerReportsMsg) isMsg() {}
+func (WriteDoneMsg) isMsg()   {}
+func (TickMsg) isMsg()        {}
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -199,7 +199,7 @@
 	s.store.order.State = Completed
 	s.order("v3", "m1", simWithin)
 	s.routers = []*simRouter{s.fresh()}
-	s.run(TickEvery)
+	s.run(TickInterval)
 	require.Equal(t, []string{newVersion}, s.routers[0].gate.InUse)
 	require.Equal(t, "v3", s.routers[0].gate.Target)
 }
@@ -223,7 +223,7 @@
 	s := begun(1, 0, simWithin)
 	s.run(simWithin / 2)
 	s.routers[2] = s.fresh()
-	s.run(2 * TickEvery)
+	s.run(2 * TickInterval)
 	age := s.routers[2].machine.Reports()[0].Age
 	require.InDelta(t, simWithin/2, age, float64(time.Second))
 }
--- a/rollout/paused_test.go
+++ b/rollout/paused_test.go
@@ -22,9 +22,9 @@
 // saw no answers meanwhile is no sign that nobody calls the service.
 func TestRolloutPausedIsNotQuiet(t *testing.T) {
 	m, tick := callsFor(1)
-	for now := time.Duration(0); now <= 200*time.Millisecond; now += TickEvery {
+	for now := time.Duration(0); now <= 200*time.Millisecond; now += TickInterval {
 		for range 4 {
-			m.Update(AnswerMsg{Now: now, Service: "llm", Route: "r", Cohort: "a"})
+			m.Update(ResponseMsg{Now: now, Service: "llm", Route: "r", Cohort: "a"})
 		}
 		tick(now)
 	}
@@ -38,7 +38,7 @@
 func TestRolloutUnheardIsNotQuiet(t *testing.T) {
 	for _, routers := range []int{1, 2} {
 		m, tick := callsFor(routers)
-		for now := time.Duration(0); now <= newTimeline(6*time.Second).ramp+TickEvery; now += TickEvery {
+		for now := time.Duration(0); now <= newTimeline(6*time.Second).ramp+TickInterval; now += TickInterval {
 			tick(now)
 		}
 		require.Equal(t, routers == 1, m.Snapshots()[0].Stage > Trial)
@@ -64,16 +64,16 @@
 		{routers: 384, calls: 1, each: 100, judged: 20, quiet: true},
 	} {
 		m, _ := callsFor(c.routers)
-		others := Report{Service: "llm", Order: m.Reports()[0].Order, Routers: uint32(c.routers - 1), Known: Trial, InForce: Trial}
+		others := Report{Service: "llm", Order: m.Reports()[0].Order, Routers: uint32(c.routers - 1), MaxStage: Trial, MinAppliedStage: Trial}
 		others.Cells = []Cell{{Route: "r", Cohort: "a", Good: uint32(c.judged)}}
 		sent := 0
-		for tick := 0; time.Duration(tick)*TickEvery < newTimeline(6*time.Second).lastRamp; tick++ {
-			now := time.Duration(tick) * TickEvery
+		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).lastRamp; tick++ {
+			now := time.Duration(tick) * TickInterval
 			if tick%c.each == 0 {
 				sent += c.calls
 			}
-			m.Update(OthersMsg{Now: now, Reports: []Report{others}})
-			m.Update(TickMsg{Now: now, Leads: true, Routers: c.routers, Asked: map[string]int{"llm": sent}})
+			m.Update(PeerReportsMsg{Now: now, Reports: []Report{others}})
+			m.Update(TickMsg{Now: now, Leads: true, Routers: c.routers, Requests: map[string]int{"llm": sent}})
 		}
 		require.Equal(t, c.quiet, m.Snapshots()[0].Stage > Trial, "%+v", c)
 	}
@@ -89,8 +89,8 @@
 			m, _ := callsFor(3)
 			routers = append(routers, m)
 		}
-		for tick := 0; time.Duration(tick)*TickEvery < newTimeline(6*time.Second).lastRamp; tick++ {
-			now := time.Duration(tick) * TickEvery
+		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).lastRamp; tick++ {
+			now := time.Duration(tick) * TickInterval
 			for i, m := range routers {
 				heard := Report{}
 				for _, other := range routers {
@@ -98,12 +98,12 @@
 						heard = Merge(heard, other.Reports()[0])
 					}
 				}
-				m.Update(OthersMsg{Now: now, Reports: []Report{heard}})
+				m.Update(PeerReportsMsg{Now: now, Reports: []Report{heard}})
 				asked := tick / 10
 				if i > 0 {
 					asked += elsewhere * tick
 				}
-				m.Update(TickMsg{Now: now, Leads: i == 0, Routers: len(routers), Asked: map[string]int{"llm": asked}})
+				m.Update(TickMsg{Now: now, Leads: i == 0, Routers: len(routers), Requests: map[string]int{"llm": asked}})
 			}
 		}
 		require.Equal(t, elsewhere == 0, routers[0].Snapshots()[0].Stage > Trial, "%d a tick elsewhere", elsewhere)
--- a/rollout/quiet.go
+++ b/rollout/quiet.go
@@ -15,7 +15,7 @@
 // not hear all others can't tell how many come.
 func (r *rollout) quiet(routers int) bool {
 	demand := r.demand()
-	if demand.Watched < quietAfter || r.routers() < routers {
+	if demand.Observed < quietAfter || r.routers() < routers {
 		return false
 	}
 	fresh := r.all.total(true)
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -111,7 +111,7 @@
 	}
 	m.step(s, StepBegan, causeOrder)
 	if !r.order.sensible() {
-		m.step(s, StepSenseless, causeOrder)
+		m.step(s, StepInvalid, causeOrder)
 		r.reject(causeOrder)
 	}
 	if s.reappeared {
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -7,9 +7,9 @@
 	Service string
 	Order   uint64 // see Order.Key
 	Routers uint32 // whose reports are merged in it
-	// Known is the highest stage that any of them knows, InForce the lowest that any has
+	// MaxStage is the highest stage that any of them knows, MinAppliedStage the lowest that any has
 	// in force.
-	Known, InForce Stage
+	MaxStage, MinAppliedStage Stage
 	// Age is the greatest time since the order that any of them knows.
 	Age time.Duration
 	// OldRunning counts the requests that run at servers of old versions.
@@ -24,10 +24,10 @@
 
 // Cell counts answers of one route from the servers of one cohort.
 type Cell struct {
-	Route  string
-	Cohort string // group of servers that may fail together, whatever their version: a data hall
-	Target bool   // true: servers of the target; false: old servers
-	Later  bool   // true: how answers went on after their first event; false: how they began
-	Good   uint32
-	Bad    uint32
+	Route      string
+	Cohort     string // group of servers that may fail together, whatever their version: a data hall
+	Target     bool   // true: servers of the target; false: old servers
+	AfterStart bool   // true: how answers went on after their first event; false: how they began
+	Good       uint32
+	Bad        uint32
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -75,7 +75,7 @@
 
 // longestLook is the most that the time between two ticks counts as watched: a router that
 // was stopped for longer saw nothing of what went on.
-const longestLook = 3 * TickEvery
+const longestLook = 3 * TickInterval
 
 // pass lets time pass up to now.
 func (r *rollout) pass(now time.Duration) {
@@ -111,16 +111,16 @@
 
 func (r *rollout) report() Report {
 	return Report{
-		Service:    r.order.Service,
-		Order:      r.key,
-		Routers:    1,
-		Known:      r.stage,
-		InForce:    r.inForce(),
-		Age:        r.age,
-		OldRunning: r.oldRunning,
-		Rejected:   r.rejected,
-		Demand:     r.ownDemand(),
-		Cells:      r.own.list(),
+		Service:         r.order.Service,
+		Order:           r.key,
+		Routers:         1,
+		MaxStage:        r.stage,
+		MinAppliedStage: r.inForce(),
+		Age:             r.age,
+		OldRunning:      r.oldRunning,
+		Rejected:        r.rejected,
+		Demand:          r.ownDemand(),
+		Cells:           r.own.list(),
 	}
 }
 
@@ -208,7 +208,7 @@
 
 // everywhere tells whether all routers that are heard have the last stage in force.
 func (r *rollout) everywhere() bool {
-	return r.inForce() >= All && (r.others.Routers == 0 || r.others.InForce >= All)
+	return r.inForce() >= All && (r.others.Routers == 0 || r.others.MinAppliedStage >= All)
 }
 
 // routers counts those that are heard, this one included.
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -50,7 +50,7 @@
 	if r == nil {
 		return st
 	}
-	st.Target, st.Stage, st.Part = r.order.Target, r.stage, s.gate(m.bounds.Share).Part
+	st.Target, st.Stage, st.Part = r.order.Target, r.stage, s.gate(m.bounds.Share).Fraction
 	st.Age, st.Within = r.age, r.order.Within
 	st.Routers = r.routers()
 	st.Verdict, st.Stopped = r.judge.Verdict(), r.stopped()
--- a/rollout/snapshot_test.go
+++ b/rollout/snapshot_test.go
@@ -22,7 +22,7 @@
 	s.run(time.Second)
 	require.Equal(t, WaitTime, waits(s))
 	s.run(newTimeline(simWithin).due(All) - time.Second)
-	require.Equal(t, WaitOld, waits(s))
+	require.Equal(t, WaitOldServers, waits(s))
 	st := s.routers[0].machine.Snapshots()[0]
 	require.Equal(t, All, st.Stage)
 	require.Equal(t, 2, st.Routers)
--- a/rollout/steps.go
+++ b/rollout/steps.go
@@ -13,7 +13,7 @@
 	StepCompleted  = "completed"   // the order's status says so
 	StepRolledBack = "rolled_back" // the order's status says so
 	StepAbandoned  = "abandoned"   // the order was replaced or deleted
-	StepSenseless  = "senseless"   // the order can't be carried out as it stands
+	StepInvalid    = "senseless"   // the order can't be carried out as it stands
 	StepUnordered  = "unordered"   // a version that nobody ordered has servers; the cause names it
 )
 
--- a/rollout/suspect_test.go
+++ b/rollout/suspect_test.go
@@ -13,7 +13,7 @@
 	m, tick := callsFor(1)
 	now := time.Duration(0)
 	answer := func(cohort string, target, bad bool) {
-		m.Update(AnswerMsg{Now: now, Service: "llm", Route: "r", Cohort: cohort, Target: target, Bad: bad})
+		m.Update(ResponseMsg{Now: now, Service: "llm", Route: "r", Cohort: cohort, Target: target, Bad: bad})
 	}
 	pass := func(good, bad int) {
 		for _, cohort := range []string{"a", "b", "c"} {
@@ -26,7 +26,7 @@
 			}
 		}
 		tick(now)
-		now += TickEvery
+		now += TickInterval
 	}
 	for m.Snapshots()[0].Stage < All {
 		require.Less(t, now, 6*time.Second)
@@ -55,7 +55,7 @@
 func TestRolloutSuspectedIsNotCompleted(t *testing.T) {
 	m, pass := lastStage(t)
 	plan := newTimeline(6 * time.Second)
-	for m.Snapshots()[0].Age < plan.write-2*TickEvery {
+	for m.Snapshots()[0].Age < plan.write-2*TickInterval {
 		pass(2, 0)
 	}
 	for m.Snapshots()[0].Age < plan.end {
@@ -71,10 +71,10 @@
 func TestRolloutDoubtedWaits(t *testing.T) {
 	m, pass := lastStage(t)
 	plan := newTimeline(6 * time.Second)
-	for m.Snapshots()[0].Age < plan.giveUp-2*TickEvery {
+	for m.Snapshots()[0].Age < plan.giveUp-2*TickInterval {
 		pass(2, 0)
 		for range 3 {
-			m.Update(AnswerMsg{Service: "llm", Route: "r", Cohort: "a", Target: true, Bad: true})
+			m.Update(ResponseMsg{Service: "llm", Route: "r", Cohort: "a", Target: true, Bad: true})
 		}
 	}
 	require.Equal(t, Good, m.Snapshots()[0].Verdict)
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -11,7 +11,7 @@
 	for _, s := range m.sorted() {
 		if s.rollout != nil {
 			s.rollout.oldRunning = uint32(max(0, msg.OldRunning[s.name]))
-			s.rollout.asked = msg.Asked[s.name]
+			s.rollout.asked = msg.Requests[s.name]
 			m.advance(s, msg.Now)
 		}
 		if m.leads {
@@ -54,7 +54,7 @@
 // be taken back, and going on a little later costs callers nothing.
 func (m *Machine) suspect(s *service) {
 	r := s.rollout
-	suspected := !r.trusted && r.judge.Suspects()
+	suspected := !r.trusted && r.judge.Suspected()
 	if suspected == r.suspected {
 		return
 	}
@@ -77,7 +77,7 @@
 	}
 	if r.hold.on && now >= r.hold.until {
 		r.hold.on = false
-		r.judge.Relax()
+		r.judge.CapEvidence()
 		m.step(s, StepReleased, causeTime)
 		return
 	}
@@ -114,7 +114,7 @@
 // completed can't be taken back. One faulty server does not keep a good version from being
 // completed in the end.
 func (r *rollout) mayYetTurn() bool {
-	return !r.trusted && r.judge.Doubts() && r.age < r.plan.giveUp
+	return !r.trusted && r.judge.WeaklySuspected() && r.age < r.plan.giveUp
 }
 
 // confirm decides that the roll-out is to be completed: nothing runs at old servers any
--- a/rollout/turn_test.go
+++ b/rollout/turn_test.go
@@ -26,7 +26,7 @@
 			}
 			counts = append(counts, c)
 		}
-		verdict := judge.Look(time.Duration(look)*TickEvery, counts)
+		verdict := judge.Evaluate(time.Duration(look)*TickInterval, counts)
 		if look <= turnAt {
 			require.NotEqual(t, Bad, verdict)
 		}
@@ -41,12 +41,12 @@
 	judge := NewJudge()
 	look := time.Duration(0)
 	tell := func(good, bad uint32) Verdict {
-		look += TickEvery
+		look += TickInterval
 		var counts []Cell
 		for _, cohort := range []string{"a", "b", "c"} {
 			counts = append(counts, Cell{Route: "r", Cohort: cohort, Target: true, Good: good, Bad: bad})
 		}
-		return judge.Look(look, counts)
+		return judge.Evaluate(look, counts)
 	}
 	for range 12 {
 		tell(10, 0)
@@ -78,7 +78,7 @@
 			}
 			counts = append(counts, c)
 		}
-		verdict := judge.Look(time.Duration(look)*TickEvery, counts)
+		verdict := judge.Evaluate(time.Duration(look)*TickInterval, counts)
 		if look <= turns["b"] {
 			require.NotEqual(t, Bad, verdict)
 		}
--- a/rollout/unlisted_test.go
+++ b/rollout/unlisted_test.go
@@ -15,9 +15,9 @@
 	m := NewMachine(Bounds{Share: 0.1})
 	m.Update(RecordsMsg{Records: []Record{{Service: "s", Revision: 1, InUse: []string{oldVersion}, Target: newVersion, Made: "1"}}})
 	m.Update(OrdersMsg{Orders: []Order{order}})
-	m.Update(OthersMsg{Reports: []Report{{Service: "s", Order: order.Key(), Routers: 1, Known: All, InForce: All}}})
+	m.Update(PeerReportsMsg{Reports: []Report{{Service: "s", Order: order.Key(), Routers: 1, MaxStage: All, MinAppliedStage: All}}})
 	rejected := func(from time.Duration) bool {
-		for now := from; now < from+2*goneFor; now += TickEvery {
+		for now := from; now < from+2*goneFor; now += TickInterval {
 			m.Update(TickMsg{Now: now, Leads: true, Routers: 2})
 		}
 		return m.Snapshots()[0].Rejecting
--- a/rollout/wait.go
+++ b/rollout/wait.go
@@ -7,17 +7,17 @@
 
 // What a roll-out can wait for.
 const (
-	WaitNothing  Wait = iota
-	WaitKnown         // for orders and records from the store
-	WaitVersions      // for a first list of servers
-	WaitServers       // for servers of the target
-	WaitHold          // for others, or some seconds, after this router stopped by itself
-	WaitEvidence      // for more answers of the target
-	WaitTime          // for the time of the next step
-	WaitRouters       // for the last stage at all routers
-	WaitOld           // for requests at old servers
-	WaitStatus        // for the final status in the store
-	WaitOrder         // for an order: servers are there, and none of a version in use
+	WaitNothing    Wait = iota
+	WaitStore           // for orders and records from the store
+	WaitVersions        // for a first list of servers
+	WaitServers         // for servers of the target
+	WaitHold            // for others, or some seconds, after this router stopped by itself
+	WaitEvidence        // for more answers of the target
+	WaitTime            // for the time of the next step
+	WaitRouters         // for the last stage at all routers
+	WaitOldServers      // for requests at old servers
+	WaitStatus          // for the final status in the store
+	WaitOrder           // for an order: servers are there, and none of a version in use
 )
 
 // String names what is waited for.
@@ -31,7 +31,7 @@
 	r := s.rollout
 	switch {
 	case !m.orders || !m.records:
-		return WaitKnown
+		return WaitStore
 	case s.inUse == nil || !m.listed:
 		return WaitVersions
 	case r == nil && len(s.versions) > 0 && !slices.ContainsFunc(s.inUse, s.lists):
@@ -47,7 +47,7 @@
 	case r.stage == All && !r.everywhere():
 		return WaitRouters
 	case r.stage == All:
-		return WaitOld
+		return WaitOldServers
 	case r.stage >= Trial && r.age >= r.plan.due(r.stage+1):
 		return WaitEvidence
 	}
--- a/rollout/write.go
+++ b/rollout/write.go
@@ -54,7 +54,7 @@
 
 // written takes in the end of a write. The object as it is now may have come before; where
 // it has not, the content of the write is taken for it until it comes.
-func (m *Machine) written(msg WrittenMsg) {
+func (m *Machine) written(msg WriteDoneMsg) {
 	s := m.services[msg.Service]
 	if s == nil {
 		return
--- a/rollout/writer.go
+++ b/rollout/writer.go
@@ -48,7 +48,7 @@
 }
 
 // ended notes how a write ended, and returns it if it is the one under way.
-func (w *writer) ended(m WrittenMsg) *WriteCmd {
+func (w *writer) ended(m WriteDoneMsg) *WriteCmd {
 	if w.out == nil || w.out.Kind != m.Kind {
 		return nil
 	}
--- a/rollout/writer_test.go
+++ b/rollout/writer_test.go
@@ -9,7 +9,7 @@
 
 func sent(w *writer, now time.Duration, result WriteResult) {
 	w.send(WriteCmd{Kind: WriteStatus}, 1, now)
-	w.ended(WrittenMsg{Now: now, Kind: WriteStatus, Result: result})
+	w.ended(WriteDoneMsg{Now: now, Kind: WriteStatus, Result: result})
 }
 
 // TestRolloutWriterPausesGrow shows that a write which the store refuses is repeated
@@ -49,6 +49,6 @@
 	var w writer
 	w.send(WriteCmd{Kind: WriteRecord}, 1, 0)
 	require.False(t, w.ready(time.Second))
-	require.Nil(t, w.ended(WrittenMsg{Kind: WriteStatus}))
+	require.Nil(t, w.ended(WriteDoneMsg{Kind: WriteStatus}))
 	require.True(t, w.ready(forgotten))
 }
