--- a/agent/agent.go
+++ b/agent/agent.go
@@ -59,7 +59,7 @@
 		links:       make(chan link.Event, eventRoom),
 		meter:       &link.Meter{},
 		machine:     sched.New(sched.Config{}),
-		keys:        once.NewMemory(once.MemoryConfig{Self: s.Name, StartedAt: began}),
+		keys:        once.NewKeyTable(once.KeyTableConfig{Self: s.Name, StartedAt: began}),
 		routers:     map[fleet.Name]*routerLink{},
 		waiting:     map[uint64]chan<- verdict{},
 		left:        make(chan struct{}),
--- a/agent/config.go
+++ b/agent/config.go
@@ -47,7 +47,7 @@
 	c.Slots = s.Slots
 	c.Works = s.Works
 	c.ClaimAhead = *b.Policy.ClaimAhead
-	c.Alike = alike(b, s)
+	c.PeerSlotRatio = alike(b, s)
 	return c
 }
 
--- a/agent/core.go
+++ b/agent/core.go
@@ -33,7 +33,7 @@
 	bundles     func(bundle.InForce) // hears of each bundle in force
 
 	machine   *sched.Machine
-	keys      *once.Memory
+	keys      *once.KeyTable
 	inForce   bundle.InForce
 	routers   map[fleet.Name]*routerLink
 	waiting   map[uint64]chan<- verdict
@@ -149,7 +149,7 @@
 		return
 	}
 	c.waiting[e.seq] = e.reply
-	c.feed(sched.ArriveMsg{Now: c.now(), Seq: e.seq, Key: e.key, Left: e.left, Oldest: e.oldest})
+	c.feed(sched.ArriveMsg{Now: c.now(), Seq: e.seq, Key: e.key, Remaining: e.left, OldestAge: e.oldest})
 }
 
 // abandon forgets a request that waits to start. Another one with the same
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -18,7 +18,7 @@
 		return
 	}
 	for _, w := range own.Works {
-		c.keys.Update(once.PoolMsg{Now: c.now(), Work: w, Names: b.ServersOf(w)})
+		c.keys.Update(once.PoolMsg{Now: c.now(), Work: w, Agents: b.ServersOf(w)})
 	}
 }
 
@@ -30,7 +30,7 @@
 	}
 	msg := once.ReserveMsg{Now: c.now(), Key: key, Holder: holderOf(r.conn, m.Request)}
 	if m.Made != 0 {
-		msg.Made = time.UnixMilli(m.Made)
+		msg.CreatedAt = time.UnixMilli(m.Made)
 	}
 	v := c.keys.Update(msg)
 	r.conn.Send(wire.KeyVerdict{Request: m.Request, Verdict: uint8(v)})
--- a/examples/decide/main.go
+++ b/examples/decide/main.go
@@ -33,7 +33,7 @@
 	for range turns {
 		claim := cmds[0].(sched.ClaimCmd)
 		fmt.Println(now, "serves", claim.Key.Team)
-		m.Update(sched.ArriveMsg{Now: now, Seq: claim.Seq, Left: 100})
+		m.Update(sched.ArriveMsg{Now: now, Seq: claim.Seq, Remaining: 100})
 		now += cost
 		cmds = m.Update(sched.EndMsg{Now: now, Seq: claim.Seq})
 	}
--- a/examples/wait/main.go
+++ b/examples/wait/main.go
@@ -14,9 +14,9 @@
 func main() {
 	line := fleet.DemandKey{Work: "report", Team: "zurich", Class: fleet.Ordinary}
 	m := queue.New(queue.Config{
-		MaxWaiting:  100,
-		TeamWaiting: map[fleet.Team]int{"zurich": 2},
-		MaxWait:     time.Minute,
+		MaxWaiting:        100,
+		MaxWaitingPerTeam: map[fleet.Team]int{"zurich": 2},
+		MaxWait:           time.Minute,
 	})
 	m.Update(queue.AgentUpMsg{Agent: "engine-1", Works: []fleet.Work{"report"}})
 	for id := range queue.RequestID(3) {
--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -63,8 +63,8 @@
 	return h.index.rows(sum)
 }
 
-// Lives returns how many lives of agents the hub remembers.
-func (h *Hub) Lives() int { return len(h.lives) }
+// Incarnations returns how many lives of agents the hub remembers.
+func (h *Hub) Incarnations() int { return len(h.lives) }
 
 func (h *Hub) agent(n fleet.Name) (int, bool) {
 	return slices.BinarySearchFunc(h.agents, n, func(a *agentLink, n fleet.Name) int {
@@ -116,7 +116,7 @@
 		h.peers = slices.Insert(h.peers, i, &peerLink{})
 	}
 	*h.peers[i] = peerLink{
-		name: msg.Peer, hall: msg.Hall, pair: msg.Pair,
+		name: msg.Peer, hall: msg.Hall, pair: msg.Paired,
 		sent: map[fleet.Hall]vector{}, whole: map[fleet.Hall]bool{},
 	}
 	if msg.Hall != h.hall {
--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -80,8 +80,8 @@
 			continue
 		}
 		pair := w.halls[i] != w.halls[j] && i%2 == j%2
-		w.do(i, w.hubs[i].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(j), Hall: w.halls[j], Pair: pair}))
-		w.do(j, w.hubs[j].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(i), Hall: w.halls[i], Pair: pair}))
+		w.do(i, w.hubs[i].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(j), Hall: w.halls[j], Paired: pair}))
+		w.do(j, w.hubs[j].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(i), Hall: w.halls[i], Paired: pair}))
 	}
 }
 
@@ -237,7 +237,7 @@
 	}
 	pair := w.halls[l.from] != w.halls[l.hub] && l.from%2 == l.hub%2
 	w.do(l.from, w.hubs[l.from].Update(PeerDownMsg{Now: w.now, Peer: w.hubName(l.hub)}))
-	w.do(l.from, w.hubs[l.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(l.hub), Hall: w.halls[l.hub], Pair: pair}))
+	w.do(l.from, w.hubs[l.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(l.hub), Hall: w.halls[l.hub], Paired: pair}))
 }
 
 // settleNews delivers what a new hub is told, before anything is lost.
--- a/ledger/messages.go
+++ b/ledger/messages.go
@@ -30,10 +30,10 @@
 
 // PeerUpMsg says that a link to another hub stands.
 type PeerUpMsg struct {
-	Now  time.Duration
-	Peer fleet.Name
-	Hall fleet.Hall
-	Pair bool // this hub sends the peer its hall's totals
+	Now    time.Duration
+	Peer   fleet.Name
+	Hall   fleet.Hall
+	Paired bool // this hub sends the peer its hall's totals
 }
 
 // PeerDownMsg says that a link to another hub is gone.
--- a/once/asker.go
+++ b/once/coordinator.go
@@ -17,15 +17,15 @@
 const (
 	// DecisionRun means that no other attempt has run or will.
 	DecisionRun Decision = iota
-	// DecisionRepeat means that another attempt holds the key.
-	DecisionRepeat
-	// DecisionUnsure means that too few owners can vouch for the key.
-	DecisionUnsure
+	// DecisionDuplicate means that another attempt holds the key.
+	DecisionDuplicate
+	// DecisionUncertain means that too few owners can vouch for the key.
+	DecisionUncertain
 )
 
-// Asker is a router's part: it asks the owners of keys and counts their
+// Coordinator is a router's part: it asks the owners of keys and counts their
 // answers. It is pure.
-type Asker struct {
+type Coordinator struct {
 	open map[uint64]*question
 }
 
@@ -40,19 +40,19 @@
 	held   bool // the request may run; the key stays until it is released
 }
 
-// NewAsker returns an asker without questions.
-func NewAsker() *Asker { return &Asker{open: map[uint64]*question{}} }
+// NewCoordinator returns an asker without questions.
+func NewCoordinator() *Coordinator { return &Coordinator{open: map[uint64]*question{}} }
 
-// AskMsg is anything that an Asker can be told.
-type AskMsg interface{ isAskMsg() }
+// CoordinatorMsg is anything that an Asker can be told.
+type CoordinatorMsg interface{ isCoordinatorMsg() }
 
-// AskKeyMsg asks about the key of a request.
-type AskKeyMsg struct {
-	Now    time.Duration
-	Holder Holder
-	Key    Key
-	Made   time.Time
-	Pool   []fleet.Name // agents of the work's servers
+// AcquireMsg asks about the key of a request.
+type AcquireMsg struct {
+	Now       time.Duration
+	Holder    Holder
+	Key       Key
+	CreatedAt time.Time
+	Agents    []fleet.Name // agents of the work's servers
 }
 
 // VerdictMsg brings an owner's verdict.
@@ -75,24 +75,24 @@
 	Request uint64
 }
 
-// AskTickMsg lets time pass.
-type AskTickMsg struct{ Now time.Duration }
+// TickMsg lets time pass.
+type TickMsg struct{ Now time.Duration }
 
-func (AskKeyMsg) isAskMsg()  {}
-func (VerdictMsg) isAskMsg() {}
-func (NotRunMsg) isAskMsg()  {}
-func (DoneMsg) isAskMsg()    {}
-func (AskTickMsg) isAskMsg() {}
+func (AcquireMsg) isCoordinatorMsg() {}
+func (VerdictMsg) isCoordinatorMsg() {}
+func (NotRunMsg) isCoordinatorMsg()  {}
+func (DoneMsg) isCoordinatorMsg()    {}
+func (TickMsg) isCoordinatorMsg()    {}
 
-// AskCommand is something that an Asker wants done.
-type AskCommand interface{ isAskCommand() }
+// Command is something that an Asker wants done.
+type Command interface{ isCommand() }
 
 // ReserveCmd asks an owner to note a key.
 type ReserveCmd struct {
-	Owner  fleet.Name
-	Key    Key
-	Holder Holder
-	Made   time.Time
+	Owner     fleet.Name
+	Key       Key
+	Holder    Holder
+	CreatedAt time.Time
 }
 
 // ReleaseCmd tells an owner that a key's request has not run.
@@ -108,14 +108,14 @@
 	Decision Decision
 }
 
-func (ReserveCmd) isAskCommand() {}
-func (ReleaseCmd) isAskCommand() {}
-func (DecideCmd) isAskCommand()  {}
+func (ReserveCmd) isCommand() {}
+func (ReleaseCmd) isCommand() {}
+func (DecideCmd) isCommand()  {}
 
 // Update takes one message and returns what is to be done about it, in order.
-func (a *Asker) Update(msg AskMsg) []AskCommand {
+func (a *Coordinator) Update(msg CoordinatorMsg) []Command {
 	switch msg := msg.(type) {
-	case AskKeyMsg:
+	case AcquireMsg:
 		return a.ask(msg)
 	case VerdictMsg:
 		return a.verdict(msg)
@@ -123,30 +123,30 @@
 		return a.notRun(msg)
 	case DoneMsg:
 		delete(a.open, msg.Request)
-	case AskTickMsg:
+	case TickMsg:
 		return a.tick(msg)
 	}
 	return nil
 }
 
-func (a *Asker) ask(msg AskKeyMsg) []AskCommand {
-	owners := Owners(msg.Key, msg.Pool)
+func (a *Coordinator) ask(msg AcquireMsg) []Command {
+	owners := Owners(msg.Key, msg.Agents)
 	q := &question{
 		holder: msg.Holder, key: msg.Key, owners: owners,
 		left: slices.Clone(owners), until: msg.Now + askTimeout,
 	}
 	a.open[msg.Holder.Request] = q
-	var cmds []AskCommand
+	var cmds []Command
 	for _, o := range owners {
-		cmds = append(cmds, ReserveCmd{Owner: o, Key: msg.Key, Holder: msg.Holder, Made: msg.Made})
+		cmds = append(cmds, ReserveCmd{Owner: o, Key: msg.Key, Holder: msg.Holder, CreatedAt: msg.CreatedAt})
 	}
 	if len(owners) == 0 {
-		return a.decide(q, DecisionUnsure)
+		return a.decide(q, DecisionUncertain)
 	}
 	return cmds
 }
 
-func (a *Asker) verdict(msg VerdictMsg) []AskCommand {
+func (a *Coordinator) verdict(msg VerdictMsg) []Command {
 	q, ok := a.open[msg.Request]
 	if !ok || q.held {
 		return nil
@@ -157,9 +157,9 @@
 	}
 	q.left = slices.Delete(q.left, i, i+1)
 	switch msg.Verdict {
-	case VerdictKnown:
-		return a.decide(q, DecisionRepeat)
-	case VerdictNoted:
+	case VerdictDuplicate:
+		return a.decide(q, DecisionDuplicate)
+	case VerdictReserved:
 		q.noted++
 	}
 	need := Quorum(len(q.owners))
@@ -167,15 +167,15 @@
 	case q.noted >= need:
 		return a.decide(q, DecisionRun)
 	case q.noted+len(q.left) < need:
-		return a.decide(q, DecisionUnsure)
+		return a.decide(q, DecisionUncertain)
 	}
 	return nil
 }
 
 // decide ends a question. Where the request may not run its notes are taken
 // back, so that the caller may come again.
-func (a *Asker) decide(q *question, d Decision) []AskCommand {
-	cmds := []AskCommand{DecideCmd{Request: q.holder.Request, Decision: d}}
+func (a *Coordinator) decide(q *question, d Decision) []Command {
+	cmds := []Command{DecideCmd{Request: q.holder.Request, Decision: d}}
 	if d == DecisionRun {
 		q.held = true
 		return cmds
@@ -183,16 +183,16 @@
 	return append(cmds, a.release(q)...)
 }
 
-func (a *Asker) release(q *question) []AskCommand {
+func (a *Coordinator) release(q *question) []Command {
 	delete(a.open, q.holder.Request)
-	var cmds []AskCommand
+	var cmds []Command
 	for _, o := range q.owners {
 		cmds = append(cmds, ReleaseCmd{Owner: o, Key: q.key, Holder: q.holder})
 	}
 	return cmds
 }
 
-func (a *Asker) notRun(msg NotRunMsg) []AskCommand {
+func (a *Coordinator) notRun(msg NotRunMsg) []Command {
 	q, ok := a.open[msg.Request]
 	if !ok {
 		return nil
@@ -201,7 +201,7 @@
 }
 
 // tick ends questions whose owners have not answered in time.
-func (a *Asker) tick(msg AskTickMsg) []AskCommand {
+func (a *Coordinator) tick(msg TickMsg) []Command {
 	var late []uint64
 	for id, q := range a.open {
 		if !q.held && q.until <= msg.Now {
@@ -209,9 +209,9 @@
 		}
 	}
 	slices.Sort(late)
-	var cmds []AskCommand
+	var cmds []Command
 	for _, id := range late {
-		cmds = append(cmds, a.decide(a.open[id], DecisionUnsure)...)
+		cmds = append(cmds, a.decide(a.open[id], DecisionUncertain)...)
 	}
 	return cmds
 }
--- a/once/key.go
+++ b/once/key.go
@@ -11,10 +11,10 @@
 const (
 	// OwnersPerKey is how many agents note a key.
 	OwnersPerKey = 3
-	// Window is how long a key is remembered.
-	Window = 10 * time.Minute
-	// ClockSkew is how far the clocks of callers and hosts may lie apart.
-	ClockSkew = 5 * time.Second
+	// KeyTTL is how long a key is remembered.
+	KeyTTL = 10 * time.Minute
+	// MaxClockSkew is how far the clocks of callers and hosts may lie apart.
+	MaxClockSkew = 5 * time.Second
 )
 
 // Key is an idempotency key in the scope of its team and work, as a digest.
@@ -49,12 +49,12 @@
 
 // The verdicts.
 const (
-	// VerdictNoted means that the owner did not know the key, has noted it, and
+	// VerdictReserved means that the owner did not know the key, has noted it, and
 	// would know it if it had been noted before.
-	VerdictNoted Verdict = iota
-	// VerdictKnown means that another request holds the key.
-	VerdictKnown
-	// VerdictUnsure means that the owner has noted the key, but cannot vouch
+	VerdictReserved Verdict = iota
+	// VerdictDuplicate means that another request holds the key.
+	VerdictDuplicate
+	// VerdictUncertain means that the owner has noted the key, but cannot vouch
 	// for the time before.
-	VerdictUnsure
+	VerdictUncertain
 )
--- a/once/memory.go
+++ b/once/keytable.go
@@ -7,8 +7,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// MemoryConfig is what a Memory has to know of its agent.
-type MemoryConfig struct {
+// KeyTableConfig is what a Memory has to know of its agent.
+type KeyTableConfig struct {
 	Self      fleet.Name
 	StartedAt time.Time // by the host's clock
 }
@@ -16,10 +16,10 @@
 // maxKeys bounds what one agent remembers; above it no key is noted.
 const maxKeys = 1 << 18
 
-// Memory is an agent's part in remembering keys. It is pure: the time since
+// KeyTable is an agent's part in remembering keys. It is pure: the time since
 // the process started comes with each message.
-type Memory struct {
-	cfg   MemoryConfig
+type KeyTable struct {
+	cfg   KeyTableConfig
 	keys  map[Key]note
 	pools map[fleet.Work][]pool // newest last
 	swept time.Duration
@@ -37,28 +37,28 @@
 	names []fleet.Name
 }
 
-// NewMemory returns a memory that knows no keys.
-func NewMemory(cfg MemoryConfig) *Memory {
-	return &Memory{cfg: cfg, keys: map[Key]note{}, pools: map[fleet.Work][]pool{}}
+// NewKeyTable returns a memory that knows no keys.
+func NewKeyTable(cfg KeyTableConfig) *KeyTable {
+	return &KeyTable{cfg: cfg, keys: map[Key]note{}, pools: map[fleet.Work][]pool{}}
 }
 
-// MemoryMsg is anything that a Memory can be told.
-type MemoryMsg interface{ isMemoryMsg() }
+// KeyTableMsg is anything that a Memory can be told.
+type KeyTableMsg interface{ isKeyTableMsg() }
 
 // PoolMsg says which agents stand beside the servers of a work from now on.
 type PoolMsg struct {
-	Now   time.Duration
-	Work  fleet.Work
-	Names []fleet.Name
+	Now    time.Duration
+	Work   fleet.Work
+	Agents []fleet.Name
 }
 
 // ReserveMsg asks to note a key for a request. Made is when the caller first
 // used the key, by its clock, or zero if it does not say.
 type ReserveMsg struct {
-	Now    time.Duration
-	Key    Key
-	Holder Holder
-	Made   time.Time
+	Now       time.Duration
+	Key       Key
+	Holder    Holder
+	CreatedAt time.Time
 }
 
 // ReleaseMsg says that the request which holds a key did not run.
@@ -68,12 +68,12 @@
 	Holder Holder
 }
 
-func (PoolMsg) isMemoryMsg()    {}
-func (ReserveMsg) isMemoryMsg() {}
-func (ReleaseMsg) isMemoryMsg() {}
+func (PoolMsg) isKeyTableMsg()    {}
+func (ReserveMsg) isKeyTableMsg() {}
+func (ReleaseMsg) isKeyTableMsg() {}
 
 // Update takes one message; the verdict has a meaning for ReserveMsg only.
-func (m *Memory) Update(msg MemoryMsg) Verdict {
+func (m *KeyTable) Update(msg KeyTableMsg) Verdict {
 	switch msg := msg.(type) {
 	case PoolMsg:
 		m.setPool(msg)
@@ -85,42 +85,42 @@
 			delete(m.keys, msg.Key)
 		}
 	}
-	return VerdictUnsure
+	return VerdictUncertain
 }
 
 // Len returns how many keys are remembered.
-func (m *Memory) Len() int { return len(m.keys) }
+func (m *KeyTable) Len() int { return len(m.keys) }
 
-func (m *Memory) setPool(msg PoolMsg) {
+func (m *KeyTable) setPool(msg PoolMsg) {
 	pools := m.pools[msg.Work]
-	if n := len(pools); n > 0 && slices.Equal(pools[n-1].names, msg.Names) {
+	if n := len(pools); n > 0 && slices.Equal(pools[n-1].names, msg.Agents) {
 		return
 	}
-	m.pools[msg.Work] = append(pools, pool{since: msg.Now, names: slices.Clone(msg.Names)})
+	m.pools[msg.Work] = append(pools, pool{since: msg.Now, names: slices.Clone(msg.Agents)})
 }
 
-func (m *Memory) reserve(msg ReserveMsg) Verdict {
+func (m *KeyTable) reserve(msg ReserveMsg) Verdict {
 	n, known := m.keys[msg.Key]
 	if known && n.holder != msg.Holder {
-		return VerdictKnown
+		return VerdictDuplicate
 	}
 	if !known && len(m.keys) >= maxKeys {
-		return VerdictUnsure
+		return VerdictUncertain
 	}
 	m.keys[msg.Key] = note{holder: msg.Holder, at: msg.Now}
 	if m.vouches(msg) {
-		return VerdictNoted
+		return VerdictReserved
 	}
-	return VerdictUnsure
+	return VerdictUncertain
 }
 
 // vouches tells whether the agent would know the key had it been noted before:
 // it has lived, and owned the key in every pool, for as long as keys are
 // remembered or since before the key was made.
-func (m *Memory) vouches(msg ReserveMsg) bool {
-	horizon := msg.Now - Window
-	if !msg.Made.IsZero() {
-		made := msg.Made.Sub(m.cfg.StartedAt) - ClockSkew
+func (m *KeyTable) vouches(msg ReserveMsg) bool {
+	horizon := msg.Now - KeyTTL
+	if !msg.CreatedAt.IsZero() {
+		made := msg.CreatedAt.Sub(m.cfg.StartedAt) - MaxClockSkew
 		horizon = max(horizon, made)
 	}
 	pools := m.pools[msg.Key.Work]
@@ -137,18 +137,18 @@
 }
 
 // sweep forgets keys and pools whose time is over, now and then.
-func (m *Memory) sweep(now time.Duration) {
-	if now-m.swept < Window/10 {
+func (m *KeyTable) sweep(now time.Duration) {
+	if now-m.swept < KeyTTL/10 {
 		return
 	}
 	m.swept = now
 	for k, n := range m.keys {
-		if now-n.at > Window {
+		if now-n.at > KeyTTL {
 			delete(m.keys, k)
 		}
 	}
 	for w, pools := range m.pools {
-		for len(pools) > 1 && pools[1].since < now-Window {
+		for len(pools) > 1 && pools[1].since < now-KeyTTL {
 			pools = pools[1:]
 		}
 		m.pools[w] = pools
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -18,7 +18,7 @@
 	began    time.Time
 	pool     []fleet.Name
 	owners   map[fleet.Name]*onceOwner
-	routers  []*Asker
+	routers  []*Coordinator
 	mail     []func()
 	runs     map[Key]int
 	next     uint64
@@ -28,15 +28,15 @@
 }
 
 type onceOwner struct {
-	m       *Memory
+	m       *KeyTable
 	started time.Duration
 }
 
 func newOnceWorld(forgets bool) *onceWorld {
 	w := &onceWorld{
-		now: 2 * Window, began: time.Unix(1_000_000, 0), owners: map[fleet.Name]*onceOwner{},
+		now: 2 * KeyTTL, began: time.Unix(1_000_000, 0), owners: map[fleet.Name]*onceOwner{},
 		runs: map[Key]int{}, attempts: map[uint64]Key{}, forgets: forgets,
-		routers: []*Asker{NewAsker(), NewAsker()},
+		routers: []*Coordinator{NewCoordinator(), NewCoordinator()},
 	}
 	for i := range 5 {
 		n := fleet.Name(fmt.Sprintf("app-%d", i))
@@ -50,18 +50,18 @@
 
 // start starts an owner with no state at a time.
 func (w *onceWorld) start(n fleet.Name, at time.Duration) {
-	cfg := MemoryConfig{Self: n, StartedAt: w.began.Add(at)}
-	o := &onceOwner{m: NewMemory(cfg), started: at}
+	cfg := KeyTableConfig{Self: n, StartedAt: w.began.Add(at)}
+	o := &onceOwner{m: NewKeyTable(cfg), started: at}
 	if w.forgets {
-		o.started -= 3 * Window // it takes itself for older than it is
+		o.started -= 3 * KeyTTL // it takes itself for older than it is
 	}
-	o.m.Update(PoolMsg{Work: "tag", Names: w.pool})
+	o.m.Update(PoolMsg{Work: "tag", Agents: w.pool})
 	w.owners[n] = o
 }
 
 func (w *onceWorld) since(o *onceOwner) time.Duration { return w.now - o.started }
 
-func (w *onceWorld) do(router int, cmds []AskCommand) {
+func (w *onceWorld) do(router int, cmds []Command) {
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case ReserveCmd:
@@ -81,7 +81,7 @@
 
 func (w *onceWorld) reserve(router int, c ReserveCmd) {
 	o := w.owners[c.Owner]
-	v := o.m.Update(ReserveMsg{Now: w.since(o), Key: c.Key, Holder: c.Holder, Made: c.Made})
+	v := o.m.Update(ReserveMsg{Now: w.since(o), Key: c.Key, Holder: c.Holder, CreatedAt: c.CreatedAt})
 	w.mail = append(w.mail, func() {
 		w.do(router, w.routers[router].Update(VerdictMsg{Now: w.now, Owner: c.Owner, Request: c.Holder.Request, Verdict: v}))
 	})
@@ -102,8 +102,8 @@
 		k := NewKey("team", "tag", fmt.Sprint(pick(3)))
 		w.attempts[w.next] = k
 		r := pick(len(w.routers))
-		w.do(r, w.routers[r].Update(AskKeyMsg{
-			Now: w.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: w.next}, Key: k, Pool: w.pool,
+		w.do(r, w.routers[r].Update(AcquireMsg{
+			Now: w.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: w.next}, Key: k, Agents: w.pool,
 		}))
 	case 2, 3, 4:
 		for range 6 {
@@ -123,7 +123,7 @@
 	case 8:
 		w.now += time.Duration(pick(300)) * time.Millisecond
 		for i, r := range w.routers {
-			w.do(i, r.Update(AskTickMsg{Now: w.now}))
+			w.do(i, r.Update(TickMsg{Now: w.now}))
 		}
 	}
 }
@@ -170,12 +170,12 @@
 	t.Fatal("no key ran twice")
 }
 
-func ask(t *testing.T, w *onceWorld, made time.Time) []AskCommand {
+func ask(t *testing.T, w *onceWorld, made time.Time) []Command {
 	t.Helper()
 	w.next++
 	k := NewKey("team", "tag", fmt.Sprint("k", w.next))
 	w.attempts[w.next] = k
-	w.do(0, w.routers[0].Update(AskKeyMsg{Now: w.now, Holder: Holder{Request: w.next}, Key: k, Pool: w.pool, Made: made}))
+	w.do(0, w.routers[0].Update(AcquireMsg{Now: w.now, Holder: Holder{Request: w.next}, Key: k, Agents: w.pool, CreatedAt: made}))
 	for len(w.mail) > 0 {
 		w.deliver(func(int) int { return 0 })
 	}
@@ -201,24 +201,24 @@
 // TestNewOwnersDoNotVouch changes the pool: an agent that became an owner of a
 // key by it does not vouch for the time before.
 func TestNewOwnersDoNotVouch(t *testing.T) {
-	m := NewMemory(MemoryConfig{Self: "new"})
-	m.Update(PoolMsg{Now: 0, Work: "tag", Names: []fleet.Name{"a", "b", "c", "d"}})
-	m.Update(PoolMsg{Now: 3 * Window, Work: "tag", Names: []fleet.Name{"new"}})
+	m := NewKeyTable(KeyTableConfig{Self: "new"})
+	m.Update(PoolMsg{Now: 0, Work: "tag", Agents: []fleet.Name{"a", "b", "c", "d"}})
+	m.Update(PoolMsg{Now: 3 * KeyTTL, Work: "tag", Agents: []fleet.Name{"new"}})
 	k := NewKey("team", "tag", "k")
-	require.Equal(t, VerdictUnsure, m.Update(ReserveMsg{Now: 3*Window + time.Second, Key: k, Holder: Holder{Request: 1}}))
-	require.Equal(t, VerdictNoted, m.Update(ReserveMsg{Now: 4*Window + time.Second, Key: k, Holder: Holder{Request: 1}}))
+	require.Equal(t, VerdictUncertain, m.Update(ReserveMsg{Now: 3*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
+	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: 4*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
 }
 
 // TestReleasedKeysMayComeAgain holds that a refused request does not use up
 // its key, and that only its holder releases it.
 func TestReleasedKeysMayComeAgain(t *testing.T) {
-	m := NewMemory(MemoryConfig{Self: "a"})
-	m.Update(PoolMsg{Work: "tag", Names: []fleet.Name{"a"}})
+	m := NewKeyTable(KeyTableConfig{Self: "a"})
+	m.Update(PoolMsg{Work: "tag", Agents: []fleet.Name{"a"}})
 	k := NewKey("team", "tag", "k")
-	now := 2 * Window
-	require.Equal(t, VerdictNoted, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 1}}))
+	now := 2 * KeyTTL
+	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 1}}))
 	m.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 2}})
-	require.Equal(t, VerdictKnown, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
+	require.Equal(t, VerdictDuplicate, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
 	m.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 1}})
-	require.Equal(t, VerdictNoted, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
+	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
 }
--- a/proof/box_test.go
+++ b/proof/box_test.go
@@ -136,7 +136,7 @@
 	r.alive, r.frozen = true, false
 	r.m = queue.New(queue.Config{
 		Self: r.name, Hall: boxHall, MaxWaiting: 40, MaxWait: boxMaxWait, RetryBudget: 0.5,
-		TeamWaiting: map[fleet.Team]int{"ajax": 10, "basel": 20, "chur": 20},
+		MaxWaitingPerTeam: map[fleet.Team]int{"ajax": 10, "basel": 20, "chur": 20},
 	})
 	r.hub = ledger.NewHub(r.name, boxHall)
 }
@@ -154,7 +154,7 @@
 		Shares:     map[fleet.Team]float64{"ajax": 2, "basel": 1, "chur": 0.5},
 		ShareEvery: 200 * time.Millisecond, Delta: time.Second,
 		UrgentBorrow: time.Second, CatchUp: 20 * time.Second,
-		Alike: map[fleet.Work]float64{"report": 1},
+		PeerSlotRatio: map[fleet.Work]float64{"report": 1},
 	})
 	a.m.Update(sched.HealthMsg{Now: b.now, Serving: true})
 }
@@ -350,7 +350,7 @@
 func (b *box) arrive(c *boxCall) {
 	a := b.agents[c.agent]
 	if !a.alive {
-		c.state, c.outcome = callBack, queue.OutcomeFailed
+		c.state, c.outcome = callBack, queue.OutcomeUnknown
 		return
 	}
 	if a.frozen {
@@ -361,8 +361,8 @@
 		c.state, c.outcome = callBack, queue.OutcomeNotRun
 		return
 	}
-	left := c.cmd.Left
-	b.agentDo(c.agent, a.m.Update(sched.ArriveMsg{Now: b.now, Seq: c.cmd.Claim.Seq, Key: left.Key, Left: left.Waiting, Oldest: left.OldestAge}))
+	left := c.cmd.Remaining
+	b.agentDo(c.agent, a.m.Update(sched.ArriveMsg{Now: b.now, Seq: c.cmd.Claim.Seq, Key: left.Key, Remaining: left.Waiting, OldestAge: left.OldestAge}))
 }
 
 func (b *box) started(agent int, seq uint64) {
@@ -428,14 +428,14 @@
 	c.state = callClosed
 	outcome := c.outcome
 	if lost {
-		outcome = queue.OutcomeFailed
+		outcome = queue.OutcomeUnknown
 	}
 	b.ended(c, outcome)
 }
 
 // ended is the one EndMsg of a call.
 func (b *box) ended(c *boxCall, outcome queue.Outcome) {
-	if outcome == queue.OutcomeFailed && b.sabotage.failedMeansNotRun {
+	if outcome == queue.OutcomeUnknown && b.sabotage.failedMeansNotRun {
 		outcome = queue.OutcomeNotRun
 	}
 	if outcome == queue.OutcomeDone {
@@ -449,7 +449,7 @@
 	for _, c := range b.calls {
 		if c.router == router && c.req.id == id && c.state != callClosed && !c.gaveUp && c.life == b.routers[router].life {
 			c.gaveUp = true
-			b.ended(c, queue.OutcomeFailed)
+			b.ended(c, queue.OutcomeUnknown)
 			return
 		}
 	}
--- a/proof/fairness_test.go
+++ b/proof/fairness_test.go
@@ -71,13 +71,13 @@
 		served: map[fleet.Team]time.Duration{}, running: make([]int, fairAgents),
 		classes: map[fleet.Team]fleet.Class{}, teamsOf: map[runsOf]fleet.Team{},
 	}
-	f.router = queue.New(queue.Config{MaxWaiting: 1 << 20, MaxWait: time.Hour, TeamWaiting: map[fleet.Team]int{}})
+	f.router = queue.New(queue.Config{MaxWaiting: 1 << 20, MaxWait: time.Hour, MaxWaitingPerTeam: map[fleet.Team]int{}})
 	f.hub = ledger.NewHub("r", boxHall)
 	for i := range fairAgents {
 		a := sched.New(sched.Config{
 			Slots: fairSlots, Works: boxWorks[:1], Shares: shares, Mode: mode, ClaimAhead: 1,
 			ShareEvery: fairShare, Delta: 10 * time.Second, UrgentBorrow: 2 * time.Second, CatchUp: time.Minute,
-			Alike: map[fleet.Work]float64{boxWorks[0]: fairAgents - 1},
+			PeerSlotRatio: map[fleet.Work]float64{boxWorks[0]: fairAgents - 1},
 		})
 		f.agents = append(f.agents, a)
 		f.agentDo(i, a.Update(sched.RouterUpMsg{Now: f.now, Router: "r", Hub: true}))
@@ -159,7 +159,7 @@
 				f.teamOf(i, c)
 				f.arrived = c
 				f.agentDo(i, f.agents[i].Update(sched.ArriveMsg{
-					Now: f.now, Seq: c.Claim.Seq, Key: c.Left.Key, Left: c.Left.Waiting, Oldest: c.Left.OldestAge,
+					Now: f.now, Seq: c.Claim.Seq, Key: c.Remaining.Key, Remaining: c.Remaining.Waiting, OldestAge: c.Remaining.OldestAge,
 				}))
 			})
 		}
@@ -173,7 +173,7 @@
 }
 
 func (f *fairFleet) teamOf(agent int, c queue.RunCmd) {
-	f.teamsOf[runsOf{agent, c.Claim.Seq}] = c.Left.Key.Team
+	f.teamsOf[runsOf{agent, c.Claim.Seq}] = c.Remaining.Key.Team
 }
 
 func (f *fairFleet) agentDo(i int, cmds []sched.Command) {
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -116,11 +116,11 @@
 	}
 	if pick(2) == 0 {
 		c.state = callClosed // it never arrives, but who knows
-		b.ended(c, queue.OutcomeFailed)
+		b.ended(c, queue.OutcomeUnknown)
 		return
 	}
 	c.gaveUp = true
-	b.ended(c, queue.OutcomeFailed)
+	b.ended(c, queue.OutcomeUnknown)
 }
 
 func (b *box) doFinish(pick picker) {
@@ -220,7 +220,7 @@
 	a.running = nil
 	for _, c := range b.calls {
 		if c.agent == i && (c.state == callHeld || c.state == callRuns) {
-			c.state, c.outcome = callBack, queue.OutcomeFailed
+			c.state, c.outcome = callBack, queue.OutcomeUnknown
 		}
 	}
 	for r := range b.routers {
@@ -399,7 +399,7 @@
 		}
 	}
 	for i, r := range b.routers {
-		if n := r.m.Open(); n != 0 {
+		if n := r.m.Unfinished(); n != 0 {
 			b.fail("router %d still holds %d requests", i, n)
 		}
 	}
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -27,11 +27,11 @@
 	case t.waiting >= m.cfg.teamLimit(r.Key.Team):
 		return m.refusal(r, ReasonTeamFull, wait), true
 	case m.waiting >= m.cfg.MaxWaiting:
-		return m.refusal(r, ReasonFull, wait), true
+		return m.refusal(r, ReasonRouterFull, wait), true
 	case !m.anyRuns(r):
 		return m.refusal(r, ReasonNoServer, noServerRetry), true
 	case r.Deadline > 0 && now+wait > r.Deadline:
-		return m.refusal(r, ReasonTooLate, wait), true
+		return m.refusal(r, ReasonDeadline, wait), true
 	}
 	return RefuseCmd{}, false
 }
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -28,7 +28,7 @@
 	m.team(r.Key.Team).drained(now)
 	r.state = stateRunning
 	r.claim = claim
-	return []Command{RunCmd{ID: r.ID, Claim: claim, Left: m.left(now, a, l)}}
+	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.left(now, a, l)}}
 }
 
 // left returns what the agent should believe to be left of a line. Where more
@@ -43,7 +43,7 @@
 	return c
 }
 
-func (m *Machine) answer(msg AnswerMsg) []Command {
+func (m *Machine) answer(msg AnswerStartedMsg) []Command {
 	if r, ok := m.requests[msg.ID]; ok && r.state == stateRunning {
 		r.state = stateAnswered
 	}
@@ -60,7 +60,7 @@
 	switch msg.Outcome {
 	case OutcomeNotRun:
 		return m.giveBack(msg, r)
-	case OutcomeFailed:
+	case OutcomeUnknown:
 		return m.failed(msg, r)
 	}
 	m.finish(r)
@@ -75,7 +75,7 @@
 	}
 	if r.returned >= maxReturned || msg.Now >= r.expires {
 		m.finish(r)
-		return []Command{m.refusalAfterRuns(r, ReasonFailed)}
+		return []Command{m.refusalAfterRuns(r, ReasonServerFailed)}
 	}
 	m.enter(r, true)
 	return m.place(msg.Now, m.lines[r.Key])
@@ -90,7 +90,7 @@
 		return m.place(msg.Now, m.lines[r.Key])
 	}
 	m.finish(r)
-	return []Command{m.refusalAfterRuns(r, ReasonUncertain)}
+	return []Command{m.refusalAfterRuns(r, ReasonOutcomeUnknown)}
 }
 
 // refusalAfterRuns never says "not run" of a request with a run in doubt.
--- a/queue/commands.go
+++ b/queue/commands.go
@@ -23,9 +23,9 @@
 
 // RunCmd sends a request to the agent that claimed it.
 type RunCmd struct {
-	ID    RequestID
-	Claim fleet.ClaimID
-	Left  fleet.Count // what is left of its line, for the agent to know
+	ID        RequestID
+	Claim     fleet.ClaimID
+	Remaining fleet.Count // what is left of its line, for the agent to know
 }
 
 // AbortCmd gives up a run of which nothing has been answered: its agent is
@@ -60,13 +60,13 @@
 
 // The reasons, as callers see them.
 const (
-	ReasonTeamFull  Reason = "team_queue_full"
-	ReasonFull      Reason = "router_queue_full"
-	ReasonNoServer  Reason = "no_backend_server"
-	ReasonTooLate   Reason = "deadline_cannot_be_met"
-	ReasonWaited    Reason = "waited_too_long"
-	ReasonFailed    Reason = "backend_server_failed"
-	ReasonUncertain Reason = "outcome_unknown"
+	ReasonTeamFull       Reason = "team_queue_full"
+	ReasonRouterFull     Reason = "router_queue_full"
+	ReasonNoServer       Reason = "no_backend_server"
+	ReasonDeadline       Reason = "deadline_cannot_be_met"
+	ReasonWaitedTooLong  Reason = "waited_too_long"
+	ReasonServerFailed   Reason = "backend_server_failed"
+	ReasonOutcomeUnknown Reason = "outcome_unknown"
 )
 
 func (DemandCmd) isCommand() {}
--- a/queue/config.go
+++ b/queue/config.go
@@ -8,17 +8,17 @@
 
 // Config is what a Machine has to know of its router and the bundle.
 type Config struct {
-	Self        fleet.Name
-	Hall        fleet.Hall
-	MaxWaiting  int                // requests, all teams
-	TeamWaiting map[fleet.Team]int // requests, by team
-	MaxWait     time.Duration
-	RetryBudget float64 // retries per first attempt
+	Self              fleet.Name
+	Hall              fleet.Hall
+	MaxWaiting        int                // requests, all teams
+	MaxWaitingPerTeam map[fleet.Team]int // requests, by team
+	MaxWait           time.Duration
+	RetryBudget       float64 // retries per first attempt
 }
 
 // teamLimit returns how many requests of a team may wait.
 func (c Config) teamLimit(t fleet.Team) int {
-	if n, ok := c.TeamWaiting[t]; ok {
+	if n, ok := c.MaxWaitingPerTeam[t]; ok {
 		return n
 	}
 	return c.MaxWaiting
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -57,7 +57,7 @@
 		return m.freeSlots(msg)
 	case ClaimMsg:
 		return m.claim(msg)
-	case AnswerMsg:
+	case AnswerStartedMsg:
 		return m.answer(msg)
 	case EndMsg:
 		return m.end(msg)
@@ -70,11 +70,11 @@
 // Waiting returns how many requests wait.
 func (m *Machine) Waiting() int { return m.waiting }
 
-// Open returns how many requests have had no final answer.
-func (m *Machine) Open() int { return len(m.requests) }
+// Unfinished returns how many requests have had no final answer.
+func (m *Machine) Unfinished() int { return len(m.requests) }
 
-// Holds tells whether a request has had no final answer.
-func (m *Machine) Holds(id RequestID) bool {
+// IsUnfinished tells whether a request has had no final answer.
+func (m *Machine) IsUnfinished(id RequestID) bool {
 	_, ok := m.requests[id]
 	return ok
 }
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -13,7 +13,7 @@
 func newQueue(limit int) *Machine {
 	m := New(Config{
 		MaxWaiting: 100, MaxWait: time.Minute, RetryBudget: 0.1,
-		TeamWaiting: map[fleet.Team]int{"ajax": limit},
+		MaxWaitingPerTeam: map[fleet.Team]int{"ajax": limit},
 	})
 	m.Update(AgentUpMsg{Now: 1, Agent: "a", Works: []fleet.Work{"report"}})
 	return m
@@ -72,7 +72,7 @@
 	late := arrive(now, id+1)
 	late.Request.Deadline = now + 5*time.Second // some twenty seconds wait
 	r := refusal(t, m.Update(late))
-	require.Equal(t, ReasonTooLate, r.Reason)
+	require.Equal(t, ReasonDeadline, r.Reason)
 	require.InDelta(t, 20, r.RetryAfter.Seconds(), 12)
 	late.Request.Deadline = now + 50*time.Second
 	require.Empty(t, m.Update(late))
@@ -105,9 +105,9 @@
 			m.Update(a)
 			m.Update(claimOf(1))
 			if c.answered {
-				m.Update(AnswerMsg{Now: 3, ID: 1})
+				m.Update(AnswerStartedMsg{Now: 3, ID: 1})
 			}
-			cmds := m.Update(EndMsg{Now: 4, ID: 1, Outcome: OutcomeFailed})
+			cmds := m.Update(EndMsg{Now: 4, ID: 1, Outcome: OutcomeUnknown})
 			require.Equal(t, c.again, m.Waiting() == 1)
 			if !c.again {
 				require.Equal(t, c.ran, refusal(t, cmds).Ran)
@@ -127,7 +127,7 @@
 		m.Update(a)
 		for m.Waiting() > 0 && retries < 5000 {
 			m.Update(claimOf(uint64(id)))
-			m.Update(EndMsg{Now: 2, ID: id + 1, Outcome: OutcomeFailed})
+			m.Update(EndMsg{Now: 2, ID: id + 1, Outcome: OutcomeUnknown})
 			retries++
 		}
 	}
@@ -160,6 +160,6 @@
 	m.Update(arrive(2, 2))
 	m.Update(claimOf(1))
 	m.Update(claimOf(2))
-	m.Update(AnswerMsg{Now: 3, ID: 2})
+	m.Update(AnswerStartedMsg{Now: 3, ID: 2})
 	require.Equal(t, []Command{AbortCmd{ID: 1}}, m.Update(AgentDownMsg{Now: 4, Agent: "a"}))
 }
--- a/queue/messages.go
+++ b/queue/messages.go
@@ -76,8 +76,8 @@
 	Key   fleet.DemandKey
 }
 
-// AnswerMsg says that the first byte of a request's answer went to the caller.
-type AnswerMsg struct {
+// AnswerStartedMsg says that the first byte of a request's answer went to the caller.
+type AnswerStartedMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
@@ -104,22 +104,22 @@
 	OutcomeDone Outcome = iota
 	// OutcomeNotRun means that the agent itself says the run never started.
 	OutcomeNotRun
-	// OutcomeFailed means that nobody knows whether it ran, and the caller has
+	// OutcomeUnknown means that nobody knows whether it ran, and the caller has
 	// had no byte of an answer.
-	OutcomeFailed
+	OutcomeUnknown
 	// OutcomeCut means that the answer broke off, or the caller left, after the
 	// first byte.
 	OutcomeCut
 )
 
-func (ConfigMsg) isMsg()       {}
-func (AgentUpMsg) isMsg()      {}
-func (AgentDownMsg) isMsg()    {}
-func (AgentLeavingMsg) isMsg() {}
-func (ArriveMsg) isMsg()       {}
-func (CancelMsg) isMsg()       {}
-func (FreeMsg) isMsg()         {}
-func (ClaimMsg) isMsg()        {}
-func (AnswerMsg) isMsg()       {}
-func (EndMsg) isMsg()          {}
-func (TickMsg) isMsg()         {}
+func (ConfigMsg) isMsg()        {}
+func (AgentUpMsg) isMsg()       {}
+func (AgentDownMsg) isMsg()     {}
+func (AgentLeavingMsg) isMsg()  {}
+func (ArriveMsg) isMsg()        {}
+func (CancelMsg) isMsg()        {}
+func (FreeMsg) isMsg()          {}
+func (ClaimMsg) isMsg()         {}
+func (AnswerStartedMsg) isMsg() {}
+func (EndMsg) isMsg()           {}
+func (TickMsg) isMsg()          {}
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -40,7 +40,7 @@
 	for len(m.expiry) > 0 && m.expiry[0].expires <= msg.Now {
 		r := heap.Pop(&m.expiry).(*request)
 		m.drop(msg.Now, r)
-		c := m.refusalAfterRuns(r, ReasonWaited)
+		c := m.refusalAfterRuns(r, ReasonWaitedTooLong)
 		c.RetryAfter = jitter(r.ID, m.team(r.Key.Team).expectedWait())
 		cmds = append(cmds, c)
 	}
--- a/router/core.go
+++ b/router/core.go
@@ -38,7 +38,7 @@
 
 	queue   *queue.Machine
 	hub     *ledger.Hub
-	keys    *once.Asker
+	keys    *once.Coordinator
 	inForce bundle.InForce
 	patches bundle.Patches
 	policy  bundle.Policy
@@ -94,7 +94,7 @@
 			c.onEvent(e)
 		case <-tick.C:
 			c.feed(queue.TickMsg{Now: c.now()})
-			c.feedKeys(once.AskTickMsg{Now: c.now()})
+			c.feedKeys(once.TickMsg{Now: c.now()})
 			c.feedHub(ledger.TickMsg{Now: c.now(), ShareEvery: time.Duration(c.policy.ShareEvery)})
 		case <-beat.C:
 			c.keepAlive()
@@ -142,7 +142,7 @@
 	case arriveEvent:
 		c.arrive(e)
 	case answerEvent:
-		c.feed(queue.AnswerMsg{Now: c.now(), ID: e.id})
+		c.feed(queue.AnswerStartedMsg{Now: c.now(), ID: e.id})
 	case endEvent:
 		c.ended(e)
 	case cancelEvent:
--- a/router/duty.go
+++ b/router/duty.go
@@ -163,7 +163,7 @@
 		return
 	}
 	p.shape = shape
-	c.feedHub(ledger.PeerUpMsg{Now: c.now(), Peer: name, Hall: p.conn.Peer.Hall, Pair: shape.pair})
+	c.feedHub(ledger.PeerUpMsg{Now: c.now(), Peer: name, Hall: p.conn.Peer.Hall, Paired: shape.pair})
 }
 
 func (c *core) shapeAgent(name fleet.Name, p *peer) {
--- a/router/handler.go
+++ b/router/handler.go
@@ -118,7 +118,7 @@
 	gone := r.Context().Err() != nil
 	if outcome == queue.OutcomeNotRun && a.body.spent && !gone {
 		h.events <- endEvent{id: n, outcome: queue.OutcomeDone, unrun: true}
-		h.refused(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonFailed, RetryAfter: time.Second}))
+		h.refused(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonServerFailed, RetryAfter: time.Second}))
 		return true
 	}
 	if gone {
@@ -145,7 +145,7 @@
 	if err != nil {
 		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("agent gave no answer")
 		if sent.MayHaveLeft() {
-			return queue.OutcomeFailed
+			return queue.OutcomeUnknown
 		}
 		return queue.OutcomeNotRun
 	}
@@ -157,7 +157,7 @@
 		return queue.OutcomeNotRun
 	default:
 		relay.Finish(res.Body)
-		return queue.OutcomeFailed
+		return queue.OutcomeUnknown
 	}
 	h.events <- answerEvent{n}
 	relay.CopyHeader(w.Header(), res.Header)
--- a/router/keys.go
+++ b/router/keys.go
@@ -20,12 +20,12 @@
 // wait for a server.
 func (c *core) askKey(e arriveEvent) {
 	c.open[e.request.ID].parked = &e.request
-	c.feedKeys(once.AskKeyMsg{
-		Now:    c.now(),
-		Holder: c.holder(e.request.ID),
-		Key:    e.idempotency.key,
-		Made:   e.idempotency.made,
-		Pool:   c.inForce.Bundle.ServersOf(e.request.Key.Work),
+	c.feedKeys(once.AcquireMsg{
+		Now:       c.now(),
+		Holder:    c.holder(e.request.ID),
+		Key:       e.idempotency.key,
+		CreatedAt: e.idempotency.made,
+		Agents:    c.inForce.Bundle.ServersOf(e.request.Key.Work),
 	})
 }
 
@@ -34,13 +34,13 @@
 }
 
 // feedKeys gives the asker one message and carries out what it wants.
-func (c *core) feedKeys(m once.AskMsg) {
+func (c *core) feedKeys(m once.CoordinatorMsg) {
 	for _, cmd := range c.keys.Update(m) {
 		c.performKeys(cmd)
 	}
 }
 
-func (c *core) performKeys(cmd once.AskCommand) {
+func (c *core) performKeys(cmd once.Command) {
 	switch cmd := cmd.(type) {
 	case once.ReserveCmd:
 		c.send(cmd.Owner, func(conn *link.Conn) wire.Message { return keyReserve(conn, cmd) })
@@ -59,8 +59,8 @@
 	m := wire.KeyReserve{
 		Request: cmd.Holder.Request, Work: conn.Out.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
 	}
-	if !cmd.Made.IsZero() {
-		m.Made = cmd.Made.UnixMilli()
+	if !cmd.CreatedAt.IsZero() {
+		m.Made = cmd.CreatedAt.UnixMilli()
 	}
 	return m
 }
@@ -77,9 +77,9 @@
 	case once.DecisionRun:
 		r.keyed = true
 		c.feed(queue.ArriveMsg{Now: c.now(), Request: request})
-	case once.DecisionRepeat:
+	case once.DecisionDuplicate:
 		c.answerUnrun(id, reasonRepeat, queue.RanUnknown)
-	case once.DecisionUnsure:
+	case once.DecisionUncertain:
 		c.answerUnrun(id, reasonUnsure, queue.RanNo)
 	}
 }
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -36,17 +36,17 @@
 
 func configOf(b bundle.Bundle, s settings.Process) queue.Config {
 	cfg := queue.Config{
-		Self:        s.Name,
-		Hall:        s.Hall,
-		MaxWaiting:  b.Limits.MaxWaiting,
-		TeamWaiting: map[fleet.Team]int{},
-		MaxWait:     time.Duration(b.Limits.MaxWait),
-		RetryBudget: b.Limits.RetryBudget,
+		Self:              s.Name,
+		Hall:              s.Hall,
+		MaxWaiting:        b.Limits.MaxWaiting,
+		MaxWaitingPerTeam: map[fleet.Team]int{},
+		MaxWait:           time.Duration(b.Limits.MaxWait),
+		RetryBudget:       b.Limits.RetryBudget,
 	}
 	for _, t := range b.Teams {
-		cfg.TeamWaiting[t.Name] = b.Limits.MaxWaitingPerTeam
+		cfg.MaxWaitingPerTeam[t.Name] = b.Limits.MaxWaitingPerTeam
 		if t.MaxWaiting > 0 {
-			cfg.TeamWaiting[t.Name] = t.MaxWaiting
+			cfg.MaxWaitingPerTeam[t.Name] = t.MaxWaiting
 		}
 	}
 	return cfg
--- a/router/requests.go
+++ b/router/requests.go
@@ -31,7 +31,7 @@
 		c.feedKeys(once.NotRunMsg{Now: c.now(), Request: uint64(id)})
 	}
 	c.feed(queue.CancelMsg{Now: c.now(), ID: id})
-	if c.queue.Holds(id) {
+	if c.queue.IsUnfinished(id) {
 		return
 	}
 	c.freeKey(id, queue.RanNo)
@@ -52,7 +52,7 @@
 
 // forget drops a request that the machine no longer holds.
 func (c *core) forget(id queue.RequestID) {
-	if !c.queue.Holds(id) {
+	if !c.queue.IsUnfinished(id) {
 		c.freeKey(id, queue.RanYes)
 		delete(c.open, id)
 	}
@@ -68,7 +68,7 @@
 	c.decide(cmd.ID, decision{run: &grant{
 		claim: cmd.Claim.String(),
 		serve: c.servers[cmd.Claim.Agent].Serve.String(),
-		left:  leftOf(cmd.Left),
+		left:  leftOf(cmd.Remaining),
 		abort: r.abort,
 	}})
 }
--- a/router/requests_test.go
+++ b/router/requests_test.go
@@ -22,7 +22,7 @@
 		now:   func() time.Duration { return time.Second },
 		queue: queue.New(queue.Config{MaxWaiting: 10, MaxWait: time.Minute}),
 		hub:   ledger.NewHub("r", "a"),
-		keys:  once.NewAsker(),
+		keys:  once.NewCoordinator(),
 		peers: map[fleet.Name]*peer{},
 		open:  map[queue.RequestID]*openRequest{},
 	}
@@ -56,7 +56,7 @@
 			c.claimFirst()
 		}
 		<-done
-		require.Zero(t, c.queue.Open())
+		require.Zero(t, c.queue.Unfinished())
 		require.Empty(t, c.open)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -112,7 +112,7 @@
 		platform:    r.watcher,
 		queue:       queue.New(queue.Config{}),
 		hub:         ledger.NewHub(s.Name, s.Hall),
-		keys:        once.NewAsker(),
+		keys:        once.NewCoordinator(),
 		policy:      bundle.Policy{}.WithDefaults(),
 		servers:     map[fleet.Name]bundle.Server{},
 		peers:       map[fleet.Name]*peer{},
--- a/router/state.go
+++ b/router/state.go
@@ -49,7 +49,7 @@
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
-		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Open(),
+		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
 		PlatformOK: c.platform.ok.Load(), PlatformCalls: c.platform.client.Calls(),
 		Lines: c.queue.Lines(c.now()), Traffic: c.meter.Snapshot(),
 	}
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -20,7 +20,7 @@
 	}
 	m := New(Config{
 		Slots: 8, Works: []fleet.Work{"report"}, Shares: shares, ShareEvery: time.Second,
-		CatchUp: time.Hour, ClaimAhead: 1, Alike: map[fleet.Work]float64{"report": 100},
+		CatchUp: time.Hour, ClaimAhead: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100},
 	})
 	m.Update(HealthMsg{Now: 1, Serving: true})
 	for l := range links {
@@ -49,7 +49,7 @@
 				for b.Loop() {
 					now += time.Millisecond
 					seq++
-					m.Update(ArriveMsg{Now: now, Seq: seq, Left: 1 << 30})
+					m.Update(ArriveMsg{Now: now, Seq: seq, Remaining: 1 << 30})
 					m.Update(EndMsg{Now: now + time.Millisecond, Seq: seq})
 				}
 			})
--- a/sched/config.go
+++ b/sched/config.go
@@ -27,9 +27,9 @@
 	UrgentBorrow time.Duration // slot time per share that urgent work may take ahead of its turn
 	CatchUp      time.Duration // largest deficit per share that is repaid
 	ClaimAhead   int           // claims held beyond the slots
-	// Alike is, for each work, the slots of the other servers that run it, in
+	// PeerSlotRatio is, for each work, the slots of the other servers that run it, in
 	// units of this server's slots. See team.mirrored.
-	Alike map[fleet.Work]float64
+	PeerSlotRatio map[fleet.Work]float64
 }
 
 // runs tells whether the server does a work.
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -30,7 +30,7 @@
 		m.liftIdle(now, t)
 		t.active = now
 	}
-	t.alike = max(t.alike, m.cfg.Alike[c.Key.Work])
+	t.alike = max(t.alike, m.cfg.PeerSlotRatio[c.Key.Work])
 	l := t.line(c.Key)
 	l.set(router, c.Waiting, now-c.OldestAge)
 	if r, _, ok := m.router(router); ok && r.suspended {
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -44,7 +44,7 @@
 // serveOne lets the machine run one request of a second and returns its team.
 func serveOne(t *testing.T, m *Machine, now time.Duration, c ClaimCmd) []ClaimCmd {
 	t.Helper()
-	m.Update(ArriveMsg{Now: now, Seq: c.Seq, Left: 1000})
+	m.Update(ArriveMsg{Now: now, Seq: c.Seq, Remaining: 1000})
 	return claims(m.Update(EndMsg{Now: now + time.Second, Seq: c.Seq}))
 }
 
@@ -152,7 +152,7 @@
 // service that the others have had, not to what other agents are expected to
 // have given them: a lift is for good.
 func TestLiftsGoByWhatIsKnown(t *testing.T) {
-	m := newServing(Config{Slots: 1, Alike: map[fleet.Work]float64{"report": 100}})
+	m := newServing(Config{Slots: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100}})
 	m.Update(demand(2, 1000, lineKey("ajax", fleet.Ordinary)))
 	next := claims(m.Update(HealthMsg{Now: 3, Serving: true}))
 	now := time.Duration(3)
--- a/sched/messages.go
+++ b/sched/messages.go
@@ -53,11 +53,11 @@
 // its line. Key is the request's line; it counts for open claims, which named
 // none.
 type ArriveMsg struct {
-	Now    time.Duration
-	Seq    uint64
-	Key    fleet.DemandKey
-	Left   int
-	Oldest time.Duration // age of the oldest that is left
+	Now       time.Duration
+	Seq       uint64
+	Key       fleet.DemandKey
+	Remaining int
+	OldestAge time.Duration // age of the oldest that is left
 }
 
 // EndMsg says that a request which came has ended, or that its router gave it
--- a/sched/runs.go
+++ b/sched/runs.go
@@ -57,7 +57,7 @@
 // learnLeft takes the router's word for what is left of a request's line.
 func (m *Machine) learnLeft(msg ArriveMsg, r *run) {
 	if router, known := m.claimRouter(r); known {
-		m.setCount(msg.Now, router, fleet.Count{Key: r.key, Waiting: msg.Left, OldestAge: msg.Oldest})
+		m.setCount(msg.Now, router, fleet.Count{Key: r.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
 
--- a/standin/capacity/measure.go
+++ b/standin/capacity/measure.go
@@ -145,7 +145,7 @@
 	}
 	m := sched.New(sched.Config{
 		Slots: 8, Works: []fleet.Work{"report"}, Shares: shares, ShareEvery: 2 * time.Second,
-		CatchUp: time.Hour, ClaimAhead: 1, Alike: map[fleet.Work]float64{"report": 10_000},
+		CatchUp: time.Hour, ClaimAhead: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 10_000},
 	})
 	m.Update(sched.HealthMsg{Now: 1, Serving: true})
 	for l := range int(TwoYears.Links) {
@@ -165,7 +165,7 @@
 	s.DecisionNS = perOp(func() {
 		now += time.Millisecond
 		seq++
-		m.Update(sched.ArriveMsg{Now: now, Seq: seq, Left: 1 << 30})
+		m.Update(sched.ArriveMsg{Now: now, Seq: seq, Remaining: 1 << 30})
 		m.Update(sched.EndMsg{Now: now, Seq: seq})
 	})
 	s.AgentTickNS = perOp(func() {
--- a/standin/capacity/measure_memory.go
+++ b/standin/capacity/measure_memory.go
@@ -38,7 +38,7 @@
 	s.BundleMemory = heap(1, func() any { return fullBundle() })
 	s.BaseMemory = baseMemory
 	s.KeyMemory = heap(many, func() any {
-		m := once.NewMemory(once.MemoryConfig{Self: "a"})
+		m := once.NewKeyTable(once.KeyTableConfig{Self: "a"})
 		for i := range many {
 			m.Update(once.ReserveMsg{Now: 1, Key: once.NewKey("t", "w", fmt.Sprint(i)), Holder: once.Holder{Router: "r", Request: uint64(i)}})
 		}
