--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -246,7 +246,7 @@
 		b := newMove(t, g)
 		var full []loads.Load
 		for i := range 6 {
-			full = append(full, loads.Load{Server: loads.Key(fmt.Sprint("v2-", i)), Running: 48})
+			full = append(full, loads.Load{Server: loads.ServerKey(fmt.Sprint("v2-", i)), Running: 48})
 		}
 		b.m.Update(LoadsMsg{Now: b.now, Loads: full})
 		c, sent := find[SendCmd](b.arrive(b.one("chat")))
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -40,7 +40,7 @@
 func (m *Machine) note(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
-		s = &server{Server: listed, key: loads.Key(listed.ID), hash: xxhash.Sum64String(listed.ID), listedAt: now}
+		s = &server{Server: listed, key: loads.ServerKey(listed.ID), hash: xxhash.Sum64String(listed.ID), listedAt: now}
 		m.byServer[listed.ID] = s
 		m.byKey[s.key] = s
 		s.region = m.geography.regionOf(listed.Zone)
--- a/direct/machine_test.go
+++ b/direct/machine_test.go
@@ -121,15 +121,15 @@
 	at := b.sent(b.arrive(b.request("red")))
 	require.Equal(t, "e0", at)
 	for range 3 {
-		b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9, Pending: 900}, {Server: loads.Key("unknown"), Running: 1}}})
+		b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9, Pending: 900}, {Server: loads.ServerKey("unknown"), Running: 1}}})
 	}
 	b.pass(TickEvery)
 	require.Equal(t, 10, b.m.byServer["e0"].allRunning())
 	require.Equal(t, 2900, b.m.byServer["e0"].allPending())
-	require.Equal(t, []loads.Load{{Server: loads.Key("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only its own")
+	require.Equal(t, []loads.Load{{Server: loads.ServerKey("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only its own")
 	b.m.Update(LoadsMsg{Now: b.now})
 	require.Equal(t, 1, b.m.byServer["e0"].allRunning(), "the newest list is whole")
-	b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.Key("e0"), Running: 9}}})
+	b.m.Update(LoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9}}})
 	b.pass(2 * time.Second)
 	require.Equal(t, 1, b.m.byServer["e0"].allRunning())
 }
@@ -200,11 +200,11 @@
 func TestNoNewsOfTeams(t *testing.T) {
 	b := newBench(t, 2)
 	b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
-	b.pass(loads.TeamsHold)
+	b.pass(loads.TeamsTTL)
 	require.EqualValues(t, 40000, b.m.team("far").others.Served)
 	b.pass(time.Second)
 	require.Equal(t, loads.TeamUse{Team: "far", Offered: 900000}, b.m.team("far").others)
-	b.pass(loads.DemandHold)
+	b.pass(loads.DemandTTL)
 	require.Zero(t, b.m.team("far").others.Offered)
 }
 
@@ -261,7 +261,7 @@
 	work := func() {
 		var all []loads.Load
 		for _, s := range b.m.byServer {
-			all = append(all, loads.Load{Server: loads.Key(s.ID), Running: 4, Pending: 600})
+			all = append(all, loads.Load{Server: loads.ServerKey(s.ID), Running: 4, Pending: 600})
 		}
 		b.m.Update(LoadsMsg{Now: b.now, Loads: all})
 		b.m.Update(TeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "large", Offered: 400_000, Recent: 400_000, Served: 200_000}}})
--- a/direct/oracle_test.go
+++ b/direct/oracle_test.go
@@ -193,7 +193,7 @@
 	}})
 	o.update(TeamsMsg{Now: o.now, Teams: []loads.TeamUse{{Team: "red", Offered: 90000, Served: rapid.Float32Range(0, 90000).Draw(o.t, "served")}}})
 	o.update(LoadsMsg{Now: o.now, Loads: []loads.Load{{
-		Server: loads.Key("llm1"), Running: rapid.Int32Range(0, 9).Draw(o.t, "load"), Pending: 4000,
+		Server: loads.ServerKey("llm1"), Running: rapid.Int32Range(0, 9).Draw(o.t, "load"), Pending: 4000,
 	}}})
 }
 
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -37,10 +37,10 @@
 // forgetTeams forgets the others' use of teams where nothing new has come for too long:
 // first what they got, and later their demand too.
 func (m *Machine) forgetTeams(now time.Duration) {
-	if m.teamsAt == 0 || now-m.teamsAt <= loads.TeamsHold {
+	if m.teamsAt == 0 || now-m.teamsAt <= loads.TeamsTTL {
 		return
 	}
-	demand := now-m.teamsAt <= loads.TeamsHold+loads.DemandHold
+	demand := now-m.teamsAt <= loads.TeamsTTL+loads.DemandTTL
 	if !demand {
 		m.teamsAt = 0
 	}
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -34,7 +34,7 @@
 	queues *sendqueue.Queues
 	mu     sync.Mutex
 	open   map[*callerConn]bool
-	fresh  pressure.Fresh
+	fresh  pressure.UnreadConns
 	kept   int // connections that are kept while the router runs late; 0: all
 	// unserved counts the connections that were closed before they were accepted.
 	unserved atomic.Int64
@@ -44,7 +44,7 @@
 type callerConn struct {
 	*sendqueue.Conn
 	callers   *callers
-	arrival   pressure.Arrival
+	arrival   pressure.AcceptedConn
 	active    bool      // a request is under way
 	idleSince time.Time // zero before the first request, and during one
 	closed    bool      // by this router, while it was at rest
@@ -58,13 +58,13 @@
 func newCallers(most int, cores float64, queues *sendqueue.Queues) *callers {
 	return &callers{
 		queues: queues, places: make(chan struct{}, most), open: make(map[*callerConn]bool),
-		fresh: pressure.NewFresh(cores), kept: int(keptPerCore * cores),
+		fresh: pressure.NewUnreadConns(cores), kept: int(keptPerCore * cores),
 	}
 }
 
 // take begins the account of a new connection, which has a place.
 func (c *callers) take(conn net.Conn) *callerConn {
-	caller := &callerConn{callers: c, arrival: pressure.Arrival{At: time.Now()}}
+	caller := &callerConn{callers: c, arrival: pressure.AcceptedConn{At: time.Now()}}
 	caller.Conn = c.queues.Wrap(conn, caller.gone)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -109,7 +109,7 @@
 		pauses++
 		c.state(taken[0], http.StateActive)
 	}}
-	for range pressure.FreshLeast + 1 {
+	for range pressure.MinUnreadConns + 1 {
 		conn, err := net.Dial("tcp", inner.Addr().String())
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = conn.Close() })
@@ -118,7 +118,7 @@
 		taken = append(taken, accepted)
 	}
 	require.Equal(t, 1, pauses)
-	require.Equal(t, pressure.FreshLeast, c.fresh.Count())
+	require.Equal(t, pressure.MinUnreadConns, c.fresh.Count())
 }
 
 // TestLateRouterKeepsFewConnections has a router close some connections while it runs
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -11,8 +11,8 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Parts are what a Cluster stands on.
-type Parts struct {
+// Dependencies are what a Cluster stands on.
+type Dependencies struct {
 	Decisions Decisions
 	Feeds     *feed.Set
 	Rollouts  Rollouts // nil: they are not on
@@ -34,7 +34,7 @@
 
 // New opens the sockets for what other routers tell. Newer content of the feeds is told to
 // others from now on.
-func New(s Settings, parts Parts) (*Cluster, error) {
+func New(s Settings, parts Dependencies) (*Cluster, error) {
 	beats, err := openTransport(s.Peers, traffic.Heartbeats, parts)
 	if err != nil {
 		return nil, err
@@ -55,12 +55,12 @@
 	return c, nil
 }
 
-// Report tells some other routers at once what this one has to report, in place of the next
+// ReportNow tells some other routers at once what this one has to report, in place of the next
 // heartbeat.
-func (c *Cluster) Report() { c.heartbeats.changed() }
+func (c *Cluster) ReportNow() { c.heartbeats.changed() }
 
-// Duties returns what goes on until a context ends.
-func (c *Cluster) Duties() []func(context.Context) error {
+// Tasks returns what goes on until a context ends.
+func (c *Cluster) Tasks() []func(context.Context) error {
 	hear := func(ctx context.Context) error { return c.beats.receive(ctx, c.heartbeats.take) }
 	return []func(context.Context) error{
 		c.members.follow, c.heartbeats.send, hear, c.heartbeats.detect, c.loads.send, c.loads.receive,
--- a/gateway/cluster/compatibility_test.go
+++ b/gateway/cluster/compatibility_test.go
@@ -142,7 +142,7 @@
 func TestUnreadableIsToldOnce(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New(&out, "test")
-	parts := Parts{Log: l, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
+	parts := Dependencies{Log: l, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
 	over, err := openTransport("127.0.0.1:0", traffic.Heartbeats, parts)
 	require.NoError(t, err)
 	read := make(chan error)
--- a/gateway/cluster/extension.go
+++ b/gateway/cluster/extension.go
@@ -38,7 +38,7 @@
 func incarnationOf(life int64) uint32 { return uint32(life / int64(time.Millisecond)) }
 
 // packNews writes news as rows. What has no IPv4 address is left out: no router has another.
-func packNews(news []detector.News) []byte {
+func packNews(news []detector.PeerUpdate) []byte {
 	var rows []byte
 	for _, n := range news {
 		address, err := netip.ParseAddr(n.Address)
@@ -58,11 +58,11 @@
 }
 
 // unpackNews reads the rows of news.
-func unpackNews(rows []byte) []detector.News {
-	var news []detector.News
+func unpackNews(rows []byte) []detector.PeerUpdate {
+	var news []detector.PeerUpdate
 	for ; len(rows) >= newsRow; rows = rows[newsRow:] {
 		age := binary.BigEndian.Uint32(rows[8:])
-		news = append(news, detector.News{
+		news = append(news, detector.PeerUpdate{
 			Address:     netip.AddrFrom4([4]byte(rows[:4])).String(),
 			Incarnation: binary.BigEndian.Uint32(rows[4:]),
 			Alive:       age&1 == 1,
--- a/gateway/cluster/halls.go
+++ b/gateway/cluster/halls.go
@@ -39,7 +39,7 @@
 	case p.yields:
 		h.Yielding++
 	case p.shed == 0:
-		h.Easy++
+		h.Unloaded++
 	}
 }
 
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -15,7 +15,7 @@
 // heartbeats are sent to the other routers and taken from them.
 type heartbeats struct {
 	peers  *Peers
-	parts  Parts
+	parts  Dependencies
 	over   sender
 	power  float64
 	life   int64
@@ -25,7 +25,7 @@
 	poke   chan struct{}             // this router has something newer
 }
 
-func newHeartbeats(s Settings, over sender, p *Peers, parts Parts) *heartbeats {
+func newHeartbeats(s Settings, over sender, p *Peers, parts Dependencies) *heartbeats {
 	return &heartbeats{peers: p, parts: parts, over: over, power: s.Power, life: s.life, poke: make(chan struct{}, 1)}
 }
 
@@ -65,7 +65,7 @@
 	}
 	b := heartbeat{
 		Address: h.peers.self, Hall: h.peers.place.Hall, Region: h.peers.place.Region, Power: h.power,
-		Shed: h.parts.Pressure.ShedPart(), Yields: h.parts.Pressure.Yields(),
+		Shed: h.parts.Pressure.ShedFraction(), Yields: h.parts.Pressure.Yields(),
 		SourceLost: h.parts.Feeds.SourceFails(), Life: h.life,
 		Headroom: float32(said.Headroom), SuspectsDigest: said.SuspectsDigest.Barred,
 		Extension: heartbeatExtension{Answers: true, NearlyBarred: said.SuspectsDigest.NearlyBarred},
@@ -147,7 +147,7 @@
 
 // detect finds out which routers are there until ctx ends.
 func (h *heartbeats) detect(ctx context.Context) error {
-	ticker := time.NewTicker(detector.TickEvery)
+	ticker := time.NewTicker(detector.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -163,10 +163,10 @@
 func (h *heartbeats) follow(cmds []detector.Cmd) {
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
-		case detector.AskCmd:
+		case detector.ProbeCmd:
 			h.ask(cmd.To, heartbeatExtension{Ask: true})
-		case detector.AskThroughCmd:
-			h.ask(cmd.Through, heartbeatExtension{AskOf: cmd.Of})
+		case detector.IndirectProbeCmd:
+			h.ask(cmd.Via, heartbeatExtension{AskOf: cmd.Target})
 		case detector.RefuteCmd:
 			h.changed()
 		}
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -17,14 +17,14 @@
 	place    traffic.Place
 	paths    map[string]traffic.Path // to the routers that are there
 	over     *transport
-	parts    Parts
+	parts    Dependencies
 	mu       sync.Mutex
 	exchange *loads.Exchange
 	heardAt  time.Duration // when the others' loads came last
 	number   uint64        // of the last list that was sent; begins with the time of the start
 }
 
-func newLoadExchange(s Settings, over *transport, parts Parts) *loadExchange {
+func newLoadExchange(s Settings, over *transport, parts Dependencies) *loadExchange {
 	return &loadExchange{
 		self: s.Self.Address, number: uint64(time.Now().UnixNano()), parts: parts,
 		over: over, place: s.place(),
@@ -55,7 +55,7 @@
 
 // send goes through the rounds until ctx ends.
 func (l *loadExchange) send(ctx context.Context) error {
-	ticker := time.NewTicker(loads.Every)
+	ticker := time.NewTicker(loads.RoundInterval)
 	defer ticker.Stop()
 	var toldAt time.Duration
 	for {
@@ -64,7 +64,7 @@
 			return nil
 		case <-ticker.C:
 			tick := loads.TickMsg{Now: l.parts.Decisions.Now(), Own: l.parts.Decisions.Loads(), Copies: l.parts.Decisions.TakeCopies()}
-			if tick.Now-toldAt >= loads.TeamsEvery-loads.Every/2 {
+			if tick.Now-toldAt >= loads.TeamsInterval-loads.RoundInterval/2 {
 				toldAt = tick.Now
 				tick.HasTeams, tick.Teams = true, l.parts.Decisions.Teams()
 				if l.parts.Rollouts != nil {
@@ -96,14 +96,14 @@
 		switch cmd := cmd.(type) {
 		case loads.SendCmd:
 			l.write(cmd)
-		case loads.OthersCmd:
+		case loads.PeerTotalsCmd:
 			l.take(cmd)
 		}
 	}
 }
 
 // take tells the machine what the others have.
-func (l *loadExchange) take(others loads.OthersCmd) {
+func (l *loadExchange) take(others loads.PeerTotalsCmd) {
 	now := l.parts.Decisions.Now()
 	if l.heardAt > 0 {
 		l.parts.Stats.LoadsAge.RecordDuration(now - l.heardAt)
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -27,7 +27,7 @@
 // newTestLoads returns the exchange of a router of which no datagram arrives.
 func newTestLoads(t *testing.T, s Settings) (*loadExchange, *told) {
 	d := &told{testMachine: newTestMachine()}
-	parts := Parts{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
+	parts := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
 	over, err := openTransport("127.0.0.1:0", traffic.Loads, parts)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = over.conn.Close() })
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -20,7 +20,7 @@
 type Peers struct {
 	self  string
 	place traffic.Place
-	parts Parts
+	parts Dependencies
 	seeds int
 	// isSeed says that routers which start ask this one, or that it has no others to ask.
 	isSeed bool
@@ -39,7 +39,7 @@
 	behind      chan struct{} // a peer knows something newer
 }
 
-func newPeers(s Settings, parts Parts) *Peers {
+func newPeers(s Settings, parts Dependencies) *Peers {
 	return &Peers{
 		self: s.Self.Address, power: s.Power, detector: detector.New(s.Self.Address, incarnationOf(s.life)),
 		place: s.place(), parts: parts, without: s.Without,
@@ -102,7 +102,7 @@
 			p.detector.Update(detector.ForgetMsg{Address: address})
 			continue
 		}
-		if p.detector.There(address, now) {
+		if p.detector.Alive(address, now) {
 			targets = append(targets, address)
 		} else {
 			away = append(away, address)
@@ -155,11 +155,11 @@
 		peer.live = true
 		p.appeared = append(p.appeared, b.Address)
 	}
-	cmds = p.detector.Update(detector.HeardMsg{
-		Now: now, Address: b.Address, Incarnation: incarnationOf(b.Life), Answers: b.Extension.Answers,
+	cmds = p.detector.Update(detector.HeartbeatMsg{
+		Now: now, Address: b.Address, Incarnation: incarnationOf(b.Life), AnswersProbes: b.Extension.Answers,
 	})
 	if news := unpackNews(b.Extension.News); len(news) > 0 {
-		cmds = append(cmds, p.detector.Update(detector.NewsMsg{Now: now, News: news})...)
+		cmds = append(cmds, p.detector.Update(detector.GossipMsg{Now: now, Updates: news})...)
 	}
 	p.mu.Unlock()
 	p.parts.Decisions.Update(direct.PeerMsg{Now: now, Peer: b.Address, Report: b.report()})
@@ -196,12 +196,12 @@
 func (p *Peers) news(to string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return packNews(p.detector.Tell(p.parts.Decisions.Now(), to, newsMost))
+	return packNews(p.detector.NextUpdates(p.parts.Decisions.Now(), to, newsMost))
 }
 
 // there tells whether a router counts as there; p.mu is held.
 func (p *Peers) there(peer *peer, now, lasts time.Duration) bool {
-	return peer.heardWithin(now, lasts) && p.detector.There(peer.address, now)
+	return peer.heardWithin(now, lasts) && p.detector.Alive(peer.address, now)
 }
 
 // rank returns this router's place by address among all that it knows.
--- a/gateway/cluster/peers_test.go
+++ b/gateway/cluster/peers_test.go
@@ -63,7 +63,7 @@
 	m.start = m.start.Add(-time.Minute)
 	p := &Peers{
 		self: self, known: make(map[string]*peer), detector: detector.New(self, 1),
-		parts: Parts{Decisions: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
+		parts: Dependencies{Decisions: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
 	}
 	for _, o := range others {
 		o.live, o.heard = true, m.Now()
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -40,7 +40,7 @@
 }
 
 // openTransport opens an address of this host for what other routers tell.
-func openTransport(address string, k traffic.Kind, parts Parts) (*transport, error) {
+func openTransport(address string, k traffic.Kind, parts Dependencies) (*transport, error) {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "settings: the address %q for other routers: choose one of this host that is not in use", address)
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -172,7 +172,7 @@
 			late := now - last - direct.TickEvery
 			last = now
 			// A timer's goroutine runs before most others; requests wait longer.
-			c.pressure.Note(now, max(late, waits.Late()))
+			c.pressure.Observe(now, max(late, waits.Lag()))
 			c.Update(direct.TickMsg{Now: c.Now()})
 		}
 	}
--- a/gateway/detector/ask.go
+++ b/gateway/detector/ask.go
@@ -46,7 +46,7 @@
 			return true
 		case waited >= againAfter && !p.again:
 			p.again = true
-			d.cmds = append(d.cmds, AskCmd{To: p.address})
+			d.cmds = append(d.cmds, ProbeCmd{To: p.address})
 			d.askThroughOthers(p)
 		}
 		if p.again {
@@ -73,7 +73,7 @@
 	for i := 0; i < min(len(d.ring), searched) && through < askedThrough; i++ {
 		other := d.ring[(d.next+i)%len(d.ring)]
 		if other != p && other.answers && other.asked == 0 && other.suspected == 0 {
-			d.cmds = append(d.cmds, AskThroughCmd{Through: other.address, Of: p.address})
+			d.cmds = append(d.cmds, IndirectProbeCmd{Via: other.address, Target: p.address})
 			through++
 		}
 	}
@@ -87,7 +87,7 @@
 		if p.answers && p.asked == 0 && p.suspected == 0 && now-p.heard >= heardLately {
 			p.asked, p.again = now, false
 			d.asked = append(d.asked, p)
-			d.cmds = append(d.cmds, AskCmd{To: p.address})
+			d.cmds = append(d.cmds, ProbeCmd{To: p.address})
 			return
 		}
 	}
--- a/gateway/detector/detector.go
+++ b/gateway/detector/detector.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// TickEvery is the time between two ticks. A router asks one other at each, so that in a
+	// TickInterval is the time between two ticks. A router asks one other at each, so that in a
 	// fleet of any size a router is asked by somebody as often, and a lost one within some
 	// 100 ms in the mean.
-	TickEvery = 100 * time.Millisecond
+	TickInterval = 100 * time.Millisecond
 	// lateTick is how late a tick may come; after a later one what was asked is not judged.
-	lateTick = TickEvery
+	lateTick = TickInterval
 	// goneAfter is when a router that was asked and does not answer counts as gone. From the
 	// suspicion on that leaves 600 ms, two and a half rounds of heartbeats in a large fleet, in
 	// which the suspicion reaches nearly all routers and a refutation overtakes it.
@@ -46,10 +46,10 @@
 func (d *Detector) Update(msg Msg) []Cmd {
 	d.cmds = nil
 	switch msg := msg.(type) {
-	case HeardMsg:
+	case HeartbeatMsg:
 		d.hear(msg)
-	case NewsMsg:
-		for _, n := range msg.News {
+	case GossipMsg:
+		for _, n := range msg.Updates {
 			d.learn(msg.Now, n)
 		}
 	case TickMsg:
@@ -60,14 +60,14 @@
 	return d.cmds
 }
 
-// There tells whether a router that has been heard of is there, as far as anybody knows.
-func (d *Detector) There(address string, now time.Duration) bool {
+// Alive tells whether a router that has been heard of is there, as far as anybody knows.
+func (d *Detector) Alive(address string, now time.Duration) bool {
 	p := d.peers[address]
 	return p == nil || !p.gone(now)
 }
 
 // hear notes a heartbeat.
-func (d *Detector) hear(msg HeardMsg) {
+func (d *Detector) hear(msg HeartbeatMsg) {
 	p := d.peers[msg.Address]
 	if p == nil {
 		p = &peer{address: msg.Address, place: xxhash.Sum64String(d.self + " " + msg.Address)}
@@ -77,12 +77,12 @@
 	if p.incarnation != msg.Incarnation {
 		p.incarnation, p.suspected = msg.Incarnation, 0
 	}
-	p.answers = msg.Answers
-	d.alive(p, msg.Now)
+	p.answers = msg.AnswersProbes
+	d.markAlive(p, msg.Now)
 }
 
-// alive notes that a router was there at a time, and tells that where somebody doubts it.
-func (d *Detector) alive(p *peer, at time.Duration) {
+// markAlive notes that a router was there at a time, and tells that where somebody doubts it.
+func (d *Detector) markAlive(p *peer, at time.Duration) {
 	if at <= p.heard {
 		return
 	}
@@ -99,7 +99,7 @@
 }
 
 // learn takes in what another router told of a third.
-func (d *Detector) learn(now time.Duration, n News) {
+func (d *Detector) learn(now time.Duration, n PeerUpdate) {
 	at := now - n.Age
 	if n.Address == d.self {
 		if !n.Alive && n.Incarnation == d.incarnation {
@@ -111,7 +111,7 @@
 	switch {
 	case p == nil || p.incarnation != n.Incarnation:
 	case n.Alive:
-		d.alive(p, at)
+		d.markAlive(p, at)
 	case p.heard > at:
 		d.spread(p, true, p.heard)
 	case p.suspected == 0:
@@ -130,7 +130,7 @@
 
 // tick asks the next router, and judges those that were asked.
 func (d *Detector) tick(msg TickMsg) {
-	late := msg.Late || msg.Now-d.ticked > TickEvery+lateTick
+	late := msg.Late || msg.Now-d.ticked > TickInterval+lateTick
 	d.ticked = msg.Now
 	d.confirm(msg.Now)
 	if late {
--- a/gateway/detector/fleet_test.go
+++ b/gateway/detector/fleet_test.go
@@ -75,11 +75,11 @@
 	for _, n := range f.nodes {
 		for _, other := range f.nodes {
 			if other != n {
-				n.detector.Update(HeardMsg{Address: other.address, Incarnation: 1, Answers: true})
+				n.detector.Update(HeartbeatMsg{Address: other.address, Incarnation: 1, AnswersProbes: true})
 			}
 		}
 		f.after(time.Duration(f.random.Int64N(int64(every))), func() { f.beat(n) })
-		f.after(time.Duration(f.random.Int64N(int64(TickEvery))), func() { f.tick(n, f.now) })
+		f.after(time.Duration(f.random.Int64N(int64(TickInterval))), func() { f.tick(n, f.now) })
 	}
 	return f
 }
@@ -107,7 +107,7 @@
 	}
 	sent := 0
 	for _, i := range f.random.Perm(len(f.nodes)) {
-		if to := f.nodes[i]; sent < fanout && n.detector.There(to.address, f.now) {
+		if to := f.nodes[i]; sent < fanout && n.detector.Alive(to.address, f.now) {
 			f.send(n, to, nil)
 			sent++
 		}
@@ -116,7 +116,7 @@
 
 // tick ticks a router, which may be late by what it reads late.
 func (f *fleet) tick(n *node, due time.Duration) {
-	next := due + TickEvery
+	next := due + TickInterval
 	f.after(next-f.now+f.delay(n.id), func() { f.tick(n, next) })
 	if !n.dead {
 		f.follow(n, n.detector.Update(TickMsg{Now: f.now, Late: f.now-due > 30*time.Millisecond}))
@@ -128,7 +128,7 @@
 	if from == to {
 		return
 	}
-	news := from.detector.Tell(f.now, to.address, newsMost)
+	news := from.detector.NextUpdates(f.now, to.address, newsMost)
 	f.rows += len(news)
 	if f.random.Float64() < f.lost || f.cut(from.id, to.id) {
 		return
@@ -137,9 +137,9 @@
 		if to.dead {
 			return
 		}
-		f.follow(to, to.detector.Update(HeardMsg{Now: f.now, Address: from.address, Incarnation: 1, Answers: true}))
+		f.follow(to, to.detector.Update(HeartbeatMsg{Now: f.now, Address: from.address, Incarnation: 1, AnswersProbes: true}))
 		if len(news) > 0 {
-			f.follow(to, to.detector.Update(NewsMsg{Now: f.now, News: news}))
+			f.follow(to, to.detector.Update(GossipMsg{Now: f.now, Updates: news}))
 		}
 		if then != nil {
 			then()
@@ -152,11 +152,11 @@
 	for _, cmd := range cmds {
 		f.grams++
 		switch cmd := cmd.(type) {
-		case AskCmd:
+		case ProbeCmd:
 			to := f.at(cmd.To)
 			f.send(n, to, func() { f.grams++; f.send(to, n, nil) })
-		case AskThroughCmd:
-			through, of := f.at(cmd.Through), f.at(cmd.Of)
+		case IndirectProbeCmd:
+			through, of := f.at(cmd.Via), f.at(cmd.Target)
 			f.send(n, through, func() {
 				f.grams++
 				f.send(through, of, func() { f.grams++; f.send(of, n, nil) })
@@ -180,7 +180,7 @@
 			continue
 		}
 		for _, other := range f.nodes {
-			gone := n != other && !n.detector.There(other.address, f.now)
+			gone := n != other && !n.detector.Alive(other.address, f.now)
 			switch {
 			case other.dead:
 				pairs++
--- a/gateway/detector/messages.go
+++ b/gateway/detector/messages.go
@@ -5,20 +5,20 @@
 // Msg is something that happened. Now is the time since the router's start.
 type Msg interface{ isMsg() }
 
-// HeardMsg says that a heartbeat of another router has come.
-type HeardMsg struct {
+// HeartbeatMsg says that a heartbeat of another router has come.
+type HeartbeatMsg struct {
 	Now     time.Duration
 	Address string
 	// Incarnation differs between two lives of a router.
 	Incarnation uint32
-	// Answers says that the router answers when it is asked: routers of earlier builds don't.
-	Answers bool
+	// AnswersProbes says that the router answers when it is asked: routers of earlier builds don't.
+	AnswersProbes bool
 }
 
-// NewsMsg is what another router has told.
-type NewsMsg struct {
-	Now  time.Duration
-	News []News
+// GossipMsg is what another router has told.
+type GossipMsg struct {
+	Now     time.Duration
+	Updates []PeerUpdate
 }
 
 // TickMsg comes every TickEvery.
@@ -31,29 +31,29 @@
 // ForgetMsg says that a router was not heard of for so long that it is not remembered.
 type ForgetMsg struct{ Address string }
 
-func (HeardMsg) isMsg()  {}
-func (NewsMsg) isMsg()   {}
-func (TickMsg) isMsg()   {}
-func (ForgetMsg) isMsg() {}
+func (HeartbeatMsg) isMsg() {}
+func (GossipMsg) isMsg()    {}
+func (TickMsg) isMsg()      {}
+func (ForgetMsg) isMsg()    {}
 
 // Cmd is something to do.
 type Cmd interface{ isCmd() }
 
-// AskCmd has a router asked to answer at once.
-type AskCmd struct{ To string }
+// ProbeCmd has a router asked to answer at once.
+type ProbeCmd struct{ To string }
 
-// AskThroughCmd has a router asked to have another one answer to this one.
-type AskThroughCmd struct{ Through, Of string }
+// IndirectProbeCmd has a router asked to have another one answer to this one.
+type IndirectProbeCmd struct{ Via, Target string }
 
 // RefuteCmd has a heartbeat sent at once, since others suspect this router.
 type RefuteCmd struct{}
 
-func (AskCmd) isCmd()        {}
-func (AskThroughCmd) isCmd() {}
-func (RefuteCmd) isCmd()     {}
+func (ProbeCmd) isCmd()         {}
+func (IndirectProbeCmd) isCmd() {}
+func (RefuteCmd) isCmd()        {}
 
-// News is what routers tell one another of a third.
-type News struct {
+// PeerUpdate is what routers tell one another of a third.
+type PeerUpdate struct {
 	Address     string
 	Incarnation uint32
 	// Alive says that the router was heard of, Age ago; otherwise it was asked, Age ago, and has
--- a/gateway/detector/rumors.go
+++ b/gateway/detector/rumors.go
@@ -25,18 +25,18 @@
 	}
 }
 
-// Tell returns what the next datagram to a router tells, most at a time. All news gets its turn.
-func (d *Detector) Tell(now time.Duration, to string, most int) []News {
+// NextUpdates returns what the next datagram to a router tells, most at a time. All news gets its turn.
+func (d *Detector) NextUpdates(now time.Duration, to string, most int) []PeerUpdate {
 	n := min(most, len(d.rumors))
 	if n == 0 {
 		return nil
 	}
-	news := make([]News, 0, n)
+	news := make([]PeerUpdate, 0, n)
 	told := d.rumors[:n]
 	doubtful := d.doubtful(to)
 	rest := append([]*rumor(nil), d.rumors[n:]...)
 	for _, r := range told {
-		news = append(news, News{Address: r.peer.address, Incarnation: r.peer.incarnation, Alive: r.alive, Age: now - r.at})
+		news = append(news, PeerUpdate{Address: r.peer.address, Incarnation: r.peer.incarnation, Alive: r.alive, Age: now - r.at})
 		if !doubtful {
 			r.left--
 		}
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -24,7 +24,7 @@
 	switch {
 	case g.front.draining.Load():
 		return errors.New("the router is ending")
-	case g.core.pressure.WantsFewer():
+	case g.core.pressure.WantsLessTraffic():
 		return errors.New("the router has no processor time for more callers")
 	case !g.feeds.Complete():
 		return errors.New("no configuration or no list of servers has come yet")
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -94,7 +94,7 @@
 		f.reject(w, r, *refused)
 		return
 	}
-	if f.core.pressure.SheddingNow() && f.callers.left(x.ctx) {
+	if f.core.pressure.Shedding() && f.callers.left(x.ctx) {
 		// A late router reads what its caller may have given up. To send it on would
 		// use up its team's allowance for nobody.
 		x.callerLeft(0)
@@ -148,7 +148,7 @@
 
 // shed refuses a request for which a late router has no processor time.
 func (f *front) shed(x *exchange) *refusal {
-	if !f.core.pressure.SheddingNow() || !f.core.pressure.Sheds(x.envelope.ID, f.core.weightOf(x.team)) {
+	if !f.core.pressure.Shedding() || !f.core.pressure.Sheds(x.envelope.ID, f.core.weightOf(x.team)) {
 		return nil
 	}
 	f.core.Update(direct.ShedMsg{
@@ -160,7 +160,7 @@
 // unknown refuses what the configuration does not hold. A router that is late may
 // not have come to read a newer one: its caller asks another.
 func (f *front) unknown(status int, reason string) *refusal {
-	if f.core.pressure.ReadsInVain() {
+	if f.core.pressure.TooLateToRead() {
 		return &refusal{http.StatusServiceUnavailable, reasonPressure, shedAfter}
 	}
 	return &refusal{status: status, reason: reason}
@@ -216,7 +216,7 @@
 // use each again when it has answered, so they ask no faster than it answers, and a
 // new connection costs it twice what a request on an old one does.
 func (f *front) closing(w http.ResponseWriter) {
-	if f.draining.Load() || f.callers.crowded(f.core.pressure.LateForMore()) {
+	if f.draining.Load() || f.callers.crowded(f.core.pressure.TooLateToAccept()) {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -24,7 +24,7 @@
 	refused := f.unknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusNotFound, refused.status)
 	require.Equal(t, "no_route", refused.reason)
-	f.core.pressure.Note(0, time.Second)
+	f.core.pressure.Observe(0, time.Second)
 	refused = f.unknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
 	require.Equal(t, reasonPressure, refused.reason)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -92,7 +92,7 @@
 func (g *Gateway) join() error {
 	s := g.settings
 	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.Evacuate}
-	parts := cluster.Parts{
+	parts := cluster.Dependencies{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
 	if s.Rollout.On() {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	g.core.report = g.cluster.Report
+	g.core.report = g.cluster.ReportNow
 	g.puller, err = feed.NewPuller(g.feeds, feed.PullOptions{
 		Address: s.Address, Control: s.Control, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
 	})
@@ -139,7 +139,7 @@
 
 // duties starts what goes on beside the requests.
 func (g *Gateway) duties(life context.Context) {
-	duties := append(g.cluster.Duties(), g.core.tick, g.puller.Run, g.sweep, g.vitals)
+	duties := append(g.cluster.Tasks(), g.core.tick, g.puller.Run, g.sweep, g.vitals)
 	for _, f := range g.feeds.Followed() {
 		duties = append(duties, func(ctx context.Context) error { return g.feeds.Follow(ctx, f, g.cluster.Peers) })
 	}
@@ -195,7 +195,7 @@
 		runtime.ReadMemStats(&m)
 		g.log.Event("vitals").Int64("active", g.front.active.Load()).Int64("held_bytes", g.front.queues.Held()).
 			Int64("answers_waiting", g.front.queues.Waiting()).Int64("answers_dropped", g.front.queues.Dropped()).
-			Dur("lag", g.core.pressure.Late()).Float64("shed", g.core.pressure.ShedPart()).
+			Dur("lag", g.core.pressure.Lag()).Float64("shed", g.core.pressure.ShedFraction()).
 			Bool("yields", g.core.pressure.Yields()).Int("goroutines", runtime.NumGoroutine()).
 			Uint64("heap_bytes", m.HeapInuse).Uint64("stack_bytes", m.StackInuse).Uint32("collections", m.NumGC).
 			Int("connections", len(g.front.callers.places)).
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -33,7 +33,7 @@
 		ln, err := listenTCP(life, s.address)
 		if err == nil && s.server == g.server {
 			boundQueue(ln, g.settings.Power)
-			ln = listener{ln, g.front.callers, g.core.pressure.LateForMore, time.Sleep}
+			ln = listener{ln, g.front.callers, g.core.pressure.TooLateToAccept, time.Sleep}
 		}
 		if err != nil {
 			return errors.Wrapf(err, "settings: the %s address %q: choose one of this host that is not in use", s.key, s.address)
--- a/gateway/pressure/fresh.go
+++ b/gateway/pressure/fresh.go
@@ -7,44 +7,44 @@
 	// milliseconds (a refusal on a new connection takes 70 us of a core at
 	// BenchmarkRefusal, and about twice that under the users' accounting).
 	freshPerCore = 300
-	// FreshLeast is the least bound: callers that come together to a small host.
-	FreshLeast = 16
+	// MinUnreadConns is the least bound: callers that come together to a small host.
+	MinUnreadConns = 16
 	// freshLasts is how long a connection counts that is not read: by then its caller
 	// has not sent anything, and nothing waits.
 	freshLasts = 250 * time.Millisecond
 )
 
-// Arrival is a connection that was accepted.
-type Arrival struct {
+// AcceptedConn is a connection that was accepted.
+type AcceptedConn struct {
 	At      time.Time
 	counted bool // by Fresh
 }
 
-// Fresh counts the connections that were accepted and whose first request has not
+// UnreadConns counts the connections that were accepted and whose first request has not
 // been read: they wait for processor time. The zero value counts and is never full.
-type Fresh struct {
+type UnreadConns struct {
 	most  int // 0: without bounds
 	count int
-	queue []*Arrival // in the order in which they were accepted
+	queue []*AcceptedConn // in the order in which they were accepted
 }
 
-// NewFresh returns the count of a router with so many cores; 0: unknown.
-func NewFresh(cores float64) Fresh {
+// NewUnreadConns returns the count of a router with so many cores; 0: unknown.
+func NewUnreadConns(cores float64) UnreadConns {
 	if cores <= 0 {
-		return Fresh{}
+		return UnreadConns{}
 	}
-	return Fresh{most: max(int(freshPerCore*cores), FreshLeast)}
+	return UnreadConns{most: max(int(freshPerCore*cores), MinUnreadConns)}
 }
 
 // Add begins to count a connection.
-func (f *Fresh) Add(a *Arrival) {
+func (f *UnreadConns) Add(a *AcceptedConn) {
 	a.counted = true
 	f.count++
 	f.queue = append(f.queue, a)
 }
 
 // Remove ends counting a connection, whose first request is read or which is closed.
-func (f *Fresh) Remove(a *Arrival) {
+func (f *UnreadConns) Remove(a *AcceptedConn) {
 	if a.counted {
 		a.counted = false
 		f.count--
@@ -52,10 +52,10 @@
 }
 
 // Count returns how many connections wait.
-func (f *Fresh) Count() int { return f.count }
+func (f *UnreadConns) Count() int { return f.count }
 
 // Full tells whether as many connections wait as the router reads in good time.
-func (f *Fresh) Full(now time.Time) bool {
+func (f *UnreadConns) Full(now time.Time) bool {
 	for len(f.queue) > 0 {
 		oldest := f.queue[0]
 		if oldest.counted && now.Sub(oldest.At) < freshLasts {
--- a/gateway/pressure/fresh_test.go
+++ b/gateway/pressure/fresh_test.go
@@ -10,12 +10,12 @@
 // TestFreshCountsWhatWaits counts connections until they are read, closed, or have
 // been quiet for too long to be waiting.
 func TestFreshCountsWhatWaits(t *testing.T) {
-	f := NewFresh(0.144)
+	f := NewUnreadConns(0.144)
 	at := time.Now()
-	conns := make([]*Arrival, f.most)
+	conns := make([]*AcceptedConn, f.most)
 	for i := range conns {
 		require.False(t, f.Full(at))
-		conns[i] = &Arrival{At: at}
+		conns[i] = &AcceptedConn{At: at}
 		f.Add(conns[i])
 	}
 	require.True(t, f.Full(at))
@@ -23,7 +23,7 @@
 	f.Remove(conns[3])
 	require.False(t, f.Full(at))
 	require.Equal(t, len(conns)-1, f.count, "a connection counts once")
-	f.Add(&Arrival{At: at.Add(freshLasts / 2)})
+	f.Add(&AcceptedConn{At: at.Add(freshLasts / 2)})
 	require.True(t, f.Full(at))
 	require.False(t, f.Full(at.Add(freshLasts)), "quiet connections do not wait")
 	require.Equal(t, 1, f.count)
@@ -31,9 +31,9 @@
 
 // TestFreshWithoutPower has no bound where the power of the host is not known.
 func TestFreshWithoutPower(t *testing.T) {
-	var f Fresh
+	var f UnreadConns
 	for range 10000 {
-		f.Add(&Arrival{At: time.Now()})
+		f.Add(&AcceptedConn{At: time.Now()})
 	}
 	require.False(t, f.Full(time.Now()))
 }
--- a/gateway/pressure/gather.go
+++ b/gateway/pressure/gather.go
@@ -10,11 +10,11 @@
 	gatherShare = 0.4
 )
 
-// GatherFor returns how long a stream waits before it is read again, so that
+// BatchDelay returns how long a stream waits before it is read again, so that
 // several events cost one read, one write and one wake-up. A router that keeps
 // up does not wait. All streams wake at the same moments, so that one timer
 // wakes many.
-func GatherFor(now, late, longest time.Duration) time.Duration {
+func BatchDelay(now, late, longest time.Duration) time.Duration {
 	if late < gatherFrom {
 		return 0
 	}
--- a/gateway/pressure/gather_test.go
+++ b/gateway/pressure/gather_test.go
@@ -12,14 +12,14 @@
 // late, at moments that all streams share, and never beyond a part of the delay
 // that an event may have.
 func TestGatherKeepsItsBound(t *testing.T) {
-	require.Zero(t, GatherFor(time.Second, gatherFrom-1, 200*time.Millisecond), "a router that keeps up passes events on at once")
-	require.Zero(t, GatherFor(time.Second, gatherFrom, 0), "an unknown bound")
-	require.Zero(t, GatherFor(time.Second, time.Second, 200*time.Millisecond), "a router later than the bound")
+	require.Zero(t, BatchDelay(time.Second, gatherFrom-1, 200*time.Millisecond), "a router that keeps up passes events on at once")
+	require.Zero(t, BatchDelay(time.Second, gatherFrom, 0), "an unknown bound")
+	require.Zero(t, BatchDelay(time.Second, time.Second, 200*time.Millisecond), "a router later than the bound")
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "now"))
 		late := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
 		longest := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "longest"))
-		wait := GatherFor(now, late, longest)
+		wait := BatchDelay(now, late, longest)
 		require.GreaterOrEqual(t, wait, time.Duration(0))
 		if wait > 0 {
 			require.LessOrEqual(t, float64(wait+late), gatherShare*float64(longest)+1)
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -52,8 +52,8 @@
 	Without direct.Without
 }
 
-// Note takes in how late a tick came.
-func (p *Gauge) Note(now, late time.Duration) {
+// Observe takes in how late a tick came.
+func (p *Gauge) Observe(now, late time.Duration) {
 	kept := time.Duration(lagKept * float64(p.lag.Load()))
 	lag := max(late, kept, 0)
 	p.lag.Store(int64(lag))
@@ -82,18 +82,18 @@
 	}
 }
 
-// Late is how late this process runs at the moment.
-func (p *Gauge) Late() time.Duration { return time.Duration(p.lag.Load()) }
+// Lag is how late this process runs at the moment.
+func (p *Gauge) Lag() time.Duration { return time.Duration(p.lag.Load()) }
 
-// WantsFewer tells whether callers should go to other routers.
-func (p *Gauge) WantsFewer() bool { return p.overloaded.Load() || p.yields.Load() }
+// WantsLessTraffic tells whether callers should go to other routers.
+func (p *Gauge) WantsLessTraffic() bool { return p.overloaded.Load() || p.yields.Load() }
 
-// LateForMore tells whether the process runs so late that it should not take in new
+// TooLateToAccept tells whether the process runs so late that it should not take in new
 // connections.
-func (p *Gauge) LateForMore() bool { return time.Duration(p.now.Load()) >= intakeLate }
+func (p *Gauge) TooLateToAccept() bool { return time.Duration(p.now.Load()) >= intakeLate }
 
-// ReadsInVain tells whether the process runs so late that what it reads is read in vain.
-func (p *Gauge) ReadsInVain() bool { return p.Late() >= shedAll }
+// TooLateToRead tells whether the process runs so late that what it reads is read in vain.
+func (p *Gauge) TooLateToRead() bool { return p.Lag() >= shedAll }
 
 // Yields tells whether the balancer should send callers to the others of the hall.
 func (p *Gauge) Yields() bool { return p.yields.Load() }
@@ -107,11 +107,11 @@
 // Sheds tells whether a request should be refused at the door, by its id and
 // its team's weight; see chosen.
 func (p *Gauge) Sheds(id string, weight float64) bool {
-	return chosen(id, p.ShedPart(), weight)
+	return chosen(id, p.ShedFraction(), weight)
 }
 
-// ShedPart is the part of the new requests that is refused at the door.
-func (p *Gauge) ShedPart() float64 { return math.Float64frombits(p.part.Load()) }
+// ShedFraction is the part of the new requests that is refused at the door.
+func (p *Gauge) ShedFraction() float64 { return math.Float64frombits(p.part.Load()) }
 
-// SheddingNow tells whether the router refuses some requests at the door.
-func (p *Gauge) SheddingNow() bool { return p.part.Load() != 0 }
+// Shedding tells whether the router refuses some requests at the door.
+func (p *Gauge) Shedding() bool { return p.part.Load() != 0 }
--- a/gateway/pressure/gauge_test.go
+++ b/gateway/pressure/gauge_test.go
@@ -26,12 +26,12 @@
 	var p Gauge
 	require.Zero(t, shedOf(&p, 1), "a router that keeps up refuses nobody")
 	for range 20 {
-		p.Note(0, lagFull)
+		p.Observe(0, lagFull)
 	}
 	require.Greater(t, shedOf(&p, 1.1), 700)
 	require.Less(t, shedOf(&p, 0.05), 60)
 	for range 400 {
-		p.Note(0, 0)
+		p.Observe(0, 0)
 	}
 	require.Less(t, shedOf(&p, 1), 5, "pressure passes")
 	require.False(t, p.Slow())
@@ -63,6 +63,6 @@
 // overloaded at once, not after as many ticks as one that is late by moments.
 func TestStuckRouterIsNotReady(t *testing.T) {
 	var p Gauge
-	p.Note(0, time.Second)
-	require.True(t, p.WantsFewer())
+	p.Observe(0, time.Second)
+	require.True(t, p.WantsLessTraffic())
 }
--- a/gateway/pressure/probe.go
+++ b/gateway/pressure/probe.go
@@ -18,9 +18,9 @@
 // NewProbe returns a probe on a clock that tells the time since the start.
 func NewProbe(now func() time.Duration) *Probe { return &Probe{now: now} }
 
-// Late returns how long a goroutine waits at the moment, and begins another
+// Lag returns how long a goroutine waits at the moment, and begins another
 // measurement where none is under way.
-func (p *Probe) Late() time.Duration {
+func (p *Probe) Lag() time.Duration {
 	now := p.now()
 	began := time.Duration(p.began.Load())
 	if began > 0 {
--- a/gateway/pressure/probe_test.go
+++ b/gateway/pressure/probe_test.go
@@ -15,11 +15,11 @@
 		start := time.Now()
 		p := Probe{now: func() time.Duration { return time.Since(start) }}
 		time.Sleep(time.Second)
-		require.Zero(t, p.Late())
+		require.Zero(t, p.Lag())
 		synctest.Wait()
 		require.Zero(t, p.began.Load(), "the wait has ended")
 		p.began.Store(int64(p.now()))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 3*time.Second, p.Late(), "it has not")
+		require.Equal(t, 3*time.Second, p.Lag(), "it has not")
 	})
 }
--- a/gateway/pressure/yield.go
+++ b/gateway/pressure/yield.go
@@ -18,7 +18,7 @@
 type Hall struct {
 	Routers  int // that are there
 	Yielding int // of these
-	Easy     int // of these, neither yield nor pass requests on
+	Unloaded int // of these, neither yield nor pass requests on
 }
 
 // yielder decides when a router without processor time is not ready, so that the
@@ -62,5 +62,5 @@
 
 // spares tells whether the hall can do with one ready router less.
 func (h Hall) spares() bool {
-	return h.Easy > 0 && 2*(h.Yielding+1) <= h.Routers+1
+	return h.Unloaded > 0 && 2*(h.Yielding+1) <= h.Routers+1
 }
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -12,7 +12,7 @@
 // callers, twice as long each time that it happens again, and be ready at once
 // where it does not.
 func TestYields(t *testing.T) {
-	hall := Hall{Routers: 6, Easy: 4}
+	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
 	var y yielder
 	pass := func(d time.Duration, part float64) (yielding time.Duration) {
@@ -42,7 +42,7 @@
 		for range 400 {
 			now += 25 * time.Millisecond
 			for i := range routers {
-				hall := Hall{Routers: len(routers) - 1, Easy: rapid.IntRange(0, 2).Draw(t, "easy")}
+				hall := Hall{Routers: len(routers) - 1, Unloaded: rapid.IntRange(0, 2).Draw(t, "easy")}
 				for j, other := range yields {
 					if other && j != i {
 						hall.Yielding++
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -56,7 +56,7 @@
 			return direct.GivenUp, true
 		}
 		if last && a.x.front.core.without.Uses(direct.Gathering) {
-			time.Sleep(pressure.GatherFor(a.x.front.core.Now(), a.x.front.core.pressure.Late(), a.x.front.eventDelay))
+			time.Sleep(pressure.BatchDelay(a.x.front.core.Now(), a.x.front.core.pressure.Lag(), a.x.front.eventDelay))
 		}
 	}
 }
--- a/loads/aggregator.go
+++ b/loads/aggregator.go
@@ -8,7 +8,7 @@
 // stay is how long a router stays with an aggregator where there are several regions: until
 // what it told the last one, and what that one told of it, no longer holds, late lists
 // included. One that hears nothing would else count through three aggregators and more.
-const stay = 2*Hold + silence
+const stay = 2*LoadsTTL + silence
 
 // choose picks the aggregator: the most powerful router of the hall, but one
 // that does not answer is avoided for a while.
--- a/loads/bytes_test.go
+++ b/loads/bytes_test.go
@@ -97,7 +97,7 @@
 // are whole, and copies go with heartbeats.
 func (f fleetSize) play(regions bool) traffic {
 	s, region := f.build(regions)
-	perSecond := float64(time.Second / TeamsEvery)
+	perSecond := float64(time.Second / TeamsInterval)
 	var out traffic
 	sent := make(map[string]float64)
 	f.rounds(s, 12, regions)
@@ -108,7 +108,7 @@
 		out.add(bytes, s.hallOf(from) == s.hallOf(fl.to), region[from] == region[fl.to])
 		out.largest = max(out.largest, n)
 	}
-	f.rounds(s, int(TeamsEvery/Every), regions)
+	f.rounds(s, int(TeamsInterval/RoundInterval), regions)
 	if !regions {
 		f.addHeartbeats(&out, sent)
 	}
@@ -167,7 +167,7 @@
 	of := f.servers / f.regions
 	var out []Load
 	for _, i := range random.Perm(of)[:min(of, sizeRunning)] {
-		one := Load{Server: Key(fmt.Sprint("server", region, "-", i)), Running: 1 + random.Int32N(8)}
+		one := Load{Server: ServerKey(fmt.Sprint("server", region, "-", i)), Running: 1 + random.Int32N(8)}
 		if random.IntN(2) == 0 {
 			one.Pending = random.Int32N(4000)
 		}
@@ -192,15 +192,15 @@
 		teams = append(teams, TeamUse{Team: fmt.Sprint("team-", i), Offered: 5e3, Recent: 5e3, Served: 4e3})
 	}
 	for range rounds {
-		s.now += Every
+		s.now += RoundInterval
 		s.rounds++
 		for i, r := range s.routers {
 			f.churn(s.random, s.own[r.Address])
 			tick := TickMsg{Now: s.now, Own: slices.Clone(s.own[r.Address])}
-			if s.rounds%int(TeamsEvery/Every) == 0 {
+			if s.rounds%int(TeamsInterval/RoundInterval) == 0 {
 				tick.HasTeams, tick.Teams = true, teams
 			}
-			if every := int(time.Second / Every / sizeCopies); regions && (s.rounds+i)%every == 0 {
+			if every := int(time.Second / RoundInterval / sizeCopies); regions && (s.rounds+i)%every == 0 {
 				tick.Copies = []Copy{{Part: s.random.Uint64(), Server: s.random.Uint32()}}
 			}
 			s.tell(r.Address, tick)
--- a/loads/copies_test.go
+++ b/loads/copies_test.go
@@ -114,7 +114,7 @@
 	one := Copy{Part: 1, Server: 1}
 	for range 2 {
 		s.made["r0"] = []Copy{one}
-		s.run(2*int(copyFor/Every), nil)
+		s.run(2*int(copyFor/RoundInterval), nil)
 	}
 	require.Equal(t, 2, s.copies["r1"][one])
 	require.Empty(t, s.exchanges["r1"].copies.entries)
--- a/loads/exchange.go
+++ b/loads/exchange.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// Every is the time between two rounds.
-	Every = 25 * time.Millisecond
-	// Hold is how long a list counts that is not renewed.
-	Hold = 300 * time.Millisecond
+	// RoundInterval is the time between two rounds.
+	RoundInterval = 25 * time.Millisecond
+	// LoadsTTL is how long a list counts that is not renewed.
+	LoadsTTL = 300 * time.Millisecond
 	// idleEvery is the time between two reports of a router that has nothing.
 	idleEvery = 250 * time.Millisecond
 	// silence is how long an aggregator may leave reports unanswered; then it is
@@ -118,7 +118,7 @@
 		}
 	case Digest:
 		e.takeDigest(msg)
-	case RegionSum, RegionAnswer, Passed, FarDigest:
+	case RegionSum, RegionAnswer, RegionForward, RegionDigest:
 		e.takeRegion(msg)
 	}
 }
@@ -142,11 +142,11 @@
 	if !ok { // the next report says what this router holds
 		return
 	}
-	e.tellSelf(msg.Now, OthersCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
+	e.tellSelf(msg.Now, PeerTotalsCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
 }
 
 // tellSelf says what all the others have, those of other regions too.
-func (e *Exchange) tellSelf(now time.Duration, near OthersCmd) {
+func (e *Exchange) tellSelf(now time.Duration, near PeerTotalsCmd) {
 	others := e.others(now, near)
 	others.Copies, e.newCopies = e.newCopies, nil
 	e.emit(others)
@@ -184,8 +184,8 @@
 }
 
 // near is what all the others of the region have, as this aggregator knows it.
-func (e *Exchange) near(msg TickMsg) OthersCmd {
-	others := OthersCmd{Loads: e.allBut(e.self.Address), HasTeams: msg.HasTeams}
+func (e *Exchange) near(msg TickMsg) PeerTotalsCmd {
+	others := PeerTotalsCmd{Loads: e.allBut(e.self.Address), HasTeams: msg.HasTeams}
 	if msg.HasTeams {
 		others.Teams, others.Rollouts = e.teamsBut(msg.Now, e.self.Address), e.rolloutsBut(msg.Now, e.self.Address)
 	}
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -71,7 +71,7 @@
 				From: address, Hall: n.hallOf(address), Kind: cmd.Kind, Number: n.number, Loads: cmd.Loads, HasTeams: cmd.HasTeams, Teams: cmd.Teams,
 				Region: cmd.Region, Base: cmd.Base, Rollouts: cmd.Rollouts, Copies: cmd.Copies,
 			}})
-		case OthersCmd:
+		case PeerTotalsCmd:
 			n.others[address] = cmd.Loads
 			if cmd.HasTeams {
 				n.teams[address], n.rollouts[address] = cmd.Teams, cmd.Rollouts
@@ -108,7 +108,7 @@
 
 // round lets all tick and delivers what is under way as chosen.
 func (n *network) round(arrives func(flight) bool) {
-	n.now += Every
+	n.now += RoundInterval
 	for _, r := range n.routers {
 		n.tell(r.Address, TickMsg{Now: n.now, Own: n.own[r.Address]})
 	}
@@ -144,7 +144,7 @@
 // aggregators are tried again.
 func (n *network) heal() {
 	n.allKnow()
-	for range int((Hold+avoidedFor)/Every) + 20 {
+	for range int((LoadsTTL+avoidedFor)/RoundInterval) + 20 {
 		n.round(always)
 	}
 }
@@ -194,7 +194,7 @@
 	for range 4 {
 		n.round(always)
 	}
-	for range int((silence+Hold)/Every) + 6 {
+	for range int((silence+LoadsTTL)/RoundInterval) + 6 {
 		n.round(cut)
 	}
 	require.NotEqual(t, "r1", n.exchanges["r0"].Aggregator())
--- a/loads/forget.go
+++ b/loads/forget.go
@@ -21,6 +21,6 @@
 		return !reports
 	})
 	for _, lists := range []map[string]list{e.reports, e.sums, e.digests} {
-		maps.DeleteFunc(lists, func(_ string, l list) bool { return now-l.at > Hold })
+		maps.DeleteFunc(lists, func(_ string, l list) bool { return now-l.at > LoadsTTL })
 	}
 }
--- a/loads/load.go
+++ b/loads/load.go
@@ -13,9 +13,9 @@
 	Pending int32  // tokens of prompts whose first event has not come
 }
 
-// Key is the short name of a server in loads. Where two servers share one, their
+// ServerKey is the short name of a server in loads. Where two servers share one, their
 // loads are counted at both.
-func Key(server string) uint32 { return uint32(xxhash.Sum64String(server)) }
+func ServerKey(server string) uint32 { return uint32(xxhash.Sum64String(server)) }
 
 // sum adds lists of loads up, in the order of the keys.
 func sum(lists ...[]Load) []Load {
--- a/loads/messages.go
+++ b/loads/messages.go
@@ -15,10 +15,10 @@
 	Digest                 // what all but the receiver have, in answer to a report
 	Sum                    // what those have that report to the sender
 	// The others cover all routers of one region.
-	RegionSum    // from the aggregator of the region to one of another, which tells its own
-	RegionAnswer // the same, in answer to a RegionSum
-	Passed       // passed on by that one to the aggregators of its region's other halls
-	FarDigest    // passed on by an aggregator to the routers that report to it
+	RegionSum     // from the aggregator of the region to one of another, which tells its own
+	RegionAnswer  // the same, in answer to a RegionSum
+	RegionForward // passed on by that one to the aggregators of its region's other halls
+	RegionDigest  // passed on by an aggregator to the routers that report to it
 )
 
 // Router is another router that is there.
@@ -87,8 +87,8 @@
 	Copies   []Copy
 }
 
-// OthersCmd says what all the others have, and now and then what they see of teams.
-type OthersCmd struct {
+// PeerTotalsCmd says what all the others have, and now and then what they see of teams.
+type PeerTotalsCmd struct {
 	Loads    []Load
 	HasTeams bool
 	Teams    []TeamUse
@@ -96,5 +96,5 @@
 	Copies   []Copy           // that others have made, each told once or a few times
 }
 
-func (SendCmd) isCmd()   {}
-func (OthersCmd) isCmd() {}
+func (SendCmd) isCmd()       {}
+func (PeerTotalsCmd) isCmd() {}
--- a/loads/regions.go
+++ b/loads/regions.go
@@ -8,14 +8,14 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// RegionHold is how long the list of another region counts that is not renewed: they come
+// RegionTTL is how long the list of another region counts that is not renewed: they come
 // with the lists that tell of teams, and a few may be lost.
-const RegionHold = TeamsHold
+const RegionTTL = TeamsTTL
 
 // regionSilence is how long a router of another region may leave lists unanswered before the
 // next one is told too, and how old its list may be before a worse sender's newer list counts
 // instead: time for three lists to be lost in a row.
-const regionSilence = 4 * TeamsEvery
+const regionSilence = 4 * TeamsInterval
 
 // regionTold bounds the routers of one region that are told while none of them answers: the
 // first of its halls' aggregators, the next one, and a router that may have taken over from
@@ -70,10 +70,10 @@
 	}
 	switch msg.Kind {
 	case RegionSum, RegionAnswer:
-		e.pass(msg, Passed, e.neighbours())
-		e.pass(msg, FarDigest, sortedKeys(e.reports))
-	case Passed:
-		e.pass(msg, FarDigest, sortedKeys(e.reports))
+		e.pass(msg, RegionForward, e.neighbours())
+		e.pass(msg, RegionDigest, sortedKeys(e.reports))
+	case RegionForward:
+		e.pass(msg, RegionDigest, sortedKeys(e.reports))
 	}
 }
 
@@ -207,7 +207,7 @@
 }
 
 // others says what all others have: those of the region, and what is held of other regions.
-func (e *Exchange) others(now time.Duration, near OthersCmd) OthersCmd {
+func (e *Exchange) others(now time.Duration, near PeerTotalsCmd) PeerTotalsCmd {
 	held := e.heldRegions(now)
 	if len(held) == 0 {
 		return near
@@ -216,7 +216,7 @@
 	for _, region := range sortedKeys(held) {
 		l := held[region]
 		teams = append(teams, e.regionTeams(now, region, l))
-		if now-l.at <= RegionHold {
+		if now-l.at <= RegionTTL {
 			loads = append(loads, l.loads)
 			rollouts = append(rollouts, l.rollouts)
 		}
@@ -230,7 +230,7 @@
 
 // regionTeams returns what counts of the teams of another region: see counted.
 func (e *Exchange) regionTeams(now time.Duration, region string, l regionList) []TeamUse {
-	if now-l.at <= TeamsHold {
+	if now-l.at <= TeamsTTL {
 		return l.teams
 	}
 	if slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == region }) {
@@ -241,5 +241,5 @@
 
 // dropRegions forgets the lists of which nothing counts any more.
 func (e *Exchange) dropRegions(now time.Duration) {
-	maps.DeleteFunc(e.regions, func(_ regionKey, l regionList) bool { return now-l.at > TeamsHold+DemandHold })
+	maps.DeleteFunc(e.regions, func(_ regionKey, l regionList) bool { return now-l.at > TeamsTTL+DemandTTL })
 }
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -63,7 +63,7 @@
 // run goes through some rounds and checks after each.
 func (s *storm) run(rounds int, check func()) {
 	for range rounds {
-		s.now += Every
+		s.now += RoundInterval
 		s.rounds++
 		for _, r := range s.routers {
 			if !s.off[r.Address] {
@@ -86,7 +86,7 @@
 func (s *storm) tick(r Router) TickMsg {
 	tick := TickMsg{Now: s.now, Own: s.own[r.Address], Copies: s.made[r.Address]}
 	delete(s.made, r.Address)
-	if s.rounds%int(TeamsEvery/Every) == 0 {
+	if s.rounds%int(TeamsInterval/RoundInterval) == 0 {
 		tick.HasTeams, tick.Teams, tick.Rollouts = true, teamsOf(r), rolloutsOf(r)
 	}
 	return tick
@@ -124,7 +124,7 @@
 }
 
 func (s *storm) delay(f flight) {
-	due := s.now + Every*time.Duration(1+s.random.IntN(3))
+	due := s.now + RoundInterval*time.Duration(1+s.random.IntN(3))
 	s.late[due] = append(s.late[due], f)
 }
 
@@ -152,7 +152,7 @@
 	clear(s.off)
 	clear(s.mute)
 	s.loss = 0
-	s.run(int((heartbeatsHold+avoidedFor+RegionHold+regionSilence)/Every), nil)
+	s.run(int((heartbeatsHold+avoidedFor+RegionTTL+regionSilence)/RoundInterval), nil)
 }
 
 // merged holds that each router is told of all others' roll-outs, each once.
@@ -237,7 +237,7 @@
 		s.run(20, nil)
 		s.off[lost] = true
 		delete(s.own, lost)
-		s.run(int((RegionHold+regionSilence)/Every), func() { s.atMost(t, 2) })
+		s.run(int((RegionTTL+regionSilence)/RoundInterval), func() { s.atMost(t, 2) })
 		for _, r := range s.routers {
 			if !s.off[r.Address] {
 				s.knowsAll(t, r)
@@ -262,7 +262,7 @@
 				s.cut[[2]string{a.Address, b.Address}] = cut(a.Address, b.Address)
 			}
 		}
-		s.run(int((heartbeatsHold+RegionHold+regionSilence)/Every), func() { s.atMost(t, 2) })
+		s.run(int((heartbeatsHold+RegionTTL+regionSilence)/RoundInterval), func() { s.atMost(t, 2) })
 		s.run(200, func() {
 			s.atMost(t, 1)
 			require.Contains(t, s.others["r9"], Load{Server: 4, Running: 14}, name)
@@ -291,7 +291,7 @@
 			s.lossyRound(lose)
 			s.atMost(t, 1)
 		}
-		s.run(2*int(TeamsEvery/Every), func() { s.atMost(t, 1) })
+		s.run(2*int(TeamsInterval/RoundInterval), func() { s.atMost(t, 1) })
 		s.settled(t)
 	}
 }
@@ -335,7 +335,7 @@
 // TestRegionCountsTheDeafBackTwiceAtMost has such a router hear nothing at all, and all again
 // after each time up to two seconds.
 func TestRegionCountsTheDeafBackTwiceAtMost(t *testing.T) {
-	for rounds := range int(2 * time.Second / Every) {
+	for rounds := range int(2 * time.Second / RoundInterval) {
 		s := newStorm(uint64(rounds), largeHall...)
 		s.run(20, nil)
 		s.loss = 0.1
@@ -353,7 +353,7 @@
 
 // lossyRound is a round in which all tell of teams, and lists arrive as chosen.
 func (s *storm) lossyRound(arrives func(flight) bool) {
-	s.now += TeamsEvery
+	s.now += TeamsInterval
 	for _, r := range s.routers {
 		s.hear(r)
 		s.tell(r.Address, TickMsg{Now: s.now, Own: s.own[r.Address], HasTeams: true})
@@ -396,7 +396,7 @@
 			}
 			s.run(rapid.IntRange(1, 80).Draw(t, "rounds"), func() { s.atMost(t, 2) })
 			s.end(one)
-			s.run(int((avoidedFor+RegionHold)/Every), func() { s.atMost(t, 2) })
+			s.run(int((avoidedFor+RegionTTL)/RoundInterval), func() { s.atMost(t, 2) })
 		}
 		s.quiet()
 		s.settled(t)
--- a/loads/rollouts.go
+++ b/loads/rollouts.go
@@ -7,17 +7,17 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// RolloutHold is how long a list of roll-outs counts without a newer one. It is shorter than
+// RolloutTTL is how long a list of roll-outs counts without a newer one. It is shorter than
 // TeamsHold: while a missing report only delays a roll-out for a moment, a router that counts
 // twice could hide another that has not reported yet.
-const RolloutHold = 350 * time.Millisecond
+const RolloutTTL = 350 * time.Millisecond
 
 // reportedRollouts merges what the routers that report to this one, and this one where it
 // reports to itself, tell of roll-outs; but for one.
 func (e *Exchange) reportedRollouts(now time.Duration, without string) []rollout.Report {
 	var lists [][]rollout.Report
 	for from, l := range e.teamReports {
-		if from != without && now-l.at <= RolloutHold {
+		if from != without && now-l.at <= RolloutTTL {
 			lists = append(lists, l.rollouts)
 		}
 	}
@@ -31,7 +31,7 @@
 func (e *Exchange) rolloutsBut(now time.Duration, without string) []rollout.Report {
 	lists := [][]rollout.Report{e.reportedRollouts(now, without)}
 	for _, l := range e.teamSums {
-		if now-l.at <= RolloutHold {
+		if now-l.at <= RolloutTTL {
 			lists = append(lists, l.rollouts)
 		}
 	}
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// TeamsEvery is the time between two lists that tell of teams: soon enough for the
+	// TeamsInterval is the time between two lists that tell of teams: soon enough for the
 	// shares of a flood through many routers, at a few kB a second for each router.
-	TeamsEvery = 100 * time.Millisecond
-	// TeamsHold is how long such a list counts in full without a newer one: a few may be
+	TeamsInterval = 100 * time.Millisecond
+	// TeamsTTL is how long such a list counts in full without a newer one: a few may be
 	// lost.
-	TeamsHold = 600 * time.Millisecond
-	// DemandHold is how much longer the demand of a lost router's callers counts than what
+	TeamsTTL = 600 * time.Millisecond
+	// DemandTTL is how much longer the demand of a lost router's callers counts than what
 	// they got: about the time that they take to be served again by others.
-	DemandHold = 4 * time.Second
+	DemandTTL = 4 * time.Second
 )
 
 // TeamUse is what one router, or several together, saw of a team lately, in tokens a
@@ -74,7 +74,7 @@
 // through others. A router that is still there tells another aggregator, and one that was
 // replaced as its hall's aggregator has told its demand to the next.
 func (e *Exchange) counted(now time.Duration, from string, l teamList, replaced bool) []TeamUse {
-	if now-l.at <= TeamsHold {
+	if now-l.at <= TeamsTTL {
 		return l.uses
 	}
 	if replaced || e.isThere(from) {
@@ -95,7 +95,7 @@
 // hasNewerSum tells whether another aggregator of a hall has told its teams lately.
 func (e *Exchange) hasNewerSum(now time.Duration, from, hall string) bool {
 	for other, l := range e.teamSums {
-		if other != from && l.hall == hall && now-l.at <= TeamsHold {
+		if other != from && l.hall == hall && now-l.at <= TeamsTTL {
 			return true
 		}
 	}
@@ -110,7 +110,7 @@
 // dropTeams forgets the lists of which nothing counts any more.
 func (e *Exchange) dropTeams(now time.Duration) {
 	for _, lists := range []map[string]teamList{e.teamReports, e.teamSums} {
-		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.at > TeamsHold+DemandHold })
+		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.at > TeamsTTL+DemandTTL })
 	}
 }
 
--- a/loads/teams_test.go
+++ b/loads/teams_test.go
@@ -12,13 +12,13 @@
 // of one that all see, in every fourth.
 func (n *network) teamRounds(rounds int, arrives func(flight) bool) {
 	for i := range rounds {
-		n.now += Every
+		n.now += RoundInterval
 		for _, r := range n.routers {
 			if n.off[r.Address] {
 				continue
 			}
 			tick := TickMsg{Now: n.now, Own: n.own[r.Address]}
-			if i%int(TeamsEvery/Every) == 0 {
+			if i%int(TeamsInterval/RoundInterval) == 0 {
 				tick.HasTeams, tick.Teams = true, teamsOf(r)
 			}
 			n.tell(r.Address, tick)
@@ -82,11 +82,11 @@
 		for _, r := range lost {
 			n.lose(r)
 		}
-		n.teamRounds(int(2*TeamsHold/Every), always)
+		n.teamRounds(int(2*TeamsTTL/RoundInterval), always)
 		for _, r := range lost {
 			require.Equal(t, TeamUse{Team: "of " + r, Offered: 7}, n.seen("r5", "of "+r), name)
 		}
-		n.teamRounds(int(2*DemandHold/Every), always)
+		n.teamRounds(int(2*DemandTTL/RoundInterval), always)
 		for _, r := range lost {
 			require.Zero(t, n.seen("r5", "of "+r).Offered, name)
 		}
@@ -101,9 +101,9 @@
 	n.teamRounds(16, always)
 	require.Equal(t, "r1", n.exchanges["r0"].Aggregator())
 	n.lose("r1")
-	n.teamRounds(int((silence+TeamsHold+TeamsEvery)/Every), always)
+	n.teamRounds(int((silence+TeamsTTL+TeamsInterval)/RoundInterval), always)
 	for range 40 {
-		n.teamRounds(int(TeamsEvery/Every), always)
+		n.teamRounds(int(TeamsInterval/RoundInterval), always)
 		require.LessOrEqual(t, n.seen("r4", "all").Offered, float32(400))
 	}
 	require.EqualValues(t, 300, n.seen("r4", "all").Offered)
@@ -123,7 +123,7 @@
 				n.knows(r.Address, func(Router) bool { return true })
 			}
 			old := append([]flight(nil), n.flying...)
-			n.teamRounds(int(TeamsEvery/Every), func(flight) bool { return rapid.Bool().Draw(t, "arrives") })
+			n.teamRounds(int(TeamsInterval/RoundInterval), func(flight) bool { return rapid.Bool().Draw(t, "arrives") })
 			n.flying = append(n.flying, old...)
 			for i := range old {
 				n.deliver(i)
@@ -131,7 +131,7 @@
 			n.flying = n.flying[:0]
 		}
 		n.allKnow()
-		n.teamRounds(int((TeamsHold+DemandHold+avoidedFor)/Every), always)
+		n.teamRounds(int((TeamsTTL+DemandTTL+avoidedFor)/RoundInterval), always)
 		for _, r := range n.routers {
 			require.EqualValues(t, 100*(len(n.routers)-1), n.seen(r.Address, "all").Offered)
 		}
@@ -149,7 +149,7 @@
 	n.allKnow()
 	n.teamRounds(8, always)
 	told := make(map[string]int)
-	n.teamRounds(int(time.Second/Every), func(f flight) bool {
+	n.teamRounds(int(time.Second/RoundInterval), func(f flight) bool {
 		if f.msg.HasTeams {
 			told[f.msg.From]++
 		}
