--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -32,7 +32,7 @@
 func newQuarantine(o Options, changed func()) *Quarantine {
 	about := About{Name: "quarantine", SourceName: "source of quarantine", On: true, Brought: true, Optional: true, Wait: quarantineWait}
 	take := func(l Listing[quarantine.Fingerprint]) {
-		o.Decisions.Update(direct.QuarantineMsg{Now: o.Decisions.Now(), Listed: l.All})
+		o.Decisions.Update(direct.QuarantineMsg{Now: o.Decisions.Now(), Fingerprints: l.All})
 	}
 	return &Quarantine{newByName(o, about, sourceOf[quarantine.Fingerprint]{
 		read: func(ctx context.Context) ([]quarantine.Fingerprint, uint64, error) {
