--- a/direct/machine.go
+++ b/direct/machine.go
@@ -74,7 +74,7 @@
 	peerLoadsAt      time.Duration // when the others' loads came
 	suspects         quarantine.Suspects
 	pendingReprobes  []*server // that are to be probed again, see probeAgain
-	oldNotices       oldNotices
+	oldNotices       forgottenNotices
 	startedRequests  []*requestState // whose first events came since the last tick, for the judging of versions
 }
 
@@ -115,15 +115,15 @@
 	case DrainMsg:
 		m.options.Drain = msg.Drain
 	case ServersMsg:
-		m.list(msg)
+		m.applyDirectory(msg)
 	case HallRegionsMsg:
 		m.setHallRegions(msg)
 	case EvacuationsMsg:
-		m.evacuate(msg)
+		m.applyEvacuations(msg)
 	case QuarantineMsg:
 		m.suspects.SetRecorded(msg.Now, msg.Fingerprints)
 	case GateMsg:
-		m.takeGate(msg)
+		m.applyGate(msg)
 	case RequestMsg:
 		m.handleArrival(msg)
 	case AdmissionCheckMsg:
@@ -135,11 +135,11 @@
 	case FirstEventMsg:
 		m.handleFirstEvent(msg)
 	case NoticeMsg:
-		m.notice(msg)
+		m.applyNotice(msg)
 	case AttemptEndMsg:
-		m.end(msg)
+		m.endAttempt(msg)
 	case ProbeResultMsg:
-		m.probeEnded(msg)
+		m.handleProbe(msg)
 	case CancelMsg:
 		m.cancel(msg)
 	case PeerReportMsg:
@@ -154,12 +154,12 @@
 		m.recordPeerCopies(msg)
 	case MembershipMsg:
 		m.routers, m.reportTTL = max(msg.Routers, 1), msg.ReportTTL
-		m.takeQuiet(msg.SilentHalls)
+		m.setSilentHalls(msg.SilentHalls)
 		m.pacing = coldPacing{routers: max(msg.Known, msg.Routers, 1), rank: msg.Rank}
 	case TickMsg:
 		m.tick(msg.Now)
 	}
-	m.tellQuarantine()
+	m.emitQuarantineChanges()
 	return m.cmds
 }
 
@@ -221,16 +221,16 @@
 	m.expirePeerLoads(now)
 	m.dropLapsed(now)
 	m.probeHalls(now)
-	m.tellBegun(now)
-	m.dropSuspects(now)
-	m.probeAgain(now)
+	m.reportStreamStarts(now)
+	m.expireSuspects(now)
+	m.reprobe(now)
 	m.updateShares(now)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
-		m.move(now, p)
+		m.moveStreams(now, p)
 		m.serveQueue(now, p, maxQueued)
 		for _, r := range p.queue.expired(now) {
-			m.refuse(now, p, r)
+			m.refuseWaiting(now, p, r)
 		}
 		m.forgetGone(now, p)
 	}
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -5,7 +5,7 @@
 )
 
 func (m *Machine) send(now time.Duration, p *pool, r *requestState, c choice) {
-	c = m.noteSent(now, p, r, c)
+	c = m.recordSent(now, p, r, c)
 	s := c.server
 	r.waiting = false
 	r.currentServer = s
@@ -25,7 +25,7 @@
 		r.tokensAhead = s.totalPending() + r.pendingTokens
 		s.pendingTokens += r.pendingTokens
 	}
-	m.watch(now, p, r, s)
+	m.startObservation(now, p, r, s)
 	m.charge(now, r)
 	if p.engine != nil && c.missTokens > 0 && m.enabled(SharedCopies) {
 		m.announceCopies(now, p, r, s)
@@ -71,12 +71,12 @@
 	}
 	p := m.pool(r.Service)
 	r.firstEventAt = msg.Now
-	m.sawFirst(msg.Now, p, r)
+	m.observeFirstEvent(msg.Now, p, r)
 	if r.started {
 		return
 	}
 	r.started = true
-	m.answered(msg.Now, r.currentServer)
+	m.recordResponse(msg.Now, r.currentServer)
 	r.currentServer.recordFirstEvent(p, r, msg.Now-r.sentAt)
 	r.currentServer.promptRead(r)
 	m.serveQueue(msg.Now, p, serveBatch)
--- a/direct/serve.go
+++ b/direct/serve.go
@@ -23,7 +23,7 @@
 		m.giveUp(now, p, r, ReasonOverShare)
 		return
 	}
-	if !p.anyUsable(now, r.Regions) || p.noSideUsable(now, r) {
+	if !p.anyUsable(now, r.Regions) || p.noUsableServer(now, r) {
 		m.giveUp(now, p, r, p.unavailableReason(now, r))
 		return
 	}
@@ -31,7 +31,7 @@
 	p.queue.add(r)
 	if len(p.queue.waiting) > maxQueued {
 		m.sortQueue(now, p)
-		m.refuse(now, p, p.queue.waiting[len(p.queue.waiting)-1])
+		m.refuseWaiting(now, p, p.queue.waiting[len(p.queue.waiting)-1])
 	}
 }
 
@@ -42,7 +42,7 @@
 	if r.throttled && r.attempt == 0 {
 		return false
 	}
-	c, ok := m.placeBySide(now, p, r)
+	c, ok := m.placeOnSide(now, p, r)
 	if ok {
 		m.send(now, p, r, c)
 	}
@@ -77,7 +77,7 @@
 
 // unavailableReason says why a request is refused that no server may get at the moment.
 func (p *pool) unavailableReason(now time.Duration, r *requestState) Reason {
-	if _, ok := p.backoffEnds(now, r.Regions); ok {
+	if _, ok := p.shortestBackoff(now, r.Regions); ok {
 		return ReasonBackoff
 	}
 	return ReasonNoServers
