--- a/quarantine/judge.go
+++ b/quarantine/barring.go
@@ -19,7 +19,7 @@
 // harmful tells whether a content is to be barred that has seen so many crashes, of which no other
 // content explains some. Of two that crash servers together the one that has crashed more explains
 // the other's; once that has seen as many crashes as bar a content, one by itself is enough.
-func harmful(crashes, unexplained int) bool {
+func shouldBar(crashes, unexplained int) bool {
 	return unexplained >= CrashThreshold || crashes > CrashThreshold && unexplained > 0
 }
 
@@ -31,10 +31,10 @@
 
 // judge decides anew what is barred, after something has changed: what one content has seen
 // may explain the crashes under another.
-func (s *Suspects) judge() {
+func (s *Suspects) updateBarred() {
 	s.digest = Digest{}
-	for _, x := range s.known {
-		barred := x.recorded || harmful(len(x.crashes), s.unexplained(x))
+	for _, x := range s.byFingerprint {
+		barred := x.recorded || shouldBar(len(x.crashes), s.unexplained(x))
 		if barred != x.barred {
 			s.setBarred(x, barred)
 		}
@@ -46,5 +46,5 @@
 func (s *Suspects) setBarred(x *suspect, barred bool) {
 	x.barred = barred
 	s.urgent = s.urgent || barred
-	s.changed = append(s.changed, Change{Fingerprint: x.content, Barred: barred, Crashes: len(x.crashes)})
+	s.changed = append(s.changed, Change{Fingerprint: x.fingerprint, Barred: barred, Crashes: len(x.crashes)})
 }
--- a/quarantine/content_test.go
+++ b/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 
 // TestContent has requests that differ in one field have different contents, also where the
 // fields put together are the same, and a request that comes again the same one.
-func TestContent(t *testing.T) {
+func TestFingerprintOf(t *testing.T) {
 	body := []byte("body")
 	seen := map[Fingerprint]bool{}
 	for _, c := range []Fingerprint{
@@ -32,7 +32,7 @@
 
 // BenchmarkContent is what each request pays: 1.0 µs with a body of 8 kB, where nothing was
 // computed before.
-func BenchmarkContent(b *testing.B) {
+func BenchmarkFingerprintOf(b *testing.B) {
 	body := make([]byte, 8<<10)
 	for b.Loop() {
 		FingerprintOf("red", "POST", "h.example", "/a/x", body)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -10,30 +10,30 @@
 // they knew still bar them. A content that is listed no longer was released: what is known of it
 // counts no more.
 func (s *Suspects) SetRecorded(now time.Duration, listed []Fingerprint) {
-	before := s.listed
+	previous := s.listed
 	s.listed = make(map[Fingerprint]bool, len(listed))
 	for _, c := range listed {
 		s.listed[c] = true
-		if before[c] {
+		if previous[c] {
 			continue
 		}
-		x := s.suspect(now, c)
-		x.recorded, x.grave = true, true
-		x.asked.renew(now)
+		x := s.getOrAdd(now, c)
+		x.recorded, x.multiCrash = true, true
+		x.refused.advance(now)
 	}
-	for c := range before {
-		if x := s.known[c]; x != nil && !s.listed[c] {
+	for c := range previous {
+		if x := s.byFingerprint[c]; x != nil && !s.listed[c] {
 			s.clear(x, now)
-			x.tell = tellOwn
+			x.sendsLeft = ownSends
 		}
 	}
-	s.judge()
+	s.updateBarred()
 }
 
 // Unrecorded returns the contents that are barred and not in the store.
 func (s *Suspects) Unrecorded() []Fingerprint {
 	var out []Fingerprint
-	for c, x := range s.known {
+	for c, x := range s.byFingerprint {
 		if x.barred && !s.listed[c] {
 			out = append(out, c)
 		}
@@ -46,7 +46,7 @@
 func (s *Suspects) Outdated() []Fingerprint {
 	var out []Fingerprint
 	for _, c := range slices.Sorted(maps.Keys(s.listed)) {
-		if x := s.known[c]; x == nil || !x.barred {
+		if x := s.byFingerprint[c]; x == nil || !x.barred {
 			out = append(out, c)
 		}
 	}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -8,7 +8,7 @@
 )
 
 // barredBy returns suspects that have seen servers crash under a content.
-func barredBy(c Fingerprint) *Suspects {
+func newBarred(c Fingerprint) *Suspects {
 	s := &Suspects{}
 	for i := range Server(CrashThreshold) {
 		s.RecordCrash(at(0), c, i)
@@ -18,7 +18,7 @@
 
 // TestRecordBars has a router that has seen nothing read from the store what is barred.
 func TestRecordBars(t *testing.T) {
-	seen := barredBy(bad)
+	seen := newBarred(bad)
 	require.Equal(t, []Fingerprint{bad}, seen.Unrecorded())
 	seen.SetRecorded(at(1), []Fingerprint{bad})
 	require.Empty(t, seen.Unrecorded())
@@ -36,12 +36,12 @@
 // TestReleaseClears has an operator delete a record: its content is tried again, also at routers
 // that are told of the old crashes once more.
 func TestReleaseClears(t *testing.T) {
-	a, b := barredBy(bad), barredBy(bad)
-	a.SetRecorded(at(1), []Fingerprint{bad, innocent})
-	require.True(t, a.Barred(at(1), innocent))
+	a, b := newBarred(bad), newBarred(bad)
+	a.SetRecorded(at(1), []Fingerprint{bad, harmless})
+	require.True(t, a.Barred(at(1), harmless))
 	a.SetRecorded(at(2), nil)
 	require.False(t, a.Barred(at(2), bad))
-	require.False(t, a.Barred(at(2), innocent))
+	require.False(t, a.Barred(at(2), harmless))
 	require.Empty(t, a.Unrecorded(), "it isn't recorded again")
 	a.ApplyReports(at(3), b.TakeReports(at(3), 8))
 	require.False(t, a.Barred(at(3), bad))
@@ -52,35 +52,35 @@
 // TestOutdatedRecords has contents that are listed and not barred any more: their records are
 // to be removed, and don't bar them again meanwhile.
 func TestOutdatedRecords(t *testing.T) {
-	s := barredBy(bad)
-	s.SetRecorded(at(1), []Fingerprint{bad, innocent})
+	s := newBarred(bad)
+	s.SetRecorded(at(1), []Fingerprint{bad, harmless})
 	s.RecordSuccess(at(2), bad)
 	require.Equal(t, []Fingerprint{bad}, s.Outdated())
-	s.SetRecorded(at(3), []Fingerprint{bad, innocent, 7})
+	s.SetRecorded(at(3), []Fingerprint{bad, harmless, 7})
 	require.False(t, s.Barred(at(3), bad))
 	s.Expire(at(4) + Retention)
-	require.Equal(t, []Fingerprint{bad, innocent, 7}, s.Outdated())
+	require.Equal(t, []Fingerprint{bad, harmless, 7}, s.Outdated())
 	s.SetRecorded(at(5)+Retention, nil)
 	require.Empty(t, s.Outdated())
 }
 
 // TestAskingIsTold has a content be asked for at one router only: the others are told now and
 // then, and don't forget it.
-func TestAskingIsTold(t *testing.T) {
-	asked, other := barredBy(bad), &Suspects{}
+func TestRefusalsAreReported(t *testing.T) {
+	refusing, other := newBarred(bad), &Suspects{}
 	now := at(0)
 	for range 40 {
 		now += Retention / 10
-		require.True(t, asked.Barred(now, bad))
-		other.ApplyReports(now, asked.TakeReports(now, 8))
-		asked.Expire(now)
+		require.True(t, refusing.Barred(now, bad))
+		other.ApplyReports(now, refusing.TakeReports(now, 8))
+		refusing.Expire(now)
 		other.Expire(now)
-		require.Equal(t, asked.Digest(), other.Digest())
+		require.Equal(t, refusing.Digest(), other.Digest())
 	}
-	require.Empty(t, asked.TakeReports(now, 8))
+	require.Empty(t, refusing.TakeReports(now, 8))
 }
 
-func TestParseContent(t *testing.T) {
+func TestParseFingerprint(t *testing.T) {
 	for _, c := range []Fingerprint{1, bad, 1 << 63} {
 		back, err := ParseFingerprint(c.String())
 		require.NoError(t, err)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -12,11 +12,11 @@
 	// large fleet a list reaches only some routers. A content under which one server crashed,
 	// as most of its company have seen, is told by the router that saw it alone: where a second
 	// crash follows, some router has heard of both, and tells that on.
-	tellOwn   = 3
-	tellHeard = 1
+	ownSends   = 3
+	relaySends = 1
 	// repeatEvery is the least time between two times that all which are barred, or nearly, are
 	// told again, because another router knows others.
-	repeatEvery = 500 * time.Millisecond
+	resendInterval = 500 * time.Millisecond
 )
 
 // Report is what a router tells others of one content. Times are told as ages, since clocks
@@ -48,32 +48,32 @@
 
 // TakeReports returns what others have yet to be told, most at a time: first of the contents under which
 // most servers crashed, then of those that were learned last.
-func (s *Suspects) TakeReports(now time.Duration, most int) []Report {
+func (s *Suspects) TakeReports(now time.Duration, limit int) []Report {
 	var due []*suspect
-	for _, x := range s.known {
-		if x.tell > 0 {
+	for _, x := range s.byFingerprint {
+		if x.sendsLeft > 0 {
 			due = append(due, x)
 		}
 	}
 	slices.SortFunc(due, func(a, b *suspect) int {
-		return cmp.Or(-cmp.Compare(len(a.crashes), len(b.crashes)), -cmp.Compare(a.lastAt(), b.lastAt()), cmp.Compare(a.content, b.content))
+		return cmp.Or(-cmp.Compare(len(a.crashes), len(b.crashes)), -cmp.Compare(a.lastUpdate(), b.lastUpdate()), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	var out []Report
-	for _, x := range due[:min(len(due), most)] {
-		x.tell--
-		x.askTold = x.asked
+	for _, x := range due[:min(len(due), limit)] {
+		x.sendsLeft--
+		x.refusedReported = x.refused
 		out = append(out, x.report(now))
 	}
 	return out
 }
 
 func (x *suspect) report(now time.Duration) Report {
-	r := Report{Content: x.content, Grave: x.grave, Cleared: x.cleared.known, Asked: x.asked.known}
+	r := Report{Content: x.fingerprint, Grave: x.multiCrash, Cleared: x.cleared.valid, Asked: x.refused.valid}
 	if r.Cleared {
 		r.ClearAge = ageOf(now - x.cleared.at)
 	}
 	if r.Asked {
-		r.AskAge = ageOf(now - x.asked.at)
+		r.AskAge = ageOf(now - x.refused.at)
 	}
 	for _, c := range x.crashes {
 		r.Crashes = append(r.Crashes, CrashReport{Server: c.server, Age: ageOf(now - c.at)})
@@ -85,48 +85,48 @@
 // crashes are added up, and the newest clearing holds.
 func (s *Suspects) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
-		s.hear(now, r)
+		s.applyReport(now, r)
 	}
 	if len(reports) > 0 {
-		s.judge()
+		s.updateBarred()
 	}
 }
 
-func (s *Suspects) hear(now time.Duration, r Report) {
-	if r.Content == 0 || r.old() {
+func (s *Suspects) applyReport(now time.Duration, r Report) {
+	if r.Content == 0 || r.expired() {
 		return
 	}
-	x := s.suspect(now, r.Content)
-	news := false
-	if at := now - r.ClearAge.duration(); r.Cleared && (!x.cleared.known || at > x.cleared.at+sameTime) {
+	x := s.getOrAdd(now, r.Content)
+	changed := false
+	if at := now - r.ClearAge.duration(); r.Cleared && (!x.cleared.valid || at > x.cleared.at+ageTolerance) {
 		s.clear(x, at)
-		news = true
+		changed = true
 	}
 	stale := len(r.Crashes) > 0
 	for _, c := range r.Crashes {
 		at := now - c.Age.duration()
-		stale = stale && x.void(at)
-		news = s.addCrash(x, crash{c.Server, at}) || news
+		stale = stale && x.clearedSince(at)
+		changed = s.addCrash(x, crash{c.Server, at}) || changed
 	}
 	if r.Asked {
-		x.asked.renew(now - r.AskAge.duration())
+		x.refused.advance(now - r.AskAge.duration())
 	}
-	x.grave = x.grave || r.Grave
-	if x.grave && (news || stale) {
+	x.multiCrash = x.multiCrash || r.Grave
+	if x.multiCrash && (changed || stale) {
 		// A teller of crashes that no longer count hasn't heard that they were cleared.
-		x.tell = max(x.tell, tellHeard)
+		x.sendsLeft = max(x.sendsLeft, relaySends)
 	}
 }
 
 // sameTime is how much the age of one event may differ between what two routers told: the time
 // that lists take.
-const sameTime = 100 * time.Millisecond
+const ageTolerance = 100 * time.Millisecond
 
 // old tells whether all that a report says is too old to be kept.
-func (r Report) old() bool {
-	hold := ageOf(Retention)
-	fresh := (r.Cleared && r.ClearAge <= hold) || (r.Asked && r.AskAge <= hold)
-	return !fresh && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= hold })
+func (r Report) expired() bool {
+	maxAge := ageOf(Retention)
+	recent := (r.Cleared && r.ClearAge <= maxAge) || (r.Asked && r.AskAge <= maxAge)
+	return !recent && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= maxAge })
 }
 
 // nearlyBarred tells whether one more crash may bar the content.
@@ -142,9 +142,9 @@
 func (d *Digest) add(x *suspect) {
 	switch {
 	case x.barred:
-		d.Barred += uint64(x.content)
+		d.Barred += uint64(x.fingerprint)
 	case x.nearlyBarred():
-		d.NearlyBarred += uint64(x.content)
+		d.NearlyBarred += uint64(x.fingerprint)
 	}
 }
 
@@ -154,13 +154,13 @@
 // CompareDigest takes in the digest of another router. Where it differs, what it stands for is told
 // again, so that also a router that was away or has just started learns of it.
 func (s *Suspects) CompareDigest(now time.Duration, digest Digest) {
-	if digest == s.Digest() || now-s.repeated < repeatEvery {
+	if digest == s.Digest() || now-s.lastResend < resendInterval {
 		return
 	}
-	s.repeated = now
-	for _, x := range s.known {
+	s.lastResend = now
+	for _, x := range s.byFingerprint {
 		if x.barred || x.nearlyBarred() {
-			x.tell = max(x.tell, 1)
+			x.sendsLeft = max(x.sendsLeft, 1)
 		}
 	}
 }
--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -11,52 +11,52 @@
 
 // TestReportsAreToldAFewTimes has a router tell of a crash in a few lists, and one that hears of
 // it tell it on.
-func TestReportsAreToldAFewTimes(t *testing.T) {
+func TestReportsAreSentAFewTimes(t *testing.T) {
 	var a, b Suspects
 	a.RecordCrash(at(0), bad, 10)
-	var told []Report
-	for range tellOwn {
-		told = a.TakeReports(at(0.1), 8)
-		require.Equal(t, []Report{{Content: bad, Crashes: []CrashReport{{Server: 10, Age: 100}}}}, told)
+	var reports []Report
+	for range ownSends {
+		reports = a.TakeReports(at(0.1), 8)
+		require.Equal(t, []Report{{Content: bad, Crashes: []CrashReport{{Server: 10, Age: 100}}}}, reports)
 	}
 	require.Empty(t, a.TakeReports(at(0.1), 8))
-	b.ApplyReports(at(0.2), told)
-	b.ApplyReports(at(0.2), told)
+	b.ApplyReports(at(0.2), reports)
+	b.ApplyReports(at(0.2), reports)
 	require.Empty(t, b.TakeReports(at(0.2), 8), "one crash is told by those who saw it")
 	require.Equal(t, 1, b.Crashes(bad))
 	a.RecordCrash(at(1), bad, 11)
-	told = a.TakeReports(at(1), 8)
-	require.True(t, told[0].Grave)
-	b.ApplyReports(at(1.1), told)
-	b.ApplyReports(at(1.1), told)
-	require.Len(t, b.TakeReports(at(1.1), 8), tellHeard)
+	reports = a.TakeReports(at(1), 8)
+	require.True(t, reports[0].Grave)
+	b.ApplyReports(at(1.1), reports)
+	b.ApplyReports(at(1.1), reports)
+	require.Len(t, b.TakeReports(at(1.1), 8), relaySends)
 	require.Empty(t, b.TakeReports(at(1.1), 8))
 }
 
 // TestNobodyIsToldOfHarmless has a request that was there when a server crashed be answered by
 // another one, before anybody was told.
-func TestNobodyIsToldOfHarmless(t *testing.T) {
+func TestClearedCrashIsNotReported(t *testing.T) {
 	var s Suspects
-	s.RecordCrash(at(0), innocent, 10)
-	s.RecordSuccess(at(0.1), innocent)
+	s.RecordCrash(at(0), harmless, 10)
+	s.RecordSuccess(at(0.1), harmless)
 	require.Empty(t, s.TakeReports(at(0.2), 8))
-	s.RecordCrash(at(1), innocent, 11)
+	s.RecordCrash(at(1), harmless, 11)
 	s.TakeReports(at(1.1), 8)
-	s.RecordSuccess(at(1.2), innocent)
+	s.RecordSuccess(at(1.2), harmless)
 	require.Len(t, s.TakeReports(at(1.3), 8), 1, "who was told of the crash is told of this")
 }
 
 // TestWorstIsToldFirst has more to tell than fits into a list.
-func TestWorstIsToldFirst(t *testing.T) {
+func TestMostCrashesAreReportedFirst(t *testing.T) {
 	var s Suspects
 	for i := range 20 {
 		s.RecordCrash(at(float64(i)), Fingerprint(100+i), Server(i))
 	}
 	s.RecordCrash(at(0), bad, 50)
 	s.RecordCrash(at(0), bad, 51)
-	told := s.TakeReports(at(30), 3)
-	require.Len(t, told, 3)
-	require.Equal(t, []Fingerprint{bad, 119, 118}, []Fingerprint{told[0].Content, told[1].Content, told[2].Content})
+	reports := s.TakeReports(at(30), 3)
+	require.Len(t, reports, 3)
+	require.Equal(t, []Fingerprint{bad, 119, 118}, []Fingerprint{reports[0].Content, reports[1].Content, reports[2].Content})
 }
 
 // TestRestartedRouterLearns has a router start anew that knew what is barred: its digest tells the
@@ -66,15 +66,15 @@
 	for i := range Server(CrashThreshold) {
 		a.RecordCrash(at(0), bad, i)
 	}
-	for range tellOwn {
+	for range ownSends {
 		a.TakeReports(at(0), 8)
 	}
 	a.CompareDigest(at(60), b.Digest())
 	a.CompareDigest(at(60.1), b.Digest())
-	told := a.TakeReports(at(60), 8)
-	require.Len(t, told, 1)
+	reports := a.TakeReports(at(60), 8)
+	require.Len(t, reports, 1)
 	require.Empty(t, a.TakeReports(at(60), 8), "not each time it hears that router")
-	b.ApplyReports(time.Second, told)
+	b.ApplyReports(time.Second, reports)
 	require.True(t, b.Barred(time.Second, bad))
 	require.Equal(t, a.Digest(), b.Digest())
 }
@@ -84,18 +84,18 @@
 // one server crashed it learns nothing.
 func TestRestartedRouterLearnsOfTwoCrashes(t *testing.T) {
 	var a, b Suspects
-	a.RecordCrash(at(0), innocent, 9)
+	a.RecordCrash(at(0), harmless, 9)
 	for i := range Server(CrashThreshold - 1) {
 		a.RecordCrash(at(0), bad, i)
 	}
-	for range tellOwn {
+	for range ownSends {
 		a.TakeReports(at(0), 8)
 	}
 	require.Zero(t, a.Digest().Barred, "what older routers compare is what it was")
 	a.CompareDigest(at(60), b.Digest())
 	b.ApplyReports(time.Second, a.TakeReports(at(60), 8))
 	require.Equal(t, a.Digest(), b.Digest())
-	require.Zero(t, b.Crashes(innocent))
+	require.Zero(t, b.Crashes(harmless))
 	require.True(t, b.OneCrashFromBarred(bad))
 	a.CompareDigest(at(61), b.Digest())
 	require.Empty(t, a.TakeReports(at(61), 8), "they agree")
@@ -110,7 +110,7 @@
 	}
 	b.ApplyReports(at(1), a.TakeReports(at(1), 8))
 	a.RecordSuccess(at(2), bad)
-	for range tellOwn { // these lists are lost
+	for range ownSends { // these lists are lost
 		a.TakeReports(at(2), 8)
 	}
 	require.True(t, b.Barred(at(3), bad))
@@ -125,7 +125,7 @@
 func TestOldReportsAreDropped(t *testing.T) {
 	var s Suspects
 	s.ApplyReports(at(0), []Report{{Content: bad, Crashes: []CrashReport{{Server: 1, Age: ageOf(Retention + time.Second)}}}, {Content: 0}})
-	require.Empty(t, s.known)
+	require.Empty(t, s.byFingerprint)
 }
 
 // TestReportsAgree plays routers that see crashes and answers and tell one another, with
@@ -134,55 +134,55 @@
 func TestReportsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]Suspects, 3)
-		var all Suspects // sees everything itself
-		type letter struct {
+		var observer Suspects // sees everything itself
+		type message struct {
 			to   int
 			list []Report
 			at   time.Duration
 		}
-		var post []letter
+		var inFlight []message
 		now := at(0)
 		deliver := func(i int) {
-			l := post[i]
+			l := inFlight[i]
 			routers[l.to].ApplyReports(now, aged(l.list, now-l.at))
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += 2 * sameCrash // a server needs seconds to be back
+			now += 2 * crashDedupWindow // a server needs seconds to be back
 			content := Fingerprint(rapid.IntRange(1, 4).Draw(t, "content"))
-			who := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
+			sender := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				server := Server(rapid.IntRange(1, 6).Draw(t, "server"))
-				all.RecordCrash(now, content, server)
-				routers[who].RecordCrash(now, content, server)
-				if also := rapid.IntRange(0, len(routers)-1).Draw(t, "also seen by"); also != who {
-					routers[also].RecordCrash(now+sameTime/2, content, server)
+				observer.RecordCrash(now, content, server)
+				routers[sender].RecordCrash(now, content, server)
+				if second := rapid.IntRange(0, len(routers)-1).Draw(t, "also seen by"); second != sender {
+					routers[second].RecordCrash(now+ageTolerance/2, content, server)
 				}
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "answered") == 0 {
 					// Only a router that knows of crashes has anything to clear.
-					routers[who].RecordSuccess(now, content)
-					all.clearSeen(now, content, &routers[who])
+					routers[sender].RecordSuccess(now, content)
+					observer.clearSeen(now, content, &routers[sender])
 				}
 			case 2:
-				list := routers[who].TakeReports(now, rapid.IntRange(1, 4).Draw(t, "most"))
+				list := routers[sender].TakeReports(now, rapid.IntRange(1, 4).Draw(t, "most"))
 				for to := range routers {
-					if to != who {
-						post = append(post, letter{to, list, now})
+					if to != sender {
+						inFlight = append(inFlight, message{to, list, now})
 					}
 				}
 			case 3:
-				if len(post) > 0 {
-					deliver(rapid.IntRange(0, len(post)-1).Draw(t, "letter"))
+				if len(inFlight) > 0 {
+					deliver(rapid.IntRange(0, len(inFlight)-1).Draw(t, "letter"))
 				}
 			}
 		}
 		for range 3 {
 			for i := range routers {
-				for _, x := range routers[i].known {
-					x.tell = 1
+				for _, x := range routers[i].byFingerprint {
+					x.sendsLeft = 1
 				}
-				list := routers[i].TakeReports(now, suspectsMost)
+				list := routers[i].TakeReports(now, maxSuspects)
 				for to := range routers {
 					if to != i {
 						routers[to].ApplyReports(now, list)
@@ -192,35 +192,35 @@
 		}
 		for i := range routers {
 			for c := Fingerprint(1); c <= 4; c++ {
-				require.Equal(t, all.Crashes(c), routers[i].Crashes(c), fmt.Sprintf("router %d, content %d", i, c))
-				require.Equal(t, all.known[c] != nil && all.known[c].barred, routers[i].known[c] != nil && routers[i].known[c].barred)
+				require.Equal(t, observer.Crashes(c), routers[i].Crashes(c), fmt.Sprintf("router %d, content %d", i, c))
+				require.Equal(t, observer.byFingerprint[c] != nil && observer.byFingerprint[c].barred, routers[i].byFingerprint[c] != nil && routers[i].byFingerprint[c].barred)
 			}
-			require.Equal(t, all.Digest(), routers[i].Digest())
+			require.Equal(t, observer.Digest(), routers[i].Digest())
 		}
 	})
 }
 
 // clearSeen clears a content where a router that answered it has cleared it.
 func (s *Suspects) clearSeen(now time.Duration, c Fingerprint, router *Suspects) {
-	x := router.known[c]
-	if x == nil || !x.cleared.known || x.cleared.at != now {
+	x := router.byFingerprint[c]
+	if x == nil || !x.cleared.valid || x.cleared.at != now {
 		return
 	}
-	mine := s.suspect(now, c)
+	mine := s.getOrAdd(now, c)
 	s.clear(mine, now)
-	s.judge()
+	s.updateBarred()
 }
 
 // aged returns a list as it is when it comes later: what it tells of is older by then.
-func aged(list []Report, late time.Duration) []Report {
+func aged(list []Report, delay time.Duration) []Report {
 	out := make([]Report, 0, len(list))
 	for _, r := range list {
-		r.ClearAge += ageOf(late)
-		r.AskAge += ageOf(late)
+		r.ClearAge += ageOf(delay)
+		r.AskAge += ageOf(delay)
 		crashes := r.Crashes
 		r.Crashes = nil
 		for _, c := range crashes {
-			r.Crashes = append(r.Crashes, CrashReport{c.Server, c.Age + ageOf(late)})
+			r.Crashes = append(r.Crashes, CrashReport{c.Server, c.Age + ageOf(delay)})
 		}
 		out = append(out, r)
 	}
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -18,10 +18,10 @@
 
 // States returns what is known of the contents under which most servers crashed, most at
 // a time; those that are barred come first.
-func (s *Suspects) States(now time.Duration, most int) []State {
-	out := make([]State, 0, len(s.known))
-	for c, x := range s.known {
-		out = append(out, State{Content: c.String(), Barred: x.barred, Recorded: s.listed[c], Crashes: len(x.crashes), Known: now - x.lastAt()})
+func (s *Suspects) States(now time.Duration, limit int) []State {
+	out := make([]State, 0, len(s.byFingerprint))
+	for c, x := range s.byFingerprint {
+		out = append(out, State{Content: c.String(), Barred: x.barred, Recorded: s.listed[c], Crashes: len(x.crashes), Known: now - x.lastUpdate()})
 	}
 	slices.SortFunc(out, func(a, b State) int {
 		if a.Barred != b.Barred {
@@ -32,5 +32,5 @@
 		}
 		return cmp.Or(-cmp.Compare(a.Crashes, b.Crashes), cmp.Compare(a.Known, b.Known), cmp.Compare(a.Content, b.Content))
 	})
-	return out[:min(len(out), most)]
+	return out[:min(len(out), limit)]
 }
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -16,15 +16,15 @@
 	// is asked for every few seconds or minutes, so that each stays barred.
 	Retention = 10 * time.Minute
 	// askToldEvery is the time between two lists that tell that a barred content is asked for.
-	askToldEvery = Retention / 4
+	refusedReportInterval = Retention / 4
 	// crashesKept bounds the crashes that are kept of one content; the oldest are dropped.
-	crashesKept = 16
+	maxCrashesKept = 16
 	// suspectsMost bounds the contents that are kept, which take some 150 bytes each: a hundred
 	// crashes of servers that each run forty requests at their beginning.
-	suspectsMost = 4096
+	maxSuspects = 4096
 	// forgottenAtOnce is how many are forgotten when there are as many: finding them takes a
 	// millisecond, which must not be the price of each new one.
-	forgottenAtOnce = suspectsMost / 8
+	evictionBatch = maxSuspects / 8
 )
 
 // Server names one incarnation of a backend server.
@@ -33,13 +33,13 @@
 // Suspects are the contents under which servers have crashed, as one router knows them. The
 // zero value knows none. Times are of the router's monotonic clock.
 type Suspects struct {
-	known    map[Fingerprint]*suspect
-	byServer map[Server][]*suspect // that were there when it crashed
-	changed  []Change
-	listed   map[Fingerprint]bool // by the store, see Record
-	digest   Digest
-	urgent   bool          // see Urgent
-	repeated time.Duration // when all that are barred were last told again
+	byFingerprint map[Fingerprint]*suspect
+	byServer      map[Server][]*suspect // that were there when it crashed
+	changed       []Change
+	listed        map[Fingerprint]bool // by the store, see Record
+	digest        Digest
+	urgent        bool          // see Urgent
+	lastResend    time.Duration // when all that are barred were last told again
 }
 
 // Change says that a content has become barred, or is no longer.
@@ -51,10 +51,10 @@
 
 // RecordCrash takes in that a server crashed while it ran a content, through this router.
 func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
-	if x := s.suspect(now, c); s.addCrash(x, crash{server, now}) {
-		x.tell = tellOwn
+	if x := s.getOrAdd(now, c); s.addCrash(x, crash{server, now}) {
+		x.sendsLeft = ownSends
 		s.urgent = s.urgent || x.nearlyBarred()
-		s.judge()
+		s.updateBarred()
 	}
 }
 
@@ -70,44 +70,44 @@
 // RecordSuccess takes in that a server has answered a content in full: no crash before it was
 // the content's doing.
 func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
-	x := s.known[c]
+	x := s.byFingerprint[c]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
 		return
 	}
 	s.clear(x, now)
-	if x.tell == tellOwn && !x.grave {
-		x.tell = 0 // nobody was told of the crash either
+	if x.sendsLeft == ownSends && !x.multiCrash {
+		x.sendsLeft = 0 // nobody was told of the crash either
 	} else {
-		x.tell = tellOwn
+		x.sendsLeft = ownSends
 	}
-	s.judge()
+	s.updateBarred()
 }
 
 // Barred tells whether requests of a content must not be sent, and takes in that one is
 // asked for.
 func (s *Suspects) Barred(now time.Duration, c Fingerprint) bool {
-	x := s.known[c]
+	x := s.byFingerprint[c]
 	if x == nil || !x.barred {
 		return false
 	}
-	x.asked.renew(now)
-	if !x.askTold.known || now-x.askTold.at >= askToldEvery {
+	x.refused.advance(now)
+	if !x.refusedReported.valid || now-x.refusedReported.at >= refusedReportInterval {
 		// Routers that aren't asked would forget it.
-		x.tell = max(x.tell, 1)
+		x.sendsLeft = max(x.sendsLeft, 1)
 	}
 	return true
 }
 
 // OneCrashFromBarred tells whether one more crash would bar a content.
 func (s *Suspects) OneCrashFromBarred(c Fingerprint) bool {
-	x := s.known[c]
-	return x != nil && harmful(len(x.crashes)+1, s.unexplained(x)+1)
+	x := s.byFingerprint[c]
+	return x != nil && shouldBar(len(x.crashes)+1, s.unexplained(x)+1)
 }
 
 // Crashes counts the servers that crashed under a content, those that another content
 // explains included.
 func (s *Suspects) Crashes(c Fingerprint) int {
-	if x := s.known[c]; x != nil {
+	if x := s.byFingerprint[c]; x != nil {
 		return len(x.crashes)
 	}
 	return 0
@@ -122,67 +122,67 @@
 
 // Expire forgets what is old.
 func (s *Suspects) Expire(now time.Duration) {
-	for _, x := range s.known {
-		if now-x.lastAt() > Retention {
-			s.forget(x)
+	for _, x := range s.byFingerprint {
+		if now-x.lastUpdate() > Retention {
+			s.remove(x)
 		}
 	}
-	s.judge()
+	s.updateBarred()
 }
 
 // suspect returns what is known of a content, and makes room for it where it is new.
-func (s *Suspects) suspect(now time.Duration, c Fingerprint) *suspect {
-	if x := s.known[c]; x != nil {
+func (s *Suspects) getOrAdd(now time.Duration, c Fingerprint) *suspect {
+	if x := s.byFingerprint[c]; x != nil {
 		return x
 	}
-	if s.known == nil {
-		s.known, s.byServer = make(map[Fingerprint]*suspect), make(map[Server][]*suspect)
+	if s.byFingerprint == nil {
+		s.byFingerprint, s.byServer = make(map[Fingerprint]*suspect), make(map[Server][]*suspect)
 	}
-	if len(s.known) >= suspectsMost {
-		s.makeRoom()
+	if len(s.byFingerprint) >= maxSuspects {
+		s.evict()
 	}
-	x := &suspect{content: c}
-	s.known[c] = x
+	x := &suspect{fingerprint: c}
+	s.byFingerprint[c] = x
 	return x
 }
 
 // makeRoom forgets some of the suspects of which least is lost: those that are not barred,
 // with the fewest crashes, known longest.
-func (s *Suspects) makeRoom() {
-	all := slices.SortedFunc(maps.Values(s.known), func(a, b *suspect) int {
-		return cmp.Or(cmp.Compare(len(a.crashes), len(b.crashes)), cmp.Compare(a.lastAt(), b.lastAt()), cmp.Compare(a.content, b.content))
+func (s *Suspects) evict() {
+	all := slices.SortedFunc(maps.Values(s.byFingerprint), func(a, b *suspect) int {
+		return cmp.Or(cmp.Compare(len(a.crashes), len(b.crashes)), cmp.Compare(a.lastUpdate(), b.lastUpdate()), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	all = slices.DeleteFunc(all, func(x *suspect) bool { return x.barred })
-	for _, x := range all[:min(len(all), forgottenAtOnce)] {
-		s.forget(x)
+	for _, x := range all[:min(len(all), evictionBatch)] {
+		s.remove(x)
 	}
-	s.judge()
+	s.updateBarred()
 }
 
-func (s *Suspects) forget(x *suspect) {
+func (s *Suspects) remove(x *suspect) {
 	s.dropCrashes(x)
 	x.recorded = false
 	if x.barred {
 		s.setBarred(x, false)
 	}
-	delete(s.known, x.content)
+	delete(s.byFingerprint, x.fingerprint)
 }
 
 // addCrash adds a crash, and tells whether it was new and counts.
 func (s *Suspects) addCrash(x *suspect, c crash) bool {
-	if x.sawCrash(c) || x.void(c.at) {
+	if x.hasCrash(c) || x.clearedSince(c.at) {
 		return false
 	}
-	if !x.ranOn(c.server) {
+	if !x.crashedServer(c.server) {
 		s.byServer[c.server] = append(s.byServer[c.server], x)
 	}
 	x.crashes = append(x.crashes, c)
-	x.grave = x.grave || len(x.crashes) > 1
+	x.multiCrash = x.multiCrash || len(x.crashes) > 1
 	slices.SortFunc(x.crashes, func(a, b crash) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.server, b.server)) })
-	if len(x.crashes) > crashesKept {
+	if len(x.crashes) > maxCrashesKept {
 		first := x.crashes[0].server
 		x.crashes = x.crashes[1:]
-		if !x.ranOn(first) {
+		if !x.crashedServer(first) {
 			s.unlink(x, first)
 		}
 	}
@@ -191,7 +191,7 @@
 
 // clear makes all crashes up to a time count no more.
 func (s *Suspects) clear(x *suspect, at time.Duration) {
-	x.cleared.renew(at)
+	x.cleared.advance(at)
 	x.recorded = false
 	later := x.crashes
 	s.dropCrashes(x)
--- a/quarantine/suspects_test.go
+++ b/quarantine/suspects_test.go
@@ -9,7 +9,7 @@
 
 const (
 	bad      Fingerprint = 1
-	innocent Fingerprint = 2
+	harmless Fingerprint = 2
 )
 
 // at is a time, in seconds, well after a router's start.
@@ -32,7 +32,7 @@
 	require.True(t, s.Barred(at(6), bad))
 	require.Equal(t, []Change{{Fingerprint: bad, Barred: true, Crashes: 3}}, s.TakeChanges())
 	require.Empty(t, s.TakeChanges())
-	require.False(t, s.Barred(at(6), innocent))
+	require.False(t, s.Barred(at(6), harmless))
 
 	last := at(6) + Retention - time.Second
 	s.Expire(last)
@@ -43,7 +43,7 @@
 	require.False(t, s.Barred(last+2*Retention+time.Second, bad))
 	require.Equal(t, []Change{{Fingerprint: bad, Barred: false, Crashes: 0}}, s.TakeChanges())
 	require.Zero(t, s.Digest())
-	require.Empty(t, s.known)
+	require.Empty(t, s.byFingerprint)
 	require.Empty(t, s.byServer)
 }
 
@@ -63,38 +63,38 @@
 // TestAnswerClears has a content be answered after two crashes: they were not its doing.
 func TestAnswerClears(t *testing.T) {
 	var s Suspects
-	s.RecordCrash(at(0), innocent, 10)
-	s.RecordCrash(at(1), innocent, 11)
-	s.RecordSuccess(at(2), innocent)
-	s.RecordCrash(at(3), innocent, 12)
-	require.Equal(t, 1, s.Crashes(innocent))
-	require.False(t, s.Barred(at(3), innocent))
+	s.RecordCrash(at(0), harmless, 10)
+	s.RecordCrash(at(1), harmless, 11)
+	s.RecordSuccess(at(2), harmless)
+	s.RecordCrash(at(3), harmless, 12)
+	require.Equal(t, 1, s.Crashes(harmless))
+	require.False(t, s.Barred(at(3), harmless))
 	s.RecordSuccess(at(4), bad) // of whom nothing is known
-	require.Len(t, s.known, 1)
+	require.Len(t, s.byFingerprint, 1)
 }
 
 // TestCompanyIsNotBlamed has a request be there whenever servers crash under another one that
 // has crashed more. It is not barred; where nothing tells the two apart, both are.
-func TestCompanyIsNotBlamed(t *testing.T) {
+func TestConcurrentRequestIsNotBarred(t *testing.T) {
 	var s Suspects
 	for i := range Server(3) {
 		s.RecordCrash(at(float64(i)), bad, 10+i)
-		s.RecordCrash(at(float64(i)), innocent, 10+i)
+		s.RecordCrash(at(float64(i)), harmless, 10+i)
 	}
-	require.True(t, s.Barred(at(3), innocent), "nothing tells them apart")
+	require.True(t, s.Barred(at(3), harmless), "nothing tells them apart")
 	s.RecordCrash(at(4), bad, 20)
 	require.True(t, s.Barred(at(4), bad))
-	require.False(t, s.Barred(at(4), innocent), "the other explains all its crashes")
+	require.False(t, s.Barred(at(4), harmless), "the other explains all its crashes")
 
 	var later Suspects
 	for i := range Server(4) {
 		later.RecordCrash(at(float64(i)), bad, 10+i)
 		if i > 0 {
-			later.RecordCrash(at(float64(i)), innocent, 10+i)
+			later.RecordCrash(at(float64(i)), harmless, 10+i)
 		}
 	}
 	require.True(t, later.Barred(at(4), bad))
-	require.False(t, later.Barred(at(4), innocent))
+	require.False(t, later.Barred(at(4), harmless))
 }
 
 // TestReleasedContentThatCrashesAlone has two contents end the same servers at once, as on a day when
@@ -102,7 +102,7 @@
 // 65 ms later "quarantine_ended", since the other had seen more crashes and explained these. The one
 // that was released needed as many crashes again as one of which nothing is known; one more by
 // itself must do.
-func TestReleasedContentThatCrashesAlone(t *testing.T) {
+func TestReleasedFingerprintThatCrashesAlone(t *testing.T) {
 	const other Fingerprint = 3
 	var s Suspects
 	for i := range Server(6) {
@@ -121,36 +121,36 @@
 	for i := range Server(4) {
 		twice.RecordCrash(at(0), other, 10+i)
 	}
-	twice.RecordCrash(at(0), innocent, 10)
-	twice.RecordCrash(at(0), innocent, 11)
-	twice.RecordCrash(at(5), innocent, 20)
-	require.False(t, twice.Barred(at(5), innocent), "one crash more than another explains may happen by itself")
+	twice.RecordCrash(at(0), harmless, 10)
+	twice.RecordCrash(at(0), harmless, 11)
+	twice.RecordCrash(at(5), harmless, 20)
+	require.False(t, twice.Barred(at(5), harmless), "one crash more than another explains may happen by itself")
 }
 
 // TestSuspectsAreFew has far more servers crash than contents are kept: what has crashed most is
 // kept.
-func TestSuspectsAreFew(t *testing.T) {
+func TestSuspectsAreBounded(t *testing.T) {
 	var s Suspects
 	for i := range Server(CrashThreshold) {
 		s.RecordCrash(at(0), bad, i)
 	}
-	for i := range 3 * suspectsMost {
+	for i := range 3 * maxSuspects {
 		s.RecordCrash(at(1), Fingerprint(100+i), Server(1000+i))
 	}
-	require.LessOrEqual(t, len(s.known), suspectsMost)
-	require.Greater(t, len(s.known), suspectsMost/2)
-	require.LessOrEqual(t, len(s.byServer), suspectsMost+CrashThreshold)
+	require.LessOrEqual(t, len(s.byFingerprint), maxSuspects)
+	require.Greater(t, len(s.byFingerprint), maxSuspects/2)
+	require.LessOrEqual(t, len(s.byServer), maxSuspects+CrashThreshold)
 	require.True(t, s.Barred(at(1), bad))
-	for i := range 3 * crashesKept {
-		s.RecordCrash(at(2), innocent, Server(1e6+i))
+	for i := range 3 * maxCrashesKept {
+		s.RecordCrash(at(2), harmless, Server(1e6+i))
 	}
-	require.Equal(t, crashesKept, s.Crashes(innocent))
+	require.Equal(t, maxCrashesKept, s.Crashes(harmless))
 }
 
 // BenchmarkBarred is what each request pays while thousands of contents are suspected: 20 ns.
 func BenchmarkBarred(b *testing.B) {
 	var s Suspects
-	for i := range suspectsMost {
+	for i := range maxSuspects {
 		s.RecordCrash(at(1), Fingerprint(100+i), Server(1000+i))
 	}
 	for b.Loop() {
--- a/rollout/cells.go
+++ b/rollout/cells.go
@@ -54,7 +54,7 @@
 }
 
 // keys are in a fixed order, as sums of floats depend on it.
-func (c cells) keys() []cellKey {
+func (c cells) sortedKeys() []cellKey {
 	return slices.SortedFunc(maps.Keys(c), compareKeys)
 }
 
@@ -91,7 +91,7 @@
 
 func (c cells) list() []Cell {
 	var list []Cell
-	for _, k := range c.keys() {
+	for _, k := range c.sortedKeys() {
 		t := c[k]
 		list = append(list, Cell{k.Route, k.Cohort, k.Target, k.AfterStart, t.Good, t.Bad})
 	}
@@ -110,10 +110,10 @@
 }
 
 // answers counts all answers, each once.
-func (c cells) answers() float64 { return c.total(true).answers() + c.total(false).answers() }
+func (c cells) responses() float64 { return c.total(true).responses() + c.total(false).responses() }
 
 // badOfTarget counts the target's bad answers of both kinds.
-func badOfTarget(list []Cell) uint32 {
+func targetBad(list []Cell) uint32 {
 	bad := uint32(0)
 	for _, c := range list {
 		if c.Target {
@@ -125,4 +125,4 @@
 
 func (t Tally) plus(o Tally) Tally { return Tally{t.Good + o.Good, t.Bad + o.Bad} }
 
-func (t Tally) answers() float64 { return float64(t.Good) + float64(t.Bad) }
+func (t Tally) responses() float64 { return float64(t.Good) + float64(t.Bad) }
--- a/rollout/confirm_test.go
+++ b/rollout/confirm_test.go
@@ -8,11 +8,11 @@
 )
 
 // inLastStage returns a fleet of one router whose roll-out has come to its last stage.
-func inLastStage() *sim {
+func newSimInLastStage() *sim {
 	s := newSim(1, 1)
 	s.run(time.Second)
-	s.order(newVersion, "m1", simWithin)
-	s.run(newTimeline(simWithin).due(All))
+	s.placeOrder(newVersion, "m1", simWithin)
+	s.run(newTimeline(simWithin).stageAt(All))
 	return s
 }
 
@@ -20,26 +20,26 @@
 // written as completed while a router that is heard of late is not in the last stage.
 func TestRolloutConfirmedWaitsForAll(t *testing.T) {
 	t.Parallel()
-	s := inLastStage()
+	s := newSimInLastStage()
 	s.store.down = true
-	s.run(idleFor + 2*TickInterval)
+	s.run(minOldIdle + 2*TickInterval)
 	m := s.routers[0].machine
 	require.Equal(t, WaitStatus, m.Snapshots()[0].WaitsFor)
-	require.False(t, completes(s, m, Half))
-	require.True(t, completes(s, m, All))
-	require.Less(t, s.now-s.orderAt, newTimeline(simWithin).giveUp, "there was time for both")
+	require.False(t, writesCompleted(s, m, Half))
+	require.True(t, writesCompleted(s, m, All))
+	require.Less(t, s.now-s.orderAt, newTimeline(simWithin).rejectAt, "there was time for both")
 }
 
 // writePause bounds the pauses between writes that fail within idleFor: each is twice the one
 // before.
-const writePause = idleFor
+const maxFailedWritePause = minOldIdle
 
 // completes tells whether a machine writes `completed` within such a pause while another
 // router has a stage in force.
-func completes(s *sim, m *Machine, inForce Stage) bool {
+func writesCompleted(s *sim, m *Machine, inForce Stage) bool {
 	other := m.Reports()[0]
 	other.MinAppliedStage = inForce
-	for end := s.now + writePause; s.now < end; {
+	for end := s.now + maxFailedWritePause; s.now < end; {
 		s.now += TickInterval
 		m.Update(PeerReportsMsg{Now: s.now, Reports: []Report{other}})
 		for _, c := range m.Update(TickMsg{Now: s.now, Wall: s.wallTime(), Leads: true, Routers: 2}) {
@@ -55,15 +55,15 @@
 // router is there that has told nothing.
 func TestRolloutSettledNeedsAllRouters(t *testing.T) {
 	t.Parallel()
-	s := inLastStage()
-	require.False(t, settles(s, 2))
-	require.True(t, settles(s, 1))
+	s := newSimInLastStage()
+	require.False(t, confirms(s, 2))
+	require.True(t, confirms(s, 1))
 }
 
 // settles tells whether a router finds the roll-out done soon, with so many routers there.
-func settles(s *sim, routers int) bool {
+func confirms(s *sim, routers int) bool {
 	m := s.routers[0].machine
-	for end := s.now + 2*idleFor; s.now < end; {
+	for end := s.now + 2*minOldIdle; s.now < end; {
 		s.now += TickInterval
 		m.Update(TickMsg{Now: s.now, Wall: s.wallTime(), Leads: true, Routers: routers})
 		if m.Snapshots()[0].WaitsFor == WaitStatus {
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -14,7 +14,7 @@
 }
 
 // plus adds what other routers are asked.
-func (d Demand) plus(o Demand) Demand {
+func (d Demand) add(o Demand) Demand {
 	return Demand{
 		Complete:  d.Complete && o.Complete,
 		PerSecond: d.PerSecond + o.PerSecond,
@@ -27,25 +27,25 @@
 
 // ownDemand is what this router is asked: at least as much as it has judged answers.
 func (r *rollout) ownDemand() Demand {
-	return r.demandOf(max(float64(r.asked), r.own.answers()))
+	return r.demandOf(max(float64(r.requests), r.own.responses()))
 }
 
 // demand is what all routers are asked.
 func (r *rollout) demand() Demand {
 	switch {
-	case r.others.Routers == 0:
+	case r.peers.Routers == 0:
 		return r.ownDemand()
-	case r.others.Demand.Complete:
-		return r.ownDemand().plus(r.others.Demand)
+	case r.peers.Demand.Complete:
+		return r.ownDemand().add(r.peers.Demand)
 	}
 	return r.demandOf(r.estimatedRequests())
 }
 
 // demandOf is the demand that so many requests make since this router began to watch.
 func (r *rollout) demandOf(requests float64) Demand {
-	d := Demand{Complete: true, Observed: r.watched}
-	if r.watched > 0 {
-		d.PerSecond = requests / r.watched.Seconds()
+	d := Demand{Complete: true, Observed: r.observed}
+	if r.observed > 0 {
+		d.PerSecond = requests / r.observed.Seconds()
 	}
 	return d
 }
@@ -54,7 +54,7 @@
 // evidence. Answers that say nothing of a version, such as those of cold servers, are not in it,
 // so as many more are taken to have come to all as came to this router.
 func (r *rollout) estimatedRequests() float64 {
-	asked := float64(r.asked)
-	unjudged := max(1, asked/max(1, r.own.answers()))
-	return max(asked, unjudged*r.all.answers())
+	requests := float64(r.requests)
+	unjudged := max(1, requests/max(1, r.own.responses()))
+	return max(requests, unjudged*r.all.responses())
 }
--- a/rollout/early_test.go
+++ b/rollout/early_test.go
@@ -11,7 +11,7 @@
 // before it hears of the new servers: the old ones get its requests until then. A version
 // that is rejected is not kept so.
 func TestRolloutEarlyGate(t *testing.T) {
-	known := func(inUse ...string) *Machine {
+	newLoadedMachine := func(inUse ...string) *Machine {
 		m := NewMachine(Bounds{Share: 0.1})
 		m.Update(VersionsMsg{Services: map[string][]string{"s": {oldVersion}}})
 		m.Update(OrdersMsg{})
@@ -19,12 +19,12 @@
 		return m
 	}
 	order := Order{Service: "s", Target: newVersion, Within: time.Minute, Made: "1", Revision: 2, State: Completed, StateTarget: newVersion}
-	m := known(oldVersion)
+	m := newLoadedMachine(oldVersion)
 	require.Empty(t, gatesOf(m.Update(OrdersMsg{Orders: []Order{order}})))
 	got := gatesOf(m.Update(VersionsMsg{Services: map[string][]string{"s": {newVersion, oldVersion}}}))
 	require.Equal(t, []Gate{{Service: "s", InUse: []string{newVersion}}}, got)
 
-	m = known(newVersion, oldVersion)
+	m = newLoadedMachine(newVersion, oldVersion)
 	order.Target, order.State, order.StateTarget = oldVersion, RolledBack, oldVersion
 	got = gatesOf(m.Update(OrdersMsg{Orders: []Order{order}}))
 	require.Equal(t, []Gate{{Service: "s", InUse: []string{newVersion}}}, got)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -4,10 +4,10 @@
 
 // leastOthers is the part of a test's answers that must come from other cohorts before
 // one may be left out: a tenth still finds a bad version, if more slowly.
-const leastOthers = 0.1
+const minOtherFraction = 0.1
 
 // secondPart is the part of the greatest sum of one cohort that the second greatest must reach to confirm it.
-const secondPart = 0.5
+const secondFraction = 0.5
 
 // evidence is the running sum of one test. It adds up log likelihood ratios, bad version
 // against good, and is never below 0 (Page's CUSUM): so it is the sum over that stretch of
@@ -23,10 +23,10 @@
 
 // cohortEvidence is what a test knows of one cohort.
 type cohortEvidence struct {
-	cohort  string
-	without float64 // the test's sum with this cohort left out
-	own     float64 // the same sum of this cohort alone
-	answers float64
+	cohort    string
+	excluding float64 // the test's sum with this cohort left out
+	own       float64 // the same sum of this cohort alone
+	responses float64
 }
 
 func (e *evidence) clone() *evidence {
@@ -37,9 +37,9 @@
 
 // ratio is the log likelihood ratio of a slice of time in one cohort.
 type ratio struct {
-	cohort  string
-	ratio   float64
-	answers float64
+	cohort    string
+	ratio     float64
+	responses float64
 }
 
 type ratios []ratio
@@ -58,21 +58,21 @@
 		return append(r, add)
 	}
 	r[i].ratio += add.ratio
-	r[i].answers += add.answers
+	r[i].responses += add.responses
 	return r
 }
 
 // addAgainst adds the answers of one look to what speaks against the target.
-func (e *evidence) addAgainst(step ratios) {
+func (e *evidence) addAgainst(increment ratios) {
 	sum := 0.0
-	for _, r := range step {
+	for _, r := range increment {
 		sum += r.ratio
-		e.cohort(r.cohort).answers += r.answers
+		e.getOrAddCohort(r.cohort).responses += r.responses
 	}
 	for i := range e.cohorts {
 		c := &e.cohorts[i]
-		own := step.of(c.cohort)
-		c.without = max(0, c.without+sum-own)
+		own := increment.of(c.cohort)
+		c.excluding = max(0, c.excluding+sum-own)
 		c.own = max(0, c.own+own)
 	}
 	e.all = max(0, e.all+sum)
@@ -80,20 +80,20 @@
 
 // addInFavour adds the answers of a slice of time to what speaks for the target.
 func (e *evidence) addInFavour(slice ratios) {
-	sum, most := 0.0, 0.0
+	sum, largest := 0.0, 0.0
 	for _, r := range slice {
 		sum += r.ratio
-		most = max(most, r.ratio)
+		largest = max(largest, r.ratio)
 	}
-	e.inFavour = min(0, e.inFavour+sum-most)
+	e.inFavour = min(0, e.inFavour+sum-largest)
 }
 
 // cohort finds or adds a cohort. Until it is added the sum without it is the whole sum.
-func (e *evidence) cohort(name string) *cohortEvidence {
+func (e *evidence) getOrAddCohort(name string) *cohortEvidence {
 	i := slices.IndexFunc(e.cohorts, func(c cohortEvidence) bool { return c.cohort == name })
 	if i < 0 {
 		i = len(e.cohorts)
-		e.cohorts = append(e.cohorts, cohortEvidence{cohort: name, without: e.all})
+		e.cohorts = append(e.cohorts, cohortEvidence{cohort: name, excluding: e.all})
 	}
 	return &e.cohorts[i]
 }
@@ -101,16 +101,16 @@
 // inTwoCohorts returns how much speaks against the target where each cohort is looked at alone: the
 // greatest sum, as far as the second greatest confirms it. Servers that turn bad cohort by cohort show it
 // so, while the good answers of the rest still hide it in the common sum.
-func (e *evidence) inTwoCohorts() float64 {
-	most, second := 0.0, 0.0
+func (e *evidence) againstByCohort() float64 {
+	largest, second := 0.0, 0.0
 	for _, c := range e.cohorts {
-		if c.own > most {
-			most, second = c.own, most
+		if c.own > largest {
+			largest, second = c.own, largest
 			continue
 		}
 		second = max(second, c.own)
 	}
-	return min(most, second/secondPart)
+	return min(largest, second/secondFraction)
 }
 
 // against returns how much speaks against the target, leaving out the cohort that does
@@ -118,25 +118,25 @@
 func (e *evidence) against() float64 {
 	total := 0.0
 	for _, c := range e.cohorts {
-		total += c.answers
+		total += c.responses
 	}
-	least, found := e.all, false
+	smallest, found := e.all, false
 	for _, c := range e.cohorts {
-		if total-c.answers < leastOthers*total {
+		if total-c.responses < minOtherFraction*total {
 			continue
 		}
-		if !found || c.without < least {
-			least, found = c.without, true
+		if !found || c.excluding < smallest {
+			smallest, found = c.excluding, true
 		}
 	}
-	return least
+	return smallest
 }
 
 // relax lowers what speaks against the target.
-func (e *evidence) relax(to float64) {
-	e.all = min(e.all, to)
+func (e *evidence) capAt(limit float64) {
+	e.all = min(e.all, limit)
 	for i := range e.cohorts {
-		e.cohorts[i].without = min(e.cohorts[i].without, to)
-		e.cohorts[i].own = min(e.cohorts[i].own, to)
+		e.cohorts[i].excluding = min(e.cohorts[i].excluding, limit)
+		e.cohorts[i].own = min(e.cohorts[i].own, limit)
 	}
 }
--- a/rollout/first_test.go
+++ b/rollout/first_test.go
@@ -9,7 +9,7 @@
 
 // TestRolloutFirstVersionsLeaveOutRejected shows that without a record, a version that was
 // rolled back by the order before this one is not taken for one in use.
-func TestRolloutFirstVersionsLeaveOutRejected(t *testing.T) {
+func TestRolloutInitialVersionsExcludeRejected(t *testing.T) {
 	m := NewMachine(Bounds{Share: 0.1})
 	m.Update(VersionsMsg{Services: map[string][]string{"s": {oldVersion, newVersion, "v3"}}})
 	m.Update(RecordsMsg{})
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -10,20 +10,20 @@
 )
 
 // disturbed is a fleet to which things happen until the last third of an order's time.
-type disturbed struct {
+type faultyFleet struct {
 	*sim
-	marks int
+	ordersMade int
 	// moved: the wall clock was set; lost: routers were. Only both together can make
 	// the fleet mistake an order's age.
-	moved, lost bool
-	bad         bool
+	clockStepped, routersLost bool
+	bad                       bool
 }
 
-func (d *disturbed) router(t *rapid.T) *simRouter {
+func (d *faultyFleet) router(t *rapid.T) *simRouter {
 	return rapid.SampledFrom(d.routers).Draw(t, "router")
 }
 
-func (d *disturbed) actions() map[string]func(*rapid.T) {
+func (d *faultyFleet) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
 			require.Empty(t, d.fault)
@@ -40,7 +40,7 @@
 		},
 		"cut": func(t *rapid.T) {
 			r := d.router(t)
-			r.cut = !r.cut
+			r.partitioned = !r.partitioned
 		},
 		"a second leader": func(t *rapid.T) {
 			r := d.router(t)
@@ -48,61 +48,61 @@
 		},
 		"restart": func(t *rapid.T) {
 			i := rapid.IntRange(0, len(d.routers)-1).Draw(t, "router")
-			d.routers[i] = d.fresh()
-			d.lost = true
+			d.routers[i] = d.newRouter()
+			d.routersLost = true
 		},
 		"restart all": func(t *rapid.T) {
 			d.restartAll()
-			d.lost = true
+			d.routersLost = true
 		},
 		"store down":     func(t *rapid.T) { d.store.down = !d.store.down },
-		"answers lost":   func(t *rapid.T) { d.store.lossy = !d.store.lossy },
-		"writes late":    func(t *rapid.T) { d.store.slow = !d.store.slow },
-		"late writes":    func(t *rapid.T) { d.store.doLate() },
-		"wall clock":     d.stepWall,
+		"answers lost":   func(t *rapid.T) { d.store.losesReplies = !d.store.losesReplies },
+		"writes late":    func(t *rapid.T) { d.store.delaysWrites = !d.store.delaysWrites },
+		"late writes":    func(t *rapid.T) { d.store.applyDelayed() },
+		"wall clock":     d.stepWallClock,
 		"never ordered":  func(t *rapid.T) { d.versions = append(d.versions, "never") },
-		"order replaced": func(t *rapid.T) { d.reorder(t, "m") },
+		"order replaced": func(t *rapid.T) { d.replaceOrder(t, "m") },
 		"order deleted":  func(t *rapid.T) { d.store.order = nil },
 		"order anew": func(t *rapid.T) {
 			d.store.order = nil
 			d.tick()
-			d.reorder(t, "m")
+			d.replaceOrder(t, "m")
 		},
 	}
 }
 
-func (d *disturbed) stepWall(t *rapid.T) {
+func (d *faultyFleet) stepWallClock(t *rapid.T) {
 	step := time.Duration(rapid.IntRange(-60, 5).Draw(t, "seconds")) * time.Second
-	d.wall += step
-	d.moved = true
+	d.wallOffset += step
+	d.clockStepped = true
 }
 
-func (d *disturbed) reorder(t *rapid.T, mark string) {
+func (d *faultyFleet) replaceOrder(t *rapid.T, mark string) {
 	target := rapid.SampledFrom([]string{newVersion, "v3", "v4"}).Draw(t, "target")
 	if d.store.order != nil && d.store.order.Target == target {
 		return
 	}
 	if d.store.order == nil {
-		d.marks++ // a mark comes up once
+		d.ordersMade++ // a mark comes up once
 	}
-	d.seen(target, fmt.Sprint(mark, d.marks))
+	d.placeRecordedOrder(target, fmt.Sprint(mark, d.ordersMade))
 }
 
 // seen makes an order, and lets some router see it and record it: what no router has ever
 // known has no age.
-func (d *disturbed) seen(target, mark string) {
-	was := *d.store
-	d.store.down, d.store.lossy, d.store.slow = false, false, false
-	d.routers[0].paused, d.routers[0].cut = false, false
-	d.order(target, mark, simWithin)
+func (d *faultyFleet) placeRecordedOrder(target, mark string) {
+	before := *d.store
+	d.store.down, d.store.losesReplies, d.store.delaysWrites = false, false, false
+	d.routers[0].paused, d.routers[0].partitioned = false, false
+	d.placeOrder(target, mark, simWithin)
 	d.run(3 * time.Second)
-	d.store.down, d.store.lossy, d.store.slow = was.down, was.lossy, was.slow
+	d.store.down, d.store.losesReplies, d.store.delaysWrites = before.down, before.losesReplies, before.delaysWrites
 }
 
-func (d *disturbed) calm() {
-	d.store.down, d.store.lossy, d.store.slow = false, false, false
+func (d *faultyFleet) endFaults() {
+	d.store.down, d.store.losesReplies, d.store.delaysWrites = false, false, false
 	for _, r := range d.routers {
-		r.paused, r.cut, r.leads = false, false, false
+		r.paused, r.partitioned, r.leads = false, false, false
 	}
 }
 
@@ -112,7 +112,7 @@
 func TestRolloutFleetFuzz(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		d := &disturbed{sim: newSim(rapid.IntRange(1, 4).Draw(t, "routers"), 1)}
+		d := &faultyFleet{sim: newSim(rapid.IntRange(1, 4).Draw(t, "routers"), 1)}
 		d.bad = rapid.Bool().Draw(t, "bad")
 		if d.bad {
 			for _, v := range []string{newVersion, "v3", "v4"} {
@@ -120,27 +120,27 @@
 			}
 		}
 		d.run(500 * time.Millisecond)
-		d.seen(newVersion, "m")
+		d.placeRecordedOrder(newVersion, "m")
 		t.Repeat(d.actions())
-		calmAt := d.orderAt + simWithin*2/3
-		late := d.now > calmAt
+		faultsEndAt := d.orderAt + simWithin*2/3
+		late := d.now > faultsEndAt
 		if !late {
-			d.run(calmAt - d.now)
+			d.run(faultsEndAt - d.now)
 		}
-		d.calm()
+		d.endFaults()
 		require.Empty(t, d.fault)
 		if d.store.order == nil {
 			return
 		}
-		d.store.doLate()
+		d.store.applyDelayed()
 		d.run(max(0, d.orderAt+simWithin-d.now))
 		require.Empty(t, d.fault)
-		mistaken := d.moved && d.lost
-		if !d.bad && !mistaken && !late {
+		ageUnknown := d.clockStepped && d.routersLost
+		if !d.bad && !ageUnknown && !late {
 			require.Equal(t, Completed, d.status())
 		}
 		d.run(3 * time.Second)
-		if mistaken {
+		if ageUnknown {
 			d.run(simWithin)
 		}
 		require.Empty(t, d.fault)
--- a/rollout/gates_test.go
+++ b/rollout/gates_test.go
@@ -9,7 +9,7 @@
 
 // TestRolloutOfVersionInUseServesMeanwhile shows that a version in use gets requests from
 // the order for it until a leader raises the stage, and where the order makes no sense.
-func TestRolloutOfVersionInUseServesMeanwhile(t *testing.T) {
+func TestRolloutOfVersionInUseKeepsServing(t *testing.T) {
 	for _, within := range []time.Duration{time.Minute, 0} {
 		m := NewMachine(Bounds{Share: 0.1})
 		m.Update(VersionsMsg{Services: map[string][]string{"s": {oldVersion}}})
--- a/rollout/hold_test.go
+++ b/rollout/hold_test.go
@@ -12,17 +12,17 @@
 // go on all the time.
 func TestRolloutHoldIsNotForEver(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(time.Second)
 	r := s.routers[2]
-	r.cut = true
-	s.answerBadly(r, 20)
+	r.partitioned = true
+	s.respondBadly(r, 20)
 	s.run(TickInterval)
 	require.Zero(t, r.gate.Fraction)
 	require.Equal(t, Waiting, r.machine.Reports()[0].MinAppliedStage)
 	require.Equal(t, Trial, r.machine.Reports()[0].MaxStage)
 	require.Positive(t, s.routers[0].gate.Fraction)
-	s.run(firstHold + TickInterval)
+	s.run(initialHold + TickInterval)
 	require.Positive(t, r.gate.Fraction)
 	s.run(simWithin - (s.now - s.orderAt))
 	require.Empty(t, s.fault)
@@ -30,9 +30,9 @@
 }
 
 // answerBadly tells a router of bad answers of the target, in several cohorts.
-func (s *sim) answerBadly(r *simRouter, n int) {
+func (s *sim) respondBadly(r *simRouter, n int) {
 	for i := range n {
-		s.send(r, ResponseMsg{
+		s.update(r, ResponseMsg{
 			Now:     s.now - r.started,
 			Service: simService,
 			Route:   "a",
@@ -48,26 +48,26 @@
 	t.Parallel()
 	var h hold
 	h.begin(0)
-	require.Equal(t, firstHold, h.until)
+	require.Equal(t, initialHold, h.until)
 	h.begin(0)
-	require.Equal(t, firstHold*holdGrowth, h.until)
+	require.Equal(t, initialHold*holdGrowth, h.until)
 }
 
 // TestRolloutRejectionIsTold shows that what the leader has rejected stays closed at all
 // routers while the store can't be written.
 func TestRolloutRejectionIsTold(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(time.Second)
 	s.store.down = true
-	s.answerBadly(s.routers[0], 30)
-	s.run(2 * firstHold)
+	s.respondBadly(s.routers[0], 30)
+	s.run(2 * initialHold)
 	for _, r := range s.routers {
 		require.Zero(t, r.gate.Fraction)
 		require.True(t, r.machine.Reports()[0].Rejected)
 	}
 	s.routers = s.routers[1:]
 	s.store.down = false
-	s.run(mostPause + time.Second)
+	s.run(maxBackoff + time.Second)
 	require.Equal(t, RolledBack, s.status())
 }
--- a/rollout/interleaving_test.go
+++ b/rollout/interleaving_test.go
@@ -10,17 +10,17 @@
 
 // move is one step of an interleaving.
 type move struct {
-	name string
-	do   func(s *sim)
+	name  string
+	apply func(s *sim)
 }
 
 func interleavingMoves() []move {
 	return []move{
 		{"first leader's turn", func(s *sim) { s.turn(0) }},
 		{"second leader's turn", func(s *sim) { s.turn(1) }},
-		{"store is slow from here", func(s *sim) { s.store.slow = true }},
-		{"late write is done", func(s *sim) { s.store.slow = false; s.store.doLate() }},
-		{"version turns bad", func(s *sim) { s.badRate[newVersion] = 0.9; s.load = 5000 }},
+		{"store is slow from here", func(s *sim) { s.store.delaysWrites = true }},
+		{"late write is done", func(s *sim) { s.store.delaysWrites = false; s.store.applyDelayed() }},
+		{"version turns bad", func(s *sim) { s.badRate[newVersion] = 0.9; s.requestRate = 5000 }},
 	}
 }
 
@@ -49,14 +49,14 @@
 			return
 		}
 		tried++
-		s := beforeTheEnd()
+		s := newSimBeforeCompletion()
 		var names []string
 		for _, i := range path {
-			moves[i].do(s)
+			moves[i].apply(s)
 			names = append(names, moves[i].name)
 		}
-		s.store.slow = false
-		s.store.doLate()
+		s.store.delaysWrites = false
+		s.store.applyDelayed()
 		s.run(6 * time.Second)
 		require.Empty(t, s.fault, strings.Join(names, ", "))
 		require.True(t, s.status().Final(), strings.Join(names, ", "))
@@ -71,13 +71,13 @@
 
 // beforeTheEnd is a fleet of two leaders a moment before they find the roll-out done. The
 // order is a short one, as it is built for every interleaving.
-func beforeTheEnd() *sim {
+func newSimBeforeCompletion() *sim {
 	const within = 6 * time.Second
 	s := newSim(2, 1)
 	s.routers[1].leads = true
-	s.load = 150
+	s.requestRate = 150
 	s.run(TickInterval)
-	s.order(newVersion, "m1", within)
-	s.run(newTimeline(within).due(All) + 900*time.Millisecond)
+	s.placeOrder(newVersion, "m1", within)
+	s.run(newTimeline(within).stageAt(All) + 900*time.Millisecond)
 	return s
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -10,52 +10,52 @@
 )
 
 // judged is how a simulated fleet does: rates of bad answers, and what the judge said.
-type judged struct {
+type judgeSim struct {
 	perSecond float64 // of the target, in the trial
 	seconds   float64 // until the ramp
 	// bad returns the rate of bad answers at a time.
 	bad func(at float64, route, cohort, server int, target bool) float64
 	// later: the bad answers begin well and go on slowly.
-	later bool
+	afterStart bool
 }
 
 const (
-	simRoutes  = 3
-	simCohorts = 3
-	simServers = 2 // of each cohort that take requests
-	simOld     = 19
-	simLooks   = 5 // a second; fewer than in use, to be done sooner
+	simRoutes      = 3
+	simCohorts     = 3
+	simServers     = 2 // of each cohort that take requests
+	simOldFactor   = 19
+	simEvaluations = 5 // a second; fewer than in use, to be done sooner
 )
 
 // run returns the verdict, when it was Bad and how many bad answers the target gave.
-func (s judged) run(seed int64) (Verdict, float64, int) {
+func (s judgeSim) run(seed int64) (Verdict, float64, int) {
 	rng := rand.New(rand.NewSource(seed))
 	judge := NewJudge()
 	counts := cells{}
-	bads := 0
+	badResponses := 0
 	verdict := Undecided
-	for look := 1; float64(look)/simLooks <= s.seconds; look++ {
-		at := float64(look) / simLooks
-		bads += s.answers(rng, at, true, counts)
-		s.answers(rng, at, false, counts)
-		verdict = judge.look(time.Duration(look)*time.Second/simLooks, maps.Clone(counts))
+	for evaluation := 1; float64(evaluation)/simEvaluations <= s.seconds; evaluation++ {
+		at := float64(evaluation) / simEvaluations
+		badResponses += s.addResponses(rng, at, true, counts)
+		s.addResponses(rng, at, false, counts)
+		verdict = judge.evaluate(time.Duration(evaluation)*time.Second/simEvaluations, maps.Clone(counts))
 		if verdict == Bad {
-			return Bad, at, bads
+			return Bad, at, badResponses
 		}
 	}
-	return verdict, s.seconds, bads
+	return verdict, s.seconds, badResponses
 }
 
-func (s judged) answers(rng *rand.Rand, at float64, target bool, counts cells) int {
-	mean := s.perSecond / simLooks
+func (s judgeSim) addResponses(rng *rand.Rand, at float64, target bool, counts cells) int {
+	mean := s.perSecond / simEvaluations
 	if !target {
-		mean *= simOld
+		mean *= simOldFactor
 	}
 	n := int(mean)
 	if rng.Float64() < mean-float64(n) {
 		n++
 	}
-	bads := 0
+	badResponses := 0
 	for range n {
 		route, cohort, server := rng.Intn(simRoutes), rng.Intn(simCohorts), rng.Intn(simServers)
 		if rng.Float64() < 0.5 {
@@ -66,15 +66,15 @@
 		switch {
 		case !bad:
 			counts.count(k, Tally{Good: 1})
-		case s.later:
+		case s.afterStart:
 			counts.count(k, Tally{Good: 1})
 		default:
 			counts.count(k, Tally{Bad: 1})
 		}
 		if bad {
-			bads++
+			badResponses++
 		}
-		if s.later || !bad {
+		if s.afterStart || !bad {
 			k.AfterStart = true
 			t := Tally{Good: 1}
 			if bad {
@@ -83,20 +83,20 @@
 			counts.count(k, t)
 		}
 	}
-	return bads
+	return badResponses
 }
 
 type badRate = func(at float64, route, cohort, server int, target bool) float64
 
 const simBase = 0.01
 
-func either(a, b float64) float64 { return 1 - (1-a)*(1-b) }
+func eitherFails(a, b float64) float64 { return 1 - (1-a)*(1-b) }
 
-func plain(float64, int, int, int, bool) float64 { return simBase }
+func baseRate(float64, int, int, int, bool) float64 { return simBase }
 
 func goodCases() map[string]badRate {
 	return map[string]badRate{
-		"plain": plain,
+		"plain": baseRate,
 		"beside a grey server of the target": func(_ float64, _, cohort, server int, target bool) float64 {
 			if target && cohort == 0 && server == 0 {
 				return 0.4
@@ -128,7 +128,7 @@
 func worse(extra float64, when func(at float64, route int) bool) badRate {
 	return func(at float64, route, _, _ int, target bool) float64 {
 		if target && when(at, route) {
-			return either(simBase, extra)
+			return eitherFails(simBase, extra)
 		}
 		return simBase
 	}
@@ -140,10 +140,10 @@
 func onOneRoute(_ float64, route int) bool   { return route == 1 }
 
 type badCase struct {
-	bad    badRate
-	later  bool
-	atOnce bool // on all routes: nearly all are to be found before the ramp
-	own    bool // all its bad answers are the version's own doing
+	bad        badRate
+	afterStart bool
+	atOnce     bool // on all routes: nearly all are to be found before the ramp
+	ownFault   bool // all its bad answers are the version's own doing
 }
 
 func badCases() map[string]badCase {
@@ -157,7 +157,7 @@
 		"35% slow, a route": {worse(0.35, onOneRoute), true, false, true},
 		"40% in a flood": {func(_ float64, _, _, _ int, target bool) float64 {
 			if target {
-				return either(0.4, 0.4)
+				return eitherFails(0.4, 0.4)
 			}
 			return 0.4
 		}, false, false, false},
@@ -169,14 +169,14 @@
 	simSeconds = 25
 	// Answers of the target a second, in all routes and cohorts: of a busy service and of
 	// one with little traffic.
-	manyAnswers = 25
-	fewAnswers  = 6
+	highRate = 25
+	lowRate  = 6
 )
 
 // atRates runs a test of each case with many and with few answers of the target a second.
 func atRates[C any](t *testing.T, cases map[string]C, test func(t *testing.T, name string, c C, rate float64)) {
 	for name, c := range cases {
-		for _, rate := range []float64{manyAnswers, fewAnswers} {
+		for _, rate := range []float64{highRate, lowRate} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				test(t, name, c, rate)
@@ -190,18 +190,18 @@
 func TestRolloutJudgeSpares(t *testing.T) {
 	t.Parallel()
 	atRates(t, goodCases(), func(t *testing.T, name string, bad badRate, rate float64) {
-		alarms, passed := 0, 0
+		falseAlarms, passed := 0, 0
 		for seed := range int64(simSeeds) {
-			verdict, _, _ := judged{perSecond: rate, seconds: simSeconds, bad: bad}.run(seed)
+			verdict, _, _ := judgeSim{perSecond: rate, seconds: simSeconds, bad: bad}.run(seed)
 			if verdict == Bad {
-				alarms++
+				falseAlarms++
 			}
 			if verdict == Good {
 				passed++
 			}
 		}
-		t.Logf("%s, %g a second: %d of %d judged bad, %d good", name, rate, alarms, simSeeds, passed)
-		require.LessOrEqual(t, alarms, simSeeds/200)
+		t.Logf("%s, %g a second: %d of %d judged bad, %d good", name, rate, falseAlarms, simSeeds, passed)
+		require.LessOrEqual(t, falseAlarms, simSeeds/200)
 		require.GreaterOrEqual(t, passed, simSeeds*99/100)
 	})
 }
@@ -211,9 +211,9 @@
 func TestRolloutJudgeFinds(t *testing.T) {
 	t.Parallel()
 	atRates(t, badCases(), func(t *testing.T, name string, c badCase, rate float64) {
-		missed, passed, many, most, sum, took := 0, 0, 0, 0, 0, 0.0
+		missed, passed, atLimit, maxBad, totalBad, totalTime := 0, 0, 0, 0, 0, 0.0
 		for seed := range int64(simSeeds) {
-			verdict, at, bads := judged{rate, simSeconds, c.bad, c.later}.run(seed)
+			verdict, at, badResponses := judgeSim{rate, simSeconds, c.bad, c.afterStart}.run(seed)
 			if verdict != Bad {
 				missed++
 				if verdict == Good {
@@ -221,21 +221,21 @@
 				}
 				continue
 			}
-			if bads >= 50 {
-				many++
+			if badResponses >= 50 {
+				atLimit++
 			}
-			most = max(most, bads)
-			sum += bads
-			took += at
+			maxBad = max(maxBad, badResponses)
+			totalBad += badResponses
+			totalTime += at
 		}
 		found := max(1, simSeeds-missed)
 		t.Logf("%s, %g a second: %d of %d missed (%d judged good); bad answers until found: mean %.1f, most %d, 50 or more in %d; mean time %.2f s",
-			name, rate, missed, simSeeds, passed, float64(sum)/float64(found), most, many, took/float64(found))
-		if c.atOnce || rate == manyAnswers {
+			name, rate, missed, simSeeds, passed, float64(totalBad)/float64(found), maxBad, atLimit, totalTime/float64(found))
+		if c.atOnce || rate == highRate {
 			require.LessOrEqual(t, missed, simSeeds/100)
 		}
-		if c.own {
-			require.LessOrEqual(t, many, simSeeds/100)
+		if c.ownFault {
+			require.LessOrEqual(t, atLimit, simSeeds/100)
 		}
 	})
 }
--- a/rollout/killed_test.go
+++ b/rollout/killed_test.go
@@ -12,10 +12,10 @@
 func TestRolloutKilledAnywhere(t *testing.T) {
 	t.Parallel()
 	within := 20 * time.Second
-	late := newTimeline(within).ramp - 3*time.Second
+	latestKill := newTimeline(within).rampAt - 3*time.Second
 	for at := time.Duration(0); at < within; at += TickInterval {
 		for _, bad := range []float64{0, 0.4} {
-			s := begun(1, bad, within)
+			s := newSimWithOrder(1, bad, within)
 			s.run(at)
 			s.restartAll()
 			s.run(within - at)
@@ -24,7 +24,7 @@
 			if bad > 0 {
 				require.Equal(t, RolledBack, s.status(), "killed at %s", at)
 			}
-			if bad == 0 && at < late {
+			if bad == 0 && at < latestKill {
 				require.Equal(t, Completed, s.status(), "killed at %s", at)
 			}
 		}
@@ -36,8 +36,8 @@
 func TestRolloutLeaderKilledAnywhere(t *testing.T) {
 	t.Parallel()
 	within := 20 * time.Second
-	for at := time.Duration(0); at < within-newTimeline(within).end/10; at += TickInterval {
-		s := begun(1, 0, within)
+	for at := time.Duration(0); at < within-newTimeline(within).deadline/10; at += TickInterval {
+		s := newSimWithOrder(1, 0, within)
 		s.run(at)
 		s.routers = s.routers[1:]
 		s.run(within - at)
--- a/rollout/quiet.go
+++ b/rollout/lowtraffic.go
@@ -5,23 +5,23 @@
 // quietRequests is how many requests, from now to the deadline, may go to a version on
 // little or no evidence. Callers bear some 50 bad answers of a version before it is stopped;
 // half of that leaves room for traffic that picks up.
-const quietRequests = 25
+const lowTrafficRequests = 25
 
 // quietAfter is how long each router has to watch a service before it is called quiet.
-const quietAfter = 2 * time.Second
+const lowTrafficMinObserved = 2 * time.Second
 
 // quiet tells whether so few requests come that the target may get all of them without
 // evidence. Otherwise a service that nobody calls could never be moved. A router that does
 // not hear all others can't tell how many come.
-func (r *rollout) quiet(routers int) bool {
+func (r *rollout) lowTraffic(routers int) bool {
 	demand := r.demand()
-	if demand.Observed < quietAfter || r.routers() < routers {
+	if demand.Observed < lowTrafficMinObserved || r.routerCount() < routers {
 		return false
 	}
-	fresh := r.all.total(true)
-	if fresh.Bad > fresh.Good {
+	target := r.all.total(true)
+	if target.Bad > target.Good {
 		return false
 	}
-	ahead := max(0, r.plan.end-r.age)
-	return demand.expected(ahead) <= quietRequests
+	remaining := max(0, r.plan.deadline-r.age)
+	return demand.expected(remaining) <= lowTrafficRequests
 }
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -8,15 +8,15 @@
 
 // Machine decides on the roll-outs of all services, in one router.
 type Machine struct {
-	bounds   Bounds
-	services map[string]*service
-	orders   bool // the store's orders are known
-	records  bool // the store's records are known
-	listed   bool // a list of servers has come
-	leads    bool
-	routers  int       // that are there, this one included
-	wall     time.Time // time of day at the last tick or list of records
-	cmds     []Cmd     // of the present Update
+	bounds         Bounds
+	services       map[string]*service
+	ordersLoaded   bool // the store's orders are known
+	recordsLoaded  bool // the store's records are known
+	versionsLoaded bool // a list of servers has come
+	leads          bool
+	routers        int       // that are there, this one included
+	wall           time.Time // time of day at the last tick or list of records
+	cmds           []Cmd     // of the present Update
 }
 
 // NewMachine returns a machine that knows nothing yet.
@@ -32,31 +32,31 @@
 	m.cmds = nil
 	switch msg := msg.(type) {
 	case OrdersMsg:
-		m.takeOrders(msg)
+		m.updateOrders(msg)
 		m.reconcile(msg.Now)
 	case RecordsMsg:
-		m.takeRecords(msg)
+		m.updateRecords(msg)
 		m.reconcile(msg.Now)
 	case VersionsMsg:
-		m.takeVersions(msg)
+		m.updateVersions(msg)
 		m.reconcile(msg.Now)
 	case ResponseMsg:
-		m.count(msg)
+		m.countResponse(msg)
 	case PeerReportsMsg:
-		m.hear(msg)
+		m.updatePeers(msg)
 	case WriteDoneMsg:
-		m.written(msg)
+		m.finishWrite(msg)
 		m.reconcile(msg.Now)
 	case TickMsg:
 		m.tick(msg)
 	}
-	return append(m.gates(), m.cmds...)
+	return append(m.changedGates(), m.cmds...)
 }
 
 // Reports returns what this router tells the others, by service.
 func (m *Machine) Reports() []Report {
 	var reports []Report
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		if s.rollout != nil {
 			reports = append(reports, s.rollout.report())
 		}
@@ -74,7 +74,7 @@
 }
 
 // sorted returns the services by name: the order of commands must not depend on a map.
-func (m *Machine) sorted() []*service {
+func (m *Machine) sortedServices() []*service {
 	var list []*service
 	for _, name := range slices.Sorted(maps.Keys(m.services)) {
 		list = append(list, m.services[name])
@@ -82,37 +82,37 @@
 	return list
 }
 
-func (m *Machine) takeOrders(msg OrdersMsg) {
-	m.orders = true
+func (m *Machine) updateOrders(msg OrdersMsg) {
+	m.ordersLoaded = true
 	seen := map[string]bool{}
 	for _, o := range msg.Orders {
 		seen[o.Service] = true
-		m.service(o.Service).takeOrder(o)
+		m.service(o.Service).updateOrder(o)
 	}
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		if s.order != nil && !seen[s.name] {
-			s.dropOrder()
+			s.removeOrder()
 		}
 	}
 }
 
-func (m *Machine) takeRecords(msg RecordsMsg) {
-	m.records = true
+func (m *Machine) updateRecords(msg RecordsMsg) {
+	m.recordsLoaded = true
 	m.wall = msg.Wall
 	seen := map[string]bool{}
 	for _, r := range msg.Records {
 		seen[r.Service] = true
-		m.service(r.Service).takeRecord(r)
+		m.service(r.Service).updateRecord(r)
 	}
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		if !seen[s.name] {
 			s.record = Record{}
 		}
 	}
 }
 
-func (m *Machine) takeVersions(msg VersionsMsg) {
-	m.listed = true
+func (m *Machine) updateVersions(msg VersionsMsg) {
+	m.versionsLoaded = true
 	for name, versions := range msg.Services {
 		m.service(name).versions = slices.Clone(versions)
 	}
@@ -124,7 +124,7 @@
 }
 
 // count adds one answer to this router's own evidence.
-func (m *Machine) count(msg ResponseMsg) {
+func (m *Machine) countResponse(msg ResponseMsg) {
 	s := m.services[msg.Service]
 	if s == nil || s.rollout == nil {
 		return
@@ -137,56 +137,56 @@
 }
 
 // hear takes in the reports of the other routers.
-func (m *Machine) hear(msg PeerReportsMsg) {
-	for _, s := range m.sorted() {
+func (m *Machine) updatePeers(msg PeerReportsMsg) {
+	for _, s := range m.sortedServices() {
 		if s.rollout == nil {
 			continue
 		}
-		others := Report{}
+		merged := Report{}
 		for _, r := range msg.Reports {
 			if r.Service == s.name && r.Order == s.rollout.key {
-				others = Merge(others, r)
+				merged = Merge(merged, r)
 			}
 		}
-		s.rollout.hear(others, msg.Now)
-		m.follow(s)
-		if s.rollout.hearsBad() {
-			m.judge(s, msg.Now)
+		s.rollout.updatePeers(merged, msg.Now)
+		m.followPeers(s)
+		if s.rollout.peersReportMoreBad() {
+			m.evaluate(s, msg.Now)
 		}
 	}
 }
 
 // follow takes over a rejection or a higher stage that other routers report.
-func (m *Machine) follow(s *service) {
+func (m *Machine) followPeers(s *service) {
 	r := s.rollout
-	if r.others.Routers == 0 {
+	if r.peers.Routers == 0 {
 		return
 	}
-	if r.others.Rejected {
+	if r.peers.Rejected {
 		m.reject(s, causeTold)
 	}
-	if r.others.MaxStage > r.stage {
-		m.raise(s, r.others.MaxStage, causePeers)
+	if r.peers.MaxStage > r.stage {
+		m.raiseStage(s, r.peers.MaxStage, causePeers)
 	}
 }
 
 // raise moves a roll-out on to a higher stage.
-func (m *Machine) raise(s *service, stage Stage, cause string) {
+func (m *Machine) raiseStage(s *service, stage Stage, cause string) {
 	s.rollout.stage = stage
-	s.rollout.raisedAt = s.rollout.age
-	m.step(s, StepRaised, cause)
+	s.rollout.raisedAtAge = s.rollout.age
+	m.emitStep(s, StepRaised, cause)
 }
 
 // gates returns a command for each gate that has changed. They come before other commands,
 // so that a gate is in force here before a write announces it.
-func (m *Machine) gates() []Cmd {
+func (m *Machine) changedGates() []Cmd {
 	var changed []Cmd
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		g := s.gate(m.bounds.Share)
-		if s.gated && (gatesEqual(g, s.inForce) || s.awaitsList(g)) || !s.gated && s.inUse == nil {
+		if s.gateSent && (gatesEqual(g, s.appliedGate) || s.awaitsServerList(g)) || !s.gateSent && s.inUse == nil {
 			continue
 		}
-		s.inForce, s.gated = g, true
+		s.appliedGate, s.gateSent = g, true
 		g.InUse = slices.Clone(g.InUse)
 		changed = append(changed, GateCmd{g})
 	}
@@ -194,7 +194,7 @@
 }
 
 // step emits that a roll-out has moved on, for the log.
-func (m *Machine) step(s *service, name, cause string) {
+func (m *Machine) emitStep(s *service, name, cause string) {
 	c := StepCmd{Service: s.name, Step: name, Cause: cause, Leads: m.leads, Routers: 1}
 	if s.order != nil {
 		c.Target = s.order.Target
@@ -202,7 +202,7 @@
 	if r := s.rollout; r != nil {
 		c.Target = r.order.Target
 		c.Stage, c.Age, c.Within = r.stage, r.age, r.order.Within
-		c.Routers = r.routers()
+		c.Routers = r.routerCount()
 		c.New, c.Old = r.all.total(true), r.all.total(false)
 	}
 	m.cmds = append(m.cmds, c)
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -20,7 +20,7 @@
 	sum.Age = max(a.Age, b.Age)
 	sum.OldRunning += b.OldRunning
 	sum.Rejected = a.Rejected || b.Rejected
-	sum.Demand = a.Demand.plus(b.Demand)
+	sum.Demand = a.Demand.add(b.Demand)
 	counts := cellsOf(a.Cells)
 	counts.add(cellsOf(b.Cells))
 	sum.Cells = counts.list()
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -35,7 +35,7 @@
 }
 
 // sensible tells whether the order can be carried out at all.
-func (o *Order) sensible() bool { return o.Target != "" && o.Within > 0 }
+func (o *Order) valid() bool { return o.Target != "" && o.Within > 0 }
 
 // State is the word that the store has on an order.
 type State uint8
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -26,7 +26,7 @@
 			s.badRate[newVersion] = 0.4
 		}, RolledBack, []string{oldVersion}},
 		{"turns bad in the ramp", func(s *sim) {
-			s.run(newTimeline(simWithin).due(Half))
+			s.run(newTimeline(simWithin).stageAt(Half))
 			s.badRate[newVersion] = 0.4
 		}, RolledBack, []string{oldVersion}},
 		{"no server ever comes", func(s *sim) { s.versions = []string{oldVersion} }, RolledBack, []string{oldVersion}},
@@ -35,39 +35,39 @@
 			s.versions = []string{oldVersion}
 		}, RolledBack, []string{oldVersion}},
 		{"servers vanish at the end", func(s *sim) {
-			s.run(newTimeline(simWithin).due(All) + 200*time.Millisecond)
-			s.oldEnds = false
+			s.run(newTimeline(simWithin).stageAt(All) + 200*time.Millisecond)
+			s.oldDrains = false
 			s.versions = []string{oldVersion}
 		}, RolledBack, []string{oldVersion}},
 		{"service leaves the lists", func(s *sim) {
 			s.run(simWithin / 3)
 			s.versions = nil
 		}, RolledBack, []string{oldVersion}},
-		{"target never answers", func(s *sim) { s.mute = newVersion }, RolledBack, []string{oldVersion}},
-		{"nobody calls", func(s *sim) { s.load = 0 }, Completed, []string{newVersion}},
-		{"few call", func(s *sim) { s.load = 1 }, Completed, []string{newVersion}},
-		{"old streams never end", func(s *sim) { s.oldEnds = false }, Completed, []string{newVersion}},
+		{"target never answers", func(s *sim) { s.silentVersion = newVersion }, RolledBack, []string{oldVersion}},
+		{"nobody calls", func(s *sim) { s.requestRate = 0 }, Completed, []string{newVersion}},
+		{"few call", func(s *sim) { s.requestRate = 1 }, Completed, []string{newVersion}},
+		{"old streams never end", func(s *sim) { s.oldDrains = false }, Completed, []string{newVersion}},
 		{"repeated with another time", func(s *sim) {
 			s.run(simWithin / 3)
 			s.store.put(newVersion, "m1", simWithin+5*time.Second)
 		}, Completed, []string{newVersion}},
 		{"replaced midway", func(s *sim) {
 			s.run(simWithin / 2)
-			s.order("v3", "m1", simWithin)
+			s.placeOrder("v3", "m1", simWithin)
 		}, Completed, []string{"v3"}},
 		{"replaced by the version in use", func(s *sim) {
 			s.run(simWithin / 2)
-			s.order(oldVersion, "m1", simWithin)
+			s.placeOrder(oldVersion, "m1", simWithin)
 		}, Completed, []string{oldVersion}},
 		{"replaced and put back", func(s *sim) {
 			s.run(simWithin / 3)
-			s.order("v3", "m1", simWithin)
+			s.placeOrder("v3", "m1", simWithin)
 			s.run(simWithin / 3)
-			s.order(newVersion, "m1", simWithin)
+			s.placeOrder(newVersion, "m1", simWithin)
 		}, Completed, []string{newVersion}},
 		{"replaced after it was completed", func(s *sim) {
 			s.run(simWithin)
-			s.order("v3", "m1", simWithin)
+			s.placeOrder("v3", "m1", simWithin)
 		}, Completed, []string{"v3"}},
 		{"deleted midway", func(s *sim) {
 			s.run(simWithin / 2)
@@ -77,7 +77,7 @@
 			s.run(simWithin / 2)
 			s.store.order = nil
 			s.run(time.Second)
-			s.order(newVersion, "m2", simWithin)
+			s.placeOrder(newVersion, "m2", simWithin)
 		}, Completed, []string{newVersion}},
 		{"deleted midway, the old one seen again", func(s *sim) {
 			s.run(simWithin / 2)
@@ -90,7 +90,7 @@
 			s.badRate[newVersion] = 0.4
 			s.run(simWithin)
 			s.badRate[newVersion] = 0
-			s.order(newVersion, "m2", simWithin)
+			s.placeOrder(newVersion, "m2", simWithin)
 		}, Completed, []string{newVersion}},
 		{"no time", func(s *sim) { s.store.put(newVersion, "m1", 0) }, RolledBack, []string{oldVersion}},
 		{"time below nothing", func(s *sim) { s.store.put(newVersion, "m1", -time.Second) }, RolledBack, []string{oldVersion}},
@@ -100,7 +100,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := begun(1, 0, simWithin)
+			s := newSimWithOrder(1, 0, simWithin)
 			c.act(s)
 			left := simWithin + 10*time.Second
 			if s.store.order != nil && c.state == Completed {
@@ -125,20 +125,20 @@
 	s := newSim(3, 1)
 	s.versions = []string{oldVersion, newVersion}
 	s.run(time.Second)
-	s.order(newVersion, "m1", simWithin)
+	s.placeOrder(newVersion, "m1", simWithin)
 	s.run(3 * time.Second)
 	require.Equal(t, Completed, s.status())
-	s.order(newVersion, "m2", simWithin)
+	s.placeOrder(newVersion, "m2", simWithin)
 	s.run(3 * time.Second)
 	require.Equal(t, Completed, s.status())
 }
 
 // TestRolloutOrderGoneWhileAllWereLost shows what becomes of a roll-out of which only the
 // record is left: completed where only servers of its target are there, rejected else.
-func TestRolloutOrderGoneWhileAllWereLost(t *testing.T) {
+func TestRolloutOrderDeletedWhileRoutersDown(t *testing.T) {
 	t.Parallel()
 	for _, versions := range [][]string{{newVersion}, {oldVersion, newVersion}} {
-		s := begun(1, 0, simWithin)
+		s := newSimWithOrder(1, 0, simWithin)
 		s.run(simWithin / 2)
 		s.store.order = nil
 		s.versions = versions
@@ -152,7 +152,7 @@
 // TestRolloutOrderSeenLate shows that an older view of an order takes nothing back.
 func TestRolloutOrderSeenLate(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(time.Second)
 	older := *s.store.order
 	s.run(simWithin)
@@ -167,7 +167,7 @@
 // no other write.
 func TestRolloutOrderSeenLateMidway(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	older := *s.store.order
 	s.run(time.Second)
 	r := s.routers[0]
@@ -180,10 +180,10 @@
 // of its own mark is not taken up again when it is seen late.
 func TestRolloutOrderWithMarkOfEarlierOne(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(time.Second)
 	earlier := *s.store.order
-	s.order("v3", "m2", simWithin)
+	s.placeOrder("v3", "m2", simWithin)
 	s.run(time.Second)
 	r := s.routers[0]
 	require.Empty(t, r.machine.Update(OrdersMsg{Now: s.now, Orders: []Order{earlier}}))
@@ -192,13 +192,13 @@
 
 // TestRolloutOrderAfterOneThatWasNotRecorded shows that the status of the order before
 // tells which version is in use, where the record was not brought up to it.
-func TestRolloutOrderAfterOneThatWasNotRecorded(t *testing.T) {
+func TestRolloutOrderAfterUnrecordedOne(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(simWithin / 2)
 	s.store.order.State = Completed
-	s.order("v3", "m1", simWithin)
-	s.routers = []*simRouter{s.fresh()}
+	s.placeOrder("v3", "m1", simWithin)
+	s.routers = []*simRouter{s.newRouter()}
 	s.run(TickInterval)
 	require.Equal(t, []string{newVersion}, s.routers[0].gate.InUse)
 	require.Equal(t, "v3", s.routers[0].gate.Target)
@@ -208,7 +208,7 @@
 // midway is among the versions that were rejected.
 func TestRolloutOrderDeletedRejects(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(simWithin / 2)
 	s.store.order = nil
 	s.run(time.Second)
@@ -218,11 +218,11 @@
 
 // TestRolloutAgeIsHeard shows that a router which begins late knows the order's age from
 // the others, before it trusts the record.
-func TestRolloutAgeIsHeard(t *testing.T) {
+func TestRolloutAgeFromPeers(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.run(simWithin / 2)
-	s.routers[2] = s.fresh()
+	s.routers[2] = s.newRouter()
 	s.run(2 * TickInterval)
 	age := s.routers[2].machine.Reports()[0].Age
 	require.InDelta(t, simWithin/2, age, float64(time.Second))
@@ -232,9 +232,9 @@
 // more than the trial, and is rolled back as soon as the rest can't be done in time.
 func TestRolloutGivenUpWithoutProof(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
-	s.mute = newVersion
-	s.run(newTimeline(simWithin).lastRamp + time.Second)
+	s := newSimWithOrder(1, 0, simWithin)
+	s.silentVersion = newVersion
+	s.run(newTimeline(simWithin).latestRampAt + time.Second)
 	require.Equal(t, RolledBack, s.status())
 	for _, step := range s.routers[0].steps {
 		require.LessOrEqual(t, step.Stage, Trial)
@@ -245,21 +245,21 @@
 // that this is logged once.
 func TestRolloutUnorderedVersion(t *testing.T) {
 	t.Parallel()
-	s := begun(1, 0, simWithin)
+	s := newSimWithOrder(1, 0, simWithin)
 	s.versions = append(s.versions, "never")
 	s.run(simWithin)
 	require.Empty(t, s.fault)
-	told := 0
+	logged := 0
 	for _, step := range s.routers[0].steps {
 		if step.Step == StepUnordered && step.Cause == "never" {
-			told++
+			logged++
 		}
 	}
-	require.Equal(t, 1, told)
+	require.Equal(t, 1, logged)
 }
 
 // TestRolloutOff shows that without a bound on exposure nothing is done.
-func TestRolloutOff(t *testing.T) {
+func TestRolloutDisabled(t *testing.T) {
 	t.Parallel()
 	m := NewMachine(Bounds{})
 	require.Empty(t, m.Update(OrdersMsg{Orders: []Order{{Service: simService, Target: newVersion}}}))
--- a/rollout/paused_test.go
+++ b/rollout/paused_test.go
@@ -9,7 +9,7 @@
 
 // callsFor has a leading machine that hears some routers of a fleet watch a service with
 // many calls for a moment.
-func callsFor(routers int) (m *Machine, tick func(now time.Duration)) {
+func newLeader(routers int) (m *Machine, tick func(now time.Duration)) {
 	m = NewMachine(Bounds{Share: 0.2, Slack: 50})
 	m.Update(VersionsMsg{Services: map[string][]string{"llm": {"v1", "v2"}}})
 	m.Update(RecordsMsg{Records: []Record{{Service: "llm", Revision: 1, InUse: []string{"v1"}}}})
@@ -21,7 +21,7 @@
 // TestRolloutPausedIsNotQuiet stops the leading router for a while, under load: that it
 // saw no answers meanwhile is no sign that nobody calls the service.
 func TestRolloutPausedIsNotQuiet(t *testing.T) {
-	m, tick := callsFor(1)
+	m, tick := newLeader(1)
 	for now := time.Duration(0); now <= 200*time.Millisecond; now += TickInterval {
 		for range 4 {
 			m.Update(ResponseMsg{Now: now, Service: "llm", Route: "r", Cohort: "a"})
@@ -37,8 +37,8 @@
 // of what another sees.
 func TestRolloutUnheardIsNotQuiet(t *testing.T) {
 	for _, routers := range []int{1, 2} {
-		m, tick := callsFor(routers)
-		for now := time.Duration(0); now <= newTimeline(6*time.Second).ramp+TickInterval; now += TickInterval {
+		m, tick := newLeader(routers)
+		for now := time.Duration(0); now <= newTimeline(6*time.Second).rampAt+TickInterval; now += TickInterval {
 			tick(now)
 		}
 		require.Equal(t, routers == 1, m.Snapshots()[0].Stage > Trial)
@@ -52,28 +52,28 @@
 // one that nobody calls. Another such version then got 390 of 589 requests.
 func TestRolloutUnjudgedIsNotQuiet(t *testing.T) {
 	for _, c := range []struct {
-		routers, calls, each int // calls at the leading router in each of so many ticks
-		judged               int // answers of all others
-		quiet                bool
+		routers, calls, every int // calls at the leading router in each of so many ticks
+		judged                int // answers of all others
+		quiet                 bool
 	}{
-		{routers: 3, calls: 0, each: 1, quiet: true},
-		{routers: 3, calls: 3, each: 1, quiet: false},
+		{routers: 3, calls: 0, every: 1, quiet: true},
+		{routers: 3, calls: 3, every: 1, quiet: false},
 		// None of the leading router's answers can be judged, and few of the others'.
-		{routers: 3, calls: 1, each: 1, judged: 9, quiet: false},
+		{routers: 3, calls: 1, every: 1, judged: 9, quiet: false},
 		// Of twenty requests in a large fleet one came to the leading router.
-		{routers: 384, calls: 1, each: 100, judged: 20, quiet: true},
+		{routers: 384, calls: 1, every: 100, judged: 20, quiet: true},
 	} {
-		m, _ := callsFor(c.routers)
+		m, _ := newLeader(c.routers)
 		others := Report{Service: "llm", Order: m.Reports()[0].Order, Routers: uint32(c.routers - 1), MaxStage: Trial, MinAppliedStage: Trial}
 		others.Cells = []Cell{{Route: "r", Cohort: "a", Good: uint32(c.judged)}}
-		sent := 0
-		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).lastRamp; tick++ {
+		requests := 0
+		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).latestRampAt; tick++ {
 			now := time.Duration(tick) * TickInterval
-			if tick%c.each == 0 {
-				sent += c.calls
+			if tick%c.every == 0 {
+				requests += c.calls
 			}
 			m.Update(PeerReportsMsg{Now: now, Reports: []Report{others}})
-			m.Update(TickMsg{Now: now, Leads: true, Routers: c.routers, Requests: map[string]int{"llm": sent}})
+			m.Update(TickMsg{Now: now, Leads: true, Routers: c.routers, Requests: map[string]int{"llm": requests}})
 		}
 		require.Equal(t, c.quiet, m.Snapshots()[0].Stage > Trial, "%+v", c)
 	}
@@ -83,29 +83,29 @@
 // no answer of which can be judged: a service that the others are asked much of must not be moved
 // without evidence.
 func TestRolloutBusyElsewhereIsNotQuiet(t *testing.T) {
-	for _, elsewhere := range []int{0, 1} { // requests at each other router, a tick
+	for _, atPeers := range []int{0, 1} { // requests at each other router, a tick
 		var routers []*Machine
 		for range 3 {
-			m, _ := callsFor(3)
+			m, _ := newLeader(3)
 			routers = append(routers, m)
 		}
-		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).lastRamp; tick++ {
+		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).latestRampAt; tick++ {
 			now := time.Duration(tick) * TickInterval
 			for i, m := range routers {
-				heard := Report{}
+				peers := Report{}
 				for _, other := range routers {
 					if other != m {
-						heard = Merge(heard, other.Reports()[0])
+						peers = Merge(peers, other.Reports()[0])
 					}
 				}
-				m.Update(PeerReportsMsg{Now: now, Reports: []Report{heard}})
-				asked := tick / 10
+				m.Update(PeerReportsMsg{Now: now, Reports: []Report{peers}})
+				requests := tick / 10
 				if i > 0 {
-					asked += elsewhere * tick
+					requests += atPeers * tick
 				}
-				m.Update(TickMsg{Now: now, Leads: i == 0, Routers: len(routers), Requests: map[string]int{"llm": asked}})
+				m.Update(TickMsg{Now: now, Leads: i == 0, Routers: len(routers), Requests: map[string]int{"llm": requests}})
 			}
 		}
-		require.Equal(t, elsewhere == 0, routers[0].Snapshots()[0].Stage > Trial, "%d a tick elsewhere", elsewhere)
+		require.Equal(t, atPeers == 0, routers[0].Snapshots()[0].Stage > Trial, "%d a tick elsewhere", atPeers)
 	}
 }
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -7,10 +7,10 @@
 
 // reconcile brings roll-outs in line with what the store and the lists of servers say.
 func (m *Machine) reconcile(now time.Duration) {
-	if !m.orders || !m.records {
+	if !m.ordersLoaded || !m.recordsLoaded {
 		return
 	}
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		m.reconcileOrder(s, now)
 		m.reconcileVersions(s)
 		m.reconcileRollout(s, now)
@@ -30,19 +30,19 @@
 		return
 	}
 	if s.order.status().Final() {
-		m.end(s, s.order.State)
+		m.finish(s, s.order.State)
 		return
 	}
-	if s.order.State.Final() && s.order.StateTarget != "" && s.ended == 0 {
+	if s.order.State.Final() && s.order.StateTarget != "" && s.endedKey == 0 {
 		// The status is that of the order before this one, which has ended. Its leader may
 		// have stopped before it wrote the record, so the status is applied here.
-		s.apply(s.order.StateTarget, s.order.State)
+		s.applyFinalState(s.order.StateTarget, s.order.State)
 	}
 }
 
 // abandon ends a roll-out whose order is gone, as if it had been rolled back.
 func (m *Machine) abandon(s *service, cause string) {
-	m.step(s, StepAbandoned, cause)
+	m.emitStep(s, StepAbandoned, cause)
 	target, trusted := s.rollout.order.Target, s.rollout.trusted
 	s.rollout = nil
 	if !trusted {
@@ -51,34 +51,34 @@
 }
 
 // end applies the final status of an order. Nothing opens that order again.
-func (m *Machine) end(s *service, state State) {
-	s.apply(s.order.Target, state)
-	if s.ended == s.order.Key() {
+func (m *Machine) finish(s *service, state State) {
+	s.applyFinalState(s.order.Target, state)
+	if s.endedKey == s.order.Key() {
 		s.rollout = nil
 		return
 	}
-	s.ended = s.order.Key()
+	s.endedKey = s.order.Key()
 	name := StepCompleted
 	if state == RolledBack {
 		name = StepRolledBack
 	}
-	m.step(s, name, causeStatus)
+	m.emitStep(s, name, causeStatus)
 	s.rollout = nil
 }
 
 // reconcileVersions finds the versions in use where the record does not say them.
 func (m *Machine) reconcileVersions(s *service) {
 	if s.inUse == nil {
-		s.inUse = s.firstVersions()
+		s.inUse = s.initialVersions()
 	}
 	if target := s.orphanedTarget(); target != "" {
-		s.apply(target, s.orphanState(target))
+		s.applyFinalState(target, s.orphanState(target))
 	}
 }
 
 // reconcileRollout begins the roll-out of an order that is open, or updates the one under way.
 func (m *Machine) reconcileRollout(s *service, now time.Duration) {
-	if s.order == nil || s.ended == s.order.Key() {
+	if s.order == nil || s.endedKey == s.order.Key() {
 		return
 	}
 	if s.rollout == nil {
@@ -95,11 +95,11 @@
 	if !r.trusted {
 		s.rejected = without(s.rejected, r.order.Target)
 	}
-	there := s.lists(r.order.Target)
-	if r.serversThere && !there {
-		r.serversGone = now
+	hasServers := s.hasServers(r.order.Target)
+	if r.hasServers && !hasServers {
+		r.serversLostAt = now
 	}
-	r.serversThere = there
+	r.hasServers = hasServers
 }
 
 // begin starts the roll-out of a service's order.
@@ -107,16 +107,16 @@
 	r := newRollout(*s.order, now)
 	s.rollout = r
 	if s.record.Target == r.order.Target && s.record.Made == r.order.Made {
-		r.recorded = s.record.Age + max(0, m.wall.Sub(s.record.Wall))
+		r.recordedAge = s.record.Age + max(0, m.wall.Sub(s.record.Wall))
 	}
-	m.step(s, StepBegan, causeOrder)
-	if !r.order.sensible() {
-		m.step(s, StepInvalid, causeOrder)
+	m.emitStep(s, StepBegan, causeOrder)
+	if !r.order.valid() {
+		m.emitStep(s, StepInvalid, causeOrder)
 		r.reject(causeOrder)
 	}
 	if s.reappeared {
 		r.reject(causeAgain)
-		m.step(s, StepRejected, causeAgain)
+		m.emitStep(s, StepRejected, causeAgain)
 	}
 }
 
@@ -130,7 +130,7 @@
 		if ordered || slices.Contains(s.unorderedLogged, v) {
 			continue
 		}
-		s.unorderedLogged = remember(s.unorderedLogged, v)
-		m.step(s, StepUnordered, v)
+		s.unorderedLogged = appendBounded(s.unorderedLogged, v)
+		m.emitStep(s, StepUnordered, v)
 	}
 }
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -11,19 +11,19 @@
 	order *Order // in the store; nil: none
 	// endedMarks are the marks (Order.Made) of orders that were deleted or replaced. Such an
 	// order shows up again only in messages that come late.
-	endedMarks []string
+	endedOrders []string
 	// reappeared says that the order was deleted and is then seen again.
 	reappeared bool
 	// ended is the key of the order whose final status is known; 0: none.
-	ended    uint64
-	inUse    []string // see Gate; nil: not known
-	rejected []string // versions that were rolled back
-	record   Record   // Revision 0: none in the store
-	versions []string // of the listed servers
-	rollout  *rollout // nil: no roll-out is under way
-	writer   writer
-	inForce  Gate
-	gated    bool // a GateCmd was emitted for inForce
+	endedKey    uint64
+	inUse       []string // see Gate; nil: not known
+	rejected    []string // versions that were rolled back
+	record      Record   // Revision 0: none in the store
+	versions    []string // of the listed servers
+	rollout     *rollout // nil: no roll-out is under way
+	writer      writer
+	appliedGate Gate
+	gateSent    bool // a GateCmd was emitted for inForce
 	// unorderedLogged are the versions of which it was logged that nobody ordered them.
 	unorderedLogged []string
 }
@@ -31,14 +31,14 @@
 // mostRemembered bounds the lists of rejected versions, of ended orders and of unordered
 // versions. The first two matter only to messages that come late, by minutes at the most,
 // and a service gets far fewer orders in that time.
-const mostRemembered = 16
+const maxRemembered = 16
 
-func remember(list []string, s string) []string {
+func appendBounded(list []string, s string) []string {
 	if slices.Contains(list, s) {
 		return list
 	}
 	list = append(slices.Clone(list), s)
-	return list[max(0, len(list)-mostRemembered):]
+	return list[max(0, len(list)-maxRemembered):]
 }
 
 func without(list []string, s string) []string {
@@ -48,50 +48,50 @@
 func (s *service) uses(version string) bool { return slices.Contains(s.inUse, version) }
 
 // takeOrder takes an order as the store holds it, unless it is older than what is known.
-func (s *service) takeOrder(o Order) {
+func (s *service) updateOrder(o Order) {
 	if s.order != nil && o.Made == s.order.Made {
 		if o.Revision >= s.order.Revision {
-			s.keep(o)
+			s.setOrder(o)
 		}
 		return
 	}
-	late := slices.Contains(s.endedMarks, o.Made)
+	late := slices.Contains(s.endedOrders, o.Made)
 	if late && s.order != nil {
 		return
 	}
 	if s.order != nil {
-		s.endedMarks = remember(s.endedMarks, s.order.Made)
+		s.endedOrders = appendBounded(s.endedOrders, s.order.Made)
 	}
 	s.reappeared = late
-	s.keep(o)
+	s.setOrder(o)
 }
 
-func (s *service) keep(o Order) {
+func (s *service) setOrder(o Order) {
 	if s.order == nil || o.Revision > s.order.Revision || o.Made != s.order.Made {
-		s.writer.shown()
+		s.writer.objectChanged()
 	}
-	if s.ended != o.Key() {
-		s.ended = 0
+	if s.endedKey != o.Key() {
+		s.endedKey = 0
 	}
 	s.order = &o
 }
 
 // dropOrder notes that the store holds no order any more.
-func (s *service) dropOrder() {
-	s.endedMarks = remember(s.endedMarks, s.order.Made)
+func (s *service) removeOrder() {
+	s.endedOrders = appendBounded(s.endedOrders, s.order.Made)
 	s.order = nil
-	s.ended = 0
+	s.endedKey = 0
 	s.reappeared = false
-	s.writer.shown()
+	s.writer.objectChanged()
 }
 
 // takeRecord takes a record, unless it is older than what is known.
-func (s *service) takeRecord(r Record) {
+func (s *service) updateRecord(r Record) {
 	if r.Revision <= s.record.Revision {
 		return
 	}
 	s.record = r
-	s.writer.shown()
+	s.writer.objectChanged()
 	if len(r.InUse) == 0 {
 		return
 	}
@@ -100,7 +100,7 @@
 }
 
 // apply notes how an order for a version ended.
-func (s *service) apply(target string, state State) {
+func (s *service) applyFinalState(target string, state State) {
 	if state == Completed {
 		s.inUse = []string{target}
 		s.rejected = without(s.rejected, target)
@@ -115,34 +115,34 @@
 		s.inUse = rest
 	}
 	if !s.uses(target) && target != "" {
-		s.rejected = remember(s.rejected, target)
+		s.rejected = appendBounded(s.rejected, target)
 	}
 }
 
 // firstVersions returns the versions in use of a service without a record: those of its
 // first list of servers, except the target of its order and versions that were rejected,
 // unless no others are left.
-func (s *service) firstVersions() []string {
-	first := s.versions
-	leaveOut := func(version string) {
-		if rest := without(first, version); len(rest) > 0 {
-			first = rest
+func (s *service) initialVersions() []string {
+	initial := s.versions
+	exclude := func(version string) {
+		if rest := without(initial, version); len(rest) > 0 {
+			initial = rest
 		}
 	}
 	if s.order != nil {
-		leaveOut(s.order.Target)
+		exclude(s.order.Target)
 	}
 	for _, version := range s.rejected {
-		leaveOut(version)
+		exclude(version)
 	}
-	if len(first) == 0 {
+	if len(initial) == 0 {
 		return nil
 	}
-	return slices.Clone(first)
+	return slices.Clone(initial)
 }
 
 // wanted returns the record as the store should hold it.
-func (s *service) wanted(wall time.Time) Record {
+func (s *service) desiredRecord(wall time.Time) Record {
 	w := Record{
 		Service:  s.name,
 		Revision: s.record.Revision,
@@ -182,7 +182,7 @@
 // when a roll-out is completed. So where servers of the target are listed and none of the
 // versions in use, it was completed, and rejecting the target would leave no server.
 func (s *service) orphanState(target string) State {
-	if s.lists(target) && !slices.ContainsFunc(s.inUse, s.lists) {
+	if s.hasServers(target) && !slices.ContainsFunc(s.inUse, s.hasServers) {
 		return Completed
 	}
 	return RolledBack
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -32,14 +32,14 @@
 // Snapshots returns the state of all services, for dumps.
 func (m *Machine) Snapshots() []Snapshot {
 	var list []Snapshot
-	for _, s := range m.sorted() {
+	for _, s := range m.sortedServices() {
 		list = append(list, m.snapshot(s))
 	}
 	return list
 }
 
 func (m *Machine) snapshot(s *service) Snapshot {
-	st := Snapshot{
+	snap := Snapshot{
 		Service:  s.name,
 		InUse:    s.inUse,
 		Rejected: s.rejected,
@@ -48,21 +48,21 @@
 	}
 	r := s.rollout
 	if r == nil {
-		return st
+		return snap
 	}
-	st.Target, st.Stage, st.Part = r.order.Target, r.stage, s.gate(m.bounds.Share).Fraction
-	st.Age, st.Within = r.age, r.order.Within
-	st.Routers = r.routers()
-	st.Verdict, st.Stopped = r.judge.Verdict(), r.stopped()
-	st.Rejecting, st.Cause = r.rejected, r.cause
-	st.Routes = r.all.routes()
-	return st
+	snap.Target, snap.Stage, snap.Part = r.order.Target, r.stage, s.gate(m.bounds.Share).Fraction
+	snap.Age, snap.Within = r.age, r.order.Within
+	snap.Routers = r.routerCount()
+	snap.Verdict, snap.Stopped = r.judge.Verdict(), r.stopped()
+	snap.Rejecting, snap.Cause = r.rejected, r.cause
+	snap.Routes = r.all.routes()
+	return snap
 }
 
 // routes adds up evidence by route.
 func (c cells) routes() []RouteEvidence {
 	var list []RouteEvidence
-	for _, k := range c.keys() {
+	for _, k := range c.sortedKeys() {
 		if len(list) == 0 || list[len(list)-1].Route != k.Route {
 			list = append(list, RouteEvidence{Route: k.Route})
 		}
--- a/rollout/snapshot_test.go
+++ b/rollout/snapshot_test.go
@@ -10,24 +10,24 @@
 // TestRolloutSnapshotTellsWhatItWaitsFor shows the reasons that an operator reads.
 func TestRolloutSnapshotTellsWhatItWaitsFor(t *testing.T) {
 	t.Parallel()
-	waits := func(s *sim) Wait { return s.routers[0].machine.Snapshots()[0].WaitsFor }
+	waitsFor := func(s *sim) Wait { return s.routers[0].machine.Snapshots()[0].WaitsFor }
 	s := newSim(2, 1)
 	s.run(time.Second)
-	require.Equal(t, WaitNothing, waits(s))
+	require.Equal(t, WaitNothing, waitsFor(s))
 	s.store.put(newVersion, "m1", simWithin)
 	s.run(time.Second)
-	require.Equal(t, WaitServers, waits(s))
+	require.Equal(t, WaitServers, waitsFor(s))
 	s.versions = append(s.versions, newVersion)
-	s.oldEnds = false
+	s.oldDrains = false
 	s.run(time.Second)
-	require.Equal(t, WaitTime, waits(s))
-	s.run(newTimeline(simWithin).due(All) - time.Second)
-	require.Equal(t, WaitOldServers, waits(s))
-	st := s.routers[0].machine.Snapshots()[0]
-	require.Equal(t, All, st.Stage)
-	require.Equal(t, 2, st.Routers)
-	require.Len(t, st.Routes, 3)
-	require.Equal(t, Good, st.Verdict)
+	require.Equal(t, WaitTime, waitsFor(s))
+	s.run(newTimeline(simWithin).stageAt(All) - time.Second)
+	require.Equal(t, WaitOldServers, waitsFor(s))
+	snap := s.routers[0].machine.Snapshots()[0]
+	require.Equal(t, All, snap.Stage)
+	require.Equal(t, 2, snap.Routers)
+	require.Len(t, snap.Routes, 3)
+	require.Equal(t, Good, snap.Verdict)
 }
 
 // TestRolloutSnapshotWithoutServersInUse shows what an operator reads where all servers
@@ -47,11 +47,11 @@
 	t.Parallel()
 	for within := 10 * time.Millisecond; within < time.Hour; within = within*5/4 + 1 {
 		p := newTimeline(within)
-		require.GreaterOrEqual(t, p.ramp, part(within, 1-mostReserved)-time.Microsecond, within)
-		require.Less(t, p.ramp, p.lastRamp, within)
-		require.Less(t, p.due(All), p.move, within)
-		require.Less(t, p.lastRamp+rampSteps*p.dwell, p.write, within)
-		require.Less(t, p.write, p.giveUp, within)
-		require.Less(t, p.giveUp, p.end, within)
+		require.GreaterOrEqual(t, p.rampAt, scale(within, 1-maxReservedFraction)-time.Microsecond, within)
+		require.Less(t, p.rampAt, p.latestRampAt, within)
+		require.Less(t, p.stageAt(All), p.moveAt, within)
+		require.Less(t, p.latestRampAt+rampSteps*p.minStepInterval, p.writeAt, within)
+		require.Less(t, p.writeAt, p.rejectAt, within)
+		require.Less(t, p.rejectAt, p.deadline, within)
 	}
 }
--- a/rollout/timeline.go
+++ b/rollout/timeline.go
@@ -5,74 +5,74 @@
 const (
 	// The margin is kept between the last write and the deadline: a store that is slow,
 	// or answers 503 once, still gets the write in time.
-	marginPart  = 0.06
-	leastMargin = 800 * time.Millisecond
-	mostMargin  = 2 * time.Second
+	marginFraction = 0.06
+	minMargin      = 800 * time.Millisecond
+	maxMargin      = 2 * time.Second
 	// Settling is the time in which old servers finish what they run, before `completed`
 	// stops them: most answers of a few seconds end by themselves. It is no longer than
 	// that, since a version that turns bad meanwhile has all requests.
-	settlePart  = 0.08
-	leastSettle = 1200 * time.Millisecond
-	mostSettle  = 2400 * time.Millisecond
+	settleFraction = 0.08
+	minSettle      = 1200 * time.Millisecond
+	maxSettle      = 2400 * time.Millisecond
 	// The ramp is short, as a bad version that shows itself only under load costs most
 	// there, but gives each step time to show it.
-	rampPart  = 0.06
-	leastRamp = 800 * time.Millisecond
-	mostRamp  = 2500 * time.Millisecond
+	rampFraction = 0.06
+	minRamp      = 800 * time.Millisecond
+	maxRamp      = 2500 * time.Millisecond
 	// mostReserved is how much of a short order's time margin, settling and ramp may
 	// take together; the rest is needed to judge anything.
-	mostReserved = 0.7
+	maxReservedFraction = 0.7
 	// rampSteps are from Quarter to All.
 	rampSteps = 2
 	// hastyPart is how short steps and settling may become, against those planned, where
 	// the evidence came late.
-	hastyPart = 0.3
+	minStepFraction = 0.3
 	// movePart of the settling time is left when streams are moved from old servers:
 	// most have ended by themselves by then, and the rest needs time to start anew.
-	movePart = 0.4
+	moveFraction = 0.4
 	// gracePart of the margin is for a router that confirms late; after it a roll-out
 	// that isn't done is taken back, while there is time to write that.
-	gracePart = 0.5
+	graceFraction = 0.5
 )
 
 // timeline says at which age of an order its steps are due.
 type timeline struct {
-	ramp     time.Duration // Quarter, if the version is good
-	lastRamp time.Duration // the latest time for that
-	dwell    time.Duration // least time between steps, when in haste
-	step     time.Duration // between steps as planned
-	move     time.Duration
-	write    time.Duration // the final status, whatever still runs
-	giveUp   time.Duration
-	end      time.Duration // the deadline
+	rampAt          time.Duration // Quarter, if the version is good
+	latestRampAt    time.Duration // the latest time for that
+	minStepInterval time.Duration // least time between steps, when in haste
+	stepInterval    time.Duration // between steps as planned
+	moveAt          time.Duration
+	writeAt         time.Duration // the final status, whatever still runs
+	rejectAt        time.Duration
+	deadline        time.Duration // the deadline
 }
 
 func newTimeline(within time.Duration) timeline {
-	margin := bounded(within, marginPart, leastMargin, mostMargin)
-	settle := bounded(within, settlePart, leastSettle, mostSettle)
-	ramp := bounded(within, rampPart, leastRamp, mostRamp)
+	margin := clampedFraction(within, marginFraction, minMargin, maxMargin)
+	settle := clampedFraction(within, settleFraction, minSettle, maxSettle)
+	ramp := clampedFraction(within, rampFraction, minRamp, maxRamp)
 	reserved := margin + settle + ramp
-	if most := part(within, mostReserved); reserved > most {
-		shrink := float64(most) / float64(reserved)
-		margin, settle, ramp = part(margin, shrink), part(settle, shrink), part(ramp, shrink)
+	if maxReserved := scale(within, maxReservedFraction); reserved > maxReserved {
+		shrink := float64(maxReserved) / float64(reserved)
+		margin, settle, ramp = scale(margin, shrink), scale(settle, shrink), scale(ramp, shrink)
 	}
-	t := timeline{end: within, write: within - margin}
-	t.giveUp = t.write + part(margin, gracePart)
-	t.move = t.write - part(settle, movePart)
-	t.ramp = t.write - settle - ramp
-	t.step = ramp / rampSteps
-	t.dwell = part(t.step, hastyPart)
-	t.lastRamp = t.write - part(settle+ramp, hastyPart)
+	t := timeline{deadline: within, writeAt: within - margin}
+	t.rejectAt = t.writeAt + scale(margin, graceFraction)
+	t.moveAt = t.writeAt - scale(settle, moveFraction)
+	t.rampAt = t.writeAt - settle - ramp
+	t.stepInterval = ramp / rampSteps
+	t.minStepInterval = scale(t.stepInterval, minStepFraction)
+	t.latestRampAt = t.writeAt - scale(settle+ramp, minStepFraction)
 	return t
 }
 
-func bounded(within time.Duration, of float64, least, most time.Duration) time.Duration {
-	return min(max(part(within, of), least), most)
+func clampedFraction(within time.Duration, fraction float64, lowest, highest time.Duration) time.Duration {
+	return min(max(scale(within, fraction), lowest), highest)
 }
 
-func part(d time.Duration, of float64) time.Duration { return time.Duration(float64(d) * of) }
+func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
 // due is the age at which a stage of the ramp is planned.
-func (t timeline) due(s Stage) time.Duration {
-	return t.ramp + time.Duration(s-Quarter)*t.step
+func (t timeline) stageAt(s Stage) time.Duration {
+	return t.rampAt + time.Duration(s-Quarter)*t.stepInterval
 }
--- a/rollout/unlisted_test.go
+++ b/rollout/unlisted_test.go
@@ -17,14 +17,14 @@
 	m.Update(OrdersMsg{Orders: []Order{order}})
 	m.Update(PeerReportsMsg{Reports: []Report{{Service: "s", Order: order.Key(), Routers: 1, MaxStage: All, MinAppliedStage: All}}})
 	rejected := func(from time.Duration) bool {
-		for now := from; now < from+2*goneFor; now += TickInterval {
+		for now := from; now < from+2*missingServersTimeout; now += TickInterval {
 			m.Update(TickMsg{Now: now, Leads: true, Routers: 2})
 		}
 		return m.Snapshots()[0].Rejecting
 	}
 	require.False(t, rejected(0))
-	m.Update(VersionsMsg{Now: 2 * goneFor, Services: map[string][]string{"s": {newVersion, oldVersion}}})
-	require.False(t, rejected(2*goneFor))
-	m.Update(VersionsMsg{Now: 4 * goneFor, Services: map[string][]string{"s": {oldVersion}}})
-	require.True(t, rejected(4*goneFor))
+	m.Update(VersionsMsg{Now: 2 * missingServersTimeout, Services: map[string][]string{"s": {newVersion, oldVersion}}})
+	require.False(t, rejected(2*missingServersTimeout))
+	m.Update(VersionsMsg{Now: 4 * missingServersTimeout, Services: map[string][]string{"s": {oldVersion}}})
+	require.True(t, rejected(4*missingServersTimeout))
 }
--- a/rollout/wait.go
+++ b/rollout/wait.go
@@ -30,25 +30,25 @@
 func (m *Machine) waitsFor(s *service) Wait {
 	r := s.rollout
 	switch {
-	case !m.orders || !m.records:
+	case !m.ordersLoaded || !m.recordsLoaded:
 		return WaitStore
-	case s.inUse == nil || !m.listed:
+	case s.inUse == nil || !m.versionsLoaded:
 		return WaitVersions
-	case r == nil && len(s.versions) > 0 && !slices.ContainsFunc(s.inUse, s.lists):
+	case r == nil && len(s.versions) > 0 && !slices.ContainsFunc(s.inUse, s.hasServers):
 		return WaitOrder
 	case r == nil:
 		return WaitNothing
 	case r.rejected || r.confirmed:
 		return WaitStatus
-	case r.hold.on:
+	case r.hold.active:
 		return WaitHold
-	case !r.serversThere:
+	case !r.hasServers:
 		return WaitServers
-	case r.stage == All && !r.everywhere():
+	case r.stage == All && !r.allInLastStage():
 		return WaitRouters
 	case r.stage == All:
 		return WaitOldServers
-	case r.stage >= Trial && r.age >= r.plan.due(r.stage+1):
+	case r.stage >= Trial && r.age >= r.plan.stageAt(r.stage+1):
 		return WaitEvidence
 	}
 	return WaitTime
--- a/rollout/write.go
+++ b/rollout/write.go
@@ -9,12 +9,12 @@
 	if !s.writer.ready(now) {
 		return
 	}
-	if state := s.finalDue(); state.Final() {
+	if state := s.dueFinalState(); state.Final() {
 		m.writeStatus(s, state, now)
 		return
 	}
-	if want := s.wanted(wall); len(want.InUse) > 0 && !s.recordCurrent(want) {
-		c := WriteCmd{Kind: WriteRecord, Service: s.name, Record: want}
+	if desired := s.desiredRecord(wall); len(desired.InUse) > 0 && !s.recordCurrent(desired) {
+		c := WriteCmd{Kind: WriteRecord, Service: s.name, Record: desired}
 		m.cmds = append(m.cmds, s.writer.send(c, s.key(), now))
 		return
 	}
@@ -30,7 +30,7 @@
 }
 
 // finalDue returns the final status that is to be written now; Ordered: none.
-func (s *service) finalDue() State {
+func (s *service) dueFinalState() State {
 	r := s.rollout
 	if r == nil || r.order.Target == "" {
 		return Ordered
@@ -38,7 +38,7 @@
 	if r.rejected {
 		return RolledBack
 	}
-	if r.confirmed && !r.stopped() && r.everywhere() {
+	if r.confirmed && !r.stopped() && r.allInLastStage() {
 		return Completed
 	}
 	return Ordered
@@ -54,21 +54,21 @@
 
 // written takes in the end of a write. The object as it is now may have come before; where
 // it has not, the content of the write is taken for it until it comes.
-func (m *Machine) written(msg WriteDoneMsg) {
+func (m *Machine) finishWrite(msg WriteDoneMsg) {
 	s := m.services[msg.Service]
 	if s == nil {
 		return
 	}
-	out := s.writer.ended(msg)
-	if out == nil || msg.Result != Written {
+	cmd := s.writer.finish(msg)
+	if cmd == nil || msg.Result != Written {
 		return
 	}
-	if out.Kind == WriteRecord {
-		s.recordWritten(out.Record)
+	if cmd.Kind == WriteRecord {
+		s.recordWritten(cmd.Record)
 		return
 	}
-	if s.order != nil && s.writer.key == s.order.Key() && s.order.Revision == out.Status.Revision {
-		s.order.State, s.order.StateTarget = out.Status.State, out.Status.Target
+	if s.order != nil && s.writer.key == s.order.Key() && s.order.Revision == cmd.Status.Revision {
+		s.order.State, s.order.StateTarget = cmd.Status.State, cmd.Status.Target
 	}
 }
 
