--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -32,7 +32,7 @@
 		h.Update(AgentUpMsg{Now: now, Source: source(a), Hall: "a"})
 		h.Update(ServiceMsg{Now: now, Source: source(a), Hall: "a", Rows: rows})
 	}
-	now += settleAfter
+	now += warmupPeriod
 	h.Update(TickMsg{Now: now})
 	backlogged := rows[:max(teams/10, 1)]
 	b.ReportAllocs()
--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -10,26 +10,26 @@
 
 // Hub adds up service for the agents that it serves.
 type Hub struct {
-	self    fleet.Name
-	hall    fleet.Hall
-	index   *index
-	lives   map[Source]*life
-	halls   map[fleet.Hall]*hallState
-	order   []fleet.Hall // the halls, by name
-	agents  []*agentLink // by name
-	peers   []*peerLink  // by name
-	changed changes      // teams whose total has changed since the last round
-	sentAt  time.Duration
+	self         fleet.Name
+	hall         fleet.Hall
+	teams        *teamIndex
+	incarnations map[Source]*incarnation
+	halls        map[fleet.Hall]*hallState
+	hallNames    []fleet.Hall // the halls, by name
+	agents       []*agentLink // by name
+	peers        []*peerLink  // by name
+	changed      changeSet    // teams whose total has changed since the last round
+	sentAt       time.Duration
 }
 
 // NewHub returns a hub that knows of no service.
 func NewHub(self fleet.Name, hall fleet.Hall) *Hub {
 	return &Hub{
-		self:  self,
-		hall:  hall,
-		index: newIndex(),
-		lives: map[Source]*life{},
-		halls: map[fleet.Hall]*hallState{},
+		self:         self,
+		hall:         hall,
+		teams:        newTeamIndex(),
+		incarnations: map[Source]*incarnation{},
+		halls:        map[fleet.Hall]*hallState{},
 	}
 }
 
@@ -57,14 +57,14 @@
 // Totals returns the service of the whole fleet as this hub knows it.
 func (h *Hub) Totals() []fleet.ServiceRow {
 	var sum vector
-	for i := range h.index.teams {
+	for i := range h.teams.teams {
 		sum.set(i, h.total(i))
 	}
-	return h.index.rows(sum)
+	return h.teams.rows(sum)
 }
 
 // Incarnations returns how many lives of agents the hub remembers.
-func (h *Hub) Incarnations() int { return len(h.lives) }
+func (h *Hub) Incarnations() int { return len(h.incarnations) }
 
 func (h *Hub) agent(n fleet.Name) (int, bool) {
 	return slices.BinarySearchFunc(h.agents, n, func(a *agentLink, n fleet.Name) int {
@@ -82,21 +82,21 @@
 	i, ok := h.agent(msg.Source.Agent)
 	if !ok {
 		h.agents = slices.Insert(h.agents, i, &agentLink{})
-		h.serve(msg)
+		h.addHallAgent(msg)
 	}
 	*h.agents[i] = agentLink{source: msg.Source, hall: msg.Hall}
 }
 
-// serve counts one more linked agent of a hall; the first starts the time in
+// addHallAgent counts one more linked agent of a hall; the first starts the time in
 // which the hall settles.
-func (h *Hub) serve(msg AgentUpMsg) {
+func (h *Hub) addHallAgent(msg AgentUpMsg) {
 	s := h.hallState(msg.Hall)
-	if s.linked == 0 {
-		s.since = msg.Now
-		s.settled = false
-		s.carry = nil
+	if s.linkedAgents == 0 {
+		s.linkedSince = msg.Now
+		s.warmedUp = false
+		s.recovered = nil
 	}
-	s.linked++
+	s.linkedAgents++
 }
 
 func (h *Hub) agentDown(msg AgentDownMsg) {
@@ -104,7 +104,7 @@
 	if !ok {
 		return
 	}
-	h.hallState(h.agents[i].hall).linked--
+	h.hallState(h.agents[i].hall).linkedAgents--
 	h.agents = slices.Delete(h.agents, i, i+1)
 }
 
@@ -116,28 +116,28 @@
 		h.peers = slices.Insert(h.peers, i, &peerLink{})
 	}
 	*h.peers[i] = peerLink{
-		name: msg.Peer, hall: msg.Hall, pair: msg.Paired,
-		sent: map[fleet.Hall]vector{}, whole: map[fleet.Hall]bool{},
+		name: msg.Peer, hall: msg.Hall, paired: msg.Paired,
+		sent: map[fleet.Hall]vector{}, sentAll: map[fleet.Hall]bool{},
 	}
 	if msg.Hall != h.hall {
-		return h.giveBack(msg)
+		return h.returnHallTotals(msg)
 	}
 	var cmds []Command
-	for _, src := range h.sources() {
-		l := h.lives[src]
-		cmds = append(cmds, AgentRowsCmd{Peer: msg.Peer, Source: src, Hall: l.hall, Rows: h.index.rows(l.service)})
+	for _, src := range h.sortedSources() {
+		l := h.incarnations[src]
+		cmds = append(cmds, AgentRowsCmd{Peer: msg.Peer, Source: src, Hall: l.hall, Rows: h.teams.rows(l.service)})
 	}
 	return cmds
 }
 
-// giveBack tells a hub what is known here of its own hall, for the case that
+// returnHallTotals tells a hub what is known here of its own hall, for the case that
 // every hub of that hall has started anew.
-func (h *Hub) giveBack(msg PeerUpMsg) []Command {
+func (h *Hub) returnHallTotals(msg PeerUpMsg) []Command {
 	s, ok := h.halls[msg.Hall]
-	if !ok || len(s.told) == 0 {
+	if !ok || len(s.fromHubs) == 0 {
 		return nil
 	}
-	return []Command{HallTotalsCmd{Peer: msg.Peer, Hall: msg.Hall, Rows: h.index.rows(s.told)}}
+	return []Command{HallTotalsCmd{Peer: msg.Peer, Hall: msg.Hall, Rows: h.teams.rows(s.fromHubs)}}
 }
 
 func (h *Hub) peerDown(msg PeerDownMsg) {
@@ -146,9 +146,9 @@
 	}
 }
 
-func (h *Hub) sources() []Source {
-	out := make([]Source, 0, len(h.lives))
-	for s := range h.lives {
+func (h *Hub) sortedSources() []Source {
+	out := make([]Source, 0, len(h.incarnations))
+	for s := range h.incarnations {
 		out = append(out, s)
 	}
 	slices.SortFunc(out, func(a, b Source) int {
@@ -159,17 +159,17 @@
 
 // service raises the counters of one life and the sum of its hall.
 func (h *Hub) service(msg ServiceMsg) {
-	l, ok := h.lives[msg.Source]
+	l, ok := h.incarnations[msg.Source]
 	if !ok {
-		l = &life{hall: msg.Hall}
-		h.lives[msg.Source] = l
+		l = &incarnation{hall: msg.Hall}
+		h.incarnations[msg.Source] = l
 	}
-	sum := &h.hallState(l.hall).sum
+	sum := &h.hallState(l.hall).fromAgents
 	for _, r := range msg.Rows {
-		i := h.index.place(r.Team)
+		i := h.teams.indexOf(r.Team)
 		grown := l.service.merge(i, entry{service: r.Service, lift: r.Lift})
 		sum.add(i, entry{service: grown, lift: r.Lift})
-		h.changed.note(i)
+		h.changed.mark(i)
 	}
 }
 
@@ -178,8 +178,8 @@
 	if !ok {
 		s = &hallState{}
 		h.halls[hall] = s
-		i, _ := slices.BinarySearch(h.order, hall)
-		h.order = slices.Insert(h.order, i, hall)
+		i, _ := slices.BinarySearch(h.hallNames, hall)
+		h.hallNames = slices.Insert(h.hallNames, i, hall)
 	}
 	return s
 }
@@ -188,16 +188,16 @@
 func (h *Hub) hallTotals(msg HallTotalsMsg) {
 	s := h.hallState(msg.Hall)
 	for _, r := range msg.Rows {
-		i := h.index.place(r.Team)
-		s.told.merge(i, entry{service: r.Service, lift: r.Lift})
-		h.changed.note(i)
+		i := h.teams.indexOf(r.Team)
+		s.fromHubs.merge(i, entry{service: r.Service, lift: r.Lift})
+		h.changed.mark(i)
 	}
 }
 
 // total returns one team's counters in the whole fleet.
 func (h *Hub) total(i int) entry {
 	var e entry
-	for _, hall := range h.order {
+	for _, hall := range h.hallNames {
 		part := h.halls[hall].at(i)
 		e.service += part.service
 		e.lift = max(e.lift, part.lift)
--- a/ledger/round.go
+++ b/ledger/round.go
@@ -10,78 +10,78 @@
 	}
 	h.sentAt = msg.Now
 	for _, s := range h.halls {
-		if s.settle(msg.Now) {
-			h.noteAll()
+		if s.finishWarmup(msg.Now) {
+			h.markAllChanged()
 		}
 	}
-	news := h.news()
-	return append(h.toPeers(news), h.toAgents(news)...)
+	u := h.takeUpdate()
+	return append(h.toPeers(u), h.toAgents(u)...)
 }
 
-// noteAll lets the next round look at every team.
-func (h *Hub) noteAll() {
-	for i := range h.index.teams {
-		h.changed.note(i)
+// markAllChanged lets the next round look at every team.
+func (h *Hub) markAllChanged() {
+	for i := range h.teams.teams {
+		h.changed.mark(i)
 	}
 }
 
-// news is the teams that a round looks at, with their totals.
-type news struct {
-	places []int
-	totals vector // by place
+// update is the teams that a round looks at, with their totals.
+type update struct {
+	indexes []int
+	totals  vector // by place
 }
 
-func (h *Hub) news() news {
-	n := news{places: h.changed.take()}
-	for i := range h.index.teams {
-		n.totals.set(i, entry{})
+func (h *Hub) takeUpdate() update {
+	u := update{indexes: h.changed.drain()}
+	for i := range h.teams.teams {
+		u.totals.set(i, entry{})
 	}
-	for _, i := range n.places {
-		n.totals[i] = h.total(i)
+	for _, i := range u.indexes {
+		u.totals[i] = h.total(i)
 	}
-	return n
+	return u
 }
 
-// everything is the news for one who has heard nothing yet.
-func (h *Hub) everything() news {
-	var n news
-	for i := range h.index.teams {
-		n.places = append(n.places, i)
-		n.totals.set(i, h.total(i))
+// fullUpdate is the news for one who has heard nothing yet.
+func (h *Hub) fullUpdate() update {
+	var u update
+	for i := range h.teams.teams {
+		u.indexes = append(u.indexes, i)
+		u.totals.set(i, h.total(i))
 	}
-	return n
+	return u
 }
 
 // toPeers sends the halls served here to the hubs that pair with this one.
-func (h *Hub) toPeers(n news) []Command {
+func (h *Hub) toPeers(u update) []Command {
 	var cmds []Command
 	for _, p := range h.peers {
-		if !p.pair {
+		if !p.paired {
 			continue
 		}
-		for _, hall := range h.order {
-			if hall != p.hall && h.speaksOf(hall) {
-				cmds = append(cmds, h.toPeer(p, hall, n)...)
+		for _, hall := range h.hallNames {
+			if hall != p.hall && h.mayReport(hall) {
+				cmds = append(cmds, h.toPeer(p, hall, u)...)
 			}
 		}
 	}
 	return cmds
 }
 
-// speaksOf tells whether this hub may speak of a hall.
-func (h *Hub) speaksOf(hall fleet.Hall) bool {
+// mayReport tells whether this hub may speak of a hall.
+func (h *Hub) mayReport(hall fleet.Hall) bool {
 	s := h.halls[hall]
-	return s.linked > 0 && s.settled
+	return s.linkedAgents > 0 && s.warmedUp
 }
 
-func (h *Hub) toPeer(p *peerLink, hall fleet.Hall, n news) []Command {
-	if !p.whole[hall] {
-		p.whole[hall] = true
-		n = h.everything()
+func (h *Hub) toPeer(p *peerLink, hall fleet.Hall, u update) []Command {
+	if !p.sentAll[hall] {
+		p.sentAll[hall] = true
+		u = h.fullUpdate()
 	}
 	sent := p.sent[hall]
 	s := h.halls[hall]
-	rows := h.fresh(n.places, &sent, s.at)
+	rows := h.changedRows(u.indexes, &sent, s.at)
 	p.sent[hall] = sent
 	if len(rows) == 0 {
 		return nil
@@ -92,41 +92,41 @@
 // toAgents sends each agent the totals less its own part. An agent whose hall
 // has not settled, or whose own part is not known yet, would count itself
 // twice, so it waits.
-func (h *Hub) toAgents(n news) []Command {
+func (h *Hub) toAgents(n update) []Command {
 	var cmds []Command
-	for _, a := range h.agents {
-		own, known := h.lives[a.source]
-		if !known || !h.hallState(a.hall).settled {
+	for _, agent := range h.agents {
+		own, known := h.incarnations[agent.source]
+		if !known || !h.hallState(agent.hall).warmedUp {
 			continue
 		}
-		heard := n
-		if !a.whole {
-			a.whole = true
-			heard = h.everything()
+		u := n
+		if !agent.sentAll {
+			agent.sentAll = true
+			u = h.fullUpdate()
 		}
-		rows := h.fresh(heard.places, &a.sent, func(i int) entry {
-			e := heard.totals[i]
+		rows := h.changedRows(u.indexes, &agent.sent, func(i int) entry {
+			e := u.totals[i]
 			e.service -= own.service.at(i).service
 			return e
 		})
 		if len(rows) > 0 {
-			cmds = append(cmds, TotalsCmd{Agent: a.source.Agent, Rows: rows})
+			cmds = append(cmds, TotalsCmd{Agent: agent.source.Agent, Rows: rows})
 		}
 	}
 	return cmds
 }
 
-// fresh spells the places whose counters differ from what was sent, and notes
+// changedRows spells the places whose counters differ from what was sent, and notes
 // that they are sent now.
-func (h *Hub) fresh(places []int, sent *vector, at func(int) entry) []fleet.ServiceRow {
+func (h *Hub) changedRows(indexes []int, sent *vector, at func(int) entry) []fleet.ServiceRow {
 	var rows []fleet.ServiceRow
-	for _, i := range places {
+	for _, i := range indexes {
 		e := at(i)
 		if sent.at(i) == e {
 			continue
 		}
 		sent.set(i, e)
-		rows = append(rows, fleet.ServiceRow{Team: h.index.teams[i], Service: e.service, Lift: e.lift})
+		rows = append(rows, fleet.ServiceRow{Team: h.teams.teams[i], Service: e.service, Lift: e.lift})
 	}
 	return rows
 }
--- a/ledger/vector.go
+++ b/ledger/vector.go
@@ -12,20 +12,20 @@
 	lift    time.Duration
 }
 
-// index gives each team that a hub has heard of a place in its vectors.
-type index struct {
-	places map[fleet.Team]int
+// teamIndex gives each team that a hub has heard of a place in its vectors.
+type teamIndex struct {
+	byTeam map[fleet.Team]int
 	teams  []fleet.Team
 }
 
-func newIndex() *index { return &index{places: map[fleet.Team]int{}} }
+func newTeamIndex() *teamIndex { return &teamIndex{byTeam: map[fleet.Team]int{}} }
 
-func (x *index) place(t fleet.Team) int {
-	if i, ok := x.places[t]; ok {
+func (x *teamIndex) indexOf(t fleet.Team) int {
+	if i, ok := x.byTeam[t]; ok {
 		return i
 	}
 	i := len(x.teams)
-	x.places[t] = i
+	x.byTeam[t] = i
 	x.teams = append(x.teams, t)
 	return i
 }
@@ -61,7 +61,7 @@
 }
 
 // rows spells the counters that are not zero.
-func (x *index) rows(v vector) []fleet.ServiceRow {
+func (x *teamIndex) rows(v vector) []fleet.ServiceRow {
 	var out []fleet.ServiceRow
 	for i, e := range v {
 		if e != (entry{}) {
--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -7,8 +7,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// askTimeout is how long owners have to answer.
-const askTimeout = 500 * time.Millisecond
+// reserveTimeout is how long owners have to answer.
+const reserveTimeout = 500 * time.Millisecond
 
 // Decision is what may be done with a request that bears a key.
 type Decision uint8
@@ -26,22 +26,22 @@
 // Coordinator is a router's part: it asks the owners of keys and counts their
 // answers. It is pure.
 type Coordinator struct {
-	open map[uint64]*question
+	reservations map[uint64]*reservation
 }
 
-// question is one key that owners have been asked about.
-type question struct {
-	holder Holder
-	key    Key
-	owners []fleet.Name
-	left   []fleet.Name // that have not answered
-	noted  int
-	until  time.Duration
-	held   bool // the request may run; the key stays until it is released
+// reservation is one key that owners have been asked about.
+type reservation struct {
+	holder     Holder
+	key        Key
+	owners     []fleet.Name
+	unanswered []fleet.Name // that have not answered
+	reserved   int
+	deadline   time.Duration
+	granted    bool // the request may run; the key stays until it is released
 }
 
 // NewCoordinator returns an asker without questions.
-func NewCoordinator() *Coordinator { return &Coordinator{open: map[uint64]*question{}} }
+func NewCoordinator() *Coordinator { return &Coordinator{reservations: map[uint64]*reservation{}} }
 
 // CoordinatorMsg is anything that an Asker can be told.
 type CoordinatorMsg interface{ isCoordinatorMsg() }
@@ -116,26 +116,26 @@
 func (a *Coordinator) Update(msg CoordinatorMsg) []Command {
 	switch msg := msg.(type) {
 	case AcquireMsg:
-		return a.ask(msg)
+		return a.acquire(msg)
 	case VerdictMsg:
-		return a.verdict(msg)
+		return a.handleVerdict(msg)
 	case NotRunMsg:
 		return a.notRun(msg)
 	case DoneMsg:
-		delete(a.open, msg.Request)
+		delete(a.reservations, msg.Request)
 	case TickMsg:
 		return a.tick(msg)
 	}
 	return nil
 }
 
-func (a *Coordinator) ask(msg AcquireMsg) []Command {
+func (a *Coordinator) acquire(msg AcquireMsg) []Command {
 	owners := Owners(msg.Key, msg.Agents)
-	q := &question{
+	q := &reservation{
 		holder: msg.Holder, key: msg.Key, owners: owners,
-		left: slices.Clone(owners), until: msg.Now + askTimeout,
+		unanswered: slices.Clone(owners), deadline: msg.Now + reserveTimeout,
 	}
-	a.open[msg.Holder.Request] = q
+	a.reservations[msg.Holder.Request] = q
 	var cmds []Command
 	for _, o := range owners {
 		cmds = append(cmds, ReserveCmd{Owner: o, Key: msg.Key, Holder: msg.Holder, CreatedAt: msg.CreatedAt})
@@ -146,27 +146,27 @@
 	return cmds
 }
 
-func (a *Coordinator) verdict(msg VerdictMsg) []Command {
-	q, ok := a.open[msg.Request]
-	if !ok || q.held {
+func (a *Coordinator) handleVerdict(msg VerdictMsg) []Command {
+	q, ok := a.reservations[msg.Request]
+	if !ok || q.granted {
 		return nil
 	}
-	i := slices.Index(q.left, msg.Owner)
+	i := slices.Index(q.unanswered, msg.Owner)
 	if i < 0 {
 		return nil
 	}
-	q.left = slices.Delete(q.left, i, i+1)
+	q.unanswered = slices.Delete(q.unanswered, i, i+1)
 	switch msg.Verdict {
 	case VerdictDuplicate:
 		return a.decide(q, DecisionDuplicate)
 	case VerdictReserved:
-		q.noted++
+		q.reserved++
 	}
-	need := Quorum(len(q.owners))
+	quorum := Quorum(len(q.owners))
 	switch {
-	case q.noted >= need:
+	case q.reserved >= quorum:
 		return a.decide(q, DecisionRun)
-	case q.noted+len(q.left) < need:
+	case q.reserved+len(q.unanswered) < quorum:
 		return a.decide(q, DecisionUncertain)
 	}
 	return nil
@@ -174,17 +174,17 @@
 
 // decide ends a question. Where the request may not run its notes are taken
 // back, so that the caller may come again.
-func (a *Coordinator) decide(q *question, d Decision) []Command {
+func (a *Coordinator) decide(q *reservation, d Decision) []Command {
 	cmds := []Command{DecideCmd{Request: q.holder.Request, Decision: d}}
 	if d == DecisionRun {
-		q.held = true
+		q.granted = true
 		return cmds
 	}
 	return append(cmds, a.release(q)...)
 }
 
-func (a *Coordinator) release(q *question) []Command {
-	delete(a.open, q.holder.Request)
+func (a *Coordinator) release(q *reservation) []Command {
+	delete(a.reservations, q.holder.Request)
 	var cmds []Command
 	for _, o := range q.owners {
 		cmds = append(cmds, ReleaseCmd{Owner: o, Key: q.key, Holder: q.holder})
@@ -193,7 +193,7 @@
 }
 
 func (a *Coordinator) notRun(msg NotRunMsg) []Command {
-	q, ok := a.open[msg.Request]
+	q, ok := a.reservations[msg.Request]
 	if !ok {
 		return nil
 	}
@@ -202,16 +202,16 @@
 
 // tick ends questions whose owners have not answered in time.
 func (a *Coordinator) tick(msg TickMsg) []Command {
-	var late []uint64
-	for id, q := range a.open {
-		if !q.held && q.until <= msg.Now {
-			late = append(late, id)
+	var expired []uint64
+	for id, q := range a.reservations {
+		if !q.granted && q.deadline <= msg.Now {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(late)
+	slices.Sort(expired)
 	var cmds []Command
-	for _, id := range late {
-		cmds = append(cmds, a.decide(a.open[id], DecisionUncertain)...)
+	for _, id := range expired {
+		cmds = append(cmds, a.decide(a.reservations[id], DecisionUncertain)...)
 	}
 	return cmds
 }
--- a/once/keytable.go
+++ b/once/keytable.go
@@ -19,27 +19,27 @@
 // KeyTable is an agent's part in remembering keys. It is pure: the time since
 // the process started comes with each message.
 type KeyTable struct {
-	cfg   KeyTableConfig
-	keys  map[Key]note
-	pools map[fleet.Work][]pool // newest last
-	swept time.Duration
+	cfg     KeyTableConfig
+	entries map[Key]entry
+	pools   map[fleet.Work][]pool // newest last
+	sweptAt time.Duration
 }
 
-// note is one key that was noted.
-type note struct {
-	holder Holder
-	at     time.Duration
+// entry is one key that was noted.
+type entry struct {
+	holder     Holder
+	reservedAt time.Duration
 }
 
 // pool is the agents of a work's servers since a time.
 type pool struct {
-	since time.Duration
-	names []fleet.Name
+	since  time.Duration
+	agents []fleet.Name
 }
 
 // NewKeyTable returns a memory that knows no keys.
 func NewKeyTable(cfg KeyTableConfig) *KeyTable {
-	return &KeyTable{cfg: cfg, keys: map[Key]note{}, pools: map[fleet.Work][]pool{}}
+	return &KeyTable{cfg: cfg, entries: map[Key]entry{}, pools: map[fleet.Work][]pool{}}
 }
 
 // KeyTableMsg is anything that a Memory can be told.
@@ -81,55 +81,55 @@
 		m.sweep(msg.Now)
 		return m.reserve(msg)
 	case ReleaseMsg:
-		if n, ok := m.keys[msg.Key]; ok && n.holder == msg.Holder {
-			delete(m.keys, msg.Key)
+		if n, ok := m.entries[msg.Key]; ok && n.holder == msg.Holder {
+			delete(m.entries, msg.Key)
 		}
 	}
 	return VerdictUncertain
 }
 
 // Len returns how many keys are remembered.
-func (m *KeyTable) Len() int { return len(m.keys) }
+func (m *KeyTable) Len() int { return len(m.entries) }
 
 func (m *KeyTable) setPool(msg PoolMsg) {
 	pools := m.pools[msg.Work]
-	if n := len(pools); n > 0 && slices.Equal(pools[n-1].names, msg.Agents) {
+	if n := len(pools); n > 0 && slices.Equal(pools[n-1].agents, msg.Agents) {
 		return
 	}
-	m.pools[msg.Work] = append(pools, pool{since: msg.Now, names: slices.Clone(msg.Agents)})
+	m.pools[msg.Work] = append(pools, pool{since: msg.Now, agents: slices.Clone(msg.Agents)})
 }
 
 func (m *KeyTable) reserve(msg ReserveMsg) Verdict {
-	n, known := m.keys[msg.Key]
+	n, known := m.entries[msg.Key]
 	if known && n.holder != msg.Holder {
 		return VerdictDuplicate
 	}
-	if !known && len(m.keys) >= maxKeys {
+	if !known && len(m.entries) >= maxKeys {
 		return VerdictUncertain
 	}
-	m.keys[msg.Key] = note{holder: msg.Holder, at: msg.Now}
-	if m.vouches(msg) {
+	m.entries[msg.Key] = entry{holder: msg.Holder, reservedAt: msg.Now}
+	if m.hasFullHistory(msg) {
 		return VerdictReserved
 	}
 	return VerdictUncertain
 }
 
-// vouches tells whether the agent would know the key had it been noted before:
+// hasFullHistory tells whether the agent would know the key had it been noted before:
 // it has lived, and owned the key in every pool, for as long as keys are
 // remembered or since before the key was made.
-func (m *KeyTable) vouches(msg ReserveMsg) bool {
+func (m *KeyTable) hasFullHistory(msg ReserveMsg) bool {
 	horizon := msg.Now - KeyTTL
 	if !msg.CreatedAt.IsZero() {
-		made := msg.CreatedAt.Sub(m.cfg.StartedAt) - MaxClockSkew
-		horizon = max(horizon, made)
+		createdAt := msg.CreatedAt.Sub(m.cfg.StartedAt) - MaxClockSkew
+		horizon = max(horizon, createdAt)
 	}
 	pools := m.pools[msg.Key.Work]
 	for i, p := range pools {
-		over := i+1 < len(pools) && pools[i+1].since < horizon
-		if over {
+		replaced := i+1 < len(pools) && pools[i+1].since < horizon
+		if replaced {
 			continue
 		}
-		if !slices.Contains(Owners(msg.Key, p.names), m.cfg.Self) {
+		if !slices.Contains(Owners(msg.Key, p.agents), m.cfg.Self) {
 			return false
 		}
 	}
@@ -138,13 +138,13 @@
 
 // sweep forgets keys and pools whose time is over, now and then.
 func (m *KeyTable) sweep(now time.Duration) {
-	if now-m.swept < KeyTTL/10 {
+	if now-m.sweptAt < KeyTTL/10 {
 		return
 	}
-	m.swept = now
-	for k, n := range m.keys {
-		if now-n.at > KeyTTL {
-			delete(m.keys, k)
+	m.sweptAt = now
+	for k, n := range m.entries {
+		if now-n.reservedAt > KeyTTL {
+			delete(m.entries, k)
 		}
 	}
 	for w, pools := range m.pools {
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -11,65 +11,65 @@
 	"pgregory.net/rapid"
 )
 
-// onceWorld is routers and owners with a network that delays, loses and
+// simulation is routers and owners with a network that delays, loses and
 // repeats, owners that restart with no state, and pools that change.
-type onceWorld struct {
-	now      time.Duration
-	began    time.Time
-	pool     []fleet.Name
-	owners   map[fleet.Name]*onceOwner
-	routers  []*Coordinator
-	mail     []func()
-	runs     map[Key]int
-	next     uint64
-	attempts map[uint64]Key
-	forgets  bool // owners vouch for what they can't know
-	broken   string
+type simulation struct {
+	now               time.Duration
+	startedAt         time.Time
+	agents            []fleet.Name
+	owners            map[fleet.Name]*simOwner
+	routers           []*Coordinator
+	inFlight          []func()
+	runs              map[Key]int
+	next              uint64
+	attempts          map[uint64]Key
+	overclaimsHistory bool // owners vouch for what they can't know
+	violation         string
 }
 
-type onceOwner struct {
-	m       *KeyTable
-	started time.Duration
+type simOwner struct {
+	table     *KeyTable
+	startedAt time.Duration
 }
 
-func newOnceWorld(forgets bool) *onceWorld {
-	w := &onceWorld{
-		now: 2 * KeyTTL, began: time.Unix(1_000_000, 0), owners: map[fleet.Name]*onceOwner{},
-		runs: map[Key]int{}, attempts: map[uint64]Key{}, forgets: forgets,
+func newSimulation(forgets bool) *simulation {
+	w := &simulation{
+		now: 2 * KeyTTL, startedAt: time.Unix(1_000_000, 0), owners: map[fleet.Name]*simOwner{},
+		runs: map[Key]int{}, attempts: map[uint64]Key{}, overclaimsHistory: forgets,
 		routers: []*Coordinator{NewCoordinator(), NewCoordinator()},
 	}
 	for i := range 5 {
 		n := fleet.Name(fmt.Sprintf("app-%d", i))
-		w.pool = append(w.pool, n)
+		w.agents = append(w.agents, n)
 	}
-	for _, n := range w.pool {
+	for _, n := range w.agents {
 		w.start(n, 0)
 	}
 	return w
 }
 
 // start starts an owner with no state at a time.
-func (w *onceWorld) start(n fleet.Name, at time.Duration) {
-	cfg := KeyTableConfig{Self: n, StartedAt: w.began.Add(at)}
-	o := &onceOwner{m: NewKeyTable(cfg), started: at}
-	if w.forgets {
-		o.started -= 3 * KeyTTL // it takes itself for older than it is
+func (w *simulation) start(n fleet.Name, at time.Duration) {
+	cfg := KeyTableConfig{Self: n, StartedAt: w.startedAt.Add(at)}
+	o := &simOwner{table: NewKeyTable(cfg), startedAt: at}
+	if w.overclaimsHistory {
+		o.startedAt -= 3 * KeyTTL // it takes itself for older than it is
 	}
-	o.m.Update(PoolMsg{Work: "tag", Agents: w.pool})
+	o.table.Update(PoolMsg{Work: "tag", Agents: w.agents})
 	w.owners[n] = o
 }
 
-func (w *onceWorld) since(o *onceOwner) time.Duration { return w.now - o.started }
+func (w *simulation) age(o *simOwner) time.Duration { return w.now - o.startedAt }
 
-func (w *onceWorld) do(router int, cmds []Command) {
+func (w *simulation) perform(router int, cmds []Command) {
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case ReserveCmd:
-			w.mail = append(w.mail, func() { w.reserve(router, c) })
+			w.inFlight = append(w.inFlight, func() { w.reserve(router, c) })
 		case ReleaseCmd:
-			w.mail = append(w.mail, func() {
+			w.inFlight = append(w.inFlight, func() {
 				o := w.owners[c.Owner]
-				o.m.Update(ReleaseMsg{Now: w.since(o), Key: c.Key, Holder: c.Holder})
+				o.table.Update(ReleaseMsg{Now: w.age(o), Key: c.Key, Holder: c.Holder})
 			})
 		case DecideCmd:
 			if c.Decision == DecisionRun {
@@ -79,63 +79,63 @@
 	}
 }
 
-func (w *onceWorld) reserve(router int, c ReserveCmd) {
+func (w *simulation) reserve(router int, c ReserveCmd) {
 	o := w.owners[c.Owner]
-	v := o.m.Update(ReserveMsg{Now: w.since(o), Key: c.Key, Holder: c.Holder, CreatedAt: c.CreatedAt})
-	w.mail = append(w.mail, func() {
-		w.do(router, w.routers[router].Update(VerdictMsg{Now: w.now, Owner: c.Owner, Request: c.Holder.Request, Verdict: v}))
+	v := o.table.Update(ReserveMsg{Now: w.age(o), Key: c.Key, Holder: c.Holder, CreatedAt: c.CreatedAt})
+	w.inFlight = append(w.inFlight, func() {
+		w.perform(router, w.routers[router].Update(VerdictMsg{Now: w.now, Owner: c.Owner, Request: c.Holder.Request, Verdict: v}))
 	})
 }
 
-func (w *onceWorld) run(k Key) {
+func (w *simulation) run(k Key) {
 	w.runs[k]++
 	if w.runs[k] > 1 {
-		w.broken = "a key ran twice"
+		w.violation = "a key ran twice"
 	}
 }
 
 // step does one thing, by chance. All keys are used within the window.
-func (w *onceWorld) step(pick func(int) int) {
+func (w *simulation) step(pick func(int) int) {
 	switch pick(9) {
 	case 0, 1:
 		w.next++
 		k := NewKey("team", "tag", fmt.Sprint(pick(3)))
 		w.attempts[w.next] = k
 		r := pick(len(w.routers))
-		w.do(r, w.routers[r].Update(AcquireMsg{
-			Now: w.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: w.next}, Key: k, Agents: w.pool,
+		w.perform(r, w.routers[r].Update(AcquireMsg{
+			Now: w.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: w.next}, Key: k, Agents: w.agents,
 		}))
 	case 2, 3, 4:
 		for range 6 {
 			w.deliver(pick)
 		}
 	case 5:
-		if n := len(w.mail); n > 0 { // repeat
-			w.mail = append(w.mail, w.mail[pick(n)])
+		if n := len(w.inFlight); n > 0 { // repeat
+			w.inFlight = append(w.inFlight, w.inFlight[pick(n)])
 		}
 	case 6:
-		if n := len(w.mail); n > 0 { // lose
+		if n := len(w.inFlight); n > 0 { // lose
 			i := pick(n)
-			w.mail = append(w.mail[:i:i], w.mail[i+1:]...)
+			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 		}
 	case 7:
-		w.start(w.pool[pick(len(w.pool))], w.now)
+		w.start(w.agents[pick(len(w.agents))], w.now)
 	case 8:
 		w.now += time.Duration(pick(300)) * time.Millisecond
 		for i, r := range w.routers {
-			w.do(i, r.Update(TickMsg{Now: w.now}))
+			w.perform(i, r.Update(TickMsg{Now: w.now}))
 		}
 	}
 }
 
-func (w *onceWorld) deliver(pick func(int) int) {
-	n := len(w.mail)
+func (w *simulation) deliver(pick func(int) int) {
+	n := len(w.inFlight)
 	if n == 0 {
 		return
 	}
 	i := pick(n)
-	f := w.mail[i]
-	w.mail = append(w.mail[:i:i], w.mail[i+1:]...)
+	f := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 	f()
 }
 
@@ -144,11 +144,11 @@
 // repeated and reordered.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newOnceWorld(false)
+		w := newSimulation(false)
 		for range 150 {
 			w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") })
-			if w.broken != "" {
-				rt.Fatal(w.broken)
+			if w.violation != "" {
+				rt.Fatal(w.violation)
 			}
 		}
 	})
@@ -159,24 +159,24 @@
 func TestForgetfulOwnersAreCaught(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := newOnceWorld(true)
+		w := newSimulation(true)
 		for range 150 {
 			w.step(rng.IntN)
 		}
-		if w.broken != "" {
+		if w.violation != "" {
 			return
 		}
 	}
 	t.Fatal("no key ran twice")
 }
 
-func ask(t *testing.T, w *onceWorld, made time.Time) []Command {
+func acquire(t *testing.T, w *simulation, createdAt time.Time) []Command {
 	t.Helper()
 	w.next++
 	k := NewKey("team", "tag", fmt.Sprint("k", w.next))
 	w.attempts[w.next] = k
-	w.do(0, w.routers[0].Update(AcquireMsg{Now: w.now, Holder: Holder{Request: w.next}, Key: k, Agents: w.pool, CreatedAt: made}))
-	for len(w.mail) > 0 {
+	w.perform(0, w.routers[0].Update(AcquireMsg{Now: w.now, Holder: Holder{Request: w.next}, Key: k, Agents: w.agents, CreatedAt: createdAt}))
+	for len(w.inFlight) > 0 {
 		w.deliver(func(int) int { return 0 })
 	}
 	return nil
@@ -185,16 +185,16 @@
 // TestYoungFleetNeedsTheTimeOfTheKey holds that after a start of the whole
 // fleet a key runs only if its caller says that it was made since.
 func TestYoungFleetNeedsTheTimeOfTheKey(t *testing.T) {
-	w := newOnceWorld(false)
-	for _, n := range w.pool {
+	w := newSimulation(false)
+	for _, n := range w.agents {
 		w.start(n, w.now)
 	}
 	w.now += time.Minute
-	ask(t, w, time.Time{})
+	acquire(t, w, time.Time{})
 	require.Empty(t, w.runs)
-	ask(t, w, w.began.Add(w.now-2*time.Minute))
+	acquire(t, w, w.startedAt.Add(w.now-2*time.Minute))
 	require.Empty(t, w.runs, "made before the start")
-	ask(t, w, w.began.Add(w.now))
+	acquire(t, w, w.startedAt.Add(w.now))
 	require.Len(t, w.runs, 1)
 }
 
@@ -209,9 +209,9 @@
 	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: 4*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
 }
 
-// TestReleasedKeysMayComeAgain holds that a refused request does not use up
+// TestReleasedKeysCanBeReused holds that a refused request does not use up
 // its key, and that only its holder releases it.
-func TestReleasedKeysMayComeAgain(t *testing.T) {
+func TestReleasedKeysCanBeReused(t *testing.T) {
 	m := NewKeyTable(KeyTableConfig{Self: "a"})
 	m.Update(PoolMsg{Work: "tag", Agents: []fleet.Name{"a"}})
 	k := NewKey("team", "tag", "k")
--- a/queue/agents.go
+++ b/queue/agents.go
@@ -10,14 +10,14 @@
 func (m *Machine) agentUp(msg AgentUpMsg) []Command {
 	a, i, ok := m.agent(msg.Agent)
 	if !ok {
-		a = &agentView{name: msg.Agent, told: map[fleet.DemandKey]int{}}
+		a = &agentView{name: msg.Agent, sentCounts: map[fleet.DemandKey]int{}}
 		m.agents = slices.Insert(m.agents, i, a)
 	}
 	a.hall = msg.Hall
 	a.works = msg.Works
 	a.leaving = false
-	m.forget(a)
-	return m.tellAll(msg.Now, a)
+	m.clearSentCounts(a)
+	return m.sendAllQueues(msg.Now, a)
 }
 
 func (m *Machine) agentDown(msg AgentDownMsg) []Command {
@@ -25,7 +25,7 @@
 	if !ok {
 		return nil
 	}
-	m.forget(a)
+	m.clearSentCounts(a)
 	m.agents = slices.Delete(m.agents, i, i+1)
 	return m.abortRuns(msg.Agent)
 }
@@ -51,17 +51,17 @@
 	if a, _, ok := m.agent(msg.Agent); ok {
 		a.leaving = true
 		a.open = openClaims{}
-		m.forget(a)
+		m.clearSentCounts(a)
 	}
 	return nil
 }
 
-// forget notes that an agent believes in nothing any more.
-func (m *Machine) forget(a *agentView) {
-	for k := range a.told {
-		a.knows(m.lines[k], 0)
+// clearSentCounts notes that an agent believes in nothing any more.
+func (m *Machine) clearSentCounts(a *agentView) {
+	for k := range a.sentCounts {
+		a.recordSent(m.queues[k], 0)
 	}
-	clear(a.told)
+	clear(a.sentCounts)
 }
 
 // freeSlots answers an idle agent with all the work that waits for it.
@@ -71,18 +71,18 @@
 		return nil
 	}
 	a.open = openClaims{
-		next:  fleet.ClaimID{Agent: msg.Agent, Incarnation: msg.Incarnation, Seq: msg.First},
-		left:  msg.Slots,
-		until: msg.Now + openFor,
+		next:      fleet.ClaimID{Agent: msg.Agent, Incarnation: msg.Incarnation, Seq: msg.First},
+		remaining: msg.Slots,
+		expiresAt: msg.Now + openClaimTTL,
 	}
-	return m.tellAll(msg.Now, a)
+	return m.sendAllQueues(msg.Now, a)
 }
 
-// tellAll tells an agent of every line that waits for it.
-func (m *Machine) tellAll(now time.Duration, a *agentView) []Command {
-	for _, l := range m.order {
-		if l.waiting > 0 && a.runs(l.key.Work) {
-			m.queueTell(a, l, l.count(now))
+// sendAllQueues tells an agent of every line that waits for it.
+func (m *Machine) sendAllQueues(now time.Duration, a *agentView) []Command {
+	for _, l := range m.ordered {
+		if l.waiting > 0 && a.canRun(l.key.Work) {
+			m.addCount(a, l, l.count(now))
 		}
 	}
 	return m.flush()
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -8,19 +8,19 @@
 
 // arrive admits a request or refuses it at once.
 func (m *Machine) arrive(msg ArriveMsg) []Command {
-	r := &request{Request: msg.Request, arrived: msg.Now, index: -1}
-	if refusal, refused := m.refuse(msg.Now, r); refused {
+	r := &request{Request: msg.Request, arrived: msg.Now, heapIndex: -1}
+	if refusal, refused := m.checkAdmission(msg.Now, r); refused {
 		return []Command{refusal}
 	}
-	r.expires = m.expiresAt(msg.Now, r.Request)
+	r.expiresAt = m.expiresAt(msg.Now, r.Request)
 	m.requests[r.ID] = r
-	m.budget.attempt(m.cfg.RetryBudget)
-	m.enter(r, false)
-	return m.place(msg.Now, m.lines[r.Key])
+	m.budget.earn(m.cfg.RetryBudget)
+	m.enqueue(r, false)
+	return m.dispatch(msg.Now, m.queues[r.Key])
 }
 
-// refuse tells whether a request can't be taken, and why.
-func (m *Machine) refuse(now time.Duration, r *request) (RefuseCmd, bool) {
+// checkAdmission tells whether a request can't be taken, and why.
+func (m *Machine) checkAdmission(now time.Duration, r *request) (RefuseCmd, bool) {
 	t := m.team(r.Key.Team)
 	wait := t.expectedWait()
 	switch {
@@ -28,30 +28,30 @@
 		return m.refusal(r, ReasonTeamFull, wait), true
 	case m.waiting >= m.cfg.MaxWaiting:
 		return m.refusal(r, ReasonRouterFull, wait), true
-	case !m.anyRuns(r):
-		return m.refusal(r, ReasonNoServer, noServerRetry), true
+	case !m.hasServer(r):
+		return m.refusal(r, ReasonNoServer, noServerRetryAfter), true
 	case r.Deadline > 0 && now+wait > r.Deadline:
 		return m.refusal(r, ReasonDeadline, wait), true
 	}
 	return RefuseCmd{}, false
 }
 
-func (m *Machine) refusal(r *request, why Reason, wait time.Duration) RefuseCmd {
-	return RefuseCmd{ID: r.ID, Reason: why, Ran: RanNo, RetryAfter: jitter(r.ID, wait)}
+func (m *Machine) refusal(r *request, reason Reason, wait time.Duration) RefuseCmd {
+	return RefuseCmd{ID: r.ID, Reason: reason, Ran: RanNo, RetryAfter: jitter(r.ID, wait)}
 }
 
-func (m *Machine) anyRuns(r *request) bool {
+func (m *Machine) hasServer(r *request) bool {
 	for _, a := range m.agents {
-		if a.runs(r.Key.Work) {
+		if a.canRun(r.Key.Work) {
 			return true
 		}
 	}
 	return false
 }
 
-// place sends the oldest request of a line to an idle agent, if one has given
+// dispatch sends the oldest request of a line to an idle agent, if one has given
 // an open claim. Else agents hear of the line at the next tick.
-func (m *Machine) place(now time.Duration, l *line) []Command {
+func (m *Machine) dispatch(now time.Duration, l *requestQueue) []Command {
 	a := m.idleAgent(now, l.key.Work)
 	if a == nil {
 		return nil
@@ -67,11 +67,11 @@
 // hall if there is one, then in turn.
 func (m *Machine) idleAgent(now time.Duration, w fleet.Work) *agentView {
 	var best *agentView
-	m.turn++
+	m.rotation++
 	n := len(m.agents)
 	for i := range n {
-		a := m.agents[(m.turn+i)%n]
-		if a.open.left <= 0 || now >= a.open.until || !a.runs(w) {
+		a := m.agents[(m.rotation+i)%n]
+		if a.open.remaining <= 0 || now >= a.open.expiresAt || !a.canRun(w) {
 			continue
 		}
 		if a.hall == m.cfg.Hall {
@@ -90,7 +90,7 @@
 		return nil
 	}
 	if r.state == stateWaiting {
-		m.drop(msg.Now, r)
+		m.removeWaiting(msg.Now, r)
 	}
 	return nil
 }
--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// full returns a machine with agents that all run one work, and lines of a
+// newBackloggedMachine returns a machine with agents that all run one work, and lines of a
 // tenth of the teams in which requests wait.
-func full(teams, agents int) (*Machine, []fleet.DemandKey) {
+func newBackloggedMachine(teams, agents int) (*Machine, []fleet.DemandKey) {
 	m := New(Config{MaxWaiting: 1 << 30, MaxWait: time.Hour})
 	for a := range agents {
 		m.Update(AgentUpMsg{Now: 1, Agent: fleet.Name(fmt.Sprintf("agent-%04d", a)), Works: []fleet.Work{"report"}})
@@ -31,7 +31,7 @@
 	for _, teams := range []int{10, 540, 5000} {
 		for _, agents := range []int{12, 100, 1000} {
 			b.Run(fmt.Sprintf("teams=%d/agents=%d", teams, agents), func(b *testing.B) {
-				m, keys := full(teams, agents)
+				m, keys := newBackloggedMachine(teams, agents)
 				now := time.Duration(1)
 				id := RequestID(1 << 40)
 				i := 0
@@ -59,7 +59,7 @@
 	for _, teams := range []int{10, 540, 5000} {
 		for _, agents := range []int{12, 100, 1000} {
 			b.Run(fmt.Sprintf("teams=%d/agents=%d", teams, agents), func(b *testing.B) {
-				m, _ := full(teams, agents)
+				m, _ := newBackloggedMachine(teams, agents)
 				now := time.Duration(1)
 				b.ReportAllocs()
 				for b.Loop() {
--- a/queue/budget.go
+++ b/queue/budget.go
@@ -3,8 +3,8 @@
 const (
 	// maxTokens bounds the retries that a quiet time can save up.
 	maxTokens = 20
-	// startTokens lets the first failures of a router's life be retried.
-	startTokens = 5
+	// initialTokens lets the first failures of a router's life be retried.
+	initialTokens = 5
 )
 
 // retryBudget allows retries as a part of first attempts, so that a failing
@@ -14,15 +14,15 @@
 	started bool
 }
 
-// attempt earns ratio retries for one first attempt.
-func (b *retryBudget) attempt(ratio float64) {
-	b.start()
+// earn earns ratio retries for one first earn.
+func (b *retryBudget) earn(ratio float64) {
+	b.ensureStarted()
 	b.tokens = min(b.tokens+ratio, maxTokens)
 }
 
-// retry takes one retry from the budget, if there is one.
-func (b *retryBudget) retry() bool {
-	b.start()
+// spend takes one spend from the budget, if there is one.
+func (b *retryBudget) spend() bool {
+	b.ensureStarted()
 	if b.tokens < 1 {
 		return false
 	}
@@ -30,9 +30,9 @@
 	return true
 }
 
-func (b *retryBudget) start() {
+func (b *retryBudget) ensureStarted() {
 	if !b.started {
 		b.started = true
-		b.tokens = startTokens
+		b.tokens = initialTokens
 	}
 }
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -13,33 +13,33 @@
 	if !known {
 		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
 	}
-	l := m.lineOf(msg.Key)
+	l := m.queueFor(msg.Key)
 	if l.waiting == 0 {
-		a.knows(l, 0)
+		a.recordSent(l, 0)
 		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
 	}
 	return m.grant(msg.Now, a, msg.Claim, l)
 }
 
 // grant sends the oldest request of a line, which must have one, to an agent.
-func (m *Machine) grant(now time.Duration, a *agentView, claim fleet.ClaimID, l *line) []Command {
+func (m *Machine) grant(now time.Duration, a *agentView, claim fleet.ClaimID, l *requestQueue) []Command {
 	r := l.pop()
-	m.leave(now, r)
-	m.team(r.Key.Team).drained(now)
+	m.recordDequeue(now, r)
+	m.team(r.Key.Team).recordClaim(now)
 	r.state = stateRunning
 	r.claim = claim
-	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.left(now, a, l)}}
+	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.remaining(now, a, l)}}
 }
 
-// left returns what the agent should believe to be left of a line. Where more
+// remaining returns what the agent should believe to be remaining of a line. Where more
 // agents know of it than it has requests for, this one may forget it: each
 // would else claim once in vain when the line is empty.
-func (m *Machine) left(now time.Duration, a *agentView, l *line) fleet.Count {
+func (m *Machine) remaining(now time.Duration, a *agentView, l *requestQueue) fleet.Count {
 	c := l.count(now)
-	if l.known > 1+tellPerRequest*l.waiting {
+	if l.informedAgents > 1+informedPerRequest*l.waiting {
 		c.Waiting = 0
 	}
-	a.knows(l, c.Waiting)
+	a.recordSent(l, c.Waiting)
 	return c
 }
 
@@ -59,44 +59,44 @@
 	}
 	switch msg.Outcome {
 	case OutcomeNotRun:
-		return m.giveBack(msg, r)
+		return m.requeue(msg, r)
 	case OutcomeUnknown:
-		return m.failed(msg, r)
+		return m.handleUnknownOutcome(msg, r)
 	}
 	m.finish(r)
 	return nil
 }
 
-// giveBack returns an unrun request to the front of its line.
-func (m *Machine) giveBack(msg EndMsg, r *request) []Command {
-	r.returned++
+// requeue returns an unrun request to the front of its line.
+func (m *Machine) requeue(msg EndMsg, r *request) []Command {
+	r.returns++
 	if a, _, ok := m.agent(r.claim.Agent); ok {
 		a.open = openClaims{} // it is not as idle as it said
 	}
-	if r.returned >= maxReturned || msg.Now >= r.expires {
+	if r.returns >= maxReturns || msg.Now >= r.expiresAt {
 		m.finish(r)
 		return []Command{m.refusalAfterRuns(r, ReasonServerFailed)}
 	}
-	m.enter(r, true)
-	return m.place(msg.Now, m.lines[r.Key])
+	m.enqueue(r, true)
+	return m.dispatch(msg.Now, m.queues[r.Key])
 }
 
-// failed decides about a run of which nobody knows whether it took place.
-func (m *Machine) failed(msg EndMsg, r *request) []Command {
-	r.runs++
-	again := r.Repeatable && r.state == stateRunning && msg.Now < r.expires
-	if again && m.budget.retry() {
-		m.enter(r, true)
-		return m.place(msg.Now, m.lines[r.Key])
+// handleUnknownOutcome decides about a run of which nobody knows whether it took place.
+func (m *Machine) handleUnknownOutcome(msg EndMsg, r *request) []Command {
+	r.possibleRuns++
+	canRetry := r.Repeatable && r.state == stateRunning && msg.Now < r.expiresAt
+	if canRetry && m.budget.spend() {
+		m.enqueue(r, true)
+		return m.dispatch(msg.Now, m.queues[r.Key])
 	}
 	m.finish(r)
 	return []Command{m.refusalAfterRuns(r, ReasonOutcomeUnknown)}
 }
 
 // refusalAfterRuns never says "not run" of a request with a run in doubt.
-func (m *Machine) refusalAfterRuns(r *request, why Reason) RefuseCmd {
-	c := m.refusal(r, why, noServerRetry)
-	if r.runs > 0 {
+func (m *Machine) refusalAfterRuns(r *request, reason Reason) RefuseCmd {
+	c := m.refusal(r, reason, noServerRetryAfter)
+	if r.possibleRuns > 0 {
 		c.Ran = RanUnknown
 	}
 	return c
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -9,29 +9,29 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// maxReturned bounds how often agents may hand a request back unrun.
-const maxReturned = 16
+// maxReturns bounds how often agents may hand a request back unrun.
+const maxReturns = 16
 
 // Machine holds the waiting and running requests of one router.
 type Machine struct {
-	cfg      Config
-	lines    map[fleet.DemandKey]*line
-	order    []*line // by key, so that nothing depends on the order of a map
-	requests map[RequestID]*request
-	expiry   expiryHeap
-	agents   []*agentView // by name
-	untold   []*agentView // that this tick has counts for
-	turn     int          // rotates the choice between equal agents
-	waiting  int
-	byTeam   map[fleet.Team]*teamState
-	budget   retryBudget
+	cfg          Config
+	queues       map[fleet.DemandKey]*requestQueue
+	ordered      []*requestQueue // by key, so that nothing depends on the order of a map
+	requests     map[RequestID]*request
+	expiry       expiryHeap
+	agents       []*agentView // by name
+	agentsToSend []*agentView // that this tick has counts for
+	rotation     int          // rotates the choice between equal agents
+	waiting      int
+	byTeam       map[fleet.Team]*teamState
+	budget       retryBudget
 }
 
 // New returns a machine with no requests and no agents.
 func New(cfg Config) *Machine {
 	return &Machine{
 		cfg:      cfg,
-		lines:    map[fleet.DemandKey]*line{},
+		queues:   map[fleet.DemandKey]*requestQueue{},
 		requests: map[RequestID]*request{},
 		byTeam:   map[fleet.Team]*teamState{},
 	}
@@ -89,17 +89,17 @@
 	return m.agents[i], i, true
 }
 
-// lineOf returns the line of a key, making it where there is none yet.
-func (m *Machine) lineOf(k fleet.DemandKey) *line {
-	if l, ok := m.lines[k]; ok {
+// queueFor returns the line of a key, making it where there is none yet.
+func (m *Machine) queueFor(k fleet.DemandKey) *requestQueue {
+	if l, ok := m.queues[k]; ok {
 		return l
 	}
-	l := &line{key: k}
-	m.lines[k] = l
-	i, _ := slices.BinarySearchFunc(m.order, k, func(l *line, k fleet.DemandKey) int {
+	l := &requestQueue{key: k}
+	m.queues[k] = l
+	i, _ := slices.BinarySearchFunc(m.ordered, k, func(l *requestQueue, k fleet.DemandKey) int {
 		return l.key.Compare(k)
 	})
-	m.order = slices.Insert(m.order, i, l)
+	m.ordered = slices.Insert(m.ordered, i, l)
 	return l
 }
 
@@ -112,10 +112,10 @@
 	return s
 }
 
-// enter gives a request a place in its line.
-func (m *Machine) enter(r *request, front bool) {
+// enqueue gives a request a place in its line.
+func (m *Machine) enqueue(r *request, front bool) {
 	r.state = stateWaiting
-	l := m.lineOf(r.Key)
+	l := m.queueFor(r.Key)
 	if front {
 		l.pushFront(r)
 	} else {
@@ -126,21 +126,21 @@
 	heap.Push(&m.expiry, r)
 }
 
-// leave notes that a request waits no longer; its line is told by the caller.
-func (m *Machine) leave(now time.Duration, r *request) {
+// recordDequeue notes that a request waits no longer; its line is told by the caller.
+func (m *Machine) recordDequeue(now time.Duration, r *request) {
 	m.waiting--
-	m.lines[r.Key].emptied = now
+	m.queues[r.Key].lastRemoved = now
 	m.team(r.Key.Team).waiting--
-	if r.index >= 0 {
-		heap.Remove(&m.expiry, r.index)
+	if r.heapIndex >= 0 {
+		heap.Remove(&m.expiry, r.heapIndex)
 	}
 }
 
-// drop ends a waiting request out of turn.
-func (m *Machine) drop(now time.Duration, r *request) {
+// removeWaiting ends a waiting request out of turn.
+func (m *Machine) removeWaiting(now time.Duration, r *request) {
 	r.state = stateEnded
-	m.leave(now, r)
-	m.lines[r.Key].removed()
+	m.recordDequeue(now, r)
+	m.queues[r.Key].recordRemoval()
 	delete(m.requests, r.ID)
 }
 
@@ -161,7 +161,7 @@
 // Lines returns the lines in which requests wait.
 func (m *Machine) Lines(now time.Duration) []fleet.Count {
 	var out []fleet.Count
-	for _, l := range m.order {
+	for _, l := range m.ordered {
 		if l.waiting > 0 {
 			out = append(out, l.count(now))
 		}
--- a/queue/request.go
+++ b/queue/request.go
@@ -19,13 +19,13 @@
 // request is a request with what the machine keeps of it.
 type request struct {
 	Request
-	state    state
-	arrived  time.Duration
-	expires  time.Duration // when waiting ends
-	claim    fleet.ClaimID
-	runs     int // runs that may have started
-	returned int // claims that ended without a start
-	index    int // place in the expiry heap, -1 outside
+	state        state
+	arrived      time.Duration
+	expiresAt    time.Duration // when waiting ends
+	claim        fleet.ClaimID
+	possibleRuns int // runs that may have started
+	returns      int // claims that ended without a start
+	heapIndex    int // place in the expiry heap, -1 outside
 }
 
 // expiryHeap orders waiting requests by when their wait ends.
@@ -35,22 +35,22 @@
 func (h expiryHeap) Less(i, j int) bool { return h[i].before(h[j]) }
 
 func (r *request) before(o *request) bool {
-	if r.expires != o.expires {
-		return r.expires < o.expires
+	if r.expiresAt != o.expiresAt {
+		return r.expiresAt < o.expiresAt
 	}
 	return r.ID < o.ID
 }
 
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index = i
-	h[j].index = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
 	r := x.(*request)
-	r.index = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
 
@@ -60,6 +60,6 @@
 	r := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	r.index = -1
+	r.heapIndex = -1
 	return r
 }
--- a/queue/line.go
+++ b/queue/requestqueue.go
@@ -6,33 +6,33 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// line is the waiting requests of one team and class for one work, oldest
+// requestQueue is the waiting requests of one team and class for one work, oldest
 // first. Requests that left out of turn stay as holes until they reach the
 // front.
-type line struct {
-	key     fleet.DemandKey
-	items   []*request
-	waiting int
-	emptied time.Duration // when a request last left
-	known   int           // agents that believe in waiting requests
-	cursor  int           // rotates over the agents that are told
-	base    int           // the count when it was first told or last told to all
+type requestQueue struct {
+	key            fleet.DemandKey
+	items          []*request
+	waiting        int
+	lastRemoved    time.Duration // when a request last left
+	informedAgents int           // agents that believe in waiting requests
+	rotation       int           // rotates over the agents that are told
+	baseline       int           // the count when it was first told or last told to all
 }
 
-func (l *line) push(r *request) {
+func (l *requestQueue) push(r *request) {
 	l.items = append(l.items, r)
 	l.waiting++
 }
 
 // pushFront puts back a request that has waited already.
-func (l *line) pushFront(r *request) {
+func (l *requestQueue) pushFront(r *request) {
 	l.trim()
 	l.items = append([]*request{r}, l.items...)
 	l.waiting++
 }
 
 // pop takes the oldest request, or nil.
-func (l *line) pop() *request {
+func (l *requestQueue) pop() *request {
 	l.trim()
 	if len(l.items) == 0 {
 		return nil
@@ -44,14 +44,14 @@
 	return r
 }
 
-// removed notes that a request of the line no longer waits.
-func (l *line) removed() {
+// recordRemoval notes that a request of the line no longer waits.
+func (l *requestQueue) recordRemoval() {
 	l.waiting--
 	l.trim()
 }
 
 // trim drops holes from the front.
-func (l *line) trim() {
+func (l *requestQueue) trim() {
 	for len(l.items) > 0 && l.items[0].state != stateWaiting {
 		l.items[0] = nil
 		l.items = l.items[1:]
@@ -59,7 +59,7 @@
 }
 
 // count returns what the line comes to at a time.
-func (l *line) count(now time.Duration) fleet.Count {
+func (l *requestQueue) count(now time.Duration) fleet.Count {
 	c := fleet.Count{Key: l.key, Waiting: l.waiting}
 	l.trim()
 	if len(l.items) > 0 {
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// crowded returns a machine with a tenth of its teams backlogged at every
+// newBackloggedMachine returns a machine with a tenth of its teams backlogged at every
 // router, and no free slot.
-func crowded(teams, links int) (*Machine, []fleet.Team) {
+func newBackloggedMachine(teams, links int) (*Machine, []fleet.Team) {
 	shares := map[fleet.Team]float64{}
 	var names []fleet.Team
 	for i := range teams {
@@ -42,7 +42,7 @@
 	for _, teams := range []int{10, 540, 5000} {
 		for _, links := range []int{3, 64, 700} {
 			b.Run(fmt.Sprintf("teams=%d/links=%d", teams, links), func(b *testing.B) {
-				m, _ := crowded(teams, links)
+				m, _ := newBackloggedMachine(teams, links)
 				now := time.Duration(1)
 				seq := uint64(0)
 				b.ReportAllocs()
@@ -61,7 +61,7 @@
 func BenchmarkTotals(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			m, names := crowded(teams, 3)
+			m, names := newBackloggedMachine(teams, 3)
 			var rows []fleet.ServiceRow
 			for i := 0; i < teams; i += 10 {
 				rows = append(rows, fleet.ServiceRow{Team: names[i]})
@@ -83,7 +83,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			m, _ := crowded(teams, 64)
+			m, _ := newBackloggedMachine(teams, 64)
 			now := time.Duration(1)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/sched/config.go
+++ b/sched/config.go
@@ -32,8 +32,8 @@
 	PeerSlotRatio map[fleet.Work]float64
 }
 
-// runs tells whether the server does a work.
-func (c Config) runs(w fleet.Work) bool {
+// canRun tells whether the server does a work.
+func (c Config) canRun(w fleet.Work) bool {
 	for _, have := range c.Works {
 		if have == w {
 			return true
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -33,13 +33,13 @@
 	return e.byWork[k.Work]
 }
 
-func (e estimator) learn(k fleet.DemandKey, cost time.Duration) {
+func (e estimator) observe(k fleet.DemandKey, cost time.Duration) {
 	ck := costKey{k.Team, k.Work}
-	e.byTeam[ck] = average(e.byTeam[ck], cost)
-	e.byWork[k.Work] = average(e.byWork[k.Work], cost)
+	e.byTeam[ck] = movingAverage(e.byTeam[ck], cost)
+	e.byWork[k.Work] = movingAverage(e.byWork[k.Work], cost)
 }
 
-func average(old, cost time.Duration) time.Duration {
+func movingAverage(old, cost time.Duration) time.Duration {
 	if old == 0 {
 		return cost
 	}
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// claimPatience is how long a router may leave a claim unanswered before
+	// claimResponseTimeout is how long a router may leave a claim unanswered before
 	// others are asked instead: many times a round trip between regions.
-	claimPatience = 200 * time.Millisecond
+	claimResponseTimeout = 200 * time.Millisecond
 	// claimTimeout ends a claim that brought neither a request nor a denial. A
 	// request that comes later is rejected without a run.
 	claimTimeout = 500 * time.Millisecond
-	// idleGrace is how long a team must be without demand and service before
+	// idleAfter is how long a team must be without demand and service before
 	// its next request counts as newly backlogged.
-	idleGrace = 2 * time.Second
-	// announceAgain is how long a router is taken to remember idle slots.
-	announceAgain = 2 * time.Second
+	idleAfter = 2 * time.Second
+	// reannounceAfter is how long a router is taken to remember idle slots.
+	reannounceAfter = 2 * time.Second
 )
 
 // Machine holds the slots of one backend server and the accounts of the teams.
 type Machine struct {
-	cfg      Config
-	teams    []*team // by name
-	byName   map[fleet.Team]*team
-	routers  []*routerView // by name
-	runs     map[uint64]*run
-	spent    map[uint64]bool // open claims that were used
-	ready    []uint64        // came and wait for a slot, oldest first
-	seq      uint64
-	claimed  int // claims with nothing come yet
-	started  int // slots in use
-	serving  bool
-	leaving  bool
-	costs    estimator
-	markedAt time.Duration // when own service was last marked
-	sharedAt time.Duration // when a hub was last sent service
-	floor    time.Duration // virtual service below which no team starts anew
+	cfg            Config
+	teams          []*team // by name
+	byName         map[fleet.Team]*team
+	routers        []*routerView // by name
+	claims         map[uint64]*claim
+	usedOpenClaims map[uint64]bool // open claims that were used
+	ready          []uint64        // came and wait for a slot, oldest first
+	seq            uint64
+	pendingClaims  int // claims with nothing come yet
+	running        int // slots in use
+	serving        bool
+	leaving        bool
+	costs          estimator
+	sampledAt      time.Duration // when own service was last marked
+	serviceSentAt  time.Duration // when a hub was last sent service
+	virtualFloor   time.Duration // virtual service below which no team starts anew
 }
 
 // New returns a machine with no routers; its server takes no work until a
 // HealthMsg says that it serves.
 func New(cfg Config) *Machine {
 	m := &Machine{
-		byName: map[fleet.Team]*team{},
-		runs:   map[uint64]*run{},
-		spent:  map[uint64]bool{},
-		costs:  newEstimator(),
+		byName:         map[fleet.Team]*team{},
+		claims:         map[uint64]*claim{},
+		usedOpenClaims: map[uint64]bool{},
+		costs:          newEstimator(),
 	}
 	m.configure(ConfigMsg{Config: cfg})
 	return m
@@ -60,33 +60,33 @@
 	switch msg := msg.(type) {
 	case ConfigMsg:
 		m.configure(msg)
-		return append(m.turnAway(), m.next(msg.Now)...)
+		return append(m.rejectReady(), m.claimWork(msg.Now)...)
 	case RouterUpMsg:
 		m.routerUp(msg)
-		return m.next(msg.Now)
+		return m.claimWork(msg.Now)
 	case RouterDownMsg:
 		m.routerDown(msg)
 		return nil
 	case RouterAliveMsg:
-		m.heard(msg.Router)
-		return m.next(msg.Now)
+		m.resumeRouter(msg.Router)
+		return m.claimWork(msg.Now)
 	case DemandMsg:
-		m.demand(msg)
-		return m.next(msg.Now)
+		m.applyDemand(msg)
+		return m.claimWork(msg.Now)
 	case DenyMsg:
-		m.deny(msg)
-		return m.next(msg.Now)
+		m.handleDeny(msg)
+		return m.claimWork(msg.Now)
 	case ArriveMsg:
-		return append(m.arrive(msg), m.next(msg.Now)...)
+		return append(m.arrive(msg), m.claimWork(msg.Now)...)
 	case EndMsg:
 		m.end(msg)
-		return append(m.startReady(msg.Now), m.next(msg.Now)...)
+		return append(m.startReady(msg.Now), m.claimWork(msg.Now)...)
 	case TotalsMsg:
-		m.totals(msg)
+		m.mergeTotals(msg)
 		return nil
 	case HealthMsg:
 		m.serving = msg.Serving
-		return append(m.turnAway(), m.next(msg.Now)...)
+		return append(m.rejectReady(), m.claimWork(msg.Now)...)
 	case LeaveMsg:
 		m.leaving = true
 		return nil
@@ -97,16 +97,16 @@
 }
 
 // Running returns how many requests hold a slot.
-func (m *Machine) Running() int { return m.started }
+func (m *Machine) Running() int { return m.running }
 
 // Held returns how many requests have come and not ended.
-func (m *Machine) Held() int { return m.started + len(m.ready) }
+func (m *Machine) Held() int { return m.running + len(m.ready) }
 
 // Slots returns how many slots the server has.
 func (m *Machine) Slots() int { return m.cfg.Slots }
 
 // Busy tells whether a request has come and not ended, or may still come.
-func (m *Machine) Busy() bool { return len(m.runs) > 0 }
+func (m *Machine) Busy() bool { return len(m.claims) > 0 }
 
 // configure takes a new bundle; accounts and runs stay.
 func (m *Machine) configure(msg ConfigMsg) {
@@ -114,7 +114,7 @@
 	for _, name := range sortedTeams(msg.Config.Shares) {
 		t := m.team(msg.Now, name)
 		t.share = msg.Config.Shares[name]
-		t.alike = 0 // learned again from the demand
+		t.peerSlotRatio = 0 // learned again from the demand
 	}
 }
 
@@ -133,7 +133,7 @@
 	if t, ok := m.byName[name]; ok {
 		return t
 	}
-	t := &team{name: name, share: 1, active: now}
+	t := &team{name: name, share: 1, lastActive: now}
 	m.byName[name] = t
 	i, _ := slices.BinarySearchFunc(m.teams, name, func(t *team, n fleet.Team) int {
 		return cmp.Compare(t.name, n)
@@ -158,11 +158,11 @@
 		r = &routerView{name: msg.Router}
 		m.routers = slices.Insert(m.routers, i, r)
 	}
-	r.open = openClaims{}
-	m.suspend(r, false)
+	r.openClaims = openClaims{}
+	m.setSuspended(r, false)
 	if msg.Hub && !r.hub {
 		r.sent = map[fleet.Team]fleet.ServiceRow{}
-		r.fresh = true
+		r.nothingSent = true
 	}
 	r.hub = msg.Hub
 }
@@ -172,8 +172,8 @@
 		m.routers = slices.Delete(m.routers, i, i+1)
 	}
 	for _, t := range m.teams {
-		for _, l := range t.lines {
-			l.forget(msg.Router)
+		for _, l := range t.queues {
+			l.removeRouter(msg.Router)
 		}
 	}
 }
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func lineKey(team fleet.Team, class fleet.Class) fleet.DemandKey {
+func demandKey(team fleet.Team, class fleet.Class) fleet.DemandKey {
 	return fleet.DemandKey{Work: "report", Team: team, Class: class}
 }
 
-// newServing returns a machine with one slot and a router with demand of two
+// newTestMachine returns a machine with one slot and a router with demand of two
 // equal teams.
-func newServing(cfg Config) *Machine {
+func newTestMachine(cfg Config) *Machine {
 	cfg.Works = []fleet.Work{"report"}
 	cfg.Shares = map[fleet.Team]float64{"ajax": 1, "basel": 1}
 	cfg.ShareEvery = time.Second
@@ -23,7 +23,7 @@
 	return m
 }
 
-func demand(now time.Duration, waiting int, keys ...fleet.DemandKey) DemandMsg {
+func demandMsg(now time.Duration, waiting int, keys ...fleet.DemandKey) DemandMsg {
 	msg := DemandMsg{Now: now, Router: "r"}
 	for _, k := range keys {
 		msg.Counts = append(msg.Counts, fleet.Count{Key: k, Waiting: waiting})
@@ -31,7 +31,7 @@
 	return msg
 }
 
-func claims(cmds []Command) []ClaimCmd {
+func claimCmds(cmds []Command) []ClaimCmd {
 	var out []ClaimCmd
 	for _, c := range cmds {
 		if claim, ok := c.(ClaimCmd); ok {
@@ -45,36 +45,36 @@
 func serveOne(t *testing.T, m *Machine, now time.Duration, c ClaimCmd) []ClaimCmd {
 	t.Helper()
 	m.Update(ArriveMsg{Now: now, Seq: c.Seq, Remaining: 1000})
-	return claims(m.Update(EndMsg{Now: now + time.Second, Seq: c.Seq}))
+	return claimCmds(m.Update(EndMsg{Now: now + time.Second, Seq: c.Seq}))
 }
 
 // TestCatchUpIsCapped holds that after a partition heals a team that had far
 // less service is repaid no more than CatchUp ahead of the other.
 func TestCatchUpIsCapped(t *testing.T) {
-	m := newServing(Config{Slots: 1, CatchUp: 10 * time.Second})
+	m := newTestMachine(Config{Slots: 1, CatchUp: 10 * time.Second})
 	m.Update(TotalsMsg{Now: 1, Rows: []fleet.ServiceRow{{Team: "basel", Service: time.Hour}}})
-	m.Update(demand(2, 1000, lineKey("ajax", fleet.Ordinary), lineKey("basel", fleet.Ordinary)))
-	next := claims(m.Update(HealthMsg{Now: 3, Serving: true}))
+	m.Update(demandMsg(2, 1000, demandKey("ajax", fleet.Ordinary), demandKey("basel", fleet.Ordinary)))
+	next := claimCmds(m.Update(HealthMsg{Now: 3, Serving: true}))
 	now := time.Duration(3)
-	alone := 0
+	consecutive := 0
 	for range 30 {
 		require.Len(t, next, 1)
 		if next[0].Key.Team == "basel" {
 			break
 		}
-		alone++
+		consecutive++
 		next = serveOne(t, m, now, next[0])
 		now += time.Second
 	}
-	require.InDelta(t, 10, alone, 2)
+	require.InDelta(t, 10, consecutive, 2)
 }
 
 // TestClassesWithinATeam holds the order urgent, ordinary, batch.
 func TestClassesWithinATeam(t *testing.T) {
-	m := newServing(Config{Slots: 3})
-	m.Update(demand(2, 1, lineKey("ajax", fleet.Batch), lineKey("ajax", fleet.Urgent), lineKey("ajax", fleet.Ordinary)))
+	m := newTestMachine(Config{Slots: 3})
+	m.Update(demandMsg(2, 1, demandKey("ajax", fleet.Batch), demandKey("ajax", fleet.Urgent), demandKey("ajax", fleet.Ordinary)))
 	var got []fleet.Class
-	for _, c := range claims(m.Update(HealthMsg{Now: 3, Serving: true})) {
+	for _, c := range claimCmds(m.Update(HealthMsg{Now: 3, Serving: true})) {
 		got = append(got, c.Key.Class)
 	}
 	require.Equal(t, []fleet.Class{fleet.Urgent, fleet.Ordinary, fleet.Batch}, got)
@@ -87,10 +87,10 @@
 		ahead time.Duration
 		first fleet.Team
 	}{{time.Second, "basel"}, {3 * time.Second, "ajax"}} {
-		m := newServing(Config{Slots: 1, UrgentBorrow: 2 * time.Second})
+		m := newTestMachine(Config{Slots: 1, UrgentBorrow: 2 * time.Second})
 		m.Update(TotalsMsg{Now: 1, Rows: []fleet.ServiceRow{{Team: "basel", Service: c.ahead}}})
-		m.Update(demand(2, 1, lineKey("ajax", fleet.Ordinary), lineKey("basel", fleet.Urgent)))
-		next := claims(m.Update(HealthMsg{Now: 3, Serving: true}))
+		m.Update(demandMsg(2, 1, demandKey("ajax", fleet.Ordinary), demandKey("basel", fleet.Urgent)))
+		next := claimCmds(m.Update(HealthMsg{Now: 3, Serving: true}))
 		require.Equal(t, c.first, next[0].Key.Team, "ahead by %v", c.ahead)
 	}
 }
@@ -98,16 +98,16 @@
 // TestSilentRouterIsSuspended holds that an agent stops claiming from a router
 // that leaves a claim unanswered, and goes on when it is heard of.
 func TestSilentRouterIsSuspended(t *testing.T) {
-	m := newServing(Config{Slots: 1})
-	m.Update(demand(2, 5, lineKey("ajax", fleet.Ordinary)))
-	require.Len(t, claims(m.Update(HealthMsg{Now: 3, Serving: true})), 1)
+	m := newTestMachine(Config{Slots: 1})
+	m.Update(demandMsg(2, 5, demandKey("ajax", fleet.Ordinary)))
+	require.Len(t, claimCmds(m.Update(HealthMsg{Now: 3, Serving: true})), 1)
 	now := time.Duration(3)
 	for range 40 {
 		now += TickEvery
-		require.Empty(t, claims(m.Update(TickMsg{Now: now})))
+		require.Empty(t, claimCmds(m.Update(TickMsg{Now: now})))
 	}
 	require.False(t, m.Busy(), "the claim has ended")
-	require.Len(t, claims(m.Update(RouterAliveMsg{Now: now, Router: "r"})), 1)
+	require.Len(t, claimCmds(m.Update(RouterAliveMsg{Now: now, Router: "r"})), 1)
 	late := m.Update(ArriveMsg{Now: now, Seq: 1})
 	require.Contains(t, late, RejectCmd{Seq: 1}, "the first claim's request comes too late to run")
 }
@@ -116,7 +116,7 @@
 // also after that request has ended, and that one without an idle slot is
 // turned away.
 func TestOpenClaimsAreUsedOnce(t *testing.T) {
-	m := newServing(Config{Slots: 2})
+	m := newTestMachine(Config{Slots: 2})
 	var free FreeCmd
 	for _, c := range m.Update(HealthMsg{Now: 2, Serving: true}) {
 		if f, ok := c.(FreeCmd); ok {
@@ -124,23 +124,23 @@
 		}
 	}
 	require.Equal(t, 2, free.Slots)
-	key := lineKey("ajax", fleet.Ordinary)
+	key := demandKey("ajax", fleet.Ordinary)
 	first := ArriveMsg{Now: 3, Seq: free.First, Key: key}
 	require.Contains(t, m.Update(first), StartCmd{Seq: first.Seq})
 	require.Contains(t, m.Update(first), RejectCmd{Seq: first.Seq})
 	m.Update(EndMsg{Now: 3, Seq: first.Seq})
 	require.Contains(t, m.Update(first), RejectCmd{Seq: first.Seq}, "it ran, and is over")
-	m.Update(demand(4, 2, key)) // two claims take both slots
+	m.Update(demandMsg(4, 2, key)) // two claims take both slots
 	second := ArriveMsg{Now: 5, Seq: free.First + 1, Key: key}
 	require.Contains(t, m.Update(second), RejectCmd{Seq: second.Seq}, "no slot is idle")
 }
 
-// TestReadyRequestsAreGivenBack holds that a server that fails gives back what
+// TestReadyRequestsAreRejectedWhenServerFails holds that a server that fails gives back what
 // has come and not started.
-func TestReadyRequestsAreGivenBack(t *testing.T) {
-	m := newServing(Config{Slots: 1, ClaimAhead: 1})
-	m.Update(demand(2, 5, lineKey("ajax", fleet.Ordinary)))
-	next := claims(m.Update(HealthMsg{Now: 3, Serving: true}))
+func TestReadyRequestsAreRejectedWhenServerFails(t *testing.T) {
+	m := newTestMachine(Config{Slots: 1, ClaimAhead: 1})
+	m.Update(demandMsg(2, 5, demandKey("ajax", fleet.Ordinary)))
+	next := claimCmds(m.Update(HealthMsg{Now: 3, Serving: true}))
 	require.Len(t, next, 2)
 	require.Contains(t, m.Update(ArriveMsg{Now: 4, Seq: next[0].Seq}), StartCmd{Seq: next[0].Seq})
 	require.NotContains(t, m.Update(ArriveMsg{Now: 4, Seq: next[1].Seq}), StartCmd{Seq: next[1].Seq})
@@ -152,15 +152,15 @@
 // service that the others have had, not to what other agents are expected to
 // have given them: a lift is for good.
 func TestLiftsGoByWhatIsKnown(t *testing.T) {
-	m := newServing(Config{Slots: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100}})
-	m.Update(demand(2, 1000, lineKey("ajax", fleet.Ordinary)))
-	next := claims(m.Update(HealthMsg{Now: 3, Serving: true}))
+	m := newTestMachine(Config{Slots: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100}})
+	m.Update(demandMsg(2, 1000, demandKey("ajax", fleet.Ordinary)))
+	next := claimCmds(m.Update(HealthMsg{Now: 3, Serving: true}))
 	now := time.Duration(3)
 	for range 4 {
 		next = serveOne(t, m, now, next[0])
 		now += time.Second
 	}
-	m.Update(demand(now, 1, lineKey("basel", fleet.Ordinary)))
+	m.Update(demandMsg(now, 1, demandKey("basel", fleet.Ordinary)))
 	for _, team := range m.Teams() {
 		if team.Team == "basel" {
 			require.InDelta(t, 4000, team.LiftMS, 1100)
--- a/sched/openclaims.go
+++ b/sched/openclaims.go
@@ -7,8 +7,8 @@
 	used       int
 }
 
-// left returns how many the router has not used.
-func (o openClaims) left() int { return int(o.end-o.first) - o.used }
+// remaining returns how many the router has not used.
+func (o openClaims) remaining() int { return int(o.end-o.first) - o.used }
 
 // has tells whether a number is one of them.
 func (o openClaims) has(seq uint64) bool { return seq >= o.first && seq < o.end }
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -6,70 +6,70 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// next claims work for every slot that is or will soon be free, and tells
+// claimWork claims work for every slot that is or will soon be free, and tells
 // routers of slots for which no work is known.
-func (m *Machine) next(now time.Duration) []Command {
+func (m *Machine) claimWork(now time.Duration) []Command {
 	if !m.serving || m.leaving {
 		return nil
 	}
 	var cmds []Command
-	for m.room() > 0 {
+	for m.claimsAvailable() > 0 {
 		c, ok := m.claimOne(now)
 		if !ok {
 			break
 		}
 		cmds = append(cmds, c)
 	}
-	return append(cmds, m.announce(now)...)
+	return append(cmds, m.announceIdleSlots(now)...)
 }
 
-// room returns how many more claims the agent may make.
-func (m *Machine) room() int {
-	return m.cfg.Slots + m.cfg.ClaimAhead - m.started - len(m.ready) - m.claimed
+// claimsAvailable returns how many more claims the agent may make.
+func (m *Machine) claimsAvailable() int {
+	return m.cfg.Slots + m.cfg.ClaimAhead - m.running - len(m.ready) - m.pendingClaims
 }
 
-// idle returns how many slots nothing is claimed for.
-func (m *Machine) idle() int {
-	return m.cfg.Slots - m.started - len(m.ready) - m.claimed
+// idleSlots returns how many slots nothing is claimed for.
+func (m *Machine) idleSlots() int {
+	return m.cfg.Slots - m.running - len(m.ready) - m.pendingClaims
 }
 
 func (m *Machine) claimOne(now time.Duration) (ClaimCmd, bool) {
-	t := m.pick()
+	t := m.pickTeam()
 	if t == nil {
 		return ClaimCmd{}, false
 	}
-	l, s := t.best()
+	l, s := t.nextQueue()
 	if s == nil {
 		return ClaimCmd{}, false
 	}
-	l.take(s)
+	l.decrement(s)
 	m.seq++
-	m.newRun(now, m.seq, s.router, l.key)
+	m.newClaim(now, m.seq, s.router, l.key)
 	return ClaimCmd{Router: s.router, Seq: m.seq, Key: l.key}, true
 }
 
-// pick returns the team to serve next, or nil if no work is known.
-func (m *Machine) pick() *team {
+// pickTeam returns the team to serve next, or nil if no work is known.
+func (m *Machine) pickTeam() *team {
 	if m.cfg.Mode == ModeFIFO {
 		return m.pickOldest()
 	}
-	return m.pickLeast()
+	return m.pickLeastVirtual()
 }
 
-// pickLeast returns the waiting team with the least virtual service. Urgent
+// pickLeastVirtual returns the waiting team with the least virtual service. Urgent
 // work counts as if its team had had UrgentBorrow less: it goes ahead of its
 // turn by a bounded amount and no further, so marking all work urgent gains
 // no lasting share.
-func (m *Machine) pickLeast() *team {
+func (m *Machine) pickLeastVirtual() *team {
 	var best *team
 	var bestRank, least, most time.Duration
 	for _, t := range m.teams {
 		if t.waiting() == 0 {
 			continue
 		}
-		v := t.virtual()
-		rank := t.expected()
-		if t.urgent() {
+		v := t.virtualService()
+		rank := t.expectedVirtualService()
+		if t.hasUrgent() {
 			rank -= m.cfg.UrgentBorrow
 		}
 		if best == nil {
@@ -83,7 +83,7 @@
 	if best == nil {
 		return nil
 	}
-	m.floor = max(m.floor, least)
+	m.virtualFloor = max(m.virtualFloor, least)
 	m.capDeficits(most)
 	return best
 }
@@ -98,7 +98,7 @@
 		if t.waiting() == 0 {
 			continue
 		}
-		if behind := most - t.virtual() - m.cfg.CatchUp; behind > 0 {
+		if behind := most - t.virtualService() - m.cfg.CatchUp; behind > 0 {
 			t.lift += behind
 		}
 	}
@@ -109,7 +109,7 @@
 	var best *team
 	var bestOldest time.Duration
 	for _, t := range m.teams {
-		for _, l := range t.lines {
+		for _, l := range t.queues {
 			s := l.oldest()
 			if s == nil {
 				continue
@@ -125,31 +125,31 @@
 // liftIdle brings a team that has been idle up to the others' service, so that
 // idling earns no credit.
 func (m *Machine) liftIdle(now time.Duration, t *team) {
-	idle := t.waiting() == 0 && t.running == 0 && now-t.active >= idleGrace
+	idle := t.waiting() == 0 && t.running == 0 && now-t.lastActive >= idleAfter
 	if !idle || m.cfg.Mode == ModeFIFO {
 		return
 	}
-	if behind := m.floor - t.virtual(); behind > 0 {
+	if behind := m.virtualFloor - t.virtualService(); behind > 0 {
 		t.lift += behind
 	}
 }
 
-// announce gives routers open claims on idle slots: each router once until it
+// announceIdleSlots gives routers open claims on idle slots: each router once until it
 // has used them up, and again after a while in case some were lost.
-func (m *Machine) announce(now time.Duration) []Command {
-	idle := m.idle()
+func (m *Machine) announceIdleSlots(now time.Duration) []Command {
+	idle := m.idleSlots()
 	if idle <= 0 || m.hasWork() {
 		return nil
 	}
 	var cmds []Command
 	for _, r := range m.routers {
-		if r.open.left() > 0 && now-r.announcedAt < announceAgain {
+		if r.openClaims.remaining() > 0 && now-r.announcedAt < reannounceAfter {
 			continue
 		}
-		r.open = openClaims{first: m.seq + 1, end: m.seq + 1 + uint64(idle)}
+		r.openClaims = openClaims{first: m.seq + 1, end: m.seq + 1 + uint64(idle)}
 		r.announcedAt = now
 		m.seq += uint64(idle)
-		cmds = append(cmds, FreeCmd{Router: r.name, Slots: idle, First: r.open.first})
+		cmds = append(cmds, FreeCmd{Router: r.name, Slots: idle, First: r.openClaims.first})
 	}
 	return cmds
 }
@@ -164,7 +164,7 @@
 }
 
 // claimRouter returns the router that a claim went to, if its link stands.
-func (m *Machine) claimRouter(r *run) (fleet.Name, bool) {
+func (m *Machine) claimRouter(r *claim) (fleet.Name, bool) {
 	_, _, ok := m.router(r.router)
 	return r.router, ok
 }
--- a/sched/router.go
+++ b/sched/router.go
@@ -10,31 +10,31 @@
 type routerView struct {
 	name        fleet.Name
 	hub         bool
-	fresh       bool // the hub has been sent nothing yet
-	open        openClaims
+	nothingSent bool // the hub has been sent nothing yet
+	openClaims  openClaims
 	announcedAt time.Duration
 	suspended   bool // it leaves claims unanswered
 	sent        map[fleet.Team]fleet.ServiceRow
 	sentAt      time.Duration
 }
 
-// suspend stops or resumes claims from a router. A router that is cut off or
+// setSuspended stops or resumes claims from a router. A router that is cut off or
 // frozen would else hold this agent's slots with claims that it never sees.
-func (m *Machine) suspend(r *routerView, suspended bool) {
+func (m *Machine) setSuspended(r *routerView, suspended bool) {
 	if r.suspended == suspended {
 		return
 	}
 	r.suspended = suspended
 	for _, t := range m.teams {
-		for _, l := range t.lines {
-			l.suspend(r.name, suspended)
+		for _, l := range t.queues {
+			l.setSuspended(r.name, suspended)
 		}
 	}
 }
 
-// heard notes that a router has answered.
-func (m *Machine) heard(name fleet.Name) {
+// resumeRouter notes that a router has answered.
+func (m *Machine) resumeRouter(name fleet.Name) {
 	if r, _, ok := m.router(name); ok {
-		m.suspend(r, false)
+		m.setSuspended(r, false)
 	}
 }
--- a/sched/state.go
+++ b/sched/state.go
@@ -30,7 +30,7 @@
 			OwnMS:     int64(t.own / time.Millisecond),
 			OthersMS:  int64(t.others / time.Millisecond),
 			LiftMS:    int64(t.lift / time.Millisecond),
-			VirtualMS: int64(t.virtual() / time.Millisecond),
+			VirtualMS: int64(t.virtualService() / time.Millisecond),
 		})
 	}
 	return out
