--- a/direct/canary.go
+++ b/direct/canary.go
@@ -26,7 +26,7 @@
 // servers are closed; before that, the old ones serve.
 func (g *gate) canaryServers(all []*server) []*server {
 	var out []*server
-	if g.Part <= 0 {
+	if g.Fraction <= 0 {
 		return nil
 	}
 	for _, s := range all {
@@ -34,8 +34,8 @@
 			out = append(out, s)
 		}
 	}
-	limit := max(int(math.Ceil(g.Servers*float64(len(out)))), minCanaryServers)
-	if g.Servers >= 1 || limit >= len(out) {
+	limit := max(int(math.Ceil(g.ServerFraction*float64(len(out)))), minCanaryServers)
+	if g.ServerFraction >= 1 || limit >= len(out) {
 		return out
 	}
 	slices.SortFunc(out, func(a, b *server) int {
--- a/direct/commands.go
+++ b/direct/commands.go
@@ -75,7 +75,7 @@
 // that it had just started. It is only logged.
 type CrashCmd struct {
 	Server   Server
-	Suspects []quarantine.Content
+	Suspects []quarantine.Fingerprint
 }
 
 // QuarantineCmd reports that requests with a fingerprint are refused from now on, or no longer.
@@ -91,7 +91,7 @@
 
 // ResponseCmd reports a response from a server of a service that is being rolled out, as
 // evidence about its version.
-type ResponseCmd struct{ Response rollout.AnswerMsg }
+type ResponseCmd struct{ Response rollout.ResponseMsg }
 
 // MoveCmd interrupts a stream at a server of an old version so that it resumes at a server of
 // the target version. An AttemptEndMsg with the outcome Moved follows.
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -29,9 +29,9 @@
 // crashed it. A probe tells a crashed server from a broken connection. The zero value is ready
 // to use.
 type crashCheck struct {
-	awaitingProbe []quarantine.Content // of broken attempts, until a probe resolves the check
-	abandoned     []abandonedRequest   // oldest first; they don't cause a probe
-	reachedAt     time.Duration        // when a probe reached the server during this check; 0: none has
+	awaitingProbe []quarantine.Fingerprint // of broken attempts, until a probe resolves the check
+	abandoned     []abandonedRequest       // oldest first; they don't cause a probe
+	reachedAt     time.Duration            // when a probe reached the server during this check; 0: none has
 	crashed       bool
 	crashedAt     time.Duration // when a probe last detected a crash
 }
@@ -43,13 +43,13 @@
 // abandonedRequest is a request whose attempt ended on this side while its server may have
 // started to run it.
 type abandonedRequest struct {
-	fingerprint quarantine.Content
+	fingerprint quarantine.Fingerprint
 	at          time.Duration
 }
 
 // addAbandoned records a request whose caller left, or that was moved. If the server turns out
 // to have crashed right after that, the request is as suspect as those that broke.
-func (c *crashCheck) addAbandoned(now time.Duration, fingerprint quarantine.Content) {
+func (c *crashCheck) addAbandoned(now time.Duration, fingerprint quarantine.Fingerprint) {
 	c.abandoned = slices.DeleteFunc(c.abandoned, func(a abandonedRequest) bool { return now-a.at > crashWindow })
 	if len(c.abandoned) < maxAbandoned {
 		c.abandoned = append(c.abandoned, abandonedRequest{fingerprint, now})
@@ -57,8 +57,8 @@
 }
 
 // takeAbandoned removes all abandoned requests and returns those within crashWindow.
-func (c *crashCheck) takeAbandoned(now time.Duration) []quarantine.Content {
-	var out []quarantine.Content
+func (c *crashCheck) takeAbandoned(now time.Duration) []quarantine.Fingerprint {
+	var out []quarantine.Fingerprint
 	for _, a := range c.abandoned {
 		if now-a.at <= crashWindow {
 			out = append(out, a.fingerprint)
@@ -75,7 +75,7 @@
 	}
 	switch {
 	case o == Done:
-		m.suspects.Answered(now, r.Fingerprint)
+		m.suspects.RecordSuccess(now, r.Fingerprint)
 	case r.clearedOfCrash(now): // a request that crashes servers does so sooner
 	case o == Broken, o == Hung:
 		// A server may crash after the attempt has timed out: a busy server starts to run it
@@ -96,7 +96,7 @@
 func (m *Machine) suspectIfCrashed(now time.Duration, r *requestState, s *server) {
 	check := &s.crashState
 	if check.crashed && now-check.crashedAt < crashWindow {
-		m.suspects.Crashed(now, r.Fingerprint, quarantine.Server(s.loadKey))
+		m.suspects.RecordCrash(now, r.Fingerprint, quarantine.Server(s.loadKey))
 		return
 	}
 	check.awaitingProbe = append(check.awaitingProbe, r.Fingerprint)
@@ -126,7 +126,7 @@
 	check.crashed, check.crashedAt = true, msg.Now
 	fingerprints = append(fingerprints, check.takeAbandoned(msg.Now)...)
 	for _, f := range fingerprints {
-		m.suspects.Crashed(msg.Now, f, quarantine.Server(s.loadKey))
+		m.suspects.RecordCrash(msg.Now, f, quarantine.Server(s.loadKey))
 	}
 	m.emit(CrashCmd{Server: s.Server, Suspects: fingerprints})
 	return true
@@ -153,8 +153,8 @@
 	if !m.enabled(Quarantine) {
 		return
 	}
-	m.suspects.Hear(now, report.Suspects)
-	m.suspects.HearDigest(now, report.SuspectsDigest)
+	m.suspects.ApplyReports(now, report.Suspects)
+	m.suspects.CompareDigest(now, report.SuspectsDigest)
 }
 
 // expireSuspects removes old suspects, once per suspectExpiryInterval.
@@ -163,23 +163,23 @@
 		return
 	}
 	m.suspectsPrunedAt = now
-	m.suspects.Drop(now)
+	m.suspects.Expire(now)
 }
 
 // emitQuarantineChanges emits the changes of the quarantine since the last call, and a report
 // to the other routers if they are urgent.
 func (m *Machine) emitQuarantineChanges() {
-	if m.suspects.Urgent() {
+	if m.suspects.TakeUrgent() {
 		m.emit(ReportCmd{})
 	}
-	for _, c := range m.suspects.Changes() {
+	for _, c := range m.suspects.TakeChanges() {
 		m.emit(QuarantineCmd{Change: c})
 	}
 }
 
 // PendingRecords returns the fingerprints whose quarantine records have to be added to the
 // store, and those whose records have to be removed.
-func (m *Machine) PendingRecords() (add, remove []quarantine.Content) {
+func (m *Machine) PendingRecords() (add, remove []quarantine.Fingerprint) {
 	return m.suspects.Unrecorded(), m.suspects.Outdated()
 }
 
--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -9,10 +9,10 @@
 )
 
 // crashingFingerprint is the fingerprint of requests that crash servers.
-const crashingFingerprint quarantine.Content = 99
+const crashingFingerprint quarantine.Fingerprint = 99
 
 // requestWith returns a request with a fingerprint.
-func (b *harness) requestWith(fingerprint quarantine.Content) Request {
+func (b *harness) requestWith(fingerprint quarantine.Fingerprint) Request {
 	r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 1000})
 	r.Fingerprint = fingerprint
 	return r
@@ -30,7 +30,7 @@
 }
 
 // crashServer sends a request with one attempt, which crashes its server.
-func (b *harness) crashServer(fingerprint quarantine.Content) {
+func (b *harness) crashServer(fingerprint quarantine.Fingerprint) {
 	b.t.Helper()
 	r := b.requestWith(fingerprint)
 	b.sent(b.arrive(r))
@@ -60,12 +60,12 @@
 	require.Equal(t, ReasonQuarantined, failed.Reason)
 	began, ok := findCmd[QuarantineCmd](cmds)
 	require.True(t, ok)
-	require.Equal(t, quarantine.Change{Content: crashingFingerprint, Barred: true, Crashes: 3}, began.Change)
+	require.Equal(t, quarantine.Change{Fingerprint: crashingFingerprint, Barred: true, Crashes: 3}, began.Change)
 
 	refused, ok := findCmd[RefuseCmd](b.arrive(b.requestWith(crashingFingerprint)))
 	require.True(t, ok)
 	require.Equal(t, ReasonQuarantined, refused.Reason)
-	require.Equal(t, quarantine.Hold, refused.RetryAfter)
+	require.Equal(t, quarantine.Retention, refused.RetryAfter)
 	b.sent(b.arrive(b.requestWith(crashingFingerprint + 1)))
 	b.sent(b.arrive(b.requestWith(0)))
 }
@@ -127,7 +127,7 @@
 func TestAllBrokenAttemptsAreSuspected(t *testing.T) {
 	b := newHarness(t, 1)
 	var all []Request
-	for i := range quarantine.Content(3) {
+	for i := range quarantine.Fingerprint(3) {
 		r := b.requestWith(crashingFingerprint + i)
 		r.Attempts = 1
 		b.sent(b.arrive(r))
@@ -142,7 +142,7 @@
 	require.Len(t, crashed.Suspects, 2)
 	_, ok = findCmd[ProbeCmd](b.end(all[2].ID, Broken, true))
 	require.False(t, ok)
-	for i := range quarantine.Content(3) {
+	for i := range quarantine.Fingerprint(3) {
 		require.Equal(t, 1, b.m.suspects.Crashes(crashingFingerprint+i))
 	}
 }
@@ -151,7 +151,7 @@
 // requests of that fingerprint, including one in its queue.
 func TestQuarantineReachesAllRouters(t *testing.T) {
 	reporter, receiver := newHarness(t, 8), newHarness(t, 1)
-	for range quarantine.CrashesMost {
+	for range quarantine.CrashThreshold {
 		reporter.crashServer(crashingFingerprint)
 	}
 	for range 60 { // fills its server
@@ -181,7 +181,7 @@
 func TestCrashesAreToldAtOnce(t *testing.T) {
 	reporter, receiver := newHarness(t, 8), newHarness(t, 8)
 	var received []Cmd
-	for crashes := 1; crashes <= quarantine.CrashesMost; crashes++ {
+	for crashes := 1; crashes <= quarantine.CrashThreshold; crashes++ {
 		r := reporter.requestWith(crashingFingerprint)
 		r.Attempts = 1
 		reporter.sent(reporter.arrive(r))
@@ -226,7 +226,7 @@
 func TestOldAbandonedAttemptsAreNotSuspected(t *testing.T) {
 	b := newHarness(t, 1)
 	for i := range maxAbandoned + 10 {
-		r := b.requestWith(crashingFingerprint + quarantine.Content(i))
+		r := b.requestWith(crashingFingerprint + quarantine.Fingerprint(i))
 		b.sent(b.arrive(r))
 		b.end(r.ID, GivenUp, false)
 	}
--- a/direct/crashsim_test.go
+++ b/direct/crashsim_test.go
@@ -17,15 +17,15 @@
 	random          *rand.Rand
 	servers         Directory
 	crashed         []string // servers that are to be replaced
-	crashes         map[quarantine.Content]int
-	nextFingerprint quarantine.Content // of the next harmless request
-	harmlessSent    int                // harmless requests sent
-	harmlessRefused int                // of these, refused because of crashes
+	crashes         map[quarantine.Fingerprint]int
+	nextFingerprint quarantine.Fingerprint // of the next harmless request
+	harmlessSent    int                    // harmless requests sent
+	harmlessRefused int                    // of these, refused because of crashes
 }
 
 func newCrashSim(t *testing.T, seed uint64) *crashSim {
 	p := &crashSim{
-		random: rand.New(rand.NewPCG(seed, 1)), servers: newDirectory(1, 12), crashes: make(map[quarantine.Content]int), nextFingerprint: 1 << 32,
+		random: rand.New(rand.NewPCG(seed, 1)), servers: newDirectory(1, 12), crashes: make(map[quarantine.Fingerprint]int), nextFingerprint: 1 << 32,
 	}
 	for range 4 {
 		p.routers = append(p.routers, newHarness(t, 12))
@@ -34,7 +34,7 @@
 }
 
 // sendCrashing sends a crashing request to one router and crashes a server at each attempt.
-func (p *crashSim) sendCrashing(fingerprint quarantine.Content) {
+func (p *crashSim) sendCrashing(fingerprint quarantine.Fingerprint) {
 	b := p.routers[p.random.IntN(len(p.routers))]
 	r := b.requestWith(fingerprint)
 	cmds := b.arrive(r)
@@ -132,14 +132,14 @@
 // crashTogether sends copies of requests to routers before any of them gets a response, crashes
 // all their servers at the same time, and does the same with the retries. It returns the number
 // of crashed servers by fingerprint.
-func (p *crashSim) crashTogether(fingerprints []quarantine.Content) map[quarantine.Content]int {
+func (p *crashSim) crashTogether(fingerprints []quarantine.Fingerprint) map[quarantine.Fingerprint]int {
 	var running []requestCopy
 	for _, fingerprint := range fingerprints {
 		b := p.routers[p.random.IntN(len(p.routers))]
 		r := b.requestWith(fingerprint)
 		running = p.appendRunning(running, requestCopy{router: b, r: r}, b.arrive(r))
 	}
-	crashes := make(map[quarantine.Content]int)
+	crashes := make(map[quarantine.Fingerprint]int)
 	for len(running) > 0 {
 		p.crashServers(running, crashes)
 		var next []requestCopy
@@ -152,9 +152,9 @@
 }
 
 // crashServers crashes the servers of running requests and counts them by fingerprint.
-func (p *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Content]int) {
+func (p *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Fingerprint]int) {
 	type crashKey struct {
-		fingerprint quarantine.Content
+		fingerprint quarantine.Fingerprint
 		server      string
 	}
 	seen := make(map[crashKey]bool)
@@ -192,11 +192,11 @@
 	for seed := range uint64(20) {
 		p := newCrashSim(t, seed)
 		for i := range 100 {
-			p.sendCrashing(crashingFingerprint + quarantine.Content(i%10))
+			p.sendCrashing(crashingFingerprint + quarantine.Fingerprint(i%10))
 			p.pass()
 		}
 		for fingerprint, crashes := range p.crashes {
-			require.LessOrEqual(t, crashes, quarantine.CrashesMost+2, "seed %d, fingerprint %d", seed, fingerprint)
+			require.LessOrEqual(t, crashes, quarantine.CrashThreshold+2, "seed %d, fingerprint %d", seed, fingerprint)
 		}
 		sent, refused = sent+p.harmlessSent, refused+p.harmlessRefused
 	}
@@ -211,16 +211,16 @@
 func TestCrashesTogetherStayFew(t *testing.T) {
 	for seed := range uint64(200) {
 		p := newCrashSim(t, seed)
-		crashes, late := make(map[quarantine.Content]int), make(map[quarantine.Content]int)
+		crashes, late := make(map[quarantine.Fingerprint]int), make(map[quarantine.Fingerprint]int)
 		for range 30 {
-			var fingerprints []quarantine.Content
+			var fingerprints []quarantine.Fingerprint
 			for fingerprint := crashingFingerprint; fingerprint < crashingFingerprint+2; fingerprint++ {
 				for range p.random.IntN(4) {
 					fingerprints = append(fingerprints, fingerprint)
 				}
 			}
 			for fingerprint, servers := range p.crashTogether(fingerprints) {
-				if crashes[fingerprint] >= quarantine.CrashesMost {
+				if crashes[fingerprint] >= quarantine.CrashThreshold {
 					late[fingerprint] += servers
 				}
 				crashes[fingerprint] += servers
@@ -249,7 +249,7 @@
 				p.pass()
 			}
 		}
-		require.Equal(t, quarantine.CrashesMost, p.crashes[crashingFingerprint], "seed %d", seed)
+		require.Equal(t, quarantine.CrashThreshold, p.crashes[crashingFingerprint], "seed %d", seed)
 	}
 }
 
--- a/direct/ending.go
+++ b/direct/ending.go
@@ -101,7 +101,7 @@
 	}
 	switch {
 	// The probe that detects a crash is still running, and a retry might crash a fourth server.
-	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneMore(r.Fingerprint):
+	case (o == Broken || o == Hung) && !r.clearedOfCrash(now) && m.suspects.OneCrashFromBarred(r.Fingerprint):
 		m.giveUp(now, p, r, ReasonQuarantined)
 	case now >= r.Deadline:
 		m.giveUp(now, p, r, ReasonDeadline)
@@ -146,7 +146,7 @@
 // A team above its share also waits until its rate limit covers its demand.
 func (m *Machine) retryAfter(now time.Duration, p *pool, r *requestState, reason Reason) time.Duration {
 	if reason == ReasonQuarantined {
-		return quarantine.Hold
+		return quarantine.Retention
 	}
 	backlog, n := 0.0, 0
 	for _, s := range p.admitted {
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -147,8 +147,8 @@
 	if g.Target == "" || !r.observed.eligible || (!s.target && !g.Uses(s.Version)) {
 		return
 	}
-	m.emit(ResponseCmd{Response: rollout.AnswerMsg{
-		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, Later: afterStart, Bad: bad,
+	m.emit(ResponseCmd{Response: rollout.ResponseMsg{
+		Now: now, Service: r.Service, Route: r.Route, Cohort: s.cohort, Target: s.target, AfterStart: afterStart, Bad: bad,
 	}})
 }
 
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -9,8 +9,8 @@
 )
 
 // responsesIn returns the evidence in commands.
-func responsesIn(cmds []Cmd) []rollout.AnswerMsg {
-	var out []rollout.AnswerMsg
+func responsesIn(cmds []Cmd) []rollout.ResponseMsg {
+	var out []rollout.ResponseMsg
 	for _, c := range cmds {
 		if a, ok := c.(ResponseCmd); ok {
 			out = append(out, a.Response)
@@ -36,7 +36,7 @@
 // stream runs one request to its end at a server that reads 60 tokens per millisecond and
 // writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
 // target version read uncached tokens in addition.
-func (b *harness) stream(r Request, factors slowFactors, uncached int) []rollout.AnswerMsg {
+func (b *harness) stream(r Request, factors slowFactors, uncached int) []rollout.ResponseMsg {
 	cmds := b.arrive(r)
 	c, ok := findCmd[SendCmd](cmds)
 	require.True(b.t, ok)
@@ -58,7 +58,7 @@
 			switch {
 			case !a.Target:
 				old.add(a.Bad)
-			case a.Later:
+			case a.AfterStart:
 				later.add(a.Bad)
 			default:
 				starts.add(a.Bad)
@@ -116,7 +116,7 @@
 			}
 			b.now += took
 			for _, a := range responsesIn(b.complete(r.ID)) {
-				require.False(t, a.Later)
+				require.False(t, a.AfterStart)
 				if a.Target {
 					got.add(a.Bad)
 				}
@@ -208,7 +208,7 @@
 		b.sent(b.arrive(r))
 		var got []bool
 		for _, a := range responsesIn(b.end(r.ID, outcome, false)) {
-			require.False(t, a.Later)
+			require.False(t, a.AfterStart)
 			require.True(t, a.Target)
 			got = append(got, a.Bad)
 		}
@@ -226,7 +226,7 @@
 	b.m.Update(FirstEventMsg{Now: b.now, ID: whole.ID})
 	got := responsesIn(b.end(whole.ID, Failed, false))
 	require.Len(t, got, 1)
-	require.False(t, got[0].Later)
+	require.False(t, got[0].AfterStart)
 	require.True(t, got[0].Bad)
 
 	stream := b.routeRequest("chat")
@@ -235,7 +235,7 @@
 	got = append(responsesIn(b.advance(TickInterval)), responsesIn(b.end(stream.ID, Failed, false))...)
 	require.Len(t, got, 2)
 	require.Equal(t, []bool{false, true}, []bool{got[0].Bad, got[1].Bad})
-	require.Equal(t, []bool{false, true}, []bool{got[0].Later, got[1].Later})
+	require.Equal(t, []bool{false, true}, []bool{got[0].AfterStart, got[1].AfterStart})
 }
 
 // TestRolloutEvidenceOfSilence counts a timeout as slow only if the server responds to others
@@ -253,7 +253,7 @@
 			b.complete(other.ID)
 		}
 		got := responsesIn(b.end(silent.ID, Hung, false))
-		require.Equal(t, responding, len(got) == 1 && got[0].Bad && !got[0].Later)
+		require.Equal(t, responding, len(got) == 1 && got[0].Bad && !got[0].AfterStart)
 	}
 }
 
@@ -305,7 +305,7 @@
 	require.Equal(t, map[string]bool{"a": true, "b": true, "c": true}, cohorts(newRolloutHarness(t, canaryGate(1))))
 
 	g := canaryGate(1)
-	g.Servers = 0.05
+	g.ServerFraction = 0.05
 	b := newRolloutHarness(t, g)
 	d := versionDirectory(2, 30, "v1", "v2")
 	for i := range d.Servers {
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -28,7 +28,7 @@
 		p.gate.unrated = nil
 	}
 	p.gate.Gate = msg.Gate
-	p.gate.movePending = msg.Gate.Move
+	p.gate.movePending = msg.Gate.MoveStreams
 	p.updateAdmitted()
 	m.serveQueue(msg.Now, p, maxQueued)
 	m.moveStreams(msg.Now, p)
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -54,9 +54,9 @@
 func TestRolloutRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &gateSim{t: t, now: time.Second, parts: make(map[uint64]partRange), gate: rollout.Gate{
-			Service: "llm", InUse: []string{"v1"}, Target: "v2", Servers: 0.3,
-			Part:  rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
-			Limit: rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
+			Service: "llm", InUse: []string{"v1"}, Target: "v2", ServerFraction: 0.3,
+			Fraction: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
+			Limit:    rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
 		}}
 		for range 3 {
 			s.start()
@@ -154,9 +154,9 @@
 func (s *gateSim) stage() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "stage") {
 	case 0:
-		s.gate.Part = max(s.gate.Part, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
+		s.gate.Fraction = max(s.gate.Fraction, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
 	case 1:
-		s.gate.Part, s.gate.OldClosed, s.gate.Move = 1, true, true
+		s.gate.Fraction, s.gate.OldClosed, s.gate.MoveStreams = 1, true, true
 	}
 	for _, r := range s.routers {
 		if !r.isolated && rapid.Bool().Draw(s.t, "hears") {
@@ -218,16 +218,16 @@
 	require.NotEmpty(s.t, r.gate.Service, "request sent without a gate")
 	target := c.Server.Version == "v2"
 	require.Equal(s.t, target, c.PlacementBasis.Target)
-	require.False(s.t, target && r.gate.Part == 0, "request to the target version, whose fraction is 0")
+	require.False(s.t, target && r.gate.Fraction == 0, "request to the target version, whose fraction is 0")
 	require.False(s.t, !target && r.gate.OldClosed, "request to an old version after these were closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
 		ranges := s.parts[part.ID]
 		switch {
 		case c.PlacementBasis.Side == SideOld:
-			ranges.old = max(ranges.old, r.gate.Part)
-		case c.PlacementBasis.Side == SideTarget && c.Attempt == 1 && (ranges.target == 0 || r.gate.Part < ranges.target):
-			ranges.target = r.gate.Part
+			ranges.old = max(ranges.old, r.gate.Fraction)
+		case c.PlacementBasis.Side == SideTarget && c.Attempt == 1 && (ranges.target == 0 || r.gate.Fraction < ranges.target):
+			ranges.target = r.gate.Fraction
 		}
 		s.parts[part.ID] = ranges
 		require.False(s.t, ranges.target > 0 && ranges.old >= ranges.target, "prompt part %d is on both sides: %v", part.ID, ranges)
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -41,7 +41,7 @@
 // canaryGate returns a gate that admits a fraction of the requests to the target version,
 // without a limit on their count.
 func canaryGate(fraction float64) rollout.Gate {
-	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Part: fraction, Limit: 1, Servers: 1}
+	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Fraction: fraction, Limit: 1, ServerFraction: 1}
 }
 
 func (b *harness) gate(g rollout.Gate) []Cmd {
@@ -190,7 +190,7 @@
 	g.Limit = 0.05
 	b := newRolloutHarness(t, g)
 	unmoved := uint64(1)
-	for unitHash(unmoved) < g.Part {
+	for unitHash(unmoved) < g.Fraction {
 		unmoved++
 	}
 	sent := 0
@@ -216,10 +216,10 @@
 	g.Limit = 0.1
 	b := newRolloutHarness(t, g)
 	require.Equal(t, 10, b.countByVersion("chat", 100)["v2"])
-	g.Part = 0.9
+	g.Fraction = 0.9
 	b.gate(g)
 	require.Equal(t, 1, b.countByVersion("chat", 10)["v2"])
-	g.InUse, g.Target, g.Part = []string{"v2"}, "v1", 1
+	g.InUse, g.Target, g.Fraction = []string{"v2"}, "v1", 1
 	b.gate(g)
 	require.Zero(t, b.countByVersion("chat", 9)["v1"])
 }
@@ -250,7 +250,7 @@
 		b := newRolloutHarness(t, g)
 		var full []loads.Load
 		for i := range 6 {
-			full = append(full, loads.Load{Server: loads.Key(fmt.Sprint("v2-", i)), Running: 48})
+			full = append(full, loads.Load{Server: loads.ServerKey(fmt.Sprint("v2-", i)), Running: 48})
 		}
 		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: full})
 		c, sent := findCmd[SendCmd](b.arrive(b.routeRequest("chat")))
@@ -321,7 +321,7 @@
 // routers. Servers that get no requests are skipped.
 func TestRolloutTrialServers(t *testing.T) {
 	g := canaryGate(0.02)
-	g.Servers = 0.02
+	g.ServerFraction = 0.02
 	b, other := newRolloutHarness(t, g), newRolloutHarness(t, g)
 	for _, router := range []*harness{b, other} {
 		router.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 60, "v1", "v2")})
@@ -339,7 +339,7 @@
 	for _, id := range b.canaryServerIDs() {
 		require.NotEqual(t, "a", b.m.byServer[id].Zone)
 	}
-	g.Servers = 0.1
+	g.ServerFraction = 0.1
 	b.evacuate(3)
 	b.gate(g)
 	require.Len(t, b.canaryServerIDs(), 6)
@@ -349,7 +349,7 @@
 // half of the canary servers stay in use, so that there is evidence about the version.
 func TestRolloutEjectionKeepsCanaryServers(t *testing.T) {
 	g := canaryGate(1)
-	g.Servers = 0.5
+	g.ServerFraction = 0.5
 	b := newRolloutHarness(t, g)
 	for range 200 {
 		r := b.routeRequest("chat")
--- a/direct/listing.go
+++ b/direct/listing.go
@@ -40,7 +40,7 @@
 func (m *Machine) applyListed(now time.Duration, listed Server) bool {
 	s := m.byServer[listed.ID]
 	if s == nil {
-		s = &server{Server: listed, loadKey: loads.Key(listed.ID), idHash: xxhash.Sum64String(listed.ID), listedAt: now}
+		s = &server{Server: listed, loadKey: loads.ServerKey(listed.ID), idHash: xxhash.Sum64String(listed.ID), listedAt: now}
 		m.byServer[listed.ID] = s
 		m.byKey[s.loadKey] = s
 		s.region = m.hallRegions.regionOf(listed.Zone)
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -121,7 +121,7 @@
 	case EvacuationsMsg:
 		m.applyEvacuations(msg)
 	case QuarantineMsg:
-		m.suspects.Record(msg.Now, msg.Fingerprints)
+		m.suspects.SetRecorded(msg.Now, msg.Fingerprints)
 	case GateMsg:
 		m.applyGate(msg)
 	case RequestMsg:
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -45,7 +45,7 @@
 // QuarantineMsg delivers the fingerprints that the store lists as barred.
 type QuarantineMsg struct {
 	Now          time.Duration
-	Fingerprints []quarantine.Content
+	Fingerprints []quarantine.Fingerprint
 }
 
 // GateMsg sets which of a service's servers may get requests, by their version.
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -31,7 +31,7 @@
 	}
 	require.Equal(t, 40, b.m.OldRunning("llm"))
 	g := canaryGate(1)
-	g.OldClosed, g.Move = true, true
+	g.OldClosed, g.MoveStreams = true, true
 	first := movedIDs(b.gate(g))
 	require.LessOrEqual(t, len(first), minMovesPerTick)
 	all := append(first, movedIDs(b.advance(time.Second))...)
@@ -58,7 +58,7 @@
 		b.sent(b.arrive(b.routeRequest("chat")))
 	}
 	g := canaryGate(1)
-	g.OldClosed, g.Move = true, true
+	g.OldClosed, g.MoveStreams = true, true
 	all := append(movedIDs(b.gate(g)), movedIDs(b.advance(5*time.Second))...)
 	require.Len(t, all, int(retryBudgetMargin*0.2*50))
 }
--- a/direct/peers.go
+++ b/direct/peers.go
@@ -37,10 +37,10 @@
 // expirePeerTeams clears the other routers' figures of teams once no update has come for too
 // long: first what teams get, and after a longer time their demand too.
 func (m *Machine) expirePeerTeams(now time.Duration) {
-	if m.peerTeamsAt == 0 || now-m.peerTeamsAt <= loads.TeamsHold {
+	if m.peerTeamsAt == 0 || now-m.peerTeamsAt <= loads.TeamsTTL {
 		return
 	}
-	keepDemand := now-m.peerTeamsAt <= loads.TeamsHold+loads.DemandHold
+	keepDemand := now-m.peerTeamsAt <= loads.TeamsTTL+loads.DemandTTL
 	if !keepDemand {
 		m.peerTeamsAt = 0
 	}
@@ -70,7 +70,7 @@
 // a few reports.
 func (m *Machine) Report(now time.Duration) Report {
 	return Report{
-		Headroom: m.ownHeadroom, Suspects: m.suspects.Tell(now, maxReportedSuspects), SuspectsDigest: m.suspects.Digest(),
+		Headroom: m.ownHeadroom, Suspects: m.suspects.TakeReports(now, maxReportedSuspects), SuspectsDigest: m.suspects.Digest(),
 	}
 }
 
--- a/direct/request.go
+++ b/direct/request.go
@@ -32,7 +32,7 @@
 	PromptTokens int           // of the whole prompt
 	OutputTokens int           // expected
 	Parts        []PromptPart  // of the prompt, in order; the last is not shared
-	Fingerprint  quarantine.Content
+	Fingerprint  quarantine.Fingerprint
 }
 
 // ownTokens returns the tokens of the prompt that are in no shared part.
--- a/direct/side.go
+++ b/direct/side.go
@@ -51,9 +51,9 @@
 		return sidesRetry
 	case r.placement.moved:
 		return sidesMoved
-	case g.oldVersionsClosed() || rolloutPosition(r) < g.Part:
+	case g.oldVersionsClosed() || rolloutPosition(r) < g.Fraction:
 		return sidesTarget
-	case g.exposure.behind(r.Route, g.Limit) && unitHash(uint64(r.ID)) < g.Part:
+	case g.exposure.behind(r.Route, g.Limit) && unitHash(uint64(r.ID)) < g.Fraction:
 		return sidesSample
 	}
 	return sidesOld
--- a/rollout/cells.go
+++ b/rollout/cells.go
@@ -8,8 +8,8 @@
 
 // cellKey names a cell.
 type cellKey struct {
-	Route, Cohort string
-	Target, Later bool
+	Route, Cohort      string
+	Target, AfterStart bool
 }
 
 // cells counts answers by cell.
@@ -18,7 +18,7 @@
 func cellsOf(list []Cell) cells {
 	c := make(cells, len(list))
 	for _, l := range list {
-		c.count(cellKey{l.Route, l.Cohort, l.Target, l.Later}, Tally{l.Good, l.Bad})
+		c.count(cellKey{l.Route, l.Cohort, l.Target, l.AfterStart}, Tally{l.Good, l.Bad})
 	}
 	return c
 }
@@ -54,7 +54,7 @@
 }
 
 // keys are in a fixed order, as sums of floats depend on it.
-func (c cells) keys() []cellKey {
+func (c cells) sortedKeys() []cellKey {
 	return slices.SortedFunc(maps.Keys(c), compareKeys)
 }
 
@@ -75,7 +75,7 @@
 		cmp.Compare(a.Route, b.Route),
 		cmp.Compare(a.Cohort, b.Cohort),
 		compareBools(a.Target, b.Target),
-		compareBools(a.Later, b.Later),
+		compareBools(a.AfterStart, b.AfterStart),
 	)
 }
 
@@ -91,9 +91,9 @@
 
 func (c cells) list() []Cell {
 	var list []Cell
-	for _, k := range c.keys() {
+	for _, k := range c.sortedKeys() {
 		t := c[k]
-		list = append(list, Cell{k.Route, k.Cohort, k.Target, k.Later, t.Good, t.Bad})
+		list = append(list, Cell{k.Route, k.Cohort, k.Target, k.AfterStart, t.Good, t.Bad})
 	}
 	return list
 }
@@ -102,7 +102,7 @@
 func (c cells) total(target bool) Tally {
 	var sum Tally
 	for k, t := range c {
-		if k.Target == target && !k.Later {
+		if k.Target == target && !k.AfterStart {
 			sum = sum.plus(t)
 		}
 	}
@@ -110,10 +110,10 @@
 }
 
 // answers counts all answers, each once.
-func (c cells) answers() float64 { return c.total(true).answers() + c.total(false).answers() }
+func (c cells) responses() float64 { return c.total(true).responses() + c.total(false).responses() }
 
 // badOfTarget counts the target's bad answers of both kinds.
-func badOfTarget(list []Cell) uint32 {
+func targetBad(list []Cell) uint32 {
 	bad := uint32(0)
 	for _, c := range list {
 		if c.Target {
@@ -125,4 +125,4 @@
 
 func (t Tally) plus(o Tally) Tally { return Tally{t.Good + o.Good, t.Bad + o.Bad} }
 
-func (t Tally) answers() float64 { return float64(t.Good) + float64(t.Bad) }
+func (t Tally) responses() float64 { return float64(t.Good) + float64(t.Bad) }
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// crowded returns a machine with a tenth of its teams backlogged at every
+// newBackloggedMachine returns a machine with a tenth of its teams backlogged at every
 // router, and no free slot.
-func crowded(teams, links int) (*Machine, []fleet.Team) {
+func newBackloggedMachine(teams, links int) (*Machine, []fleet.Team) {
 	shares := map[fleet.Team]float64{}
 	var names []fleet.Team
 	for i := range teams {
@@ -20,7 +20,7 @@
 	}
 	m := New(Config{
 		Slots: 8, Works: []fleet.Work{"report"}, Shares: shares, ShareEvery: time.Second,
-		CatchUp: time.Hour, ClaimAhead: 1, Alike: map[fleet.Work]float64{"report": 100},
+		CatchUp: time.Hour, ClaimAhead: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100},
 	})
 	m.Update(HealthMsg{Now: 1, Serving: true})
 	for l := range links {
@@ -42,14 +42,14 @@
 	for _, teams := range []int{10, 540, 5000} {
 		for _, links := range []int{3, 64, 700} {
 			b.Run(fmt.Sprintf("teams=%d/links=%d", teams, links), func(b *testing.B) {
-				m, _ := crowded(teams, links)
+				m, _ := newBackloggedMachine(teams, links)
 				now := time.Duration(1)
 				seq := uint64(0)
 				b.ReportAllocs()
 				for b.Loop() {
 					now += time.Millisecond
 					seq++
-					m.Update(ArriveMsg{Now: now, Seq: seq, Left: 1 << 30})
+					m.Update(ArriveMsg{Now: now, Seq: seq, Remaining: 1 << 30})
 					m.Update(EndMsg{Now: now + time.Millisecond, Seq: seq})
 				}
 			})
@@ -61,7 +61,7 @@
 func BenchmarkTotals(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			m, names := crowded(teams, 3)
+			m, names := newBackloggedMachine(teams, 3)
 			var rows []fleet.ServiceRow
 			for i := 0; i < teams; i += 10 {
 				rows = append(rows, fleet.ServiceRow{Team: names[i]})
@@ -83,7 +83,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			m, _ := crowded(teams, 64)
+			m, _ := newBackloggedMachine(teams, 64)
 			now := time.Duration(1)
 			b.ReportAllocs()
 			for b.Loop() {
