--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -26,8 +26,8 @@
 )
 
 // crashCheck holds the requests that broke at a server, or were abandoned there, and may have
-// crashed it. A probe tells a crashed server from a broken connection. The zero value is ready
-// to use.
+// crashed it. A probe distinguishes a crashed server from a broken connection. The zero value
+// is ready to use.
 type crashCheck struct {
 	awaitingProbe []quarantine.Content // of broken attempts, until a probe resolves the check
 	abandoned     []abandonedRequest   // oldest first; they don't cause a probe
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -32,7 +32,7 @@
 
 // observation is the evidence that an attempt has given so far about the version of its server.
 type observation struct {
-	eligible        bool          // false: the server was cold or newly listed, so its responses are no evidence
+	eligible        bool          // whether responses count as evidence: not those of a cold or newly listed server
 	expectedMS      float64       // expected time to the first event, in milliseconds
 	firstEventAt    time.Duration // when the first event of a stream arrived; 0: not yet
 	firstEventSpeed speed
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestLeavingOutlastsEntries has a server announce that it is leaving while its entry says
-// otherwise. The list may be older, and the entry may lapse and come back. Only a restart of
-// the server ends the notice.
+// TestLeavingOutlastsEntries has a server announce that it is leaving while its entry lists it
+// as ready. The list may be older, and the entry may lapse and come back. Only a restart of the
+// server ends the notice.
 func TestLeavingOutlastsEntries(t *testing.T) {
 	b := newNoticeHarness(t, "p0", "p1", "p2")
 	require.Positive(t, b.distribute(9)["p1"])
