--- a/direct/exposure.go
+++ b/direct/exposure.go
@@ -2,8 +2,9 @@
 
 const (
 	// routeBurst is the number of requests of a route that may go to the target version ahead
-	// of the limit. The total of the service has no burst. Without it, a route with one request
-	// per second at a router would wait twenty seconds for its first at a limit of a twentieth.
+	// of the limit. The total of the service has no burst. Without a burst per route, a route
+	// with one request per second at a router would wait twenty seconds for its first at a
+	// limit of a twentieth.
 	routeBurst = 1
 	// behindMinAllowed is the number of requests that a route must be allowed to have sent to
 	// the target version before it can count as behind. It is behind if it has sent less than
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -17,7 +17,8 @@
 	movePending bool // streams at old servers may still have to be moved
 }
 
-// applyGate applies a gate.
+// applyGate applies a newer gate to the service's pool, serves its queue and starts to move
+// streams if the gate requests that.
 func (m *Machine) applyGate(msg GateMsg) {
 	p := m.pool(msg.Gate.Service)
 	if p.gate == nil {
