--- a/agent/core.go
+++ b/agent/core.go
@@ -52,7 +52,7 @@
 
 // run feeds the machine until ctx ends.
 func (c *core) run(ctx context.Context) {
-	tick := time.NewTicker(sched.TickEvery)
+	tick := time.NewTicker(sched.TickInterval)
 	defer tick.Stop()
 	beat := time.NewTicker(link.HeartbeatEvery)
 	defer beat.Stop()
--- a/examples/wait/main.go
+++ b/examples/wait/main.go
@@ -20,7 +20,7 @@
 	})
 	m.Update(queue.AgentUpMsg{Agent: "engine-1", Works: []fleet.Work{"report"}})
 	for id := range queue.RequestID(3) {
-		show(m.Update(queue.ArriveMsg{Request: queue.Request{ID: id + 1, Key: line}}))
+		show(m.Update(queue.RequestMsg{Request: queue.Request{ID: id + 1, Key: line}}))
 	}
 	claim := fleet.ClaimID{Agent: "engine-1", Incarnation: 1, Seq: 1}
 	show(m.Update(queue.ClaimMsg{Now: time.Second, Claim: claim, Key: line}))
--- a/ledger/hallstate.go
+++ b/ledger/hallstate.go
@@ -35,10 +35,10 @@
 // at returns one team's counters in the hall. Of a hall that is served here
 // the lives are known first hand; of another, what its hubs say.
 func (s *hallState) at(i int) entry {
-	sum, told := s.fromAgents.at(i), s.fromHubs.at(i)
-	e := entry{service: sum.service + s.recovered.at(i).service, lift: max(sum.lift, told.lift)}
+	fromAgents, fromHubs := s.fromAgents.at(i), s.fromHubs.at(i)
+	e := entry{service: fromAgents.service + s.recovered.at(i).service, lift: max(fromAgents.lift, fromHubs.lift)}
 	if s.linkedAgents == 0 {
-		e.service = max(e.service, told.service)
+		e.service = max(e.service, fromHubs.service)
 	}
 	return e
 }
--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -13,7 +13,7 @@
 	self         fleet.Name
 	hall         fleet.Hall
 	teams        *teamIndex
-	incarnations map[Source]*incarnation
+	incarnations map[Source]*agentService
 	halls        map[fleet.Hall]*hallState
 	hallNames    []fleet.Hall // the halls, by name
 	agents       []*agentLink // by name
@@ -28,7 +28,7 @@
 		self:         self,
 		hall:         hall,
 		teams:        newTeamIndex(),
-		incarnations: map[Source]*incarnation{},
+		incarnations: map[Source]*agentService{},
 		halls:        map[fleet.Hall]*hallState{},
 	}
 }
@@ -57,7 +57,7 @@
 // Totals returns the service of the whole fleet as this hub knows it.
 func (h *Hub) Totals() []fleet.ServiceRow {
 	var sum vector
-	for i := range h.teams.teams {
+	for i := range h.teams.names {
 		sum.set(i, h.total(i))
 	}
 	return h.teams.rows(sum)
@@ -124,8 +124,8 @@
 	}
 	var cmds []Command
 	for _, src := range h.sortedSources() {
-		l := h.incarnations[src]
-		cmds = append(cmds, AgentRowsCmd{Peer: msg.Peer, Source: src, Hall: l.hall, Rows: h.teams.rows(l.service)})
+		a := h.incarnations[src]
+		cmds = append(cmds, AgentRowsCmd{Peer: msg.Peer, Source: src, Hall: a.hall, Rows: h.teams.rows(a.service)})
 	}
 	return cmds
 }
@@ -159,15 +159,15 @@
 
 // service raises the counters of one life and the sum of its hall.
 func (h *Hub) service(msg ServiceMsg) {
-	l, ok := h.incarnations[msg.Source]
+	a, ok := h.incarnations[msg.Source]
 	if !ok {
-		l = &incarnation{hall: msg.Hall}
-		h.incarnations[msg.Source] = l
+		a = &agentService{hall: msg.Hall}
+		h.incarnations[msg.Source] = a
 	}
-	sum := &h.hallState(l.hall).fromAgents
+	sum := &h.hallState(a.hall).fromAgents
 	for _, r := range msg.Rows {
 		i := h.teams.indexOf(r.Team)
-		grown := l.service.merge(i, entry{service: r.Service, lift: r.Lift})
+		grown := a.service.merge(i, entry{service: r.Service, lift: r.Lift})
 		sum.add(i, entry{service: grown, lift: r.Lift})
 		h.changed.mark(i)
 	}
--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -125,7 +125,7 @@
 }
 
 func (w *simulation) tick() {
-	w.now += TickEvery
+	w.now += TickInterval
 	for i, h := range w.hubs {
 		w.perform(i, h.Update(TickMsg{Now: w.now, ShareEvery: shareEvery}))
 	}
@@ -149,8 +149,8 @@
 func (w *simulation) deliverAll() {
 	messages := w.inFlight
 	w.inFlight = nil
-	for _, l := range messages {
-		w.perform(l.hub, w.hubs[l.hub].Update(l.msg))
+	for _, m := range messages {
+		w.perform(m.hub, w.hubs[m.hub].Update(m.msg))
 	}
 }
 
@@ -193,9 +193,9 @@
 	case 6: // lose
 		if n := len(w.inFlight); n > 0 {
 			i := pick(n)
-			l := w.inFlight[i]
+			m := w.inFlight[i]
 			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
-			w.reconnect(l)
+			w.reconnect(m)
 		}
 	case 7: // repeat and reorder
 		if n := len(w.inFlight); n > 0 {
@@ -231,24 +231,24 @@
 
 // reconnect makes a link anew on which a message was lost: that is the only way
 // in which TCP loses one.
-func (w *simulation) reconnect(l message) {
-	if l.from < 0 {
+func (w *simulation) reconnect(m message) {
+	if m.from < 0 {
 		return // agents report all that they have, again and again
 	}
-	pair := w.halls[l.from] != w.halls[l.hub] && l.from%2 == l.hub%2
-	w.perform(l.from, w.hubs[l.from].Update(PeerDownMsg{Now: w.now, Peer: w.hubName(l.hub)}))
-	w.perform(l.from, w.hubs[l.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(l.hub), Hall: w.halls[l.hub], Paired: pair}))
+	pair := w.halls[m.from] != w.halls[m.hub] && m.from%2 == m.hub%2
+	w.perform(m.from, w.hubs[m.from].Update(PeerDownMsg{Now: w.now, Peer: w.hubName(m.hub)}))
+	w.perform(m.from, w.hubs[m.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(m.hub), Hall: w.halls[m.hub], Paired: pair}))
 }
 
 // deliverTo delivers what a new hub is told, before anything is lost.
 func (w *simulation) deliverTo(hub int) {
 	var rest []message
-	for _, l := range w.inFlight {
-		if l.hub == hub {
-			w.perform(hub, w.hubs[hub].Update(l.msg))
+	for _, m := range w.inFlight {
+		if m.hub == hub {
+			w.perform(hub, w.hubs[hub].Update(m.msg))
 			continue
 		}
-		rest = append(rest, l)
+		rest = append(rest, m)
 	}
 	w.inFlight = rest
 }
--- a/ledger/links.go
+++ b/ledger/links.go
@@ -2,8 +2,8 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// incarnation is the service of one incarnation of one agent.
-type incarnation struct {
+// agentService is the service of one agentService of one agent.
+type agentService struct {
 	hall    fleet.Hall
 	service vector
 }
--- a/ledger/messages.go
+++ b/ledger/messages.go
@@ -64,8 +64,8 @@
 	ShareEvery time.Duration // time between two rounds of totals
 }
 
-// TickEvery is the time between two ticks.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two ticks.
+const TickInterval = 50 * time.Millisecond
 
 func (AgentUpMsg) isMsg()    {}
 func (AgentDownMsg) isMsg()  {}
--- a/ledger/round.go
+++ b/ledger/round.go
@@ -20,7 +20,7 @@
 
 // markAllChanged lets the next round look at every team.
 func (h *Hub) markAllChanged() {
-	for i := range h.teams.teams {
+	for i := range h.teams.names {
 		h.changed.mark(i)
 	}
 }
@@ -33,7 +33,7 @@
 
 func (h *Hub) takeUpdate() update {
 	u := update{indexes: h.changed.drain()}
-	for i := range h.teams.teams {
+	for i := range h.teams.names {
 		u.totals.set(i, entry{})
 	}
 	for _, i := range u.indexes {
@@ -45,7 +45,7 @@
 // fullUpdate is the news for one who has heard nothing yet.
 func (h *Hub) fullUpdate() update {
 	var u update
-	for i := range h.teams.teams {
+	for i := range h.teams.names {
 		u.indexes = append(u.indexes, i)
 		u.totals.set(i, h.total(i))
 	}
@@ -126,7 +126,7 @@
 			continue
 		}
 		sent.set(i, e)
-		rows = append(rows, fleet.ServiceRow{Team: h.teams.teams[i], Service: e.service, Lift: e.lift})
+		rows = append(rows, fleet.ServiceRow{Team: h.teams.names[i], Service: e.service, Lift: e.lift})
 	}
 	return rows
 }
--- a/ledger/vector.go
+++ b/ledger/vector.go
@@ -15,7 +15,7 @@
 // teamIndex gives each team that a hub has heard of a place in its vectors.
 type teamIndex struct {
 	byTeam map[fleet.Team]int
-	teams  []fleet.Team
+	names  []fleet.Team
 }
 
 func newTeamIndex() *teamIndex { return &teamIndex{byTeam: map[fleet.Team]int{}} }
@@ -24,9 +24,9 @@
 	if i, ok := x.byTeam[t]; ok {
 		return i
 	}
-	i := len(x.teams)
+	i := len(x.names)
 	x.byTeam[t] = i
-	x.teams = append(x.teams, t)
+	x.names = append(x.names, t)
 	return i
 }
 
@@ -65,7 +65,7 @@
 	var out []fleet.ServiceRow
 	for i, e := range v {
 		if e != (entry{}) {
-			out = append(out, fleet.ServiceRow{Team: x.teams[i], Service: e.service, Lift: e.lift})
+			out = append(out, fleet.ServiceRow{Team: x.names[i], Service: e.service, Lift: e.lift})
 		}
 	}
 	return out
--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -113,105 +113,105 @@
 func (DecideCmd) isCommand()  {}
 
 // Update takes one message and returns what is to be done about it, in order.
-func (a *Coordinator) Update(msg CoordinatorMsg) []Command {
+func (c *Coordinator) Update(msg CoordinatorMsg) []Command {
 	switch msg := msg.(type) {
 	case AcquireMsg:
-		return a.acquire(msg)
+		return c.acquire(msg)
 	case VerdictMsg:
-		return a.handleVerdict(msg)
+		return c.handleVerdict(msg)
 	case NotRunMsg:
-		return a.notRun(msg)
+		return c.notRun(msg)
 	case DoneMsg:
-		delete(a.reservations, msg.Request)
+		delete(c.reservations, msg.Request)
 	case TickMsg:
-		return a.tick(msg)
+		return c.tick(msg)
 	}
 	return nil
 }
 
-func (a *Coordinator) acquire(msg AcquireMsg) []Command {
+func (c *Coordinator) acquire(msg AcquireMsg) []Command {
 	owners := Owners(msg.Key, msg.Agents)
-	q := &reservation{
+	r := &reservation{
 		holder: msg.Holder, key: msg.Key, owners: owners,
 		unanswered: slices.Clone(owners), deadline: msg.Now + reserveTimeout,
 	}
-	a.reservations[msg.Holder.Request] = q
+	c.reservations[msg.Holder.Request] = r
 	var cmds []Command
 	for _, o := range owners {
 		cmds = append(cmds, ReserveCmd{Owner: o, Key: msg.Key, Holder: msg.Holder, CreatedAt: msg.CreatedAt})
 	}
 	if len(owners) == 0 {
-		return a.decide(q, DecisionUncertain)
+		return c.decide(r, DecisionUncertain)
 	}
 	return cmds
 }
 
-func (a *Coordinator) handleVerdict(msg VerdictMsg) []Command {
-	q, ok := a.reservations[msg.Request]
-	if !ok || q.granted {
+func (c *Coordinator) handleVerdict(msg VerdictMsg) []Command {
+	r, ok := c.reservations[msg.Request]
+	if !ok || r.granted {
 		return nil
 	}
-	i := slices.Index(q.unanswered, msg.Owner)
+	i := slices.Index(r.unanswered, msg.Owner)
 	if i < 0 {
 		return nil
 	}
-	q.unanswered = slices.Delete(q.unanswered, i, i+1)
+	r.unanswered = slices.Delete(r.unanswered, i, i+1)
 	switch msg.Verdict {
 	case VerdictDuplicate:
-		return a.decide(q, DecisionDuplicate)
+		return c.decide(r, DecisionDuplicate)
 	case VerdictReserved:
-		q.reserved++
+		r.reserved++
 	}
-	quorum := Quorum(len(q.owners))
+	quorum := Quorum(len(r.owners))
 	switch {
-	case q.reserved >= quorum:
-		return a.decide(q, DecisionRun)
-	case q.reserved+len(q.unanswered) < quorum:
-		return a.decide(q, DecisionUncertain)
+	case r.reserved >= quorum:
+		return c.decide(r, DecisionRun)
+	case r.reserved+len(r.unanswered) < quorum:
+		return c.decide(r, DecisionUncertain)
 	}
 	return nil
 }
 
 // decide ends a question. Where the request may not run its notes are taken
 // back, so that the caller may come again.
-func (a *Coordinator) decide(q *reservation, d Decision) []Command {
-	cmds := []Command{DecideCmd{Request: q.holder.Request, Decision: d}}
+func (c *Coordinator) decide(r *reservation, d Decision) []Command {
+	cmds := []Command{DecideCmd{Request: r.holder.Request, Decision: d}}
 	if d == DecisionRun {
-		q.granted = true
+		r.granted = true
 		return cmds
 	}
-	return append(cmds, a.release(q)...)
+	return append(cmds, c.release(r)...)
 }
 
-func (a *Coordinator) release(q *reservation) []Command {
-	delete(a.reservations, q.holder.Request)
+func (c *Coordinator) release(r *reservation) []Command {
+	delete(c.reservations, r.holder.Request)
 	var cmds []Command
-	for _, o := range q.owners {
-		cmds = append(cmds, ReleaseCmd{Owner: o, Key: q.key, Holder: q.holder})
+	for _, o := range r.owners {
+		cmds = append(cmds, ReleaseCmd{Owner: o, Key: r.key, Holder: r.holder})
 	}
 	return cmds
 }
 
-func (a *Coordinator) notRun(msg NotRunMsg) []Command {
-	q, ok := a.reservations[msg.Request]
+func (c *Coordinator) notRun(msg NotRunMsg) []Command {
+	r, ok := c.reservations[msg.Request]
 	if !ok {
 		return nil
 	}
-	return a.release(q)
+	return c.release(r)
 }
 
 // tick ends questions whose owners have not answered in time.
-func (a *Coordinator) tick(msg TickMsg) []Command {
+func (c *Coordinator) tick(msg TickMsg) []Command {
 	var expired []uint64
-	for id, q := range a.reservations {
-		if !q.granted && q.deadline <= msg.Now {
+	for id, r := range c.reservations {
+		if !r.granted && r.deadline <= msg.Now {
 			expired = append(expired, id)
 		}
 	}
 	slices.Sort(expired)
 	var cmds []Command
 	for _, id := range expired {
-		cmds = append(cmds, a.decide(a.reservations[id], DecisionUncertain)...)
+		cmds = append(cmds, c.decide(c.reservations[id], DecisionUncertain)...)
 	}
 	return cmds
 }
--- a/once/keytable.go
+++ b/once/keytable.go
@@ -73,42 +73,42 @@
 func (ReleaseMsg) isKeyTableMsg() {}
 
 // Update takes one message; the verdict has a meaning for ReserveMsg only.
-func (m *KeyTable) Update(msg KeyTableMsg) Verdict {
+func (t *KeyTable) Update(msg KeyTableMsg) Verdict {
 	switch msg := msg.(type) {
 	case PoolMsg:
-		m.setPool(msg)
+		t.setPool(msg)
 	case ReserveMsg:
-		m.sweep(msg.Now)
-		return m.reserve(msg)
+		t.sweep(msg.Now)
+		return t.reserve(msg)
 	case ReleaseMsg:
-		if n, ok := m.entries[msg.Key]; ok && n.holder == msg.Holder {
-			delete(m.entries, msg.Key)
+		if e, ok := t.entries[msg.Key]; ok && e.holder == msg.Holder {
+			delete(t.entries, msg.Key)
 		}
 	}
 	return VerdictUncertain
 }
 
 // Len returns how many keys are remembered.
-func (m *KeyTable) Len() int { return len(m.entries) }
+func (t *KeyTable) Len() int { return len(t.entries) }
 
-func (m *KeyTable) setPool(msg PoolMsg) {
-	pools := m.pools[msg.Work]
+func (t *KeyTable) setPool(msg PoolMsg) {
+	pools := t.pools[msg.Work]
 	if n := len(pools); n > 0 && slices.Equal(pools[n-1].agents, msg.Agents) {
 		return
 	}
-	m.pools[msg.Work] = append(pools, pool{since: msg.Now, agents: slices.Clone(msg.Agents)})
+	t.pools[msg.Work] = append(pools, pool{since: msg.Now, agents: slices.Clone(msg.Agents)})
 }
 
-func (m *KeyTable) reserve(msg ReserveMsg) Verdict {
-	n, known := m.entries[msg.Key]
-	if known && n.holder != msg.Holder {
+func (t *KeyTable) reserve(msg ReserveMsg) Verdict {
+	e, known := t.entries[msg.Key]
+	if known && e.holder != msg.Holder {
 		return VerdictDuplicate
 	}
-	if !known && len(m.entries) >= maxKeys {
+	if !known && len(t.entries) >= maxKeys {
 		return VerdictUncertain
 	}
-	m.entries[msg.Key] = entry{holder: msg.Holder, reservedAt: msg.Now}
-	if m.hasFullHistory(msg) {
+	t.entries[msg.Key] = entry{holder: msg.Holder, reservedAt: msg.Now}
+	if t.hasFullHistory(msg) {
 		return VerdictReserved
 	}
 	return VerdictUncertain
@@ -117,19 +117,19 @@
 // hasFullHistory tells whether the agent would know the key had it been noted before:
 // it has lived, and owned the key in every pool, for as long as keys are
 // remembered or since before the key was made.
-func (m *KeyTable) hasFullHistory(msg ReserveMsg) bool {
+func (t *KeyTable) hasFullHistory(msg ReserveMsg) bool {
 	horizon := msg.Now - KeyTTL
 	if !msg.CreatedAt.IsZero() {
-		createdAt := msg.CreatedAt.Sub(m.cfg.StartedAt) - MaxClockSkew
+		createdAt := msg.CreatedAt.Sub(t.cfg.StartedAt) - MaxClockSkew
 		horizon = max(horizon, createdAt)
 	}
-	pools := m.pools[msg.Key.Work]
+	pools := t.pools[msg.Key.Work]
 	for i, p := range pools {
 		replaced := i+1 < len(pools) && pools[i+1].since < horizon
 		if replaced {
 			continue
 		}
-		if !slices.Contains(Owners(msg.Key, p.agents), m.cfg.Self) {
+		if !slices.Contains(Owners(msg.Key, p.agents), t.cfg.Self) {
 			return false
 		}
 	}
@@ -137,20 +137,20 @@
 }
 
 // sweep forgets keys and pools whose time is over, now and then.
-func (m *KeyTable) sweep(now time.Duration) {
-	if now-m.sweptAt < KeyTTL/10 {
+func (t *KeyTable) sweep(now time.Duration) {
+	if now-t.sweptAt < KeyTTL/10 {
 		return
 	}
-	m.sweptAt = now
-	for k, n := range m.entries {
+	t.sweptAt = now
+	for k, n := range t.entries {
 		if now-n.reservedAt > KeyTTL {
-			delete(m.entries, k)
+			delete(t.entries, k)
 		}
 	}
-	for w, pools := range m.pools {
+	for w, pools := range t.pools {
 		for len(pools) > 1 && pools[1].since < now-KeyTTL {
 			pools = pools[1:]
 		}
-		m.pools[w] = pools
+		t.pools[w] = pools
 	}
 }
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -32,10 +32,10 @@
 	startedAt time.Duration
 }
 
-func newSimulation(forgets bool) *simulation {
+func newSimulation(overclaimsHistory bool) *simulation {
 	w := &simulation{
 		now: 2 * KeyTTL, startedAt: time.Unix(1_000_000, 0), owners: map[fleet.Name]*simOwner{},
-		runs: map[Key]int{}, attempts: map[uint64]Key{}, overclaimsHistory: forgets,
+		runs: map[Key]int{}, attempts: map[uint64]Key{}, overclaimsHistory: overclaimsHistory,
 		routers: []*Coordinator{NewCoordinator(), NewCoordinator()},
 	}
 	for i := range 5 {
@@ -201,24 +201,24 @@
 // TestNewOwnersDoNotVouch changes the pool: an agent that became an owner of a
 // key by it does not vouch for the time before.
 func TestNewOwnersDoNotVouch(t *testing.T) {
-	m := NewKeyTable(KeyTableConfig{Self: "new"})
-	m.Update(PoolMsg{Now: 0, Work: "tag", Agents: []fleet.Name{"a", "b", "c", "d"}})
-	m.Update(PoolMsg{Now: 3 * KeyTTL, Work: "tag", Agents: []fleet.Name{"new"}})
+	table := NewKeyTable(KeyTableConfig{Self: "new"})
+	table.Update(PoolMsg{Now: 0, Work: "tag", Agents: []fleet.Name{"a", "b", "c", "d"}})
+	table.Update(PoolMsg{Now: 3 * KeyTTL, Work: "tag", Agents: []fleet.Name{"new"}})
 	k := NewKey("team", "tag", "k")
-	require.Equal(t, VerdictUncertain, m.Update(ReserveMsg{Now: 3*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
-	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: 4*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
+	require.Equal(t, VerdictUncertain, table.Update(ReserveMsg{Now: 3*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
+	require.Equal(t, VerdictReserved, table.Update(ReserveMsg{Now: 4*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
 }
 
 // TestReleasedKeysCanBeReused holds that a refused request does not use up
 // its key, and that only its holder releases it.
 func TestReleasedKeysCanBeReused(t *testing.T) {
-	m := NewKeyTable(KeyTableConfig{Self: "a"})
-	m.Update(PoolMsg{Work: "tag", Agents: []fleet.Name{"a"}})
+	table := NewKeyTable(KeyTableConfig{Self: "a"})
+	table.Update(PoolMsg{Work: "tag", Agents: []fleet.Name{"a"}})
 	k := NewKey("team", "tag", "k")
 	now := 2 * KeyTTL
-	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 1}}))
-	m.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 2}})
-	require.Equal(t, VerdictDuplicate, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
-	m.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 1}})
-	require.Equal(t, VerdictReserved, m.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
+	require.Equal(t, VerdictReserved, table.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 1}}))
+	table.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 2}})
+	require.Equal(t, VerdictDuplicate, table.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
+	table.Update(ReleaseMsg{Now: now, Key: k, Holder: Holder{Request: 1}})
+	require.Equal(t, VerdictReserved, table.Update(ReserveMsg{Now: now, Key: k, Holder: Holder{Request: 2}}))
 }
--- a/proof/fairness_test.go
+++ b/proof/fairness_test.go
@@ -85,7 +85,7 @@
 		f.routerDo(f.router.Update(queue.AgentUpMsg{Now: f.now, Agent: f.name(i), Hall: boxHall, Works: boxWorks[:1]}))
 		f.agentDo(i, a.Update(sched.HealthMsg{Now: f.now, Serving: true}))
 	}
-	f.after(queue.TickEvery, f.tick)
+	f.after(queue.TickInterval, f.tick)
 	return f
 }
 
@@ -121,7 +121,7 @@
 			f.after(fairDelay, func() { f.totals(t) })
 		}
 	}
-	f.after(queue.TickEvery, f.tick)
+	f.after(queue.TickInterval, f.tick)
 }
 
 func (f *fairFleet) totals(t ledger.TotalsCmd) {
@@ -137,7 +137,7 @@
 		class = fleet.Ordinary
 	}
 	key := fleet.DemandKey{Work: boxWorks[0], Team: team, Class: class}
-	f.routerDo(f.router.Update(queue.ArriveMsg{Now: f.now, Request: queue.Request{ID: f.next, Key: key}}))
+	f.routerDo(f.router.Update(queue.RequestMsg{Now: f.now, Request: queue.Request{ID: f.next, Key: key}}))
 }
 
 func (f *fairFleet) routerDo(cmds []queue.Command) {
@@ -234,7 +234,7 @@
 // bound is the stated bound: what all slots give while news goes round the
 // fleet, and the longest run on every slot, at the least share.
 func (f *fairFleet) bound() time.Duration {
-	round := 2*fairShare + 4*queue.TickEvery + 2*fairDelay
+	round := 2*fairShare + 4*queue.TickInterval + 2*fairDelay
 	slots := time.Duration(fairAgents * fairSlots)
 	least := 1.0
 	for _, s := range f.shares {
--- a/proof/faults_test.go
+++ b/proof/faults_test.go
@@ -37,7 +37,7 @@
 	key := fleet.DemandKey{
 		Work: boxWorks[pick(len(boxWorks))], Team: boxTeams[pick(len(boxTeams))], Class: fleet.Class(pick(fleet.Classes)),
 	}
-	msg := queue.ArriveMsg{Now: b.now, Request: queue.Request{ID: req.id, Key: key, Repeatable: req.repeatable}}
+	msg := queue.RequestMsg{Now: b.now, Request: queue.Request{ID: req.id, Key: key, Repeatable: req.repeatable}}
 	if pick(8) == 0 {
 		msg.Request.Deadline = b.now + time.Duration(1+pick(2000))*time.Millisecond
 	}
@@ -138,7 +138,7 @@
 }
 
 func (b *box) tick() {
-	b.now += queue.TickEvery
+	b.now += queue.TickInterval
 	for _, l := range b.links {
 		b.tickLink(l)
 	}
@@ -372,7 +372,7 @@
 			b.startRouter(i)
 		}
 	}
-	for range int(2*boxMaxWait/queue.TickEvery) + linkSilence {
+	for range int(2*boxMaxWait/queue.TickInterval) + linkSilence {
 		b.tick()
 		b.doQuiet(nil)
 		for i := range b.agents {
--- a/queue/agents.go
+++ b/queue/agents.go
@@ -80,9 +80,9 @@
 
 // sendAllQueues tells an agent of every line that waits for it.
 func (m *Machine) sendAllQueues(now time.Duration, a *agentView) []Command {
-	for _, l := range m.ordered {
-		if l.waiting > 0 && a.canRun(l.key.Work) {
-			m.addCount(a, l, l.count(now))
+	for _, q := range m.ordered {
+		if q.waiting > 0 && a.canRun(q.key.Work) {
+			m.addCount(a, q, q.count(now))
 		}
 	}
 	return m.flush()
--- a/queue/agentview.go
+++ b/queue/agentview.go
@@ -25,15 +25,15 @@
 }
 
 // recordSent notes the count that the agent will believe of a line.
-func (a *agentView) recordSent(l *requestQueue, waiting int) {
-	was := a.sentCounts[l.key] > 0
-	a.sentCounts[l.key] = waiting
+func (a *agentView) recordSent(q *requestQueue, waiting int) {
+	was := a.sentCounts[q.key] > 0
+	a.sentCounts[q.key] = waiting
 	is := waiting > 0
 	switch {
 	case is && !was:
-		l.informedAgents++
+		q.informedAgents++
 	case was && !is:
-		l.informedAgents--
+		q.informedAgents--
 	}
 }
 
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -7,7 +7,7 @@
 )
 
 // arrive admits a request or refuses it at once.
-func (m *Machine) arrive(msg ArriveMsg) []Command {
+func (m *Machine) arrive(msg RequestMsg) []Command {
 	r := &request{Request: msg.Request, arrived: msg.Now, heapIndex: -1}
 	if refusal, refused := m.checkAdmission(msg.Now, r); refused {
 		return []Command{refusal}
@@ -51,8 +51,8 @@
 
 // dispatch sends the oldest request of a line to an idle agent, if one has given
 // an open claim. Else agents hear of the line at the next tick.
-func (m *Machine) dispatch(now time.Duration, l *requestQueue) []Command {
-	a := m.idleAgent(now, l.key.Work)
+func (m *Machine) dispatch(now time.Duration, q *requestQueue) []Command {
+	a := m.idleAgent(now, q.key.Work)
 	if a == nil {
 		return nil
 	}
@@ -60,7 +60,7 @@
 	if !ok {
 		return nil
 	}
-	return m.grant(now, a, claim, l)
+	return m.grant(now, a, claim, q)
 }
 
 // idleAgent picks an agent that has given open claims: in the router's own
--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -20,7 +20,7 @@
 		k := fleet.DemandKey{Work: "report", Team: fleet.Team(fmt.Sprintf("team-%04d", i)), Class: fleet.Ordinary}
 		keys = append(keys, k)
 		for j := range 50 {
-			m.Update(ArriveMsg{Now: 1, Request: Request{ID: RequestID(i*50 + j + 1), Key: k}})
+			m.Update(RequestMsg{Now: 1, Request: Request{ID: RequestID(i*50 + j + 1), Key: k}})
 		}
 	}
 	return m, keys
@@ -41,7 +41,7 @@
 					id++
 					i++
 					k := keys[i%len(keys)]
-					m.Update(ArriveMsg{Now: now, Request: Request{ID: id, Key: k}})
+					m.Update(RequestMsg{Now: now, Request: Request{ID: id, Key: k}})
 					claim := fleet.ClaimID{Agent: fleet.Name(fmt.Sprintf("agent-%04d", i%agents)), Seq: uint64(i)}
 					for _, c := range m.Update(ClaimMsg{Now: now, Claim: claim, Key: k}) {
 						if run, ok := c.(RunCmd); ok {
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -13,39 +13,39 @@
 	if !known {
 		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
 	}
-	l := m.queueFor(msg.Key)
-	if l.waiting == 0 {
-		a.recordSent(l, 0)
+	q := m.queueFor(msg.Key)
+	if q.waiting == 0 {
+		a.recordSent(q, 0)
 		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
 	}
-	return m.grant(msg.Now, a, msg.Claim, l)
+	return m.grant(msg.Now, a, msg.Claim, q)
 }
 
 // grant sends the oldest request of a line, which must have one, to an agent.
-func (m *Machine) grant(now time.Duration, a *agentView, claim fleet.ClaimID, l *requestQueue) []Command {
-	r := l.pop()
+func (m *Machine) grant(now time.Duration, a *agentView, claim fleet.ClaimID, q *requestQueue) []Command {
+	r := q.pop()
 	m.recordDequeue(now, r)
 	m.team(r.Key.Team).recordClaim(now)
 	r.state = stateRunning
 	r.claim = claim
-	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.remaining(now, a, l)}}
+	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.remaining(now, a, q)}}
 }
 
 // remaining returns what the agent should believe to be remaining of a line. Where more
 // agents know of it than it has requests for, this one may forget it: each
 // would else claim once in vain when the line is empty.
-func (m *Machine) remaining(now time.Duration, a *agentView, l *requestQueue) fleet.Count {
-	c := l.count(now)
-	if l.informedAgents > 1+informedPerRequest*l.waiting {
+func (m *Machine) remaining(now time.Duration, a *agentView, q *requestQueue) fleet.Count {
+	c := q.count(now)
+	if q.informedAgents > 1+informedPerRequest*q.waiting {
 		c.Waiting = 0
 	}
-	a.recordSent(l, c.Waiting)
+	a.recordSent(q, c.Waiting)
 	return c
 }
 
-func (m *Machine) answer(msg AnswerStartedMsg) []Command {
+func (m *Machine) answer(msg ResponseStartedMsg) []Command {
 	if r, ok := m.requests[msg.ID]; ok && r.state == stateRunning {
-		r.state = stateAnswered
+		r.state = stateResponding
 	}
 	return nil
 }
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -14,17 +14,17 @@
 
 // Machine holds the waiting and running requests of one router.
 type Machine struct {
-	cfg          Config
-	queues       map[fleet.DemandKey]*requestQueue
-	ordered      []*requestQueue // by key, so that nothing depends on the order of a map
-	requests     map[RequestID]*request
-	expiry       expiryHeap
-	agents       []*agentView // by name
-	agentsToSend []*agentView // that this tick has counts for
-	rotation     int          // rotates the choice between equal agents
-	waiting      int
-	byTeam       map[fleet.Team]*teamState
-	budget       retryBudget
+	cfg              Config
+	queues           map[fleet.DemandKey]*requestQueue
+	ordered          []*requestQueue // by key, so that nothing depends on the order of a map
+	requests         map[RequestID]*request
+	expiry           expiryHeap
+	agents           []*agentView // by name
+	agentsWithUnsent []*agentView // that this tick has counts for
+	rotation         int          // rotates the choice between equal agents
+	waiting          int
+	byTeam           map[fleet.Team]*teamState
+	budget           retryBudget
 }
 
 // New returns a machine with no requests and no agents.
@@ -49,7 +49,7 @@
 		return m.agentDown(msg)
 	case AgentLeavingMsg:
 		return m.agentLeaving(msg)
-	case ArriveMsg:
+	case RequestMsg:
 		return m.arrive(msg)
 	case CancelMsg:
 		return m.cancel(msg)
@@ -57,7 +57,7 @@
 		return m.freeSlots(msg)
 	case ClaimMsg:
 		return m.claim(msg)
-	case AnswerStartedMsg:
+	case ResponseStartedMsg:
 		return m.answer(msg)
 	case EndMsg:
 		return m.end(msg)
@@ -91,16 +91,16 @@
 
 // queueFor returns the line of a key, making it where there is none yet.
 func (m *Machine) queueFor(k fleet.DemandKey) *requestQueue {
-	if l, ok := m.queues[k]; ok {
-		return l
+	if q, ok := m.queues[k]; ok {
+		return q
 	}
-	l := &requestQueue{key: k}
-	m.queues[k] = l
-	i, _ := slices.BinarySearchFunc(m.ordered, k, func(l *requestQueue, k fleet.DemandKey) int {
-		return l.key.Compare(k)
+	q := &requestQueue{key: k}
+	m.queues[k] = q
+	i, _ := slices.BinarySearchFunc(m.ordered, k, func(q *requestQueue, k fleet.DemandKey) int {
+		return q.key.Compare(k)
 	})
-	m.ordered = slices.Insert(m.ordered, i, l)
-	return l
+	m.ordered = slices.Insert(m.ordered, i, q)
+	return q
 }
 
 func (m *Machine) team(t fleet.Team) *teamState {
@@ -115,11 +115,11 @@
 // enqueue gives a request a place in its line.
 func (m *Machine) enqueue(r *request, front bool) {
 	r.state = stateWaiting
-	l := m.queueFor(r.Key)
+	q := m.queueFor(r.Key)
 	if front {
-		l.pushFront(r)
+		q.pushFront(r)
 	} else {
-		l.push(r)
+		q.push(r)
 	}
 	m.waiting++
 	m.team(r.Key.Team).waiting++
@@ -161,9 +161,9 @@
 // Lines returns the lines in which requests wait.
 func (m *Machine) Lines(now time.Duration) []fleet.Count {
 	var out []fleet.Count
-	for _, l := range m.ordered {
-		if l.waiting > 0 {
-			out = append(out, l.count(now))
+	for _, q := range m.ordered {
+		if q.waiting > 0 {
+			out = append(out, q.count(now))
 		}
 	}
 	return out
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -19,8 +19,8 @@
 	return m
 }
 
-func arriveMsg(now time.Duration, id RequestID) ArriveMsg {
-	return ArriveMsg{Now: now, Request: Request{ID: id, Key: reportKey}}
+func requestMsg(now time.Duration, id RequestID) RequestMsg {
+	return RequestMsg{Now: now, Request: Request{ID: id, Key: reportKey}}
 }
 
 func claimMsg(seq uint64) ClaimMsg {
@@ -42,13 +42,13 @@
 // same step, with when to come back, and that another team does not suffer.
 func TestFullTeamIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(2)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
-	r := findRefusal(t, m.Update(arriveMsg(2, 3)))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
+	r := findRefusal(t, m.Update(requestMsg(2, 3)))
 	require.Equal(t, ReasonTeamFull, r.Reason)
 	require.Equal(t, RanNo, r.Ran)
 	require.Positive(t, r.RetryAfter)
-	other := ArriveMsg{Now: 2, Request: Request{ID: 4, Key: fleet.DemandKey{Work: "report", Team: "basel"}}}
+	other := RequestMsg{Now: 2, Request: Request{ID: 4, Key: fleet.DemandKey{Work: "report", Team: "basel"}}}
 	require.Empty(t, m.Update(other))
 }
 
@@ -63,13 +63,13 @@
 		now += 250 * time.Millisecond
 		for range 3 {
 			id++
-			m.Update(arriveMsg(now, id))
+			m.Update(requestMsg(now, id))
 		}
 		c := claimMsg(seq + 1)
 		c.Now = now
 		m.Update(c)
 	}
-	late := arriveMsg(now, id+1)
+	late := requestMsg(now, id+1)
 	late.Request.Deadline = now + 5*time.Second // some twenty seconds wait
 	r := findRefusal(t, m.Update(late))
 	require.Equal(t, ReasonDeadline, r.Reason)
@@ -82,7 +82,7 @@
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(10)
 	m.Update(AgentLeavingMsg{Now: 2, Agent: "a"})
-	require.Equal(t, ReasonNoServer, findRefusal(t, m.Update(arriveMsg(3, 1))).Reason)
+	require.Equal(t, ReasonNoServer, findRefusal(t, m.Update(requestMsg(3, 1))).Reason)
 }
 
 // TestDoubtIsNotRepeated holds what may follow a run that nobody knows of.
@@ -100,12 +100,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newTestMachine(10)
-			a := arriveMsg(2, 1)
+			a := requestMsg(2, 1)
 			a.Request.Repeatable = c.repeatable
 			m.Update(a)
 			m.Update(claimMsg(1))
 			if c.answered {
-				m.Update(AnswerStartedMsg{Now: 3, ID: 1})
+				m.Update(ResponseStartedMsg{Now: 3, ID: 1})
 			}
 			cmds := m.Update(EndMsg{Now: 4, ID: 1, Outcome: OutcomeUnknown})
 			require.Equal(t, c.retried, m.Waiting() == 1)
@@ -122,7 +122,7 @@
 	m := newTestMachine(10_000)
 	retries := 0
 	for id := range RequestID(500) {
-		a := arriveMsg(2, id+1)
+		a := requestMsg(2, id+1)
 		a.Request.Repeatable = true
 		m.Update(a)
 		for m.Waiting() > 0 && retries < 5000 {
@@ -139,8 +139,8 @@
 // goes to the front, and that an agent that gives back for ever is given up on.
 func TestUnrunRequestKeepsItsPlace(t *testing.T) {
 	m := newTestMachine(10)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
 	for i := range uint64(maxReturns) {
 		cmds := m.Update(claimMsg(i + 1))
 		require.Equal(t, RequestID(1), cmds[0].(RunCmd).ID)
@@ -156,10 +156,10 @@
 // with their agent, and that answers which have begun are not.
 func TestLostAgentAbortsItsRuns(t *testing.T) {
 	m := newTestMachine(10)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
 	m.Update(claimMsg(1))
 	m.Update(claimMsg(2))
-	m.Update(AnswerStartedMsg{Now: 3, ID: 2})
+	m.Update(ResponseStartedMsg{Now: 3, ID: 2})
 	require.Equal(t, []Command{AbortCmd{ID: 1}}, m.Update(AgentDownMsg{Now: 4, Agent: "a"}))
 }
--- a/queue/messages.go
+++ b/queue/messages.go
@@ -47,8 +47,8 @@
 	Agent fleet.Name
 }
 
-// ArriveMsg brings a new request.
-type ArriveMsg struct {
+// RequestMsg brings a new request.
+type RequestMsg struct {
 	Now     time.Duration
 	Request Request
 }
@@ -76,8 +76,8 @@
 	Key   fleet.DemandKey
 }
 
-// AnswerStartedMsg says that the first byte of a request's answer went to the caller.
-type AnswerStartedMsg struct {
+// ResponseStartedMsg says that the first byte of a request's answer went to the caller.
+type ResponseStartedMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
@@ -92,8 +92,8 @@
 // TickMsg lets time pass; send it every TickEvery.
 type TickMsg struct{ Now time.Duration }
 
-// TickEvery is the time between two ticks.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two ticks.
+const TickInterval = 50 * time.Millisecond
 
 // Outcome says how one run of a request ended.
 type Outcome uint8
@@ -112,14 +112,14 @@
 	OutcomeCut
 )
 
-func (ConfigMsg) isMsg()        {}
-func (AgentUpMsg) isMsg()       {}
-func (AgentDownMsg) isMsg()     {}
-func (AgentLeavingMsg) isMsg()  {}
-func (ArriveMsg) isMsg()        {}
-func (CancelMsg) isMsg()        {}
-func (FreeMsg) isMsg()          {}
-func (ClaimMsg) isMsg()         {}
-func (AnswerStartedMsg) isMsg() {}
-func (EndMsg) isMsg()           {}
-func (TickMsg) isMsg()          {}
+func (ConfigMsg) isMsg()          {}
+func (AgentUpMsg) isMsg()         {}
+func (AgentDownMsg) isMsg()       {}
+func (AgentLeavingMsg) isMsg()    {}
+func (RequestMsg) isMsg()         {}
+func (CancelMsg) isMsg()          {}
+func (FreeMsg) isMsg()            {}
+func (ClaimMsg) isMsg()           {}
+func (ResponseStartedMsg) isMsg() {}
+func (EndMsg) isMsg()             {}
+func (TickMsg) isMsg()            {}
--- a/queue/request.go
+++ b/queue/request.go
@@ -10,9 +10,9 @@
 type state uint8
 
 const (
-	stateWaiting  state = iota // holds a place in a line; has not run
-	stateRunning               // was sent to an agent; may have run
-	stateAnswered              // the caller has had the first byte
+	stateWaiting    state = iota // holds a place in a line; has not run
+	stateRunning                 // was sent to an agent; may have run
+	stateResponding              // the caller has had the first byte
 	stateEnded
 )
 
--- a/queue/requestqueue.go
+++ b/queue/requestqueue.go
@@ -19,51 +19,51 @@
 	baseline       int           // the count when it was first told or last told to all
 }
 
-func (l *requestQueue) push(r *request) {
-	l.items = append(l.items, r)
-	l.waiting++
+func (q *requestQueue) push(r *request) {
+	q.items = append(q.items, r)
+	q.waiting++
 }
 
 // pushFront puts back a request that has waited already.
-func (l *requestQueue) pushFront(r *request) {
-	l.trim()
-	l.items = append([]*request{r}, l.items...)
-	l.waiting++
+func (q *requestQueue) pushFront(r *request) {
+	q.trim()
+	q.items = append([]*request{r}, q.items...)
+	q.waiting++
 }
 
 // pop takes the oldest request, or nil.
-func (l *requestQueue) pop() *request {
-	l.trim()
-	if len(l.items) == 0 {
+func (q *requestQueue) pop() *request {
+	q.trim()
+	if len(q.items) == 0 {
 		return nil
 	}
-	r := l.items[0]
-	l.items[0] = nil
-	l.items = l.items[1:]
-	l.waiting--
+	r := q.items[0]
+	q.items[0] = nil
+	q.items = q.items[1:]
+	q.waiting--
 	return r
 }
 
 // recordRemoval notes that a request of the line no longer waits.
-func (l *requestQueue) recordRemoval() {
-	l.waiting--
-	l.trim()
+func (q *requestQueue) recordRemoval() {
+	q.waiting--
+	q.trim()
 }
 
 // trim drops holes from the front.
-func (l *requestQueue) trim() {
-	for len(l.items) > 0 && l.items[0].state != stateWaiting {
-		l.items[0] = nil
-		l.items = l.items[1:]
+func (q *requestQueue) trim() {
+	for len(q.items) > 0 && q.items[0].state != stateWaiting {
+		q.items[0] = nil
+		q.items = q.items[1:]
 	}
 }
 
 // count returns what the line comes to at a time.
-func (l *requestQueue) count(now time.Duration) fleet.Count {
-	c := fleet.Count{Key: l.key, Waiting: l.waiting}
-	l.trim()
-	if len(l.items) > 0 {
-		c.OldestAge = now - l.items[0].arrived
+func (q *requestQueue) count(now time.Duration) fleet.Count {
+	c := fleet.Count{Key: q.key, Waiting: q.waiting}
+	q.trim()
+	if len(q.items) > 0 {
+		c.OldestAge = now - q.items[0].arrived
 	}
 	return c
 }
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -11,7 +11,7 @@
 	// announceDelay is how long a line's oldest request must have waited before
 	// agents are told of the line: one that has only just come may be granted to
 	// an open claim, or claimed by an agent that knows the line already.
-	announceDelay = TickEvery / 2
+	announceDelay = TickInterval / 2
 	// emptyDelay is how long a line must have been empty before agents are told.
 	// A Deny tells them sooner where it matters.
 	emptyDelay = time.Second
@@ -29,8 +29,8 @@
 	for _, t := range m.byTeam {
 		t.rotateWindow(msg.Now)
 	}
-	for _, l := range m.ordered {
-		m.updateAgents(msg.Now, l)
+	for _, q := range m.ordered {
+		m.updateAgents(msg.Now, q)
 	}
 	return append(cmds, m.flush()...)
 }
@@ -49,59 +49,59 @@
 
 // updateAgents has agents told of one line: all that believe in it when it has long
 // been empty or has grown much, else as many more as should know.
-func (m *Machine) updateAgents(now time.Duration, l *requestQueue) {
-	if l.waiting == 0 {
-		l.baseline = 0
-		if l.informedAgents > 0 && now-l.lastRemoved >= emptyDelay {
-			m.updateInformed(l, fleet.Count{Key: l.key})
+func (m *Machine) updateAgents(now time.Duration, q *requestQueue) {
+	if q.waiting == 0 {
+		q.baseline = 0
+		if q.informedAgents > 0 && now-q.lastRemoved >= emptyDelay {
+			m.updateInformed(q, fleet.Count{Key: q.key})
 		}
 		return
 	}
-	c := l.count(now)
+	c := q.count(now)
 	if c.OldestAge < announceDelay {
 		return
 	}
-	if l.baseline > 0 && l.waiting >= resendGrowth*l.baseline {
-		m.updateInformed(l, c)
-		l.baseline = l.waiting
+	if q.baseline > 0 && q.waiting >= resendGrowth*q.baseline {
+		m.updateInformed(q, c)
+		q.baseline = q.waiting
 	}
-	m.informMore(l, c)
+	m.informMore(q, c)
 }
 
 // updateInformed corrects the count of every agent that believes in a line.
-func (m *Machine) updateInformed(l *requestQueue, c fleet.Count) {
+func (m *Machine) updateInformed(q *requestQueue, c fleet.Count) {
 	for _, a := range m.agents {
-		if a.sentCounts[l.key] > 0 {
-			m.addCount(a, l, c)
+		if a.sentCounts[q.key] > 0 {
+			m.addCount(a, q, c)
 		}
 	}
 }
 
 // informMore lets enough agents know of a line: a few for each request that
 // waits, and more the longer the oldest waits.
-func (m *Machine) informMore(l *requestQueue, c fleet.Count) {
-	want := 1 + informedPerRequest*l.waiting + int(c.OldestAge/informMoreEvery)
-	if l.informedAgents >= min(want, len(m.agents)) {
+func (m *Machine) informMore(q *requestQueue, c fleet.Count) {
+	want := 1 + informedPerRequest*q.waiting + int(c.OldestAge/informMoreEvery)
+	if q.informedAgents >= min(want, len(m.agents)) {
 		return
 	}
-	if l.baseline == 0 {
-		l.baseline = l.waiting
+	if q.baseline == 0 {
+		q.baseline = q.waiting
 	}
 	n := len(m.agents)
-	for i := 0; i < n && l.informedAgents < want; i++ {
-		l.rotation++
-		a := m.agents[l.rotation%n]
-		if a.sentCounts[l.key] == 0 && a.canRun(l.key.Work) {
-			m.addCount(a, l, c)
+	for i := 0; i < n && q.informedAgents < want; i++ {
+		q.rotation++
+		a := m.agents[q.rotation%n]
+		if a.sentCounts[q.key] == 0 && a.canRun(q.key.Work) {
+			m.addCount(a, q, c)
 		}
 	}
 }
 
 // addCount adds a count to what an agent is told at the end of the tick.
-func (m *Machine) addCount(a *agentView, l *requestQueue, c fleet.Count) {
-	a.recordSent(l, c.Waiting)
+func (m *Machine) addCount(a *agentView, q *requestQueue, c fleet.Count) {
+	a.recordSent(q, c.Waiting)
 	if len(a.unsent) == 0 {
-		m.agentsToSend = append(m.agentsToSend, a)
+		m.agentsWithUnsent = append(m.agentsWithUnsent, a)
 	}
 	a.unsent = append(a.unsent, c)
 }
@@ -109,10 +109,10 @@
 // flush sends each agent all that this tick has for it, in one message.
 func (m *Machine) flush() []Command {
 	var cmds []Command
-	for _, a := range m.agentsToSend {
+	for _, a := range m.agentsWithUnsent {
 		cmds = append(cmds, DemandCmd{Agent: a.name, Counts: a.unsent})
 		a.unsent = nil
 	}
-	m.agentsToSend = nil
+	m.agentsWithUnsent = nil
 	return cmds
 }
--- a/router/core.go
+++ b/router/core.go
@@ -80,7 +80,7 @@
 
 // run feeds the machines until ctx ends.
 func (c *core) run(ctx context.Context) {
-	tick := time.NewTicker(queue.TickEvery)
+	tick := time.NewTicker(queue.TickInterval)
 	defer tick.Stop()
 	beat := time.NewTicker(link.HeartbeatEvery)
 	defer beat.Stop()
@@ -142,7 +142,7 @@
 	case arriveEvent:
 		c.arrive(e)
 	case answerEvent:
-		c.feed(queue.AnswerStartedMsg{Now: c.now(), ID: e.id})
+		c.feed(queue.ResponseStartedMsg{Now: c.now(), ID: e.id})
 	case endEvent:
 		c.ended(e)
 	case cancelEvent:
--- a/router/keys.go
+++ b/router/keys.go
@@ -76,7 +76,7 @@
 	switch d {
 	case once.DecisionRun:
 		r.keyed = true
-		c.feed(queue.ArriveMsg{Now: c.now(), Request: request})
+		c.feed(queue.RequestMsg{Now: c.now(), Request: request})
 	case once.DecisionDuplicate:
 		c.answerUnrun(id, reasonRepeat, queue.RanUnknown)
 	case once.DecisionUncertain:
--- a/router/requests.go
+++ b/router/requests.go
@@ -15,7 +15,7 @@
 		c.askKey(e)
 		return
 	}
-	c.feed(queue.ArriveMsg{Now: c.now(), Request: e.request})
+	c.feed(queue.RequestMsg{Now: c.now(), Request: e.request})
 }
 
 // cancel drops a request whose caller has hung up. One that waits has not run,
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -87,7 +87,7 @@
 			now := time.Duration(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				now += TickEvery
+				now += TickInterval
 				m.Update(TickMsg{Now: now})
 			}
 		})
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -31,17 +31,17 @@
 		t.lastActive = now
 	}
 	t.peerSlotRatio = max(t.peerSlotRatio, m.cfg.PeerSlotRatio[c.Key.Work])
-	l := t.queue(c.Key)
-	l.set(router, c.Waiting, now-c.OldestAge)
+	q := t.queue(c.Key)
+	q.set(router, c.Waiting, now-c.OldestAge)
 	if r, _, ok := m.router(router); ok && r.suspended {
-		l.setSuspended(router, true)
+		q.setSuspended(router, true)
 	}
 }
 
 // queue returns the team's queue of a key, making it where there is none.
 func (t *team) queue(k fleet.DemandKey) *queueDemand {
-	i, ok := slices.BinarySearchFunc(t.queues, k, func(l *queueDemand, k fleet.DemandKey) int {
-		return cmp.Or(cmp.Compare(l.key.Class, k.Class), cmp.Compare(l.key.Work, k.Work))
+	i, ok := slices.BinarySearchFunc(t.queues, k, func(q *queueDemand, k fleet.DemandKey) int {
+		return cmp.Or(cmp.Compare(q.key.Class, k.Class), cmp.Compare(q.key.Work, k.Work))
 	})
 	if !ok {
 		t.queues = slices.Insert(t.queues, i, &queueDemand{key: k})
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -172,8 +172,8 @@
 		m.routers = slices.Delete(m.routers, i, i+1)
 	}
 	for _, t := range m.teams {
-		for _, l := range t.queues {
-			l.removeRouter(msg.Router)
+		for _, q := range t.queues {
+			q.removeRouter(msg.Router)
 		}
 	}
 }
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -103,7 +103,7 @@
 	require.Len(t, claimCmds(m.Update(HealthMsg{Now: 3, Serving: true})), 1)
 	now := time.Duration(3)
 	for range 40 {
-		now += TickEvery
+		now += TickInterval
 		require.Empty(t, claimCmds(m.Update(TickMsg{Now: now})))
 	}
 	require.False(t, m.Busy(), "the claim has ended")
--- a/sched/messages.go
+++ b/sched/messages.go
@@ -85,8 +85,8 @@
 // TickMsg lets time pass; send it every TickEvery.
 type TickMsg struct{ Now time.Duration }
 
-// TickEvery is the time between two ticks.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two ticks.
+const TickInterval = 50 * time.Millisecond
 
 func (ConfigMsg) isMsg()      {}
 func (RouterUpMsg) isMsg()    {}
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -109,8 +109,8 @@
 	var best *team
 	var bestOldest time.Duration
 	for _, t := range m.teams {
-		for _, l := range t.queues {
-			s := l.oldest()
+		for _, q := range t.queues {
+			s := q.oldest()
 			if s == nil {
 				continue
 			}
--- a/sched/queuedemand.go
+++ b/sched/queuedemand.go
@@ -33,52 +33,52 @@
 	waiting int            // that may be claimed
 }
 
-func (l *queueDemand) find(router fleet.Name) (int, bool) {
-	return slices.BinarySearchFunc(l.routers, router, func(s routerDemand, n fleet.Name) int {
+func (q *queueDemand) find(router fleet.Name) (int, bool) {
+	return slices.BinarySearchFunc(q.routers, router, func(s routerDemand, n fleet.Name) int {
 		return cmp.Compare(s.router, n)
 	})
 }
 
 // set replaces what is known of one router.
-func (l *queueDemand) set(router fleet.Name, waiting int, oldest time.Duration) {
-	i, ok := l.find(router)
+func (q *queueDemand) set(router fleet.Name, waiting int, oldest time.Duration) {
+	i, ok := q.find(router)
 	if !ok {
-		l.routers = slices.Insert(l.routers, i, routerDemand{router: router})
+		q.routers = slices.Insert(q.routers, i, routerDemand{router: router})
 	}
-	s := &l.routers[i]
+	s := &q.routers[i]
 	before := s.claimable()
 	s.waiting = waiting
 	s.oldest = oldest
-	l.waiting += s.claimable() - before
+	q.waiting += s.claimable() - before
 }
 
 // setSuspended says whether what waits at one router counts.
-func (l *queueDemand) setSuspended(router fleet.Name, suspended bool) {
-	i, ok := l.find(router)
+func (q *queueDemand) setSuspended(router fleet.Name, suspended bool) {
+	i, ok := q.find(router)
 	if !ok {
 		return
 	}
-	s := &l.routers[i]
+	s := &q.routers[i]
 	before := s.claimable()
 	s.suspended = suspended
-	l.waiting += s.claimable() - before
+	q.waiting += s.claimable() - before
 }
 
 // removeRouter drops one router.
-func (l *queueDemand) removeRouter(router fleet.Name) {
-	i, ok := l.find(router)
+func (q *queueDemand) removeRouter(router fleet.Name) {
+	i, ok := q.find(router)
 	if !ok {
 		return
 	}
-	l.waiting -= l.routers[i].claimable()
-	l.routers = slices.Delete(l.routers, i, i+1)
+	q.waiting -= q.routers[i].claimable()
+	q.routers = slices.Delete(q.routers, i, i+1)
 }
 
 // oldest returns the source whose request has waited longest, or nil.
-func (l *queueDemand) oldest() *routerDemand {
+func (q *queueDemand) oldest() *routerDemand {
 	var best *routerDemand
-	for i := range l.routers {
-		s := &l.routers[i]
+	for i := range q.routers {
+		s := &q.routers[i]
 		if s.claimable() == 0 {
 			continue
 		}
@@ -90,7 +90,7 @@
 }
 
 // decrement counts one request less at a source.
-func (l *queueDemand) decrement(s *routerDemand) {
+func (q *queueDemand) decrement(s *routerDemand) {
 	s.waiting--
-	l.waiting--
+	q.waiting--
 }
--- a/sched/router.go
+++ b/sched/router.go
@@ -26,8 +26,8 @@
 	}
 	r.suspended = suspended
 	for _, t := range m.teams {
-		for _, l := range t.queues {
-			l.setSuspended(r.name, suspended)
+		for _, q := range t.queues {
+			q.setSuspended(r.name, suspended)
 		}
 	}
 }
--- a/sched/team.go
+++ b/sched/team.go
@@ -27,8 +27,8 @@
 // waiting returns how many requests the team is known to have waiting.
 func (t *team) waiting() int {
 	n := 0
-	for _, l := range t.queues {
-		n += l.waiting
+	for _, q := range t.queues {
+		n += q.waiting
 	}
 	return n
 }
@@ -81,19 +81,19 @@
 func (t *team) nextQueue() (*queueDemand, *routerDemand) {
 	var bestQueue *queueDemand
 	var bestRouter *routerDemand
-	for _, l := range t.queues {
-		if l.waiting == 0 {
+	for _, q := range t.queues {
+		if q.waiting == 0 {
 			continue
 		}
-		if bestQueue != nil && l.key.Class > bestQueue.key.Class {
+		if bestQueue != nil && q.key.Class > bestQueue.key.Class {
 			continue
 		}
-		s := l.oldest()
+		s := q.oldest()
 		if s == nil {
 			continue
 		}
-		if bestQueue == nil || l.key.Class < bestQueue.key.Class || s.oldest < bestRouter.oldest {
-			bestQueue, bestRouter = l, s
+		if bestQueue == nil || q.key.Class < bestQueue.key.Class || s.oldest < bestRouter.oldest {
+			bestQueue, bestRouter = q, s
 		}
 	}
 	return bestQueue, bestRouter
@@ -101,8 +101,8 @@
 
 // hasUrgent tells whether an hasUrgent request of the team waits.
 func (t *team) hasUrgent() bool {
-	for _, l := range t.queues {
-		if l.key.Class == fleet.Urgent && l.waiting > 0 {
+	for _, q := range t.queues {
+		if q.key.Class == fleet.Urgent && q.waiting > 0 {
 			return true
 		}
 	}
--- a/standin/capacity/measure.go
+++ b/standin/capacity/measure.go
@@ -103,7 +103,7 @@
 	}
 	for i := range int(TwoYears.Backlogged) {
 		for j := range 50 {
-			m.Update(queue.ArriveMsg{Now: 1, Request: queue.Request{ID: queue.RequestID(i*50 + j + 1), Key: key(i)}})
+			m.Update(queue.RequestMsg{Now: 1, Request: queue.Request{ID: queue.RequestID(i*50 + j + 1), Key: key(i)}})
 		}
 	}
 	return m
@@ -117,7 +117,7 @@
 	s.RequestNS = perOp(func() {
 		id++
 		k := key(int(id) % int(TwoYears.Backlogged))
-		m.Update(queue.ArriveMsg{Now: 2, Request: queue.Request{ID: id, Key: k}})
+		m.Update(queue.RequestMsg{Now: 2, Request: queue.Request{ID: id, Key: k}})
 		claim := fleet.ClaimID{Agent: agentName(int(id) % int(TwoYears.routerLinks())), Seq: uint64(id)}
 		for _, c := range m.Update(queue.ClaimMsg{Now: 2, Claim: claim, Key: k}) {
 			if run, ok := c.(queue.RunCmd); ok {
@@ -169,7 +169,7 @@
 		m.Update(sched.EndMsg{Now: now, Seq: seq})
 	})
 	s.AgentTickNS = perOp(func() {
-		now += sched.TickEvery
+		now += sched.TickInterval
 		m.Update(sched.TickMsg{Now: now})
 	})
 	rows := make([]fleet.ServiceRow, int(TwoYears.Backlogged))
--- a/standin/capacity/measure_memory.go
+++ b/standin/capacity/measure_memory.go
@@ -28,7 +28,7 @@
 		m := queue.New(queue.Config{MaxWaiting: 1 << 30, MaxWait: time.Hour})
 		m.Update(queue.AgentUpMsg{Now: 1, Agent: "a", Works: []fleet.Work{"report"}})
 		for i := range many {
-			m.Update(queue.ArriveMsg{Now: 1, Request: queue.Request{ID: queue.RequestID(i + 1), Key: key(i % 50)}})
+			m.Update(queue.RequestMsg{Now: 1, Request: queue.Request{ID: queue.RequestID(i + 1), Key: key(i % 50)}})
 		}
 		return m
 	})
