--- a/queue/machine.go
+++ b/queue/machine.go
@@ -158,8 +158,8 @@
 	return end
 }
 
-// Lines returns the lines in which requests wait.
-func (m *Machine) Lines(now time.Duration) []fleet.Count {
+// Queues returns the lines in which requests wait.
+func (m *Machine) Queues(now time.Duration) []fleet.Count {
 	var out []fleet.Count
 	for _, q := range m.ordered {
 		if q.waiting > 0 {
--- a/router/state.go
+++ b/router/state.go
@@ -51,7 +51,7 @@
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
 		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
 		PlatformOK: c.platform.ok.Load(), PlatformCalls: c.platform.client.Calls(),
-		Lines: c.queue.Lines(c.now()), Traffic: c.meter.Snapshot(),
+		Lines: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
 	}
 	for hall := range c.duty.hubs {
 		if c.duty.isHub(hall, c.settings.Name) {
