--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// newBackloggedMachine returns a machine with a tenth of its teams backlogged at every
-// router, and no free slot.
+// newBackloggedMachine returns a machine in which a tenth of the teams are
+// backlogged at every router and no slot is free.
 func newBackloggedMachine(teams, links int) (*Machine, []fleet.Team) {
 	shares := map[fleet.Team]float64{}
 	var names []fleet.Team
@@ -36,8 +36,8 @@
 	return m, names
 }
 
-// BenchmarkDecision is the end of one run and the claim of the next: what an
-// agent decides for each request.
+// BenchmarkDecision measures an agent's work per request: one arrival, and the
+// end of the request with the claim of the next one.
 func BenchmarkDecision(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		for _, links := range []int{3, 64, 700} {
@@ -57,7 +57,8 @@
 	}
 }
 
-// BenchmarkTotals is one message of totals with every backlogged team's row.
+// BenchmarkTotals measures one totals message with a row for every backlogged
+// team.
 func BenchmarkTotals(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
@@ -79,7 +80,8 @@
 	}
 }
 
-// BenchmarkTick is what an agent does 20 times a second whatever happens.
+// BenchmarkTick measures the tick that an agent runs 20 times a second,
+// independent of load.
 func BenchmarkTick(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
--- a/sched/claim.go
+++ b/sched/claim.go
@@ -6,23 +6,23 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// claimState is where a claim stands.
+// claimState is the stage of a claim.
 type claimState uint8
 
 const (
-	claimPending claimState = iota // asked for, nothing has come
-	claimReady                     // came, waits for a slot
-	claimStarted                   // holds a slot
+	claimPending claimState = iota // sent, no request has arrived
+	claimReady                     // request arrived, waits for a slot
+	claimStarted                   // request runs in a slot
 )
 
-// claim is one claim and what became of it.
+// claim is one claim and the request that arrived for it, if any.
 type claim struct {
 	seq       uint64
 	key       fleet.DemandKey
 	router    fleet.Name
 	state     claimState
-	claimedAt time.Duration // when it was claimed
-	startedAt time.Duration // when it started
+	claimedAt time.Duration // when the claim was sent or an open claim was used
+	startedAt time.Duration // when the request started
 	estimate  time.Duration
-	charged   time.Duration // part of the team's own service
+	charged   time.Duration // slot time charged so far to the team's own service
 }
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -7,8 +7,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// arrive takes a claimed request. One whose claim is unknown, timed out or
-// used already is rejected: it has not run here and will not.
+// arrive accepts a claimed request. A request whose claim is unknown, timed out
+// or already used is rejected: it has not run here and will not run here.
 func (m *Machine) arrive(msg ArriveMsg) []Command {
 	r, ok := m.claims[msg.Seq]
 	if !ok {
@@ -25,8 +25,8 @@
 	return append(m.startReady(msg.Now), m.rejectReady()...)
 }
 
-// acceptOpenClaim turns a request that uses an open claim into a claimed one, if a slot
-// is still idle. Each open claim can be used once.
+// acceptOpenClaim creates a claim for a request that uses an open claim, if a
+// slot is still idle. Each open claim can be used once.
 func (m *Machine) acceptOpenClaim(msg ArriveMsg) (*claim, bool) {
 	for _, v := range m.routers {
 		if !v.openClaims.has(msg.Seq) || m.usedOpenClaims[msg.Seq] {
@@ -35,7 +35,7 @@
 		m.usedOpenClaims[msg.Seq] = true
 		v.openClaims.used++
 		if m.idleSlots() <= 0 || m.leaving || !m.serving || !m.cfg.canRun(msg.Key.Work) {
-			v.openClaims.used = int(v.openClaims.end - v.openClaims.first) // the rest would fare no better
+			v.openClaims.used = int(v.openClaims.end - v.openClaims.first) // the others would be rejected too
 			return nil, false
 		}
 		return m.newClaim(msg.Now, msg.Seq, v.name, msg.Key), true
@@ -43,7 +43,7 @@
 	return nil, false
 }
 
-// newClaim notes a claim, and the estimate of what it will cost.
+// newClaim records a claim together with its estimated cost.
 func (m *Machine) newClaim(now time.Duration, seq uint64, router fleet.Name, k fleet.DemandKey) *claim {
 	t := m.team(now, k.Team)
 	r := &claim{seq: seq, key: k, router: router, claimedAt: now, estimate: m.costs.estimate(k)}
@@ -54,15 +54,16 @@
 	return r
 }
 
-// updateRemaining takes the router's word for what is left of a request's line.
+// updateRemaining records the router's count of the requests that remain in the
+// queue of an arrived request.
 func (m *Machine) updateRemaining(msg ArriveMsg, r *claim) {
 	if router, known := m.claimRouter(r); known {
 		m.setCount(msg.Now, router, fleet.Count{Key: r.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
 
-// rejectReady gives back the requests that came and can't start here, because
-// the server does not serve or has no slots any more; others may run them.
+// rejectReady rejects the requests that have arrived but cannot start because
+// the server is not serving or no longer has slots. Other servers may run them.
 func (m *Machine) rejectReady() []Command {
 	if m.serving && m.cfg.Slots > 0 {
 		return nil
@@ -78,8 +79,8 @@
 	return cmds
 }
 
-// startReady gives free slots to requests that have come, the highest class
-// first and in it the one that came first.
+// startReady starts arrived requests in free slots, highest class first and in
+// order of arrival within a class.
 func (m *Machine) startReady(now time.Duration) []Command {
 	var cmds []Command
 	for m.serving && len(m.ready) > 0 && m.running < m.cfg.Slots {
@@ -102,7 +103,8 @@
 	return best
 }
 
-// start charges the estimate at once, so that the other agents see it.
+// start starts a request and charges its estimated cost immediately, so that
+// the other agents take it into account.
 func (m *Machine) start(now time.Duration, r *claim) {
 	r.state = claimStarted
 	r.startedAt = now
@@ -114,7 +116,8 @@
 	r.charged = r.estimate
 }
 
-// end settles a request that ran, or forgets one that did not start.
+// end settles the charge of a request that ran, or removes one that did not
+// start.
 func (m *Machine) end(msg EndMsg) {
 	r, ok := m.claims[msg.Seq]
 	if !ok {
@@ -138,7 +141,7 @@
 	delete(m.claims, r.seq)
 }
 
-// settle replaces the charge by the true cost.
+// settle replaces the charge with the actual cost.
 func (m *Machine) settle(now time.Duration, r *claim) {
 	cost := now - r.startedAt
 	t := m.byName[r.key.Team]
@@ -150,7 +153,8 @@
 	delete(m.claims, r.seq)
 }
 
-// accrue raises the charges of runs that have outgrown their estimates.
+// accrue raises the charges of running requests that have exceeded their
+// estimates.
 func (m *Machine) accrue(now time.Duration) {
 	for _, r := range m.claims {
 		if r.state != claimStarted {
--- a/sched/commands.go
+++ b/sched/commands.go
@@ -2,33 +2,34 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// Command is something that the machine wants done.
+// Command is an action that the caller of Machine.Update must carry out.
 type Command interface{ isCommand() }
 
-// ClaimCmd asks a router for one request of a line.
+// ClaimCmd asks a router for one request from the queue named by Key.
 type ClaimCmd struct {
 	Router fleet.Name
 	Seq    uint64
 	Key    fleet.DemandKey
 }
 
-// StartCmd lets a request that has come run on the server now.
+// StartCmd starts an arrived request on the server now.
 type StartCmd struct{ Seq uint64 }
 
-// RejectCmd turns a request away: it has not run and will not.
+// RejectCmd rejects a request. The request has not run and will not run.
 type RejectCmd struct{ Seq uint64 }
 
-// FreeCmd tells a router that slots are idle and no work is known, and gives
-// it open claims, numbered from First, one for each slot: it may answer each
-// with a request of its choice, at once. An open claim binds nobody: the agent
-// turns the request away if the slot has been taken meanwhile.
+// FreeCmd reports to a router that Slots slots are idle and that the agent has
+// no known demand. It grants the router one open claim per slot, numbered from
+// First. The router may answer each open claim immediately with a request of
+// its choice. An open claim is not a guarantee: the agent rejects the request
+// if the slot has been taken in the meantime.
 type FreeCmd struct {
 	Router fleet.Name
 	Slots  int
 	First  uint64
 }
 
-// ServiceCmd sends the agent's own service to a hub.
+// ServiceCmd sends the agent's own service counters to a hub.
 type ServiceCmd struct {
 	Router fleet.Name
 	Rows   []fleet.ServiceRow
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// applyDemand takes a router's counts. Counts from a router whose link is gone are
-// late and would never be corrected, so they are dropped.
+// applyDemand records a router's queue counts. Counts from a router whose link
+// is down are dropped because no later message would correct them.
 func (m *Machine) applyDemand(msg DemandMsg) {
 	r, _, ok := m.router(msg.Router)
 	if !ok {
@@ -38,7 +38,7 @@
 	}
 }
 
-// queue returns the team's queue of a key, making it where there is none.
+// queue returns the team's queue for key k and creates it if necessary.
 func (t *team) queue(k fleet.DemandKey) *queueDemand {
 	i, ok := slices.BinarySearchFunc(t.queues, k, func(q *queueDemand, k fleet.DemandKey) int {
 		return cmp.Or(cmp.Compare(q.key.Class, k.Class), cmp.Compare(q.key.Work, k.Work))
@@ -49,7 +49,7 @@
 	return t.queues[i]
 }
 
-// handleDeny ends a claim that found its line empty.
+// handleDeny ends a pending claim whose queue was empty.
 func (m *Machine) handleDeny(msg DenyMsg) {
 	r, ok := m.claims[msg.Seq]
 	if !ok || r.state != claimPending {
@@ -62,7 +62,7 @@
 	}
 }
 
-// dropPending forgets a claim with which nothing came.
+// dropPending removes a claim for which no request has arrived.
 func (m *Machine) dropPending(r *claim) {
 	m.pendingClaims--
 	m.byName[r.key.Team].pending -= r.estimate
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -1,12 +1,14 @@
 // Package sched decides which team's work an agent runs next on its backend
-// server, and keeps account of the service that each team has had. The
-// Machine is pure: messages with the time in them go in, commands come out.
+// server and accounts for the service that each team has received. The Machine
+// performs no I/O and reads no clock: it takes messages that carry the time and
+// returns commands.
 //
-//	m := sched.New(sched.Config{Self: "engine-1", Slots: 8, Works: works, Shares: shares})
-//	for _, c := range m.Update(sched.DemandMsg{Now: now, Router: "router-1", Rows: rows}) {
+//	m := sched.New(sched.Config{Slots: 8, Works: works, Shares: shares})
+//	for _, c := range m.Update(sched.DemandMsg{Now: now, Router: "router-1", Counts: counts}) {
 //		perform(c) // a ClaimCmd asks the router for one request
 //	}
 //
-// A team's virtual service is the slot time that the whole fleet has given it,
-// divided by its share; the team with the least is served next.
+// A team's virtual service is the slot time that it has received from the whole
+// fleet, divided by its share. The waiting team with the least virtual service
+// is served next.
 package sched
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -6,17 +6,19 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// estimateWeight is the weight of the newest cost in the moving average.
+// estimateWeight is the weight of the newest cost in the exponential moving
+// average.
 const estimateWeight = 0.1
 
-// costKey names the requests whose costs are taken to be alike.
+// costKey identifies a group of requests that share one cost estimate.
 type costKey struct {
 	team fleet.Team
 	work fleet.Work
 }
 
-// estimator learns what a request of a team and work costs in slot time. A
-// team's first request is estimated at the mean of the work.
+// estimator estimates the slot time that a request of a given team and work
+// costs. Until a team has a completed request of a work, its estimate is the
+// average of that work over all teams.
 type estimator struct {
 	byTeam map[costKey]time.Duration
 	byWork map[fleet.Work]time.Duration
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -9,41 +9,44 @@
 )
 
 const (
-	// claimResponseTimeout is how long a router may leave a claim unanswered before
-	// others are asked instead: many times a round trip between regions.
+	// claimResponseTimeout is how long a router may leave a claim unanswered
+	// before the agent claims from other routers instead. It is many times a
+	// round trip between regions.
 	claimResponseTimeout = 200 * time.Millisecond
-	// claimTimeout ends a claim that brought neither a request nor a denial. A
-	// request that comes later is rejected without a run.
+	// claimTimeout is the age at which a claim that received neither a request
+	// nor a denial ends. A request that arrives later is rejected and not run.
 	claimTimeout = 500 * time.Millisecond
-	// idleAfter is how long a team must be without demand and service before
+	// idleAfter is how long a team must have no demand and no service before
 	// its next request counts as newly backlogged.
 	idleAfter = 2 * time.Second
-	// reannounceAfter is how long a router is taken to remember idle slots.
+	// reannounceAfter is how long the agent assumes that a router holds its open
+	// claims before it sends new ones.
 	reannounceAfter = 2 * time.Second
 )
 
-// Machine holds the slots of one backend server and the accounts of the teams.
+// Machine schedules the slots of one backend server and holds the service
+// accounts of the teams.
 type Machine struct {
 	cfg            Config
-	teams          []*team // by name
+	teams          []*team // ordered by name
 	byName         map[fleet.Team]*team
-	routers        []*routerView // by name
+	routers        []*routerView // ordered by name
 	claims         map[uint64]*claim
-	usedOpenClaims map[uint64]bool // open claims that were used
-	ready          []uint64        // came and wait for a slot, oldest first
+	usedOpenClaims map[uint64]bool // open claims already used
+	ready          []uint64        // arrived requests that wait for a slot, oldest first
 	seq            uint64
-	pendingClaims  int // claims with nothing come yet
+	pendingClaims  int // claims for which no request has arrived yet
 	running        int // slots in use
 	serving        bool
 	leaving        bool
 	costs          estimator
-	sampledAt      time.Duration // when own service was last marked
-	serviceSentAt  time.Duration // when a hub was last sent service
-	virtualFloor   time.Duration // virtual service below which no team starts anew
+	sampledAt      time.Duration // when own service was last sampled
+	serviceSentAt  time.Duration // when a service message was last sent to any hub
+	virtualFloor   time.Duration // least virtual service of a team that returns from idle
 }
 
-// New returns a machine with no routers; its server takes no work until a
-// HealthMsg says that it serves.
+// New returns a machine with no routers. It takes no work until a HealthMsg
+// reports that the server is serving.
 func New(cfg Config) *Machine {
 	m := &Machine{
 		byName:         map[fleet.Team]*team{},
@@ -55,7 +58,7 @@
 	return m
 }
 
-// Update takes one message and returns what is to be done about it, in order.
+// Update processes one message and returns the resulting commands in order.
 func (m *Machine) Update(msg Msg) []Command {
 	switch msg := msg.(type) {
 	case ConfigMsg:
@@ -96,25 +99,26 @@
 	return nil
 }
 
-// Running returns how many requests hold a slot.
+// Running returns the number of requests that hold a slot.
 func (m *Machine) Running() int { return m.running }
 
-// Held returns how many requests have come and not ended.
+// Held returns the number of requests that have arrived and not ended.
 func (m *Machine) Held() int { return m.running + len(m.ready) }
 
-// Slots returns how many slots the server has.
+// Slots returns the number of slots of the server.
 func (m *Machine) Slots() int { return m.cfg.Slots }
 
-// Busy tells whether a request has come and not ended, or may still come.
+// Busy reports whether any request has arrived and not ended, or may still
+// arrive for a pending claim.
 func (m *Machine) Busy() bool { return len(m.claims) > 0 }
 
-// configure takes a new bundle; accounts and runs stay.
+// configure applies a new configuration and keeps the accounts and claims.
 func (m *Machine) configure(msg ConfigMsg) {
 	m.cfg = msg.Config
 	for _, name := range sortedTeams(msg.Config.Shares) {
 		t := m.team(msg.Now, name)
 		t.share = msg.Config.Shares[name]
-		t.peerSlotRatio = 0 // learned again from the demand
+		t.peerSlotRatio = 0 // set again by the next demand
 	}
 }
 
@@ -127,8 +131,8 @@
 	return names
 }
 
-// team returns the account of a team, making it where there is none. A team
-// that the bundle does not name has a share of 1 until it does.
+// team returns the account of a team and creates it if necessary. A team that
+// is not in the bundle has a share of 1.
 func (m *Machine) team(now time.Duration, name fleet.Team) *team {
 	if t, ok := m.byName[name]; ok {
 		return t
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -12,8 +12,8 @@
 	return fleet.DemandKey{Work: "report", Team: team, Class: class}
 }
 
-// newTestMachine returns a machine with one slot and a router with demand of two
-// equal teams.
+// newTestMachine returns a machine with two teams of equal share and one
+// connected router. Its server is not serving yet.
 func newTestMachine(cfg Config) *Machine {
 	cfg.Works = []fleet.Work{"report"}
 	cfg.Shares = map[fleet.Team]float64{"ajax": 1, "basel": 1}
@@ -41,15 +41,16 @@
 	return out
 }
 
-// serveOne lets the machine run one request of a second and returns its team.
+// serveOne runs the claimed request for one second and returns the claims made
+// when it ends.
 func serveOne(t *testing.T, m *Machine, now time.Duration, c ClaimCmd) []ClaimCmd {
 	t.Helper()
 	m.Update(ArriveMsg{Now: now, Seq: c.Seq, Remaining: 1000})
 	return claimCmds(m.Update(EndMsg{Now: now + time.Second, Seq: c.Seq}))
 }
 
-// TestCatchUpIsCapped holds that after a partition heals a team that had far
-// less service is repaid no more than CatchUp ahead of the other.
+// TestCatchUpIsCapped checks that after a partition heals, a team that received
+// far less service is served at most CatchUp ahead of the other team.
 func TestCatchUpIsCapped(t *testing.T) {
 	m := newTestMachine(Config{Slots: 1, CatchUp: 10 * time.Second})
 	m.Update(TotalsMsg{Now: 1, Rows: []fleet.ServiceRow{{Team: "basel", Service: time.Hour}}})
@@ -69,7 +70,8 @@
 	require.InDelta(t, 10, consecutive, 2)
 }
 
-// TestClassesWithinATeam holds the order urgent, ordinary, batch.
+// TestClassesWithinATeam checks that a team's requests are claimed in the order
+// urgent, ordinary, batch.
 func TestClassesWithinATeam(t *testing.T) {
 	m := newTestMachine(Config{Slots: 3})
 	m.Update(demandMsg(2, 1, demandKey("ajax", fleet.Batch), demandKey("ajax", fleet.Urgent), demandKey("ajax", fleet.Ordinary)))
@@ -80,8 +82,8 @@
 	require.Equal(t, []fleet.Class{fleet.Urgent, fleet.Ordinary, fleet.Batch}, got)
 }
 
-// TestUrgentGoesAheadWithinItsBound holds that urgent work overtakes another
-// team's turn while its own team is less than UrgentBorrow ahead.
+// TestUrgentGoesAheadWithinItsBound checks that urgent work is claimed before
+// another team's work only while its own team is less than UrgentBorrow ahead.
 func TestUrgentGoesAheadWithinItsBound(t *testing.T) {
 	for _, c := range []struct {
 		ahead time.Duration
@@ -95,8 +97,8 @@
 	}
 }
 
-// TestSilentRouterIsSuspended holds that an agent stops claiming from a router
-// that leaves a claim unanswered, and goes on when it is heard of.
+// TestSilentRouterIsSuspended checks that an agent stops claiming from a router
+// that leaves a claim unanswered, and resumes when the router is alive again.
 func TestSilentRouterIsSuspended(t *testing.T) {
 	m := newTestMachine(Config{Slots: 1})
 	m.Update(demandMsg(2, 5, demandKey("ajax", fleet.Ordinary)))
@@ -106,15 +108,15 @@
 		now += TickInterval
 		require.Empty(t, claimCmds(m.Update(TickMsg{Now: now})))
 	}
-	require.False(t, m.Busy(), "the claim has ended")
+	require.False(t, m.Busy(), "the claim must have expired")
 	require.Len(t, claimCmds(m.Update(RouterAliveMsg{Now: now, Router: "r"})), 1)
 	late := m.Update(ArriveMsg{Now: now, Seq: 1})
-	require.Contains(t, late, RejectCmd{Seq: 1}, "the first claim's request comes too late to run")
+	require.Contains(t, late, RejectCmd{Seq: 1}, "the request of the expired first claim must be rejected")
 }
 
-// TestOpenClaimsAreUsedOnce holds that each open claim lets one request start,
-// also after that request has ended, and that one without an idle slot is
-// turned away.
+// TestOpenClaimsAreUsedOnce checks that each open claim starts at most one
+// request, even after that request has ended, and that a request with an open
+// claim is rejected if no slot is idle.
 func TestOpenClaimsAreUsedOnce(t *testing.T) {
 	m := newTestMachine(Config{Slots: 2})
 	var free FreeCmd
@@ -129,14 +131,14 @@
 	require.Contains(t, m.Update(first), StartCmd{Seq: first.Seq})
 	require.Contains(t, m.Update(first), RejectCmd{Seq: first.Seq})
 	m.Update(EndMsg{Now: 3, Seq: first.Seq})
-	require.Contains(t, m.Update(first), RejectCmd{Seq: first.Seq}, "it ran, and is over")
-	m.Update(demandMsg(4, 2, key)) // two claims take both slots
+	require.Contains(t, m.Update(first), RejectCmd{Seq: first.Seq}, "the open claim was used by a request that has ended")
+	m.Update(demandMsg(4, 2, key)) // both slots are claimed
 	second := ArriveMsg{Now: 5, Seq: free.First + 1, Key: key}
 	require.Contains(t, m.Update(second), RejectCmd{Seq: second.Seq}, "no slot is idle")
 }
 
-// TestReadyRequestsAreRejectedWhenServerFails holds that a server that fails gives back what
-// has come and not started.
+// TestReadyRequestsAreRejectedWhenServerFails checks that requests that have
+// arrived but not started are rejected when the server stops serving.
 func TestReadyRequestsAreRejectedWhenServerFails(t *testing.T) {
 	m := newTestMachine(Config{Slots: 1, ClaimAhead: 1})
 	m.Update(demandMsg(2, 5, demandKey("ajax", fleet.Ordinary)))
@@ -148,9 +150,9 @@
 	require.Equal(t, 1, m.Held())
 }
 
-// TestLiftsGoByWhatIsKnown holds that a team which comes back is lifted to the
-// service that the others have had, not to what other agents are expected to
-// have given them: a lift is for good.
+// TestLiftsGoByWhatIsKnown checks that a team that returns from idle is lifted
+// to the known service of the other teams, without the estimated service of
+// other agents. A lift is permanent, so an overestimate would never be undone.
 func TestLiftsGoByWhatIsKnown(t *testing.T) {
 	m := newTestMachine(Config{Slots: 1, PeerSlotRatio: map[fleet.Work]float64{"report": 100}})
 	m.Update(demandMsg(2, 1000, demandKey("ajax", fleet.Ordinary)))
--- a/sched/messages.go
+++ b/sched/messages.go
@@ -6,83 +6,83 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Msg is anything that a Machine can be told. Now is always the time since the
-// process started, on its monotonic clock.
+// Msg is an input to Machine.Update. The field Now of each message is the time
+// since the process started, on its monotonic clock.
 type Msg interface{ isMsg() }
 
-// ConfigMsg puts a new configuration in force.
+// ConfigMsg replaces the configuration.
 type ConfigMsg struct {
 	Now    time.Duration
 	Config Config
 }
 
-// RouterUpMsg says that a link to a router stands.
+// RouterUpMsg reports that the link to a router is up.
 type RouterUpMsg struct {
 	Now    time.Duration
 	Router fleet.Name
-	Hub    bool // the router shares service counters for this agent
+	Hub    bool // the router aggregates service counters for this agent
 }
 
-// RouterDownMsg says that the link to a router is gone.
+// RouterDownMsg reports that the link to a router is down.
 type RouterDownMsg struct {
 	Now    time.Duration
 	Router fleet.Name
 }
 
-// RouterAliveMsg says that a router was heard of.
+// RouterAliveMsg reports that a message or heartbeat from a router arrived.
 type RouterAliveMsg struct {
 	Now    time.Duration
 	Router fleet.Name
 }
 
-// DemandMsg brings the counts of some of a router's lines.
+// DemandMsg carries the counts of some of a router's queues.
 type DemandMsg struct {
 	Now    time.Duration
 	Router fleet.Name
 	Counts []fleet.Count
 }
 
-// DenyMsg refuses a claim and gives the line's true count.
+// DenyMsg refuses a claim and carries the current count of its queue.
 type DenyMsg struct {
 	Now   time.Duration
 	Seq   uint64
 	Count fleet.Count
 }
 
-// ArriveMsg says that a claimed request has come by HTTP, and what is left of
-// its line. Key is the request's line; it counts for open claims, which named
-// none.
+// ArriveMsg reports that a claimed request has arrived over HTTP, with the
+// number of requests that remain in its queue. Key names that queue. It is used
+// for open claims only, since they do not name a queue.
 type ArriveMsg struct {
 	Now       time.Duration
 	Seq       uint64
 	Key       fleet.DemandKey
 	Remaining int
-	OldestAge time.Duration // age of the oldest that is left
+	OldestAge time.Duration // age of the oldest remaining request
 }
 
-// EndMsg says that a request which came has ended, or that its router gave it
-// up before it started.
+// EndMsg reports that an arrived request has ended, or that its router withdrew
+// it before it started.
 type EndMsg struct {
 	Now time.Duration
 	Seq uint64
 }
 
-// TotalsMsg brings the service of the fleet less this agent's own.
+// TotalsMsg carries the service given by the whole fleet, excluding this agent.
 type TotalsMsg struct {
 	Now  time.Duration
 	Rows []fleet.ServiceRow
 }
 
-// HealthMsg says whether the server takes work.
+// HealthMsg reports whether the server accepts work.
 type HealthMsg struct {
 	Now     time.Duration
 	Serving bool
 }
 
-// LeaveMsg ends the taking of new work for good.
+// LeaveMsg permanently stops the machine from taking new work.
 type LeaveMsg struct{ Now time.Duration }
 
-// TickMsg lets time pass; send it every TickEvery.
+// TickMsg advances the time. Send it every TickInterval.
 type TickMsg struct{ Now time.Duration }
 
 // TickInterval is the time between two ticks.
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -6,8 +6,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// claimWork claims work for every slot that is or will soon be free, and tells
-// routers of slots for which no work is known.
+// claimWork claims requests until the slots and the claim-ahead allowance are
+// used, and announces idle slots to the routers if there is no known demand.
 func (m *Machine) claimWork(now time.Duration) []Command {
 	if !m.serving || m.leaving {
 		return nil
@@ -23,12 +23,13 @@
 	return append(cmds, m.announceIdleSlots(now)...)
 }
 
-// claimsAvailable returns how many more claims the agent may make.
+// claimsAvailable returns the number of further claims that the agent may make.
 func (m *Machine) claimsAvailable() int {
 	return m.cfg.Slots + m.cfg.ClaimAhead - m.running - len(m.ready) - m.pendingClaims
 }
 
-// idleSlots returns how many slots nothing is claimed for.
+// idleSlots returns the number of slots that have neither a request nor a
+// pending claim.
 func (m *Machine) idleSlots() int {
 	return m.cfg.Slots - m.running - len(m.ready) - m.pendingClaims
 }
@@ -48,7 +49,7 @@
 	return ClaimCmd{Router: s.router, Seq: m.seq, Key: l.key}, true
 }
 
-// pickTeam returns the team to serve next, or nil if no work is known.
+// pickTeam returns the team to serve next, or nil if there is no known demand.
 func (m *Machine) pickTeam() *team {
 	if m.cfg.Mode == ModeFIFO {
 		return m.pickOldest()
@@ -56,10 +57,10 @@
 	return m.pickLeastVirtual()
 }
 
-// pickLeastVirtual returns the waiting team with the least virtual service. Urgent
-// work counts as if its team had had UrgentBorrow less: it goes ahead of its
-// turn by a bounded amount and no further, so marking all work urgent gains
-// no lasting share.
+// pickLeastVirtual returns the waiting team with the least expected virtual
+// service. A team with urgent work is ranked as if it had received UrgentBorrow
+// less. Urgent work therefore runs ahead of its turn by a bounded amount, and a
+// team that marks all its work urgent gains no lasting share.
 func (m *Machine) pickLeastVirtual() *team {
 	var best *team
 	var bestRank, least, most time.Duration
@@ -88,8 +89,9 @@
 	return best
 }
 
-// capDeficits forgives what no team should wait for: after a partition heals,
-// a team that had less service is repaid at most CatchUp ahead of the others.
+// capDeficits lifts each waiting team that is more than CatchUp behind the team
+// with the most virtual service. After a partition heals, a team that received
+// less service is repaid at most CatchUp, so the others do not wait for long.
 func (m *Machine) capDeficits(most time.Duration) {
 	if m.cfg.CatchUp <= 0 {
 		return
@@ -104,7 +106,7 @@
 	}
 }
 
-// pickOldest returns the team whose request has waited longest.
+// pickOldest returns the team with the longest-waiting request.
 func (m *Machine) pickOldest() *team {
 	var best *team
 	var bestOldest time.Duration
@@ -122,8 +124,8 @@
 	return best
 }
 
-// liftIdle brings a team that has been idle up to the others' service, so that
-// idling earns no credit.
+// liftIdle raises the virtual service of a team that returns from idle to that
+// of the other teams, so that idle time earns no credit.
 func (m *Machine) liftIdle(now time.Duration, t *team) {
 	idle := t.waiting() == 0 && t.running == 0 && now-t.lastActive >= idleAfter
 	if !idle || m.cfg.Mode == ModeFIFO {
@@ -134,8 +136,9 @@
 	}
 }
 
-// announceIdleSlots gives routers open claims on idle slots: each router once until it
-// has used them up, and again after a while in case some were lost.
+// announceIdleSlots grants routers open claims on idle slots if there is no
+// known demand. A router gets new open claims once it has used its previous
+// ones, or after reannounceAfter in case some were lost.
 func (m *Machine) announceIdleSlots(now time.Duration) []Command {
 	idle := m.idleSlots()
 	if idle <= 0 || m.hasWork() {
@@ -163,7 +166,8 @@
 	return false
 }
 
-// claimRouter returns the router that a claim went to, if its link stands.
+// claimRouter returns the router that a claim was sent to and reports whether
+// the link to it is up.
 func (m *Machine) claimRouter(r *claim) (fleet.Name, bool) {
 	_, _, ok := m.router(r.router)
 	return r.router, ok
--- a/sched/queuedemand.go
+++ b/sched/queuedemand.go
@@ -8,17 +8,17 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// routerDemand is how many requests of a line wait at one router.
+// routerDemand holds the requests of one queue that wait at one router.
 type routerDemand struct {
 	router  fleet.Name
 	waiting int
-	oldest  time.Duration // when the oldest came, on this machine's clock
-	// suspended means that the router does not answer claims: what waits there
-	// does not count until it does.
+	oldest  time.Duration // arrival time of the oldest, on this machine's clock
+	// suspended means that the router does not answer claims. Its waiting
+	// requests are not counted until it answers again.
 	suspended bool
 }
 
-// claimable returns how many requests may be claimed.
+// claimable returns the number of requests that may be claimed from the router.
 func (s *routerDemand) claimable() int {
 	if s.suspended {
 		return 0
@@ -26,11 +26,12 @@
 	return s.waiting
 }
 
-// queueDemand is one team's waiting requests of one class for one work, by router.
+// queueDemand holds the demand in one queue, that is, the waiting requests of
+// one team and class for one work, by router.
 type queueDemand struct {
 	key     fleet.DemandKey
-	routers []routerDemand // by router
-	waiting int            // that may be claimed
+	routers []routerDemand // ordered by router name
+	waiting int            // claimable requests at all routers
 }
 
 func (q *queueDemand) find(router fleet.Name) (int, bool) {
@@ -39,7 +40,8 @@
 	})
 }
 
-// set replaces what is known of one router.
+// set records the waiting count of one router and the arrival time of its
+// oldest request.
 func (q *queueDemand) set(router fleet.Name, waiting int, oldest time.Duration) {
 	i, ok := q.find(router)
 	if !ok {
@@ -52,7 +54,8 @@
 	q.waiting += s.claimable() - before
 }
 
-// setSuspended says whether what waits at one router counts.
+// setSuspended excludes the requests at one router from the claimable count, or
+// includes them again.
 func (q *queueDemand) setSuspended(router fleet.Name, suspended bool) {
 	i, ok := q.find(router)
 	if !ok {
@@ -64,7 +67,7 @@
 	q.waiting += s.claimable() - before
 }
 
-// removeRouter drops one router.
+// removeRouter removes one router and its requests from the count.
 func (q *queueDemand) removeRouter(router fleet.Name) {
 	i, ok := q.find(router)
 	if !ok {
@@ -74,7 +77,7 @@
 	q.routers = slices.Delete(q.routers, i, i+1)
 }
 
-// oldest returns the source whose request has waited longest, or nil.
+// oldest returns the router with the longest-waiting claimable request, or nil.
 func (q *queueDemand) oldest() *routerDemand {
 	var best *routerDemand
 	for i := range q.routers {
@@ -89,7 +92,8 @@
 	return best
 }
 
-// decrement counts one request less at a source.
+// decrement removes one claimed request from the counts of router s and of the
+// queue.
 func (q *queueDemand) decrement(s *routerDemand) {
 	s.waiting--
 	q.waiting--
--- a/sched/router.go
+++ b/sched/router.go
@@ -6,20 +6,22 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// routerView is what an agent knows of one router, and what a hub was sent.
+// routerView holds an agent's state for one router, including the service rows
+// last sent to it if it is a hub.
 type routerView struct {
 	name        fleet.Name
 	hub         bool
-	nothingSent bool // the hub has been sent nothing yet
+	nothingSent bool // the hub has received no service message yet
 	openClaims  openClaims
 	announcedAt time.Duration
-	suspended   bool // it leaves claims unanswered
+	suspended   bool // the router does not answer claims
 	sent        map[fleet.Team]fleet.ServiceRow
 	sentAt      time.Duration
 }
 
-// setSuspended stops or resumes claims from a router. A router that is cut off or
-// frozen would else hold this agent's slots with claims that it never sees.
+// setSuspended stops or resumes claiming from a router. Otherwise a router that
+// is cut off or frozen would hold this agent's slots with claims that it never
+// receives.
 func (m *Machine) setSuspended(r *routerView, suspended bool) {
 	if r.suspended == suspended {
 		return
@@ -32,7 +34,7 @@
 	}
 }
 
-// resumeRouter notes that a router has answered.
+// resumeRouter resumes claiming from a router that has answered.
 func (m *Machine) resumeRouter(name fleet.Name) {
 	if r, _, ok := m.router(name); ok {
 		m.setSuspended(r, false)
--- a/sched/share.go
+++ b/sched/share.go
@@ -7,8 +7,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// mergeTotals merges the service of the rest of the fleet. Rows only grow, so a
-// late or repeated row does no harm.
+// mergeTotals merges the service of the rest of the fleet. Counters only grow,
+// so a late or repeated row has no effect.
 func (m *Machine) mergeTotals(msg TotalsMsg) {
 	if m.cfg.Mode == ModeLocal {
 		return
@@ -23,7 +23,7 @@
 	}
 }
 
-// sampleService notes every team's own service at even intervals.
+// sampleService samples the own service of every team at regular intervals.
 func (m *Machine) sampleService(now time.Duration) {
 	if now-m.sampledAt < m.cfg.ShareEvery/samplesPerShare {
 		return
@@ -34,8 +34,8 @@
 	}
 }
 
-// tick accrues charges, ends claims that brought nothing, claims for idle
-// slots and sends service to the hubs when it is due.
+// tick accrues charges, expires unanswered claims, claims work for idle slots
+// and sends service to the hubs when it is due.
 func (m *Machine) tick(msg TickMsg) []Command {
 	m.accrue(msg.Now)
 	m.sampleService(msg.Now)
@@ -53,8 +53,8 @@
 	return cmds
 }
 
-// expireClaims suspends routers that leave claims unanswered, and ends the
-// claims.
+// expireClaims suspends routers with a claim unanswered for
+// claimResponseTimeout and ends claims unanswered for claimTimeout.
 func (m *Machine) expireClaims(now time.Duration) {
 	var expired []uint64
 	for seq, r := range m.claims {
@@ -74,8 +74,8 @@
 	}
 }
 
-// dropStaleOpenClaims drops used open claims that no router holds any more: an arrival
-// with one of them is rejected without them.
+// dropStaleOpenClaims forgets used open claims that are no longer in the range
+// of any router. An arrival with such a claim is rejected as unknown.
 func (m *Machine) dropStaleOpenClaims() {
 	for seq := range m.usedOpenClaims {
 		held := slices.ContainsFunc(m.routers, func(r *routerView) bool { return r.openClaims.has(seq) })
@@ -85,11 +85,14 @@
 	}
 }
 
-// dueRows returns the rows that a hub should have now: all that changed once
-// ShareEvery has passed, and before that all once one team's unsent service
-// passes Delta. A new hub hears at once, even of nothing: it says nothing to
-// an agent whose own part it does not know. The hubs hear in turn: each gets
-// half of the messages, and the fleet hears as often.
+// dueRows returns the rows to send to a hub now and reports whether a message is
+// due. All changed rows are due once ShareEvery has passed since the last
+// message to the hub, or earlier once one team's unsent service reaches Delta.
+//
+// A new hub gets a message immediately, even without rows, because a hub sends
+// no totals to an agent whose own service it does not know. The agent sends to
+// its hubs in turn, so with two hubs each gets half of the messages and the
+// fleet is updated as often as with one.
 func (m *Machine) dueRows(now time.Duration, r *routerView) ([]fleet.ServiceRow, bool) {
 	rows, largest := m.unsentRows(r)
 	late := now-r.sentAt >= m.cfg.ShareEvery || largest >= m.cfg.Delta
@@ -117,8 +120,8 @@
 	return n
 }
 
-// unsentRows returns the rows that differ from what a hub was sent, and the most
-// service that one of them adds.
+// unsentRows returns the rows that differ from those last sent to a hub, and the
+// largest unsent service of any one team.
 func (m *Machine) unsentRows(r *routerView) ([]fleet.ServiceRow, time.Duration) {
 	var rows []fleet.ServiceRow
 	var largest time.Duration
--- a/sched/state.go
+++ b/sched/state.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// TeamState is one team's account in a dump. Times are in milliseconds.
+// TeamState is one team's account in a state dump. Times are in milliseconds.
 type TeamState struct {
 	Team      fleet.Team `json:"team"`
 	Share     float64    `json:"share"`
@@ -18,7 +18,7 @@
 	VirtualMS int64      `json:"virtual_ms"`
 }
 
-// Teams returns every team's account, by name.
+// Teams returns the accounts of all teams, ordered by name.
 func (m *Machine) Teams() []TeamState {
 	out := make([]TeamState, 0, len(m.teams))
 	for _, t := range m.teams {
--- a/sched/team.go
+++ b/sched/team.go
@@ -6,25 +6,25 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// team is what an agent knows of one team.
+// team holds an agent's account of one team.
 type team struct {
 	name   fleet.Team
 	share  float64
-	queues []*queueDemand // by class, then work
-	others time.Duration  // service by the rest of the fleet
-	lift   time.Duration  // per unit of share
-	own    time.Duration  // service by this agent, by the rule of charging
-	// reported is the greatest own service ever reported: what is shared only
-	// grows, so that it merges by maximum.
+	queues []*queueDemand // ordered by class, then work
+	others time.Duration  // service given by the rest of the fleet
+	lift   time.Duration  // added to the virtual service, in slot time per unit of share
+	own    time.Duration  // service charged at this agent
+	// reported is the largest own service ever reported. Settling may lower
+	// own, but reported counters only grow so that they merge by maximum.
 	reported      time.Duration
-	pending       time.Duration              // estimates of claims not yet started
-	peerSlotRatio float64                    // the most that Config.Alike has for one of its works
-	samples       [samplesKept]time.Duration // own and pending at the last marks, the oldest first
+	pending       time.Duration              // estimated cost of claims that have not started
+	peerSlotRatio float64                    // largest Config.PeerSlotRatio of its works
+	samples       [samplesKept]time.Duration // own plus pending service, oldest first
 	running       int
-	lastActive    time.Duration // when it last had demand or service
+	lastActive    time.Duration // when the team last had demand or service
 }
 
-// waiting returns how many requests the team is known to have waiting.
+// waiting returns the number of known claimable requests of the team.
 func (t *team) waiting() int {
 	n := 0
 	for _, q := range t.queues {
@@ -33,14 +33,15 @@
 	return n
 }
 
-// virtualService returns the team's virtualService service: slot time per unit of share, as
-// far as it is known.
+// virtualService returns the team's known virtual service, in slot time per unit
+// of share.
 func (t *team) virtualService() time.Duration {
 	return t.perShare(t.others+t.own+t.pending) + t.lift
 }
 
-// expectedVirtualService returns the virtual service with what the other agents are taken to
-// have given meanwhile. Choices go by it; accounts and lifts never do.
+// expectedVirtualService returns the virtual service plus the estimated service
+// that other agents have given and not yet reported. It ranks the teams.
+// Accounts and lifts never include the estimate.
 func (t *team) expectedVirtualService() time.Duration {
 	return t.virtualService() + t.perShare(t.estimatedPeerService())
 }
@@ -50,34 +51,37 @@
 }
 
 const (
-	// peerServiceFraction is the part of the other servers that is taken to act alike.
+	// peerServiceFraction is the fraction of the other servers assumed to serve
+	// the team in the same way as this one.
 	peerServiceFraction = 0.8
-	// maxPeerRatio bounds the extrapolation in fleets of thousands of servers.
+	// maxPeerRatio limits the extrapolation in fleets of thousands of servers.
 	maxPeerRatio = 16
-	// samplesPerShare is how many marks fall into ShareEvery.
+	// samplesPerShare is the number of samples taken per ShareEvery.
 	samplesPerShare = 4
-	// samplesKept is how many marks the extrapolation reaches back: about as long
-	// as service takes to go round the fleet.
+	// samplesKept is the number of samples that the extrapolation looks back. It
+	// covers about the time in which a service report reaches the whole fleet.
 	samplesKept = 5
 )
 
-// estimatedPeerService returns what the other agents are taken to have given the team
-// that the totals do not show yet. They see the same totals and pick the same team, so
-// each would overshoot on its own; this agent's own recent service stands for
-// theirs until the next totals say what it was.
+// estimatedPeerService estimates the service that other agents have given the
+// team and that is not yet in the totals. All agents see the same totals and
+// pick the same team, so together they would overshoot. This agent's own recent
+// service, scaled by the peer ratio, stands in for theirs until the next totals
+// arrive.
 func (t *team) estimatedPeerService() time.Duration {
 	recent := t.own + t.pending - t.samples[0]
 	return time.Duration(min(t.peerSlotRatio*peerServiceFraction, maxPeerRatio) * float64(recent))
 }
 
-// sample notes the team's service by this agent up to now.
+// sample records the team's current own and pending service and discards the
+// oldest sample.
 func (t *team) sample() {
 	copy(t.samples[:], t.samples[1:])
 	t.samples[samplesKept-1] = t.own + t.pending
 }
 
-// nextQueue returns the line to serve next: the highest class that waits, and in it
-// the line whose request is oldest.
+// nextQueue returns the queue to serve next and the router to claim from: the
+// queue of the highest waiting class whose request has waited longest.
 func (t *team) nextQueue() (*queueDemand, *routerDemand) {
 	var bestQueue *queueDemand
 	var bestRouter *routerDemand
@@ -99,7 +103,7 @@
 	return bestQueue, bestRouter
 }
 
-// hasUrgent tells whether an hasUrgent request of the team waits.
+// hasUrgent reports whether an urgent request of the team is waiting.
 func (t *team) hasUrgent() bool {
 	for _, q := range t.queues {
 		if q.key.Class == fleet.Urgent && q.waiting > 0 {
