--- a/queue/agents.go
+++ b/queue/agents.go
@@ -30,8 +30,9 @@
 	return m.abortRuns(msg.Agent)
 }
 
-// abortRuns gives up the unanswered runs of a lost agent. Answers that have
-// begun may still end well: the link is not what they travel on.
+// abortRuns aborts the runs of a lost agent whose response has not started. A
+// response that has started may still complete because it does not travel over
+// the link.
 func (m *Machine) abortRuns(agent fleet.Name) []Command {
 	var ids []RequestID
 	for id, r := range m.requests {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// clearSentCounts notes that an agent believes in nothing any more.
+// clearSentCounts records that an agent no longer holds any counts.
 func (m *Machine) clearSentCounts(a *agentView) {
 	for k := range a.sentCounts {
 		a.recordSent(m.queues[k], 0)
@@ -64,7 +65,8 @@
 	clear(a.sentCounts)
 }
 
-// freeSlots answers an idle agent with all the work that waits for it.
+// freeSlots records an idle agent's open claims and sends it the counts of all
+// queues that it can serve.
 func (m *Machine) freeSlots(msg FreeMsg) []Command {
 	a, _, ok := m.agent(msg.Agent)
 	if !ok || a.leaving {
@@ -78,7 +80,8 @@
 	return m.sendAllQueues(msg.Now, a)
 }
 
-// sendAllQueues tells an agent of every line that waits for it.
+// sendAllQueues sends an agent the counts of all non-empty queues that it can
+// serve.
 func (m *Machine) sendAllQueues(now time.Duration, a *agentView) []Command {
 	for _, q := range m.ordered {
 		if q.waiting > 0 && a.canRun(q.key.Work) {
--- a/queue/agentview.go
+++ b/queue/agentview.go
@@ -6,25 +6,25 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// resendGrowth is the factor by which a count must grow to be told again. Smaller
-// changes wait: what is left of a line comes with every request that the agent
-// is granted, so that the number of messages does not follow the rate of
-// requests.
+// resendGrowth is the factor by which a queue must grow before its count is sent
+// again. Smaller changes are not sent: each granted request carries the
+// remaining count of its queue, so the number of messages does not grow with
+// the request rate.
 const resendGrowth = 4
 
-// agentView is what the router knows of one agent, and what the agent knows
-// of the router's lines.
+// agentView holds the router's state for one agent, including the queue counts
+// last sent to it.
 type agentView struct {
 	name       fleet.Name
 	hall       fleet.Hall
 	works      []fleet.Work
 	open       openClaims
 	leaving    bool
-	sentCounts map[fleet.DemandKey]int // the counts that the agent believes
-	unsent     []fleet.Count           // what this tick has for it
+	sentCounts map[fleet.DemandKey]int // last count sent, by queue
+	unsent     []fleet.Count           // counts to send at the next flush
 }
 
-// recordSent notes the count that the agent will believe of a line.
+// recordSent records the count of a queue that is being sent to the agent.
 func (a *agentView) recordSent(q *requestQueue, waiting int) {
 	was := a.sentCounts[q.key] > 0
 	a.sentCounts[q.key] = waiting
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// arrive admits a request or refuses it at once.
+// arrive admits a request or refuses it immediately.
 func (m *Machine) arrive(msg RequestMsg) []Command {
 	r := &request{Request: msg.Request, arrived: msg.Now, heapIndex: -1}
 	if refusal, refused := m.checkAdmission(msg.Now, r); refused {
@@ -19,7 +19,8 @@
 	return m.dispatch(msg.Now, m.queues[r.Key])
 }
 
-// checkAdmission tells whether a request can't be taken, and why.
+// checkAdmission reports whether a request must be refused, and returns the
+// refusal if so.
 func (m *Machine) checkAdmission(now time.Duration, r *request) (RefuseCmd, bool) {
 	t := m.team(r.Key.Team)
 	wait := t.expectedWait()
@@ -49,8 +50,8 @@
 	return false
 }
 
-// dispatch sends the oldest request of a line to an idle agent, if one has given
-// an open claim. Else agents hear of the line at the next tick.
+// dispatch sends the oldest request of a queue to an idle agent if one has
+// granted an open claim. Otherwise agents are sent the queue's count by tick.
 func (m *Machine) dispatch(now time.Duration, q *requestQueue) []Command {
 	a := m.idleAgent(now, q.key.Work)
 	if a == nil {
@@ -63,8 +64,8 @@
 	return m.grant(now, a, claim, q)
 }
 
-// idleAgent picks an agent that has given open claims: in the router's own
-// hall if there is one, then in turn.
+// idleAgent returns an agent that has granted unexpired open claims, or nil. It
+// prefers agents in the router's own hall and rotates among equal candidates.
 func (m *Machine) idleAgent(now time.Duration, w fleet.Work) *agentView {
 	var best *agentView
 	m.rotation++
--- a/queue/bench_test.go
+++ b/queue/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// newBackloggedMachine returns a machine with agents that all run one work, and lines of a
-// tenth of the teams in which requests wait.
+// newBackloggedMachine returns a machine whose agents all run one work and in
+// which a tenth of the teams have waiting requests.
 func newBackloggedMachine(teams, agents int) (*Machine, []fleet.DemandKey) {
 	m := New(Config{MaxWaiting: 1 << 30, MaxWait: time.Hour})
 	for a := range agents {
@@ -26,7 +26,7 @@
 	return m, keys
 }
 
-// BenchmarkRequest is one request's arrival, claim and end.
+// BenchmarkRequest measures the arrival, claim and end of one request.
 func BenchmarkRequest(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		for _, agents := range []int{12, 100, 1000} {
@@ -54,7 +54,8 @@
 	}
 }
 
-// BenchmarkTick is what a router does 20 times a second whatever happens.
+// BenchmarkTick measures the tick that a router runs 20 times a second,
+// independent of load.
 func BenchmarkTick(b *testing.B) {
 	for _, teams := range []int{10, 540, 5000} {
 		for _, agents := range []int{12, 100, 1000} {
--- a/queue/budget.go
+++ b/queue/budget.go
@@ -1,26 +1,26 @@
 package queue
 
 const (
-	// maxTokens bounds the retries that a quiet time can save up.
+	// maxTokens is the maximum number of retries that can accumulate.
 	maxTokens = 20
-	// initialTokens lets the first failures of a router's life be retried.
+	// initialTokens allows retries of the first failures after a router starts.
 	initialTokens = 5
 )
 
-// retryBudget allows retries as a part of first attempts, so that a failing
-// fleet is not loaded further by its own retries.
+// retryBudget limits retries to a fraction of first attempts, so that retries do
+// not add load to a failing fleet. It is a token bucket.
 type retryBudget struct {
 	tokens  float64
 	started bool
 }
 
-// earn earns ratio retries for one first earn.
+// earn adds ratio retries for one first attempt.
 func (b *retryBudget) earn(ratio float64) {
 	b.ensureStarted()
 	b.tokens = min(b.tokens+ratio, maxTokens)
 }
 
-// spend takes one spend from the budget, if there is one.
+// spend takes one retry from the budget and reports whether one was available.
 func (b *retryBudget) spend() bool {
 	b.ensureStarted()
 	if b.tokens < 1 {
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -6,8 +6,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// claim gives the oldest request of a line to the agent that asks for it. An
-// unknown agent is denied: its claim came late, over a link that is gone.
+// claim grants the oldest request of a queue to the claiming agent. A claim from
+// an unknown agent is denied: it arrived late, after the agent's link went down.
 func (m *Machine) claim(msg ClaimMsg) []Command {
 	a, _, known := m.agent(msg.Claim.Agent)
 	if !known {
@@ -21,7 +21,8 @@
 	return m.grant(msg.Now, a, msg.Claim, q)
 }
 
-// grant sends the oldest request of a line, which must have one, to an agent.
+// grant sends the oldest request of a queue to an agent. The queue must not be
+// empty.
 func (m *Machine) grant(now time.Duration, a *agentView, claim fleet.ClaimID, q *requestQueue) []Command {
 	r := q.pop()
 	m.recordDequeue(now, r)
@@ -31,9 +32,10 @@
 	return []Command{RunCmd{ID: r.ID, Claim: claim, Remaining: m.remaining(now, a, q)}}
 }
 
-// remaining returns what the agent should believe to be remaining of a line. Where more
-// agents know of it than it has requests for, this one may forget it: each
-// would else claim once in vain when the line is empty.
+// remaining returns the remaining count of a queue to send to the agent. If more
+// agents are informed of the queue than its requests need, the count sent is
+// zero. Otherwise each informed agent would make one useless claim when the
+// queue is empty.
 func (m *Machine) remaining(now time.Duration, a *agentView, q *requestQueue) fleet.Count {
 	c := q.count(now)
 	if q.informedAgents > 1+informedPerRequest*q.waiting {
@@ -50,8 +52,9 @@
 	return nil
 }
 
-// end closes one run. Only an agent's own word that the run never started, or
-// a repeatable request with nothing answered, leads to another run.
+// end processes the end of one run. A request runs again only if the agent
+// itself reports that the run never started, or if the request is repeatable
+// and no response has started.
 func (m *Machine) end(msg EndMsg) []Command {
 	r, ok := m.requests[msg.ID]
 	if !ok || r.state == stateWaiting {
@@ -67,11 +70,11 @@
 	return nil
 }
 
-// requeue returns an unrun request to the front of its line.
+// requeue returns a request that did not run to the front of its queue.
 func (m *Machine) requeue(msg EndMsg, r *request) []Command {
 	r.returns++
 	if a, _, ok := m.agent(r.claim.Agent); ok {
-		a.open = openClaims{} // it is not as idle as it said
+		a.open = openClaims{} // the agent is no longer idle
 	}
 	if r.returns >= maxReturns || msg.Now >= r.expiresAt {
 		m.finish(r)
@@ -81,7 +84,8 @@
 	return m.dispatch(msg.Now, m.queues[r.Key])
 }
 
-// handleUnknownOutcome decides about a run of which nobody knows whether it took place.
+// handleUnknownOutcome retries or refuses a request whose last run may or may
+// not have taken place.
 func (m *Machine) handleUnknownOutcome(msg EndMsg, r *request) []Command {
 	r.possibleRuns++
 	canRetry := r.Repeatable && r.state == stateRunning && msg.Now < r.expiresAt
@@ -93,7 +97,8 @@
 	return []Command{m.refusalAfterRuns(r, ReasonOutcomeUnknown)}
 }
 
-// refusalAfterRuns never says "not run" of a request with a run in doubt.
+// refusalAfterRuns returns a refusal that reports "not run" only if no run of
+// the request can have started.
 func (m *Machine) refusalAfterRuns(r *request, reason Reason) RefuseCmd {
 	c := m.refusal(r, reason, noServerRetryAfter)
 	if r.possibleRuns > 0 {
--- a/queue/commands.go
+++ b/queue/commands.go
@@ -6,16 +6,16 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Command is something that the machine wants done.
+// Command is an action that the caller of Machine.Update must carry out.
 type Command interface{ isCommand() }
 
-// DemandCmd tells an agent of lines whose counts it should know.
+// DemandCmd sends queue counts to an agent.
 type DemandCmd struct {
 	Agent  fleet.Name
 	Counts []fleet.Count
 }
 
-// DenyCmd refuses a claim because its line is empty.
+// DenyCmd refuses a claim because its queue is empty or its agent is unknown.
 type DenyCmd struct {
 	Claim fleet.ClaimID
 	Count fleet.Count
@@ -25,25 +25,26 @@
 type RunCmd struct {
 	ID        RequestID
 	Claim     fleet.ClaimID
-	Remaining fleet.Count // what is left of its line, for the agent to know
+	Remaining fleet.Count // remaining count of the request's queue
 }
 
-// AbortCmd gives up a run of which nothing has been answered: its agent is
-// lost. The EndMsg that follows says what can be said of the run.
+// AbortCmd aborts a run whose agent is lost and whose response has not started.
+// The EndMsg that follows reports the outcome of the run as far as it is known.
 type AbortCmd struct{ ID RequestID }
 
-// RefuseCmd gives a request its final answer, at once.
+// RefuseCmd refuses a request. The refusal is the request's final response and
+// is sent immediately.
 type RefuseCmd struct {
 	ID         RequestID
 	Reason     Reason
 	Ran        Ran
-	RetryAfter time.Duration // 0 where coming back is of no use
+	RetryAfter time.Duration // 0 if a retry is pointless
 }
 
-// Ran says whether a refused request ran.
+// Ran reports whether a refused request ran.
 type Ran uint8
 
-// What can be said of a request.
+// Values of Ran.
 const (
 	RanNo Ran = iota
 	RanYes
@@ -52,13 +53,13 @@
 
 var ranNames = [...]string{"no", "yes", "unknown"}
 
-// String spells it as the Croftvale-Ran header does.
+// String returns the value as it appears in the Croftvale-Ran header.
 func (r Ran) String() string { return ranNames[r] }
 
-// Reason says why a request is refused.
+// Reason is the reason for which a request is refused.
 type Reason string
 
-// The reasons, as callers see them.
+// Refusal reasons, as sent to callers.
 const (
 	ReasonTeamFull       Reason = "team_queue_full"
 	ReasonRouterFull     Reason = "router_queue_full"
--- a/queue/config.go
+++ b/queue/config.go
@@ -6,17 +6,18 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Config is what a Machine has to know of its router and the bundle.
+// Config holds the identity of the router and the limits that a Machine
+// enforces.
 type Config struct {
 	Self              fleet.Name
 	Hall              fleet.Hall
-	MaxWaiting        int                // requests, all teams
-	MaxWaitingPerTeam map[fleet.Team]int // requests, by team
+	MaxWaiting        int                // waiting requests, all teams together
+	MaxWaitingPerTeam map[fleet.Team]int // waiting requests of one team
 	MaxWait           time.Duration
 	RetryBudget       float64 // retries per first attempt
 }
 
-// teamLimit returns how many requests of a team may wait.
+// teamLimit returns the maximum number of waiting requests of a team.
 func (c Config) teamLimit(t fleet.Team) int {
 	if n, ok := c.MaxWaitingPerTeam[t]; ok {
 		return n
--- a/queue/doc.go
+++ b/queue/doc.go
@@ -1,10 +1,11 @@
-// Package queue decides what a router does with its callers' requests. A
-// request waits here until an agent claims it, so a request that waits has
-// provably not run. The Machine is pure: messages with the time in them go
-// in, commands come out, and the caller carries the commands out.
+// Package queue holds a router's waiting requests and decides when each is sent
+// to an agent, retried or refused. A request waits here until an agent claims
+// it, so a waiting request is known not to have run. The Machine performs no I/O
+// and reads no clock: it takes messages that carry the time and returns commands
+// for the caller to carry out.
 //
 //	m := queue.New(queue.Config{Self: "router-1", Hall: "a"})
-//	for _, c := range m.Update(queue.ArriveMsg{Now: now, Request: r}) {
+//	for _, c := range m.Update(queue.RequestMsg{Now: now, Request: r}) {
 //		perform(c)
 //	}
 package queue
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -9,19 +9,19 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// maxReturns bounds how often agents may hand a request back unrun.
+// maxReturns is how often agents may return one request without running it.
 const maxReturns = 16
 
 // Machine holds the waiting and running requests of one router.
 type Machine struct {
 	cfg              Config
 	queues           map[fleet.DemandKey]*requestQueue
-	ordered          []*requestQueue // by key, so that nothing depends on the order of a map
+	ordered          []*requestQueue // ordered by key, so that decisions do not depend on map order
 	requests         map[RequestID]*request
 	expiry           expiryHeap
-	agents           []*agentView // by name
-	agentsWithUnsent []*agentView // that this tick has counts for
-	rotation         int          // rotates the choice between equal agents
+	agents           []*agentView // ordered by name
+	agentsWithUnsent []*agentView // agents with counts to send at the next flush
+	rotation         int          // rotates the choice among equal agents
 	waiting          int
 	byTeam           map[fleet.Team]*teamState
 	budget           retryBudget
@@ -37,7 +37,7 @@
 	}
 }
 
-// Update takes one message and returns what is to be done about it, in order.
+// Update processes one message and returns the resulting commands in order.
 func (m *Machine) Update(msg Msg) []Command {
 	switch msg := msg.(type) {
 	case ConfigMsg:
@@ -67,13 +67,13 @@
 	return nil
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (m *Machine) Waiting() int { return m.waiting }
 
-// Unfinished returns how many requests have had no final answer.
+// Unfinished returns the number of requests without a final response.
 func (m *Machine) Unfinished() int { return len(m.requests) }
 
-// IsUnfinished tells whether a request has had no final answer.
+// IsUnfinished reports whether a request has had no final response.
 func (m *Machine) IsUnfinished(id RequestID) bool {
 	_, ok := m.requests[id]
 	return ok
@@ -89,7 +89,7 @@
 	return m.agents[i], i, true
 }
 
-// queueFor returns the line of a key, making it where there is none yet.
+// queueFor returns the queue for key k and creates it if necessary.
 func (m *Machine) queueFor(k fleet.DemandKey) *requestQueue {
 	if q, ok := m.queues[k]; ok {
 		return q
@@ -112,7 +112,7 @@
 	return s
 }
 
-// enqueue gives a request a place in its line.
+// enqueue adds a request to the front or the back of its queue.
 func (m *Machine) enqueue(r *request, front bool) {
 	r.state = stateWaiting
 	q := m.queueFor(r.Key)
@@ -126,7 +126,8 @@
 	heap.Push(&m.expiry, r)
 }
 
-// recordDequeue notes that a request waits no longer; its line is told by the caller.
+// recordDequeue records that a request no longer waits. The caller updates the
+// queue itself.
 func (m *Machine) recordDequeue(now time.Duration, r *request) {
 	m.waiting--
 	m.queues[r.Key].lastRemoved = now
@@ -136,7 +137,7 @@
 	}
 }
 
-// removeWaiting ends a waiting request out of turn.
+// removeWaiting ends a waiting request that was cancelled or has expired.
 func (m *Machine) removeWaiting(now time.Duration, r *request) {
 	r.state = stateEnded
 	m.recordDequeue(now, r)
@@ -149,7 +150,7 @@
 	delete(m.requests, r.ID)
 }
 
-// expiresAt returns when a request's wait ends.
+// expiresAt returns the time at which a request stops waiting.
 func (m *Machine) expiresAt(arrived time.Duration, r Request) time.Duration {
 	end := arrived + m.cfg.MaxWait
 	if r.Deadline > 0 {
@@ -158,7 +159,7 @@
 	return end
 }
 
-// Queues returns the lines in which requests wait.
+// Queues returns the counts of all non-empty queues.
 func (m *Machine) Queues(now time.Duration) []fleet.Count {
 	var out []fleet.Count
 	for _, q := range m.ordered {
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -38,8 +38,9 @@
 	return RefuseCmd{}
 }
 
-// TestFullTeamIsRefusedAtOnce holds that a full team gets its answer in the
-// same step, with when to come back, and that another team does not suffer.
+// TestFullTeamIsRefusedAtOnce checks that a request of a team at its limit is
+// refused in the same update, with a Retry-After time, and that another team is
+// not affected.
 func TestFullTeamIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(2)
 	m.Update(requestMsg(2, 1))
@@ -52,14 +53,14 @@
 	require.Empty(t, m.Update(other))
 }
 
-// TestHopelessDeadlineIsRefusedAtOnce holds that a request which would come
-// too late, by the measured drain rate, is told so when it arrives, and that
-// Retry-After follows the rate.
+// TestHopelessDeadlineIsRefusedAtOnce checks that a request is refused on
+// arrival if it cannot meet its deadline at the measured drain rate, and that
+// Retry-After reflects the rate.
 func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(1000)
 	now := time.Duration(2)
 	id := RequestID(0)
-	for seq := range uint64(40) { // four claims a second, for ten seconds
+	for seq := range uint64(40) { // four claims a second for ten seconds
 		now += 250 * time.Millisecond
 		for range 3 {
 			id++
@@ -70,7 +71,7 @@
 		m.Update(c)
 	}
 	late := requestMsg(now, id+1)
-	late.Request.Deadline = now + 5*time.Second // some twenty seconds wait
+	late.Request.Deadline = now + 5*time.Second // the expected wait is about 20 s
 	r := findRefusal(t, m.Update(late))
 	require.Equal(t, ReasonDeadline, r.Reason)
 	require.InDelta(t, 20, r.RetryAfter.Seconds(), 12)
@@ -78,14 +79,16 @@
 	require.Empty(t, m.Update(late))
 }
 
-// TestNoServerIsRefusedAtOnce holds that work that nobody runs does not wait.
+// TestNoServerIsRefusedAtOnce checks that a request is refused immediately if no
+// server runs its work.
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(10)
 	m.Update(AgentLeavingMsg{Now: 2, Agent: "a"})
 	require.Equal(t, ReasonNoServer, findRefusal(t, m.Update(requestMsg(3, 1))).Reason)
 }
 
-// TestDoubtIsNotRepeated holds what may follow a run that nobody knows of.
+// TestDoubtIsNotRepeated checks that a run with an unknown outcome is retried
+// only if the request is repeatable and no response has started.
 func TestDoubtIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -116,8 +119,8 @@
 	}
 }
 
-// TestRetriesAreBudgeted holds that a fleet that fails everything is not asked
-// again and again.
+// TestRetriesAreBudgeted checks that the number of retries stays within the
+// retry budget if every run fails.
 func TestRetriesAreBudgeted(t *testing.T) {
 	m := newTestMachine(10_000)
 	retries := 0
@@ -135,8 +138,9 @@
 	require.InDelta(t, 500*0.1+initialTokens, retries, 2)
 }
 
-// TestUnrunRequestKeepsItsPlace holds that a request that an agent gave back
-// goes to the front, and that an agent that gives back for ever is given up on.
+// TestUnrunRequestKeepsItsPlace checks that a request that an agent returns
+// without running goes to the front of its queue, and that it is refused after
+// maxReturns returns.
 func TestUnrunRequestKeepsItsPlace(t *testing.T) {
 	m := newTestMachine(10)
 	m.Update(requestMsg(2, 1))
@@ -152,8 +156,8 @@
 	require.Equal(t, 1, m.Waiting())
 }
 
-// TestLostAgentAbortsItsRuns holds that runs without an answer are given up
-// with their agent, and that answers which have begun are not.
+// TestLostAgentAbortsItsRuns checks that the loss of an agent aborts its runs
+// without a response, but not those whose response has started.
 func TestLostAgentAbortsItsRuns(t *testing.T) {
 	m := newTestMachine(10)
 	m.Update(requestMsg(2, 1))
--- a/queue/messages.go
+++ b/queue/messages.go
@@ -6,14 +6,14 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Msg is anything that a Machine can be told. Now is always the time since the
-// process started, on its monotonic clock.
+// Msg is an input to Machine.Update. The field Now of each message is the time
+// since the process started, on its monotonic clock.
 type Msg interface{ isMsg() }
 
-// RequestID numbers the requests of one router's life.
+// RequestID identifies a request within one incarnation of a router.
 type RequestID uint64
 
-// Request is what the machine has to know of a caller's request.
+// Request holds the properties of a caller's request that the Machine uses.
 type Request struct {
 	ID         RequestID
 	Key        fleet.DemandKey
@@ -21,13 +21,14 @@
 	Deadline   time.Duration // on the machine's clock; 0 for none
 }
 
-// ConfigMsg puts new limits in force.
+// ConfigMsg replaces the configuration.
 type ConfigMsg struct {
 	Now    time.Duration
 	Config Config
 }
 
-// AgentUpMsg says that a link to an agent stands and what its server runs.
+// AgentUpMsg reports that the link to an agent is up and which works its server
+// runs.
 type AgentUpMsg struct {
 	Now   time.Duration
 	Agent fleet.Name
@@ -35,32 +36,32 @@
 	Works []fleet.Work
 }
 
-// AgentDownMsg says that the link to an agent is gone.
+// AgentDownMsg reports that the link to an agent is down.
 type AgentDownMsg struct {
 	Now   time.Duration
 	Agent fleet.Name
 }
 
-// AgentLeavingMsg says that an agent takes no new work.
+// AgentLeavingMsg reports that an agent no longer takes new work.
 type AgentLeavingMsg struct {
 	Now   time.Duration
 	Agent fleet.Name
 }
 
-// RequestMsg brings a new request.
+// RequestMsg submits a new request.
 type RequestMsg struct {
 	Now     time.Duration
 	Request Request
 }
 
-// CancelMsg says that the caller of a request has hung up.
+// CancelMsg reports that the caller of a request has disconnected.
 type CancelMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
 
-// FreeMsg says that an agent has free slots and knows of no work. It gives the
-// router an open claim for each, numbered from First.
+// FreeMsg reports that an agent has idle slots and no known demand. It grants
+// the router one open claim per slot, numbered from First.
 type FreeMsg struct {
 	Now         time.Duration
 	Agent       fleet.Name
@@ -69,46 +70,48 @@
 	First       uint64
 }
 
-// ClaimMsg asks for one request of a line.
+// ClaimMsg asks for one request from the queue named by Key.
 type ClaimMsg struct {
 	Now   time.Duration
 	Claim fleet.ClaimID
 	Key   fleet.DemandKey
 }
 
-// ResponseStartedMsg says that the first byte of a request's answer went to the caller.
+// ResponseStartedMsg reports that the first byte of a request's response was
+// sent to the caller.
 type ResponseStartedMsg struct {
 	Now time.Duration
 	ID  RequestID
 }
 
-// EndMsg says how a run of a request ended.
+// EndMsg reports how one run of a request ended.
 type EndMsg struct {
 	Now     time.Duration
 	ID      RequestID
 	Outcome Outcome
 }
 
-// TickMsg lets time pass; send it every TickEvery.
+// TickMsg advances the time. Send it every TickInterval.
 type TickMsg struct{ Now time.Duration }
 
 // TickInterval is the time between two ticks.
 const TickInterval = 50 * time.Millisecond
 
-// Outcome says how one run of a request ended.
+// Outcome is the way in which one run of a request ended.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a run.
 const (
-	// OutcomeDone means that the whole answer reached the caller.
+	// OutcomeDone means that the whole response reached the caller.
 	OutcomeDone Outcome = iota
-	// OutcomeNotRun means that the agent itself says the run never started.
+	// OutcomeNotRun means that the agent itself reported that the run never
+	// started.
 	OutcomeNotRun
-	// OutcomeUnknown means that nobody knows whether it ran, and the caller has
-	// had no byte of an answer.
+	// OutcomeUnknown means that it is unknown whether the request ran, and the
+	// caller has received no byte of a response.
 	OutcomeUnknown
-	// OutcomeCut means that the answer broke off, or the caller left, after the
-	// first byte.
+	// OutcomeCut means that the response broke off or the caller disconnected
+	// after the first byte.
 	OutcomeCut
 )
 
--- a/queue/openclaims.go
+++ b/queue/openclaims.go
@@ -6,17 +6,18 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// openClaims is what an idle agent has let the router send it unasked.
+// openClaims holds the open claims that an idle agent has granted. Each lets the
+// router send one request without waiting for the agent to claim it.
 type openClaims struct {
-	next      fleet.ClaimID // the next one
+	next      fleet.ClaimID // next unused claim
 	remaining int
-	expiresAt time.Duration // the agent's word is old by then
+	expiresAt time.Duration // claims are not used after this time
 }
 
-// openClaimTTL is how long an agent's word of idle slots is trusted.
+// openClaimTTL is how long an agent's report of idle slots is considered valid.
 const openClaimTTL = 3 * time.Second
 
-// take uses one open claim, if there is one.
+// take uses one open claim and reports whether one was available.
 func (o *openClaims) take(now time.Duration) (fleet.ClaimID, bool) {
 	if o.remaining <= 0 || now >= o.expiresAt {
 		return fleet.ClaimID{}, false
--- a/queue/request.go
+++ b/queue/request.go
@@ -6,29 +6,29 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// state is where a request stands.
+// state is the stage of a request.
 type state uint8
 
 const (
-	stateWaiting    state = iota // holds a place in a line; has not run
-	stateRunning                 // was sent to an agent; may have run
-	stateResponding              // the caller has had the first byte
+	stateWaiting    state = iota // in a queue; has not run, or may run again
+	stateRunning                 // sent to an agent; may have run
+	stateResponding              // the caller has received the first byte
 	stateEnded
 )
 
-// request is a request with what the machine keeps of it.
+// request is a request with the state that the Machine keeps for it.
 type request struct {
 	Request
 	state        state
 	arrived      time.Duration
-	expiresAt    time.Duration // when waiting ends
+	expiresAt    time.Duration // when it stops waiting
 	claim        fleet.ClaimID
 	possibleRuns int // runs that may have started
-	returns      int // claims that ended without a start
-	heapIndex    int // place in the expiry heap, -1 outside
+	returns      int // claims that ended without a run
+	heapIndex    int // index in the expiry heap, -1 if not in it
 }
 
-// expiryHeap orders waiting requests by when their wait ends.
+// expiryHeap orders waiting requests by expiry time.
 type expiryHeap []*request
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/queue/requestqueue.go
+++ b/queue/requestqueue.go
@@ -6,17 +6,17 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// requestQueue is the waiting requests of one team and class for one work, oldest
-// first. Requests that left out of turn stay as holes until they reach the
-// front.
+// requestQueue holds the waiting requests of one team and class for one work,
+// oldest first. Requests that were cancelled or expired stay in items until they
+// reach the front.
 type requestQueue struct {
 	key            fleet.DemandKey
 	items          []*request
 	waiting        int
-	lastRemoved    time.Duration // when a request last left
-	informedAgents int           // agents that believe in waiting requests
-	rotation       int           // rotates over the agents that are told
-	baseline       int           // the count when it was first told or last told to all
+	lastRemoved    time.Duration // when a request last left the queue
+	informedAgents int           // agents whose last sent count is not zero
+	rotation       int           // rotates the choice of the agents to inform
+	baseline       int           // count when first sent, or when last sent to all informed agents
 }
 
 func (q *requestQueue) push(r *request) {
@@ -24,14 +24,14 @@
 	q.waiting++
 }
 
-// pushFront puts back a request that has waited already.
+// pushFront adds a request that has waited before to the front.
 func (q *requestQueue) pushFront(r *request) {
 	q.trim()
 	q.items = append([]*request{r}, q.items...)
 	q.waiting++
 }
 
-// pop takes the oldest request, or nil.
+// pop removes and returns the oldest request, or returns nil.
 func (q *requestQueue) pop() *request {
 	q.trim()
 	if len(q.items) == 0 {
@@ -44,13 +44,13 @@
 	return r
 }
 
-// recordRemoval notes that a request of the line no longer waits.
+// recordRemoval records that a request of the queue was cancelled or expired.
 func (q *requestQueue) recordRemoval() {
 	q.waiting--
 	q.trim()
 }
 
-// trim drops holes from the front.
+// trim removes requests that no longer wait from the front.
 func (q *requestQueue) trim() {
 	for len(q.items) > 0 && q.items[0].state != stateWaiting {
 		q.items[0] = nil
@@ -58,7 +58,8 @@
 	}
 }
 
-// count returns what the line comes to at a time.
+// count returns the number of waiting requests and the age of the oldest at the
+// time now.
 func (q *requestQueue) count(now time.Duration) fleet.Count {
 	c := fleet.Count{Key: q.key, Waiting: q.waiting}
 	q.trim()
--- a/queue/teamstate.go
+++ b/queue/teamstate.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// drainWindow is the time over which a team's drain rate is averaged.
+	// drainWindow is the period over which a team's drain rate is averaged.
 	drainWindow = 5 * time.Second
-	// minWindowClaims is the number of claims in the window below which the rate
-	// says nothing yet.
+	// minWindowClaims is the minimum number of claims in a window for the drain
+	// rate to be used.
 	minWindowClaims = 5
-	// noServerRetryAfter is when to come back if no server can take the work.
+	// noServerRetryAfter is the Retry-After time if no server can take the work.
 	noServerRetryAfter = time.Second
-	// maxRetryAfter bounds what callers are told.
+	// maxRetryAfter limits the expected wait that callers are sent.
 	maxRetryAfter = 30 * time.Second
 )
 
-// teamState is what a router knows of one team: how much waits, and how fast
-// agents take it away.
+// teamState holds a router's state for one team: the number of waiting requests
+// and the rate at which agents claim them.
 type teamState struct {
 	waiting        int
-	windowStart    time.Duration // start of the present window
-	claims         int           // claims in the present window
-	previousClaims int           // claims in the window before
-	hasFullWindow  bool          // a whole window has passed
+	windowStart    time.Duration // start of the current window
+	claims         int           // claims in the current window
+	previousClaims int           // claims in the previous window
+	hasFullWindow  bool          // at least one full window has passed
 }
 
 // recordClaim counts one claim.
@@ -30,7 +30,7 @@
 	t.claims++
 }
 
-// rotateWindow starts a new window when the present one is over.
+// rotateWindow starts a new window if the current one has ended.
 func (t *teamState) rotateWindow(now time.Duration) {
 	if now-t.windowStart < drainWindow {
 		return
@@ -44,8 +44,8 @@
 	t.hasFullWindow = true
 }
 
-// expectedWait returns how long a new request of the team will wait, or 0
-// where too little is known to say.
+// expectedWait returns the expected wait of a new request of the team, or 0 if
+// there is too little data.
 func (t *teamState) expectedWait() time.Duration {
 	if !t.hasFullWindow || t.previousClaims < minWindowClaims {
 		return 0
@@ -54,8 +54,9 @@
 	return min(time.Duration(t.waiting)*perClaim, maxRetryAfter)
 }
 
-// jitter spreads the times at which refused callers come back: from the wait
-// itself to half as much again, by the request's number.
+// jitter spreads the retry times of refused callers. It returns between 1 and
+// 1.5 times the wait, chosen by a hash of the request ID. The wait is at least
+// noServerRetryAfter.
 func jitter(id RequestID, wait time.Duration) time.Duration {
 	wait = max(wait, noServerRetryAfter)
 	const steps = 16
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// announceDelay is how long a line's oldest request must have waited before
-	// agents are told of the line: one that has only just come may be granted to
-	// an open claim, or claimed by an agent that knows the line already.
+	// announceDelay is how long a queue's oldest request must have waited before
+	// its count is sent to agents. A newer request may still be granted to an
+	// open claim, or be claimed by an agent already informed of the queue.
 	announceDelay = TickInterval / 2
-	// emptyDelay is how long a line must have been empty before agents are told.
-	// A Deny tells them sooner where it matters.
+	// emptyDelay is how long a queue must have been empty before the informed
+	// agents are sent a zero count. An agent that claims earlier is sent a denial.
 	emptyDelay = time.Second
-	// informedPerRequest is how many agents should know of each waiting request. A
-	// short line that all knew would draw a claim from each, most in vain.
+	// informedPerRequest is how many agents are informed per waiting request. If
+	// all agents were informed of a short queue, each would claim from it and
+	// most claims would be denied.
 	informedPerRequest = 2
-	// informMoreEvery is the wait after which one more agent should know.
+	// informMoreEvery is the wait of the oldest request after which one more
+	// agent is informed.
 	informMoreEvery = 100 * time.Millisecond
 )
 
-// tick ends waits that have lasted too long and tells agents of lines that
-// they should know. It looks at each line, not at each pair of line and agent.
+// tick expires requests that have waited too long and sends queue counts to the
+// agents that need them. Its cost grows with the number of queues, not with the
+// number of pairs of queue and agent.
 func (m *Machine) tick(msg TickMsg) []Command {
 	cmds := m.expire(msg)
 	for _, t := range m.byTeam {
@@ -47,8 +50,9 @@
 	return cmds
 }
 
-// updateAgents has agents told of one line: all that believe in it when it has long
-// been empty or has grown much, else as many more as should know.
+// updateAgents queues the counts of one queue for its agents. All informed
+// agents get the count if the queue has been empty for emptyDelay or has grown
+// by resendGrowth. Further agents are informed if too few are.
 func (m *Machine) updateAgents(now time.Duration, q *requestQueue) {
 	if q.waiting == 0 {
 		q.baseline = 0
@@ -68,7 +72,7 @@
 	m.informMore(q, c)
 }
 
-// updateInformed corrects the count of every agent that believes in a line.
+// updateInformed queues a new count for every informed agent of a queue.
 func (m *Machine) updateInformed(q *requestQueue, c fleet.Count) {
 	for _, a := range m.agents {
 		if a.sentCounts[q.key] > 0 {
@@ -77,8 +81,8 @@
 	}
 }
 
-// informMore lets enough agents know of a line: a few for each request that
-// waits, and more the longer the oldest waits.
+// informMore informs further agents of a queue: informedPerRequest for each
+// waiting request, and one more for every informMoreEvery that the oldest waits.
 func (m *Machine) informMore(q *requestQueue, c fleet.Count) {
 	want := 1 + informedPerRequest*q.waiting + int(c.OldestAge/informMoreEvery)
 	if q.informedAgents >= min(want, len(m.agents)) {
@@ -97,7 +101,7 @@
 	}
 }
 
-// addCount adds a count to what an agent is told at the end of the tick.
+// addCount adds a count to those sent to an agent at the next flush.
 func (m *Machine) addCount(a *agentView, q *requestQueue, c fleet.Count) {
 	a.recordSent(q, c.Waiting)
 	if len(a.unsent) == 0 {
@@ -106,7 +110,7 @@
 	a.unsent = append(a.unsent, c)
 }
 
-// flush sends each agent all that this tick has for it, in one message.
+// flush returns one command per agent with all its unsent counts.
 func (m *Machine) flush() []Command {
 	var cmds []Command
 	for _, a := range m.agentsWithUnsent {
