--- a/ledger/bench_test.go
+++ b/ledger/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// BenchmarkRound is one round of totals at a hub: every agent has reported a
-// change in every backlogged team, a tenth of all.
+// BenchmarkRound measures one round of totals at a hub. Before the round every
+// agent reports a change in every backlogged team, a tenth of all teams.
 func BenchmarkRound(b *testing.B) {
 	for _, teams := range []int{10, 540} {
 		for _, agents := range []int{12, 100, 770} {
--- a/ledger/changeset.go
+++ b/ledger/changeset.go
@@ -1,7 +1,7 @@
 package ledger
 
-// changeSet is the set of places that have changed since it was last taken, in
-// the order of their first change.
+// changeSet is the set of team indexes that have changed since it was last
+// drained, in the order of their first change.
 type changeSet struct {
 	indexes []int
 	marked  []bool
@@ -17,7 +17,7 @@
 	}
 }
 
-// drain returns the places and starts anew.
+// drain returns the changed indexes and empties the set.
 func (c *changeSet) drain() []int {
 	indexes := c.indexes
 	for _, i := range indexes {
--- a/ledger/commands.go
+++ b/ledger/commands.go
@@ -2,10 +2,10 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// Command is something that the hub wants done.
+// Command is an action that the caller of Hub.Update must carry out.
 type Command interface{ isCommand() }
 
-// TotalsCmd sends an agent the service of the fleet less its own.
+// TotalsCmd sends an agent the service of the whole fleet, excluding its own.
 type TotalsCmd struct {
 	Agent fleet.Name
 	Rows  []fleet.ServiceRow
@@ -18,8 +18,8 @@
 	Rows []fleet.ServiceRow
 }
 
-// AgentRowsCmd sends another hub of the same hall the service of one life of
-// an agent.
+// AgentRowsCmd sends another hub of the same hall the service of one incarnation
+// of an agent.
 type AgentRowsCmd struct {
 	Peer   fleet.Name
 	Source Source
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,8 +1,8 @@
-// Package ledger adds up the service that every agent reports, for the routers
-// that have the duty of a hub. Counters are keyed by agent and incarnation and
-// only grow, so they merge by maximum: lost, repeated and reordered messages,
-// partitions and restarts with no state cost accuracy for a moment, never for
-// good. The Hub is pure.
+// Package ledger aggregates the service counters that agents report. It runs on
+// the routers that act as hubs. Counters are keyed by agent and incarnation and
+// only grow, so they merge by maximum. Lost, repeated or reordered messages,
+// partitions and restarts without state reduce accuracy temporarily but never
+// permanently. The Hub performs no I/O and reads no clock.
 //
 //	h := ledger.NewHub("router-1", "a")
 //	cmds := h.Update(ledger.ServiceMsg{Now: now, Source: src, Hall: "a", Rows: rows})
--- a/ledger/hallstate.go
+++ b/ledger/hallstate.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// warmupPeriod is how long a hub gathers service for a hall before it speaks
-// of it: long enough for every agent's first report and a peer's rows.
+// warmupPeriod is how long a hub collects service for a hall before it reports
+// the hall's totals. It leaves time for the first report of every agent and for
+// the rows of a peer hub.
 const warmupPeriod = 3 * time.Second
 
-// hallState is what a hub knows of the service of one hall.
+// hallState holds a hub's service counters for one hall.
 type hallState struct {
-	fromAgents   vector // of the lives known here
-	fromHubs     vector // by hubs that serve the hall, or served it
-	recovered    vector // told and not found in any life when the hall settled
+	fromAgents   vector // sum over the agent incarnations that this hub holds
+	fromHubs     vector // totals reported by hubs that serve or served the hall
+	recovered    vector // in fromHubs but missing from fromAgents when the warm-up ended
 	linkedAgents int    // agents of the hall that this hub serves
 	linkedSince  time.Duration
 	warmedUp     bool
 }
 
-// finishWarmup fixes what only others remember, once the hall's agents have had
-// time to report: the service of lives whose hubs are all gone. It returns
-// whether the hall has settled just now.
+// finishWarmup ends the warm-up once the hall's agents have had time to report.
+// It then recovers the service that only other halls' hubs still hold: that of
+// incarnations whose own hubs have all restarted. It reports whether the warm-up
+// ended in this call.
 func (s *hallState) finishWarmup(now time.Duration) bool {
 	if s.warmedUp || s.linkedAgents == 0 || now-s.linkedSince < warmupPeriod {
 		return false
@@ -32,8 +34,9 @@
 	return true
 }
 
-// at returns one team's counters in the hall. Of a hall that is served here
-// the lives are known first hand; of another, what its hubs say.
+// at returns the counters of the team at index i in the hall. For a hall that
+// this hub serves, it uses the agents' own reports and the recovered service.
+// For other halls it also uses the totals reported by their hubs.
 func (s *hallState) at(i int) entry {
 	fromAgents, fromHubs := s.fromAgents.at(i), s.fromHubs.at(i)
 	e := entry{service: fromAgents.service + s.recovered.at(i).service, lift: max(fromAgents.lift, fromHubs.lift)}
--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -8,21 +8,21 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Hub adds up service for the agents that it serves.
+// Hub aggregates service counters for the agents that it serves.
 type Hub struct {
 	self         fleet.Name
 	hall         fleet.Hall
 	teams        *teamIndex
 	incarnations map[Source]*agentService
 	halls        map[fleet.Hall]*hallState
-	hallNames    []fleet.Hall // the halls, by name
-	agents       []*agentLink // by name
-	peers        []*peerLink  // by name
-	changed      changeSet    // teams whose total has changed since the last round
+	hallNames    []fleet.Hall // the halls, ordered by name
+	agents       []*agentLink // ordered by name
+	peers        []*peerLink  // ordered by name
+	changed      changeSet    // teams whose total may have changed since the last round
 	sentAt       time.Duration
 }
 
-// NewHub returns a hub that knows of no service.
+// NewHub returns a hub without counters, agents or peers.
 func NewHub(self fleet.Name, hall fleet.Hall) *Hub {
 	return &Hub{
 		self:         self,
@@ -33,7 +33,7 @@
 	}
 }
 
-// Update takes one message and returns what is to be done about it, in order.
+// Update processes one message and returns the resulting commands in order.
 func (h *Hub) Update(msg Msg) []Command {
 	switch msg := msg.(type) {
 	case AgentUpMsg:
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Totals returns the service of the whole fleet as this hub knows it.
+// Totals returns the service of the whole fleet as known to this hub.
 func (h *Hub) Totals() []fleet.ServiceRow {
 	var sum vector
 	for i := range h.teams.names {
@@ -63,7 +63,7 @@
 	return h.teams.rows(sum)
 }
 
-// Incarnations returns how many lives of agents the hub remembers.
+// Incarnations returns the number of agent incarnations that the hub holds.
 func (h *Hub) Incarnations() int { return len(h.incarnations) }
 
 func (h *Hub) agent(n fleet.Name) (int, bool) {
@@ -87,8 +87,8 @@
 	*h.agents[i] = agentLink{source: msg.Source, hall: msg.Hall}
 }
 
-// addHallAgent counts one more linked agent of a hall; the first starts the time in
-// which the hall settles.
+// addHallAgent counts one more linked agent of a hall. The first one starts the
+// warm-up of the hall.
 func (h *Hub) addHallAgent(msg AgentUpMsg) {
 	s := h.hallState(msg.Hall)
 	if s.linkedAgents == 0 {
@@ -108,8 +108,9 @@
 	h.agents = slices.Delete(h.agents, i, i+1)
 }
 
-// peerUp tells another hub of the same hall of every life that is known here,
-// so that a hub that has just started learns of those that have ended.
+// peerUp adds a peer hub. A peer of the same hall is sent the service of every
+// incarnation, so that a hub that has just started gets the counters of those
+// that have ended.
 func (h *Hub) peerUp(msg PeerUpMsg) []Command {
 	i, ok := h.peer(msg.Peer)
 	if !ok {
@@ -130,8 +131,8 @@
 	return cmds
 }
 
-// returnHallTotals tells a hub what is known here of its own hall, for the case that
-// every hub of that hall has started anew.
+// returnHallTotals sends a hub the last known totals of its own hall, in case
+// all hubs of that hall have restarted.
 func (h *Hub) returnHallTotals(msg PeerUpMsg) []Command {
 	s, ok := h.halls[msg.Hall]
 	if !ok || len(s.fromHubs) == 0 {
@@ -157,7 +158,7 @@
 	return out
 }
 
-// service raises the counters of one life and the sum of its hall.
+// service raises the counters of one incarnation and the sum of its hall.
 func (h *Hub) service(msg ServiceMsg) {
 	a, ok := h.incarnations[msg.Source]
 	if !ok {
@@ -184,7 +185,7 @@
 	return s
 }
 
-// hallTotals takes the word of another hub for a hall.
+// hallTotals merges the totals that another hub reports for a hall.
 func (h *Hub) hallTotals(msg HallTotalsMsg) {
 	s := h.hallState(msg.Hall)
 	for _, r := range msg.Rows {
@@ -194,7 +195,7 @@
 	}
 }
 
-// total returns one team's counters in the whole fleet.
+// total returns the counters of the team at index i in the whole fleet.
 func (h *Hub) total(i int) entry {
 	var e entry
 	for _, hall := range h.hallNames {
--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -12,8 +12,8 @@
 
 const shareEvery = 100 * time.Millisecond
 
-// simulation is two hubs in each of two halls, with agents whose true service is
-// known. Messages may be lost, repeated and reordered.
+// simulation runs two hubs in each of two halls, with agents whose actual
+// service is known. Messages may be lost, repeated and reordered.
 type simulation struct {
 	now      time.Duration
 	hubs     []*Hub
@@ -21,7 +21,7 @@
 	agents   []*simAgent
 	inFlight []message
 	served   map[fleet.Team]time.Duration
-	reported map[fleet.Name]serviceByTeam // the most that each agent was told of the others
+	reported map[fleet.Name]serviceByTeam // largest service of other agents reported to each agent
 }
 
 type simAgent struct {
@@ -30,7 +30,7 @@
 	own  serviceByTeam
 }
 
-// serviceByTeam is service by team.
+// serviceByTeam is slot time by team.
 type serviceByTeam map[fleet.Team]time.Duration
 
 func (t serviceByTeam) rows() []fleet.ServiceRow {
@@ -42,7 +42,7 @@
 }
 
 type message struct {
-	from int // the hub that sent it, or -1 for an agent
+	from int // sending hub, or -1 for an agent
 	hub  int
 	msg  Msg
 }
@@ -66,7 +66,7 @@
 
 func (w *simulation) hubName(i int) fleet.Name { return fleet.Name(fmt.Sprintf("h%d", i)) }
 
-// connect links a hub that has just started with its agents and peers.
+// connect connects a hub that has just started to its agents and peers.
 func (w *simulation) connect(i int) {
 	for _, a := range w.agents {
 		if a.hall != w.halls[i] {
@@ -113,7 +113,7 @@
 	}
 }
 
-// serve lets an agent give a team service.
+// serve adds service by an agent to a team.
 func (w *simulation) serve(a *simAgent, team fleet.Team, d time.Duration) {
 	a.own[team] += d
 	w.served[team] += d
@@ -131,7 +131,7 @@
 	}
 }
 
-// converge delivers everything and lets all report.
+// converge lets all agents report and delivers all messages, for 100 ticks.
 func (w *simulation) converge() {
 	for range 100 {
 		w.tick()
@@ -154,10 +154,10 @@
 	}
 }
 
-// TestHubsConverge loses, repeats and reorders messages, restarts agents and,
-// one of a hall at a time, hubs. No hub ever counts more than was served, no
-// agent is ever told more than the others served, and in the end all agree on
-// the truth.
+// TestHubsConverge loses, repeats and reorders messages and restarts agents and
+// hubs, one hub of a hall at a time. It checks that no hub ever counts more
+// service than was given, that no agent is ever sent more than the others gave,
+// and that all hubs finally hold the actual totals.
 func TestHubsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newSimulation()
@@ -171,7 +171,7 @@
 		for i, h := range w.hubs {
 			for _, r := range h.Totals() {
 				if r.Service != w.served[r.Team] {
-					rt.Fatalf("hub %d counts %v of %s, truth %v", i, r.Service, r.Team, w.served[r.Team])
+					rt.Fatalf("hub %d counts %v for team %s, want %v", i, r.Service, r.Team, w.served[r.Team])
 				}
 			}
 		}
@@ -190,18 +190,18 @@
 		w.tick()
 	case 5:
 		w.deliverAll()
-	case 6: // lose
+	case 6: // lose a message
 		if n := len(w.inFlight); n > 0 {
 			i := pick(n)
 			m := w.inFlight[i]
 			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 			w.reconnect(m)
 		}
-	case 7: // repeat and reorder
+	case 7: // repeat and reorder a message
 		if n := len(w.inFlight); n > 0 {
 			w.inFlight = append(w.inFlight, w.inFlight[pick(n)])
 		}
-	case 8: // an agent restarts with no state, after a last report
+	case 8: // an agent restarts without state, after a last report
 		for i := range w.hubs {
 			if w.halls[i] == a.hall {
 				w.perform(i, w.hubs[i].Update(ServiceMsg{Now: w.now, Source: a.src, Hall: a.hall, Rows: a.own.rows()}))
@@ -216,7 +216,7 @@
 				w.perform(i, w.hubs[i].Update(AgentUpMsg{Now: w.now, Source: a.src, Hall: a.hall}))
 			}
 		}
-	case 9: // a hub restarts with no state; the other of its hall remembers
+	case 9: // a hub restarts without state; the other hub of its hall keeps its counters
 		i := pick(len(w.hubs))
 		for j, h := range w.hubs {
 			if j != i {
@@ -229,18 +229,18 @@
 	}
 }
 
-// reconnect makes a link anew on which a message was lost: that is the only way
-// in which TCP loses one.
+// reconnect replaces the link on which a message was lost, since TCP loses
+// messages only when a connection breaks.
 func (w *simulation) reconnect(m message) {
 	if m.from < 0 {
-		return // agents report all that they have, again and again
+		return // agents report all their counters repeatedly
 	}
 	pair := w.halls[m.from] != w.halls[m.hub] && m.from%2 == m.hub%2
 	w.perform(m.from, w.hubs[m.from].Update(PeerDownMsg{Now: w.now, Peer: w.hubName(m.hub)}))
 	w.perform(m.from, w.hubs[m.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(m.hub), Hall: w.halls[m.hub], Paired: pair}))
 }
 
-// deliverTo delivers what a new hub is told, before anything is lost.
+// deliverTo delivers all messages to a new hub before any can be lost.
 func (w *simulation) deliverTo(hub int) {
 	var rest []message
 	for _, m := range w.inFlight {
@@ -260,26 +260,28 @@
 	return 0
 }
 
-// checkNoOvercount holds that nobody counts more than was served.
+// checkNoOvercount checks that no hub and no agent counts more service than was
+// given.
 func (w *simulation) checkNoOvercount(rt *rapid.T) {
 	for i, h := range w.hubs {
 		for _, r := range h.Totals() {
 			if r.Service > w.served[r.Team] {
-				rt.Fatalf("hub %d counts %v of %s, truth %v", i, r.Service, r.Team, w.served[r.Team])
+				rt.Fatalf("hub %d counts %v for team %s, want at most %v", i, r.Service, r.Team, w.served[r.Team])
 			}
 		}
 	}
 	for _, a := range w.agents {
 		for team, reported := range w.reported[a.src.Agent] {
 			if others := w.served[team] - a.own[team]; reported > others {
-				rt.Fatalf("%s was told %v of %s, the others served %v", a.src.Agent, reported, team, others)
+				rt.Fatalf("agent %s was sent %v for team %s, want at most %v", a.src.Agent, reported, team, others)
 			}
 		}
 	}
 }
 
-// TestBothHubsRestart holds that what only other halls remember of a hall
-// whose hubs have all started anew is carried on.
+// TestBothHubsRestart checks that the service of an ended agent incarnation is
+// recovered from the hubs of other halls after all hubs of its own hall have
+// restarted.
 func TestBothHubsRestart(t *testing.T) {
 	w := newSimulation()
 	w.converge()
--- a/ledger/messages.go
+++ b/ledger/messages.go
@@ -6,44 +6,45 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Source is one life of one agent.
+// Source identifies one incarnation of an agent.
 type Source struct {
 	Agent       fleet.Name
 	Incarnation fleet.Incarnation
 }
 
-// Msg is anything that a Hub can be told.
+// Msg is an input to Hub.Update. Times are since the process started.
 type Msg interface{ isMsg() }
 
-// AgentUpMsg says that this hub serves an agent: it is sent the totals.
+// AgentUpMsg reports that this hub serves an agent, that is, sends it totals.
 type AgentUpMsg struct {
 	Now    time.Duration
 	Source Source
 	Hall   fleet.Hall
 }
 
-// AgentDownMsg says that the link to an agent is gone; its service stays.
+// AgentDownMsg reports that the link to an agent is down. The agent's service
+// counters are kept.
 type AgentDownMsg struct {
 	Now   time.Duration
 	Agent fleet.Name
 }
 
-// PeerUpMsg says that a link to another hub stands.
+// PeerUpMsg reports that the link to another hub is up.
 type PeerUpMsg struct {
 	Now    time.Duration
 	Peer   fleet.Name
 	Hall   fleet.Hall
-	Paired bool // this hub sends the peer its hall's totals
+	Paired bool // this hub sends the peer the totals of its halls
 }
 
-// PeerDownMsg says that a link to another hub is gone.
+// PeerDownMsg reports that the link to another hub is down.
 type PeerDownMsg struct {
 	Now  time.Duration
 	Peer fleet.Name
 }
 
-// ServiceMsg brings service of one life of an agent, from the agent itself or
-// from another hub of its hall.
+// ServiceMsg carries the service of one incarnation of an agent, from the agent
+// itself or from another hub of its hall.
 type ServiceMsg struct {
 	Now    time.Duration
 	Source Source
@@ -51,14 +52,14 @@
 	Rows   []fleet.ServiceRow
 }
 
-// HallTotalsMsg brings the service of a hall that other hubs serve.
+// HallTotalsMsg carries the service of a hall as reported by another hub.
 type HallTotalsMsg struct {
 	Now  time.Duration
 	Hall fleet.Hall
 	Rows []fleet.ServiceRow
 }
 
-// TickMsg lets time pass; send it every TickEvery.
+// TickMsg advances the time. Send it every TickInterval.
 type TickMsg struct {
 	Now        time.Duration
 	ShareEvery time.Duration // time between two rounds of totals
--- a/ledger/round.go
+++ b/ledger/round.go
@@ -2,8 +2,8 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// tick sends a round of totals when one is due. A round costs what has changed
-// since the last one, not what is known.
+// tick sends a round of totals if one is due. The cost of a round grows with the
+// number of teams that changed since the last round, not with all teams.
 func (h *Hub) tick(msg TickMsg) []Command {
 	if msg.Now-h.sentAt < msg.ShareEvery {
 		return nil
@@ -18,17 +18,17 @@
 	return append(h.toPeers(u), h.toAgents(u)...)
 }
 
-// markAllChanged lets the next round look at every team.
+// markAllChanged includes every team in the next round.
 func (h *Hub) markAllChanged() {
 	for i := range h.teams.names {
 		h.changed.mark(i)
 	}
 }
 
-// update is the teams that a round looks at, with their totals.
+// update holds the teams that a round covers and their totals.
 type update struct {
 	indexes []int
-	totals  vector // by place
+	totals  vector // by team index
 }
 
 func (h *Hub) takeUpdate() update {
@@ -42,7 +42,8 @@
 	return u
 }
 
-// fullUpdate is the news for one who has heard nothing yet.
+// fullUpdate returns an update with every team, for a receiver that has been
+// sent nothing yet.
 func (h *Hub) fullUpdate() update {
 	var u update
 	for i := range h.teams.names {
@@ -52,7 +53,8 @@
 	return u
 }
 
-// toPeers sends the halls served here to the hubs that pair with this one.
+// toPeers sends the totals of the halls that this hub serves to its paired hubs
+// in other halls.
 func (h *Hub) toPeers(u update) []Command {
 	var cmds []Command
 	for _, p := range h.peers {
@@ -68,7 +70,8 @@
 	return cmds
 }
 
-// mayReport tells whether this hub may speak of a hall.
+// mayReport reports whether this hub may send the totals of a hall: it serves
+// agents of the hall and its warm-up has ended.
 func (h *Hub) mayReport(hall fleet.Hall) bool {
 	s := h.halls[hall]
 	return s.linkedAgents > 0 && s.warmedUp
@@ -89,9 +92,9 @@
 	return []Command{HallTotalsCmd{Peer: p.name, Hall: hall, Rows: rows}}
 }
 
-// toAgents sends each agent the totals less its own part. An agent whose hall
-// has not settled, or whose own part is not known yet, would count itself
-// twice, so it waits.
+// toAgents sends each agent the fleet's totals without its own service. An agent
+// is sent nothing until its hall's warm-up has ended and its own service is
+// known. Otherwise it would count its own service twice.
 func (h *Hub) toAgents(n update) []Command {
 	var cmds []Command
 	for _, agent := range h.agents {
@@ -116,8 +119,8 @@
 	return cmds
 }
 
-// changedRows spells the places whose counters differ from what was sent, and notes
-// that they are sent now.
+// changedRows returns rows for the teams whose counters differ from those last
+// sent, and records them as sent.
 func (h *Hub) changedRows(indexes []int, sent *vector, at func(int) entry) []fleet.ServiceRow {
 	var rows []fleet.ServiceRow
 	for _, i := range indexes {
--- a/ledger/vector.go
+++ b/ledger/vector.go
@@ -6,13 +6,14 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// entry is one team's counters in a vector.
+// entry holds one team's service, in slot time, and its lift, in slot time per
+// unit of share.
 type entry struct {
 	service time.Duration
 	lift    time.Duration
 }
 
-// teamIndex gives each team that a hub has heard of a place in its vectors.
+// teamIndex maps each team known to a hub to its index in the hub's vectors.
 type teamIndex struct {
 	byTeam map[fleet.Team]int
 	names  []fleet.Team
@@ -30,7 +31,7 @@
 	return i
 }
 
-// vector holds counters by a team's place; it grows as places are used.
+// vector holds counters by team index. It grows as indexes are used.
 type vector []entry
 
 func (v vector) at(i int) entry {
@@ -47,20 +48,22 @@
 	(*v)[i] = e
 }
 
-// merge raises one team's counters and returns by how much its service grew.
+// merge raises one team's counters to the maximum of old and new, and returns
+// the increase in service.
 func (v *vector) merge(i int, e entry) time.Duration {
 	old := v.at(i)
 	v.set(i, entry{service: max(old.service, e.service), lift: max(old.lift, e.lift)})
 	return max(0, e.service-old.service)
 }
 
-// add raises one team's service by an amount and its lift to a level.
+// add increases one team's service by e.service and raises its lift to at least
+// e.lift.
 func (v *vector) add(i int, e entry) {
 	old := v.at(i)
 	v.set(i, entry{service: old.service + e.service, lift: max(old.lift, e.lift)})
 }
 
-// rows spells the counters that are not zero.
+// rows returns the rows of the teams with counters other than zero.
 func (x *teamIndex) rows(v vector) []fleet.ServiceRow {
 	var out []fleet.ServiceRow
 	for i, e := range v {
--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -7,46 +7,50 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// reserveTimeout is how long owners have to answer.
+// reserveTimeout is how long a coordinator waits for the verdicts of owners.
 const reserveTimeout = 500 * time.Millisecond
 
-// Decision is what may be done with a request that bears a key.
+// Decision is the coordinator's result for a request with an idempotency key.
 type Decision uint8
 
-// The decisions.
+// Decisions of a coordinator.
 const (
-	// DecisionRun means that no other attempt has run or will.
+	// DecisionRun means that no other attempt has run or will run.
 	DecisionRun Decision = iota
 	// DecisionDuplicate means that another attempt holds the key.
 	DecisionDuplicate
-	// DecisionUncertain means that too few owners can vouch for the key.
+	// DecisionUncertain means that too few owners could rule out an earlier
+	// attempt.
 	DecisionUncertain
 )
 
-// Coordinator is a router's part: it asks the owners of keys and counts their
-// answers. It is pure.
+// Coordinator reserves keys on behalf of a router: it sends reservations to the
+// owners of each key and counts their verdicts. It performs no I/O and reads no
+// clock.
 type Coordinator struct {
 	reservations map[uint64]*reservation
 }
 
-// reservation is one key that owners have been asked about.
+// reservation is the state of one key that a coordinator reserves or holds.
 type reservation struct {
 	holder     Holder
 	key        Key
 	owners     []fleet.Name
-	unanswered []fleet.Name // that have not answered
+	unanswered []fleet.Name // owners without a verdict yet
 	reserved   int
 	deadline   time.Duration
-	granted    bool // the request may run; the key stays until it is released
+	granted    bool // the request may run; kept until NotRunMsg or DoneMsg
 }
 
-// NewCoordinator returns an asker without questions.
+// NewCoordinator returns a coordinator without reservations.
 func NewCoordinator() *Coordinator { return &Coordinator{reservations: map[uint64]*reservation{}} }
 
-// CoordinatorMsg is anything that an Asker can be told.
+// CoordinatorMsg is an input to Coordinator.Update. The field Now of each
+// message is the time since the process started.
 type CoordinatorMsg interface{ isCoordinatorMsg() }
 
-// AcquireMsg asks about the key of a request.
+// AcquireMsg requests a decision on a request and its key. CreatedAt is when the
+// caller first used the key, by the caller's clock, or zero if unknown.
 type AcquireMsg struct {
 	Now       time.Duration
 	Holder    Holder
@@ -55,7 +59,7 @@
 	Agents    []fleet.Name // agents of the work's servers
 }
 
-// VerdictMsg brings an owner's verdict.
+// VerdictMsg carries one owner's verdict.
 type VerdictMsg struct {
 	Now     time.Duration
 	Owner   fleet.Name
@@ -63,19 +67,20 @@
 	Verdict Verdict
 }
 
-// NotRunMsg says that a request has not run and will not: its key is free.
+// NotRunMsg reports that a request has not run and will not run, so its key can
+// be released.
 type NotRunMsg struct {
 	Now     time.Duration
 	Request uint64
 }
 
-// DoneMsg says that a request has had its final answer.
+// DoneMsg reports that a request has had its final response.
 type DoneMsg struct {
 	Now     time.Duration
 	Request uint64
 }
 
-// TickMsg lets time pass.
+// TickMsg advances the time.
 type TickMsg struct{ Now time.Duration }
 
 func (AcquireMsg) isCoordinatorMsg() {}
@@ -84,10 +89,10 @@
 func (DoneMsg) isCoordinatorMsg()    {}
 func (TickMsg) isCoordinatorMsg()    {}
 
-// Command is something that an Asker wants done.
+// Command is an action that the caller of Coordinator.Update must carry out.
 type Command interface{ isCommand() }
 
-// ReserveCmd asks an owner to note a key.
+// ReserveCmd asks an owner to reserve a key.
 type ReserveCmd struct {
 	Owner     fleet.Name
 	Key       Key
@@ -95,14 +100,14 @@
 	CreatedAt time.Time
 }
 
-// ReleaseCmd tells an owner that a key's request has not run.
+// ReleaseCmd asks an owner to release a key because its request has not run.
 type ReleaseCmd struct {
 	Owner  fleet.Name
 	Key    Key
 	Holder Holder
 }
 
-// DecideCmd says what may be done with a request.
+// DecideCmd returns the decision on a request.
 type DecideCmd struct {
 	Request  uint64
 	Decision Decision
@@ -112,7 +117,7 @@
 func (ReleaseCmd) isCommand() {}
 func (DecideCmd) isCommand()  {}
 
-// Update takes one message and returns what is to be done about it, in order.
+// Update processes one message and returns the resulting commands in order.
 func (c *Coordinator) Update(msg CoordinatorMsg) []Command {
 	switch msg := msg.(type) {
 	case AcquireMsg:
@@ -172,8 +177,8 @@
 	return nil
 }
 
-// decide ends a question. Where the request may not run its notes are taken
-// back, so that the caller may come again.
+// decide ends the vote on a reservation. If the request may not run, the
+// reservation is released so that the caller can retry.
 func (c *Coordinator) decide(r *reservation, d Decision) []Command {
 	cmds := []Command{DecideCmd{Request: r.holder.Request, Decision: d}}
 	if d == DecisionRun {
@@ -200,7 +205,7 @@
 	return c.release(r)
 }
 
-// tick ends questions whose owners have not answered in time.
+// tick ends reservations whose owners have not answered in time.
 func (c *Coordinator) tick(msg TickMsg) []Command {
 	var expired []uint64
 	for id, r := range c.reservations {
--- a/once/key.go
+++ b/once/key.go
@@ -9,52 +9,55 @@
 )
 
 const (
-	// OwnersPerKey is how many agents note a key.
+	// OwnersPerKey is the number of agents that own a key.
 	OwnersPerKey = 3
-	// KeyTTL is how long a key is remembered.
+	// KeyTTL is how long an owner remembers a key.
 	KeyTTL = 10 * time.Minute
-	// MaxClockSkew is how far the clocks of callers and hosts may lie apart.
+	// MaxClockSkew is the largest tolerated difference between the clocks of
+	// callers and hosts.
 	MaxClockSkew = 5 * time.Second
 )
 
-// Key is an idempotency key in the scope of its team and work, as a digest.
+// Key is an idempotency key, scoped to its team and work and stored as a digest.
 type Key struct {
 	Work   fleet.Work
 	Digest [16]byte
 }
 
-// NewKey returns the key for a caller's text.
+// NewKey returns the key for the text of a caller's idempotency key.
 func NewKey(team fleet.Team, work fleet.Work, text string) Key {
 	sum := sha256.Sum256([]byte(string(team) + "\x00" + string(work) + "\x00" + text))
 	return Key{Work: work, Digest: [16]byte(sum[:16])}
 }
 
-// Owners returns the agents that own a key, given those of its work's servers.
+// Owners returns the agents that own a key. The pool is the agents of all
+// servers of the key's work.
 func Owners(k Key, pool []fleet.Name) []fleet.Name {
 	return fleet.Rendezvous("key/"+string(k.Work)+"/"+hex.EncodeToString(k.Digest[:]), pool, OwnersPerKey)
 }
 
-// Quorum returns how many of n owners must vouch for a key.
+// Quorum returns how many of n owners must return VerdictReserved for a request
+// to run.
 func Quorum(n int) int { return n/2 + 1 }
 
-// Holder names the one request that holds a key.
+// Holder identifies the request that holds a key.
 type Holder struct {
 	Router      fleet.Name
 	Incarnation fleet.Incarnation
 	Request     uint64
 }
 
-// Verdict is what one owner says of a key.
+// Verdict is one owner's result for a reservation.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts of an owner.
 const (
-	// VerdictReserved means that the owner did not know the key, has noted it, and
-	// would know it if it had been noted before.
+	// VerdictReserved means that the owner has reserved the key and would know of
+	// any earlier reservation.
 	VerdictReserved Verdict = iota
 	// VerdictDuplicate means that another request holds the key.
 	VerdictDuplicate
-	// VerdictUncertain means that the owner has noted the key, but cannot vouch
-	// for the time before.
+	// VerdictUncertain means that the owner may not know of an earlier
+	// reservation, or that its table is full.
 	VerdictUncertain
 )
--- a/once/keytable.go
+++ b/once/keytable.go
@@ -7,17 +7,18 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// KeyTableConfig is what a Memory has to know of its agent.
+// KeyTableConfig holds the properties of the agent that a KeyTable belongs to.
 type KeyTableConfig struct {
 	Self      fleet.Name
-	StartedAt time.Time // by the host's clock
+	StartedAt time.Time // process start by the host's clock
 }
 
-// maxKeys bounds what one agent remembers; above it no key is noted.
+// maxKeys is the maximum number of keys that one agent remembers. A full table
+// reserves no further keys.
 const maxKeys = 1 << 18
 
-// KeyTable is an agent's part in remembering keys. It is pure: the time since
-// the process started comes with each message.
+// KeyTable holds the keys reserved at one agent. It performs no I/O and reads no
+// clock: each message carries the time since the process started.
 type KeyTable struct {
 	cfg     KeyTableConfig
 	entries map[Key]entry
@@ -25,35 +26,35 @@
 	sweptAt time.Duration
 }
 
-// entry is one key that was noted.
+// entry is one reserved key.
 type entry struct {
 	holder     Holder
 	reservedAt time.Duration
 }
 
-// pool is the agents of a work's servers since a time.
+// pool holds the agents of a work's servers from a point in time on.
 type pool struct {
 	since  time.Duration
 	agents []fleet.Name
 }
 
-// NewKeyTable returns a memory that knows no keys.
+// NewKeyTable returns an empty table.
 func NewKeyTable(cfg KeyTableConfig) *KeyTable {
 	return &KeyTable{cfg: cfg, entries: map[Key]entry{}, pools: map[fleet.Work][]pool{}}
 }
 
-// KeyTableMsg is anything that a Memory can be told.
+// KeyTableMsg is an input to KeyTable.Update.
 type KeyTableMsg interface{ isKeyTableMsg() }
 
-// PoolMsg says which agents stand beside the servers of a work from now on.
+// PoolMsg sets the agents of a work's servers from now on.
 type PoolMsg struct {
 	Now    time.Duration
 	Work   fleet.Work
 	Agents []fleet.Name
 }
 
-// ReserveMsg asks to note a key for a request. Made is when the caller first
-// used the key, by its clock, or zero if it does not say.
+// ReserveMsg reserves a key for a request. CreatedAt is when the caller first
+// used the key, by the caller's clock, or zero if unknown.
 type ReserveMsg struct {
 	Now       time.Duration
 	Key       Key
@@ -61,7 +62,7 @@
 	CreatedAt time.Time
 }
 
-// ReleaseMsg says that the request which holds a key did not run.
+// ReleaseMsg releases a key because the request that holds it did not run.
 type ReleaseMsg struct {
 	Now    time.Duration
 	Key    Key
@@ -72,7 +73,7 @@
 func (ReserveMsg) isKeyTableMsg() {}
 func (ReleaseMsg) isKeyTableMsg() {}
 
-// Update takes one message; the verdict has a meaning for ReserveMsg only.
+// Update processes one message. The verdict is meaningful for ReserveMsg only.
 func (t *KeyTable) Update(msg KeyTableMsg) Verdict {
 	switch msg := msg.(type) {
 	case PoolMsg:
@@ -88,7 +89,7 @@
 	return VerdictUncertain
 }
 
-// Len returns how many keys are remembered.
+// Len returns the number of keys in the table.
 func (t *KeyTable) Len() int { return len(t.entries) }
 
 func (t *KeyTable) setPool(msg PoolMsg) {
@@ -114,9 +115,9 @@
 	return VerdictUncertain
 }
 
-// hasFullHistory tells whether the agent would know the key had it been noted before:
-// it has lived, and owned the key in every pool, for as long as keys are
-// remembered or since before the key was made.
+// hasFullHistory reports whether the agent would know of any earlier reservation
+// of the key. This holds if it has been running, and has owned the key in every
+// pool, for KeyTTL or since before the key was created.
 func (t *KeyTable) hasFullHistory(msg ReserveMsg) bool {
 	horizon := msg.Now - KeyTTL
 	if !msg.CreatedAt.IsZero() {
@@ -136,7 +137,7 @@
 	return len(pools) > 0 && pools[0].since <= horizon
 }
 
-// sweep forgets keys and pools whose time is over, now and then.
+// sweep removes expired keys and pools, at most once per tenth of KeyTTL.
 func (t *KeyTable) sweep(now time.Duration) {
 	if now-t.sweptAt < KeyTTL/10 {
 		return
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is routers and owners with a network that delays, loses and
-// repeats, owners that restart with no state, and pools that change.
+// simulation runs routers and owners over a network that delays, loses and
+// repeats messages, with owners that restart without state.
 type simulation struct {
 	now               time.Duration
 	startedAt         time.Time
@@ -23,7 +23,7 @@
 	runs              map[Key]int
 	next              uint64
 	attempts          map[uint64]Key
-	overclaimsHistory bool // owners vouch for what they can't know
+	overclaimsHistory bool // owners claim a longer history than they have
 	violation         string
 }
 
@@ -48,12 +48,12 @@
 	return w
 }
 
-// start starts an owner with no state at a time.
+// start starts an owner without state at the given time.
 func (w *simulation) start(n fleet.Name, at time.Duration) {
 	cfg := KeyTableConfig{Self: n, StartedAt: w.startedAt.Add(at)}
 	o := &simOwner{table: NewKeyTable(cfg), startedAt: at}
 	if w.overclaimsHistory {
-		o.startedAt -= 3 * KeyTTL // it takes itself for older than it is
+		o.startedAt -= 3 * KeyTTL // the owner assumes that it started earlier than it did
 	}
 	o.table.Update(PoolMsg{Work: "tag", Agents: w.agents})
 	w.owners[n] = o
@@ -94,7 +94,7 @@
 	}
 }
 
-// step does one thing, by chance. All keys are used within the window.
+// step performs one random event. All uses of a key lie within KeyTTL.
 func (w *simulation) step(pick func(int) int) {
 	switch pick(9) {
 	case 0, 1:
@@ -110,11 +110,11 @@
 			w.deliver(pick)
 		}
 	case 5:
-		if n := len(w.inFlight); n > 0 { // repeat
+		if n := len(w.inFlight); n > 0 { // repeat a message
 			w.inFlight = append(w.inFlight, w.inFlight[pick(n)])
 		}
 	case 6:
-		if n := len(w.inFlight); n > 0 { // lose
+		if n := len(w.inFlight); n > 0 { // lose a message
 			i := pick(n)
 			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
 		}
@@ -139,8 +139,8 @@
 	f()
 }
 
-// TestKeysRunOnce holds that a key runs at most once whichever routers its
-// caller tries, while owners restart with no state and messages are lost,
+// TestKeysRunOnce checks that a key runs at most once, whichever routers its
+// caller tries, while owners restart without state and messages are lost,
 // repeated and reordered.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestForgetfulOwnersAreCaught shows the test above failing when owners vouch
-// for times that they have no memory of.
+// TestForgetfulOwnersAreCaught checks that the simulation detects a key that
+// runs twice if owners claim a longer history than they have.
 func TestForgetfulOwnersAreCaught(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	t.Fatal("no key ran twice")
+	t.Fatal("no key ran twice, so the simulation would not detect the fault")
 }
 
 func acquire(t *testing.T, w *simulation, createdAt time.Time) []Command {
@@ -182,8 +182,9 @@
 	return nil
 }
 
-// TestYoungFleetNeedsTheTimeOfTheKey holds that after a start of the whole
-// fleet a key runs only if its caller says that it was made since.
+// TestYoungFleetNeedsTheTimeOfTheKey checks that after a start of the whole
+// fleet a key runs only if the caller reports that it was created after the
+// start.
 func TestYoungFleetNeedsTheTimeOfTheKey(t *testing.T) {
 	w := newSimulation(false)
 	for _, n := range w.agents {
@@ -193,13 +194,14 @@
 	acquire(t, w, time.Time{})
 	require.Empty(t, w.runs)
 	acquire(t, w, w.startedAt.Add(w.now-2*time.Minute))
-	require.Empty(t, w.runs, "made before the start")
+	require.Empty(t, w.runs, "the key was created before the start")
 	acquire(t, w, w.startedAt.Add(w.now))
 	require.Len(t, w.runs, 1)
 }
 
-// TestNewOwnersDoNotVouch changes the pool: an agent that became an owner of a
-// key by it does not vouch for the time before.
+// TestNewOwnersDoNotVouch checks that an agent that became an owner of a key
+// through a pool change returns VerdictUncertain until it has owned the key for
+// KeyTTL.
 func TestNewOwnersDoNotVouch(t *testing.T) {
 	table := NewKeyTable(KeyTableConfig{Self: "new"})
 	table.Update(PoolMsg{Now: 0, Work: "tag", Agents: []fleet.Name{"a", "b", "c", "d"}})
@@ -209,8 +211,8 @@
 	require.Equal(t, VerdictReserved, table.Update(ReserveMsg{Now: 4*KeyTTL + time.Second, Key: k, Holder: Holder{Request: 1}}))
 }
 
-// TestReleasedKeysCanBeReused holds that a refused request does not use up
-// its key, and that only its holder releases it.
+// TestReleasedKeysCanBeReused checks that the key of a request that did not run
+// can be reserved again, and that only the holder can release a key.
 func TestReleasedKeysCanBeReused(t *testing.T) {
 	table := NewKeyTable(KeyTableConfig{Self: "a"})
 	table.Update(PoolMsg{Work: "tag", Agents: []fleet.Name{"a"}})
