--- a/ledger/round.go
+++ b/ledger/round.go
@@ -95,14 +95,14 @@
 // toAgents sends each agent the fleet's totals without its own service. An agent
 // is sent nothing until its hall's warm-up has ended and its own service is
 // known. Otherwise it would count its own service twice.
-func (h *Hub) toAgents(n update) []Command {
+func (h *Hub) toAgents(changed update) []Command {
 	var cmds []Command
 	for _, agent := range h.agents {
 		own, known := h.incarnations[agent.source]
 		if !known || !h.hallState(agent.hall).warmedUp {
 			continue
 		}
-		u := n
+		u := changed
 		if !agent.sentAll {
 			agent.sentAll = true
 			u = h.fullUpdate()
--- a/queue/agents.go
+++ b/queue/agents.go
@@ -51,7 +51,7 @@
 func (m *Machine) agentLeaving(msg AgentLeavingMsg) []Command {
 	if a, _, ok := m.agent(msg.Agent); ok {
 		a.leaving = true
-		a.open = openClaims{}
+		a.openClaims = openClaims{}
 		m.clearSentCounts(a)
 	}
 	return nil
@@ -72,7 +72,7 @@
 	if !ok || a.leaving {
 		return nil
 	}
-	a.open = openClaims{
+	a.openClaims = openClaims{
 		next:      fleet.ClaimID{Agent: msg.Agent, Incarnation: msg.Incarnation, Seq: msg.First},
 		remaining: msg.Slots,
 		expiresAt: msg.Now + openClaimTTL,
--- a/queue/agentview.go
+++ b/queue/agentview.go
@@ -18,7 +18,7 @@
 	name       fleet.Name
 	hall       fleet.Hall
 	works      []fleet.Work
-	open       openClaims
+	openClaims openClaims
 	leaving    bool
 	sentCounts map[fleet.DemandKey]int // last count sent, by queue
 	unsent     []fleet.Count           // counts to send at the next flush
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -57,7 +57,7 @@
 	if a == nil {
 		return nil
 	}
-	claim, ok := a.open.take(now)
+	claim, ok := a.openClaims.take(now)
 	if !ok {
 		return nil
 	}
@@ -72,7 +72,7 @@
 	n := len(m.agents)
 	for i := range n {
 		a := m.agents[(m.rotation+i)%n]
-		if a.open.remaining <= 0 || now >= a.open.expiresAt || !a.canRun(w) {
+		if a.openClaims.remaining <= 0 || now >= a.openClaims.expiresAt || !a.canRun(w) {
 			continue
 		}
 		if a.hall == m.cfg.Hall {
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -45,7 +45,7 @@
 	return c
 }
 
-func (m *Machine) answer(msg ResponseStartedMsg) []Command {
+func (m *Machine) responseStarted(msg ResponseStartedMsg) []Command {
 	if r, ok := m.requests[msg.ID]; ok && r.state == stateRunning {
 		r.state = stateResponding
 	}
@@ -74,7 +74,7 @@
 func (m *Machine) requeue(msg EndMsg, r *request) []Command {
 	r.returns++
 	if a, _, ok := m.agent(r.claim.Agent); ok {
-		a.open = openClaims{} // the agent is no longer idle
+		a.openClaims = openClaims{} // the agent is no longer idle
 	}
 	if r.returns >= maxReturns || msg.Now >= r.expiresAt {
 		m.finish(r)
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -58,7 +58,7 @@
 	case ClaimMsg:
 		return m.claim(msg)
 	case ResponseStartedMsg:
-		return m.answer(msg)
+		return m.responseStarted(msg)
 	case EndMsg:
 		return m.end(msg)
 	case TickMsg:
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -10,18 +10,18 @@
 // arrive accepts a claimed request. A request whose claim is unknown, timed out
 // or already used is rejected: it has not run here and will not run here.
 func (m *Machine) arrive(msg ArriveMsg) []Command {
-	r, ok := m.claims[msg.Seq]
+	c, ok := m.claims[msg.Seq]
 	if !ok {
-		r, ok = m.acceptOpenClaim(msg)
+		c, ok = m.acceptOpenClaim(msg)
 	}
-	if !ok || r.state != claimPending {
+	if !ok || c.state != claimPending {
 		return []Command{RejectCmd{Seq: msg.Seq}}
 	}
 	m.pendingClaims--
-	m.resumeRouter(r.router)
-	m.updateRemaining(msg, r)
-	r.state = claimReady
-	m.ready = append(m.ready, r.seq)
+	m.resumeRouter(c.router)
+	m.updateRemaining(msg, c)
+	c.state = claimReady
+	m.ready = append(m.ready, c.seq)
 	return append(m.startReady(msg.Now), m.rejectReady()...)
 }
 
@@ -46,19 +46,19 @@
 // newClaim records a claim together with its estimated cost.
 func (m *Machine) newClaim(now time.Duration, seq uint64, router fleet.Name, k fleet.DemandKey) *claim {
 	t := m.team(now, k.Team)
-	r := &claim{seq: seq, key: k, router: router, claimedAt: now, estimate: m.costs.estimate(k)}
-	m.claims[seq] = r
+	c := &claim{seq: seq, key: k, router: router, claimedAt: now, estimate: m.costs.estimate(k)}
+	m.claims[seq] = c
 	m.pendingClaims++
-	t.pending += r.estimate
+	t.pending += c.estimate
 	t.lastActive = now
-	return r
+	return c
 }
 
 // updateRemaining records the router's count of the requests that remain in the
 // queue of an arrived request.
-func (m *Machine) updateRemaining(msg ArriveMsg, r *claim) {
-	if router, known := m.claimRouter(r); known {
-		m.setCount(msg.Now, router, fleet.Count{Key: r.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
+func (m *Machine) updateRemaining(msg ArriveMsg, c *claim) {
+	if router, known := m.claimRouter(c); known {
+		m.setCount(msg.Now, router, fleet.Count{Key: c.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
 
@@ -70,8 +70,8 @@
 	}
 	var cmds []Command
 	for _, seq := range m.ready {
-		r := m.claims[seq]
-		m.byName[r.key.Team].pending -= r.estimate
+		c := m.claims[seq]
+		m.byName[c.key.Team].pending -= c.estimate
 		delete(m.claims, seq)
 		cmds = append(cmds, RejectCmd{Seq: seq})
 	}
@@ -85,10 +85,10 @@
 	var cmds []Command
 	for m.serving && len(m.ready) > 0 && m.running < m.cfg.Slots {
 		i := m.firstReady()
-		r := m.claims[m.ready[i]]
+		c := m.claims[m.ready[i]]
 		m.ready = slices.Delete(m.ready, i, i+1)
-		m.start(now, r)
-		cmds = append(cmds, StartCmd{Seq: r.seq})
+		m.start(now, c)
+		cmds = append(cmds, StartCmd{Seq: c.seq})
 	}
 	return cmds
 }
@@ -105,66 +105,66 @@
 
 // start starts a request and charges its estimated cost immediately, so that
 // the other agents take it into account.
-func (m *Machine) start(now time.Duration, r *claim) {
-	r.state = claimStarted
-	r.startedAt = now
+func (m *Machine) start(now time.Duration, c *claim) {
+	c.state = claimStarted
+	c.startedAt = now
 	m.running++
-	t := m.byName[r.key.Team]
+	t := m.byName[c.key.Team]
 	t.running++
-	t.pending -= r.estimate
-	t.own += r.estimate
-	r.charged = r.estimate
+	t.pending -= c.estimate
+	t.own += c.estimate
+	c.charged = c.estimate
 }
 
 // end settles the charge of a request that ran, or removes one that did not
 // start.
 func (m *Machine) end(msg EndMsg) {
-	r, ok := m.claims[msg.Seq]
+	c, ok := m.claims[msg.Seq]
 	if !ok {
 		return
 	}
-	switch r.state {
+	switch c.state {
 	case claimPending:
-		m.dropPending(r)
+		m.dropPending(c)
 	case claimReady:
-		m.dropReady(r)
+		m.dropReady(c)
 	case claimStarted:
-		m.settle(msg.Now, r)
+		m.settle(msg.Now, c)
 	}
 }
 
-func (m *Machine) dropReady(r *claim) {
-	if i := slices.Index(m.ready, r.seq); i >= 0 {
+func (m *Machine) dropReady(c *claim) {
+	if i := slices.Index(m.ready, c.seq); i >= 0 {
 		m.ready = slices.Delete(m.ready, i, i+1)
 	}
-	m.byName[r.key.Team].pending -= r.estimate
-	delete(m.claims, r.seq)
+	m.byName[c.key.Team].pending -= c.estimate
+	delete(m.claims, c.seq)
 }
 
 // settle replaces the charge with the actual cost.
-func (m *Machine) settle(now time.Duration, r *claim) {
-	cost := now - r.startedAt
-	t := m.byName[r.key.Team]
-	t.own += cost - r.charged
+func (m *Machine) settle(now time.Duration, c *claim) {
+	cost := now - c.startedAt
+	t := m.byName[c.key.Team]
+	t.own += cost - c.charged
 	t.running--
 	t.lastActive = now
 	m.running--
-	m.costs.observe(r.key, cost)
-	delete(m.claims, r.seq)
+	m.costs.observe(c.key, cost)
+	delete(m.claims, c.seq)
 }
 
 // accrue raises the charges of running requests that have exceeded their
 // estimates.
 func (m *Machine) accrue(now time.Duration) {
-	for _, r := range m.claims {
-		if r.state != claimStarted {
+	for _, c := range m.claims {
+		if c.state != claimStarted {
 			continue
 		}
-		t := m.byName[r.key.Team]
+		t := m.byName[c.key.Team]
 		t.lastActive = now
-		if used := now - r.startedAt; used > r.charged {
-			t.own += used - r.charged
-			r.charged = used
+		if used := now - c.startedAt; used > c.charged {
+			t.own += used - c.charged
+			c.charged = used
 		}
 	}
 }
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -51,20 +51,20 @@
 
 // handleDeny ends a pending claim whose queue was empty.
 func (m *Machine) handleDeny(msg DenyMsg) {
-	r, ok := m.claims[msg.Seq]
-	if !ok || r.state != claimPending {
+	c, ok := m.claims[msg.Seq]
+	if !ok || c.state != claimPending {
 		return
 	}
-	m.dropPending(r)
-	m.resumeRouter(r.router)
-	if src, known := m.claimRouter(r); known {
+	m.dropPending(c)
+	m.resumeRouter(c.router)
+	if src, known := m.claimRouter(c); known {
 		m.setCount(msg.Now, src, msg.Count)
 	}
 }
 
 // dropPending removes a claim for which no request has arrived.
-func (m *Machine) dropPending(r *claim) {
+func (m *Machine) dropPending(c *claim) {
 	m.pendingClaims--
-	m.byName[r.key.Team].pending -= r.estimate
-	delete(m.claims, r.seq)
+	m.byName[c.key.Team].pending -= c.estimate
+	delete(m.claims, c.seq)
 }
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -39,14 +39,14 @@
 	if t == nil {
 		return ClaimCmd{}, false
 	}
-	l, s := t.nextQueue()
-	if s == nil {
+	q, r := t.nextQueue()
+	if r == nil {
 		return ClaimCmd{}, false
 	}
-	l.decrement(s)
+	q.decrement(r)
 	m.seq++
-	m.newClaim(now, m.seq, s.router, l.key)
-	return ClaimCmd{Router: s.router, Seq: m.seq, Key: l.key}, true
+	m.newClaim(now, m.seq, r.router, q.key)
+	return ClaimCmd{Router: r.router, Seq: m.seq, Key: q.key}, true
 }
 
 // pickTeam returns the team to serve next, or nil if there is no known demand.
@@ -168,7 +168,7 @@
 
 // claimRouter returns the router that a claim was sent to and reports whether
 // the link to it is up.
-func (m *Machine) claimRouter(r *claim) (fleet.Name, bool) {
-	_, _, ok := m.router(r.router)
-	return r.router, ok
+func (m *Machine) claimRouter(c *claim) (fleet.Name, bool) {
+	_, _, ok := m.router(c.router)
+	return c.router, ok
 }
--- a/sched/share.go
+++ b/sched/share.go
@@ -57,14 +57,14 @@
 // claimResponseTimeout and ends claims unanswered for claimTimeout.
 func (m *Machine) expireClaims(now time.Duration) {
 	var expired []uint64
-	for seq, r := range m.claims {
-		if r.state != claimPending || now-r.claimedAt < claimResponseTimeout {
+	for seq, c := range m.claims {
+		if c.state != claimPending || now-c.claimedAt < claimResponseTimeout {
 			continue
 		}
-		if v, _, ok := m.router(r.router); ok {
-			m.setSuspended(v, true)
+		if r, _, ok := m.router(c.router); ok {
+			m.setSuspended(r, true)
 		}
-		if now-r.claimedAt >= claimTimeout {
+		if now-c.claimedAt >= claimTimeout {
 			expired = append(expired, seq)
 		}
 	}
