--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -37,7 +37,7 @@
 	key        Key
 	owners     []fleet.Name
 	unanswered []fleet.Name // owners without a verdict yet
-	reserved   int
+	reserved   int          // owners that returned VerdictReserved
 	deadline   time.Duration
 	granted    bool // the request may run; kept until NotRunMsg or DoneMsg
 }
--- a/once/key.go
+++ b/once/key.go
@@ -57,7 +57,8 @@
 	VerdictReserved Verdict = iota
 	// VerdictDuplicate means that another request holds the key.
 	VerdictDuplicate
-	// VerdictUncertain means that the owner may not know of an earlier
-	// reservation, or that its table is full.
+	// VerdictUncertain means that the owner has reserved the key but may not know
+	// of an earlier reservation, or that its table is full and the key is not
+	// reserved.
 	VerdictUncertain
 )
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -51,7 +51,7 @@
 }
 
 // dispatch sends the oldest request of a queue to an idle agent if one has
-// granted an open claim. Otherwise agents are sent the queue's count by tick.
+// granted an open claim. Otherwise tick sends the queue's count to agents.
 func (m *Machine) dispatch(now time.Duration, q *requestQueue) []Command {
 	a := m.idleAgent(now, q.key.Work)
 	if a == nil {
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -34,8 +34,7 @@
 
 // remaining returns the remaining count of a queue to send to the agent. If more
 // agents are informed of the queue than its requests need, the count sent is
-// zero. Otherwise each informed agent would make one useless claim when the
-// queue is empty.
+// zero, so that fewer agents make a useless claim once the queue is empty.
 func (m *Machine) remaining(now time.Duration, a *agentView, q *requestQueue) fleet.Count {
 	c := q.count(now)
 	if q.informedAgents > 1+informedPerRequest*q.waiting {
--- a/queue/openclaims.go
+++ b/queue/openclaims.go
@@ -11,7 +11,7 @@
 type openClaims struct {
 	next      fleet.ClaimID // next unused claim
 	remaining int
-	expiresAt time.Duration // claims are not used after this time
+	expiresAt time.Duration // claims are not used from this time on
 }
 
 // openClaimTTL is how long an agent's report of idle slots is considered valid.
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -13,7 +13,8 @@
 	// open claim, or be claimed by an agent already informed of the queue.
 	announceDelay = TickInterval / 2
 	// emptyDelay is how long a queue must have been empty before the informed
-	// agents are sent a zero count. An agent that claims earlier is sent a denial.
+	// agents are sent a zero count. An agent that claims earlier is sent a denial
+	// with the count.
 	emptyDelay = time.Second
 	// informedPerRequest is how many agents are informed per waiting request. If
 	// all agents were informed of a short queue, each would claim from it and
@@ -50,9 +51,9 @@
 	return cmds
 }
 
-// updateAgents queues the counts of one queue for its agents. All informed
-// agents get the count if the queue has been empty for emptyDelay or has grown
-// by resendGrowth. Further agents are informed if too few are.
+// updateAgents decides which agents are sent the count of one queue. All
+// informed agents are sent it if the queue has been empty for emptyDelay or has
+// grown by the factor resendGrowth. Further agents are informed if too few are.
 func (m *Machine) updateAgents(now time.Duration, q *requestQueue) {
 	if q.waiting == 0 {
 		q.baseline = 0
@@ -72,7 +73,7 @@
 	m.informMore(q, c)
 }
 
-// updateInformed queues a new count for every informed agent of a queue.
+// updateInformed adds a new count for every informed agent of a queue.
 func (m *Machine) updateInformed(q *requestQueue, c fleet.Count) {
 	for _, a := range m.agents {
 		if a.sentCounts[q.key] > 0 {
--- a/sched/router.go
+++ b/sched/router.go
@@ -19,9 +19,9 @@
 	sentAt      time.Duration
 }
 
-// setSuspended stops or resumes claiming from a router. Otherwise a router that
-// is cut off or frozen would hold this agent's slots with claims that it never
-// receives.
+// setSuspended stops or resumes claiming from a router. Without it, a router
+// that is cut off or frozen would hold this agent's slots with claims that it
+// never receives.
 func (m *Machine) setSuspended(r *routerView, suspended bool) {
 	if r.suspended == suspended {
 		return
--- a/sched/share.go
+++ b/sched/share.go
@@ -90,9 +90,10 @@
 // message to the hub, or earlier once one team's unsent service reaches Delta.
 //
 // A new hub gets a message immediately, even without rows, because a hub sends
-// no totals to an agent whose own service it does not know. The agent sends to
-// its hubs in turn, so with two hubs each gets half of the messages and the
-// fleet is updated as often as with one.
+// no totals to an agent whose own service it does not know. Other messages are
+// at least ShareEvery divided by the number of hubs apart, so the hubs take
+// turns: each of two hubs gets half of the messages, and the fleet is updated as
+// often as with one hub.
 func (m *Machine) dueRows(now time.Duration, r *routerView) ([]fleet.ServiceRow, bool) {
 	rows, largest := m.unsentRows(r)
 	late := now-r.sentAt >= m.cfg.ShareEvery || largest >= m.cfg.Delta
