--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -48,55 +48,55 @@
 }
 
 func newSimulation() *simulation {
-	w := &simulation{served: map[fleet.Team]time.Duration{}, reported: map[fleet.Name]serviceByTeam{}, now: time.Second}
+	s := &simulation{served: map[fleet.Team]time.Duration{}, reported: map[fleet.Name]serviceByTeam{}, now: time.Second}
 	for i := range 4 {
-		w.halls = append(w.halls, fleet.Hall([]string{"a", "b"}[i/2]))
-		w.hubs = append(w.hubs, NewHub(w.hubName(i), w.halls[i]))
+		s.halls = append(s.halls, fleet.Hall([]string{"a", "b"}[i/2]))
+		s.hubs = append(s.hubs, NewHub(s.hubName(i), s.halls[i]))
 	}
 	for i := range 4 {
-		w.agents = append(w.agents, &simAgent{
-			src: Source{Agent: fleet.Name(fmt.Sprintf("e%d", i)), Incarnation: 1}, hall: w.halls[i], own: serviceByTeam{},
+		s.agents = append(s.agents, &simAgent{
+			src: Source{Agent: fleet.Name(fmt.Sprintf("e%d", i)), Incarnation: 1}, hall: s.halls[i], own: serviceByTeam{},
 		})
 	}
-	for i := range w.hubs {
-		w.connect(i)
+	for i := range s.hubs {
+		s.connect(i)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) hubName(i int) fleet.Name { return fleet.Name(fmt.Sprintf("h%d", i)) }
+func (s *simulation) hubName(i int) fleet.Name { return fleet.Name(fmt.Sprintf("h%d", i)) }
 
 // connect connects a hub that has just started to its agents and peers.
-func (w *simulation) connect(i int) {
-	for _, a := range w.agents {
-		if a.hall != w.halls[i] {
+func (s *simulation) connect(i int) {
+	for _, a := range s.agents {
+		if a.hall != s.halls[i] {
 			continue
 		}
-		w.perform(i, w.hubs[i].Update(AgentUpMsg{Now: w.now, Source: a.src, Hall: a.hall}))
-		w.report(a, i)
+		s.perform(i, s.hubs[i].Update(AgentUpMsg{Now: s.now, Source: a.src, Hall: a.hall}))
+		s.report(a, i)
 	}
-	for j := range w.hubs {
+	for j := range s.hubs {
 		if j == i {
 			continue
 		}
-		pair := w.halls[i] != w.halls[j] && i%2 == j%2
-		w.perform(i, w.hubs[i].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(j), Hall: w.halls[j], Paired: pair}))
-		w.perform(j, w.hubs[j].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(i), Hall: w.halls[i], Paired: pair}))
+		pair := s.halls[i] != s.halls[j] && i%2 == j%2
+		s.perform(i, s.hubs[i].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(j), Hall: s.halls[j], Paired: pair}))
+		s.perform(j, s.hubs[j].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(i), Hall: s.halls[i], Paired: pair}))
 	}
 }
 
-func (w *simulation) perform(from int, cmds []Command) {
+func (s *simulation) perform(from int, cmds []Command) {
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case HallTotalsCmd:
-			w.send(from, c.Peer, HallTotalsMsg{Now: w.now, Hall: c.Hall, Rows: c.Rows})
+			s.send(from, c.Peer, HallTotalsMsg{Now: s.now, Hall: c.Hall, Rows: c.Rows})
 		case AgentRowsCmd:
-			w.send(from, c.Peer, ServiceMsg{Now: w.now, Source: c.Source, Hall: c.Hall, Rows: c.Rows})
+			s.send(from, c.Peer, ServiceMsg{Now: s.now, Source: c.Source, Hall: c.Hall, Rows: c.Rows})
 		case TotalsCmd:
-			v, ok := w.reported[c.Agent]
+			v, ok := s.reported[c.Agent]
 			if !ok {
 				v = serviceByTeam{}
-				w.reported[c.Agent] = v
+				s.reported[c.Agent] = v
 			}
 			for _, r := range c.Rows {
 				v[r.Team] = max(v[r.Team], r.Service)
@@ -105,52 +105,52 @@
 	}
 }
 
-func (w *simulation) send(from int, hub fleet.Name, m Msg) {
-	for i := range w.hubs {
-		if w.hubName(i) == hub {
-			w.inFlight = append(w.inFlight, message{from, i, m})
+func (s *simulation) send(from int, hub fleet.Name, m Msg) {
+	for i := range s.hubs {
+		if s.hubName(i) == hub {
+			s.inFlight = append(s.inFlight, message{from, i, m})
 		}
 	}
 }
 
 // serve adds service by an agent to a team.
-func (w *simulation) serve(a *simAgent, team fleet.Team, d time.Duration) {
+func (s *simulation) serve(a *simAgent, team fleet.Team, d time.Duration) {
 	a.own[team] += d
-	w.served[team] += d
+	s.served[team] += d
 }
 
 // report sends an agent's counters to a hub of its hall.
-func (w *simulation) report(a *simAgent, hub int) {
-	w.inFlight = append(w.inFlight, message{-1, hub, ServiceMsg{Now: w.now, Source: a.src, Hall: a.hall, Rows: a.own.rows()}})
+func (s *simulation) report(a *simAgent, hub int) {
+	s.inFlight = append(s.inFlight, message{-1, hub, ServiceMsg{Now: s.now, Source: a.src, Hall: a.hall, Rows: a.own.rows()}})
 }
 
-func (w *simulation) tick() {
-	w.now += TickInterval
-	for i, h := range w.hubs {
-		w.perform(i, h.Update(TickMsg{Now: w.now, ShareEvery: shareEvery}))
+func (s *simulation) tick() {
+	s.now += TickInterval
+	for i, h := range s.hubs {
+		s.perform(i, h.Update(TickMsg{Now: s.now, ShareEvery: shareEvery}))
 	}
 }
 
 // converge lets all agents report and delivers all messages, for 100 ticks.
-func (w *simulation) converge() {
+func (s *simulation) converge() {
 	for range 100 {
-		w.tick()
-		for i := range w.hubs {
-			for _, a := range w.agents {
-				if a.hall == w.halls[i] {
-					w.report(a, i)
+		s.tick()
+		for i := range s.hubs {
+			for _, a := range s.agents {
+				if a.hall == s.halls[i] {
+					s.report(a, i)
 				}
 			}
 		}
-		w.deliverAll()
+		s.deliverAll()
 	}
 }
 
-func (w *simulation) deliverAll() {
-	messages := w.inFlight
-	w.inFlight = nil
+func (s *simulation) deliverAll() {
+	messages := s.inFlight
+	s.inFlight = nil
 	for _, m := range messages {
-		w.perform(m.hub, w.hubs[m.hub].Update(m.msg))
+		s.perform(m.hub, s.hubs[m.hub].Update(m.msg))
 	}
 }
 
@@ -160,97 +160,97 @@
 // and that all hubs finally hold the actual totals.
 func TestHubsConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newSimulation()
-		w.converge()
+		s := newSimulation()
+		s.converge()
 		for range rapid.IntRange(1, 120).Draw(rt, "events") {
-			w.step(rt)
-			w.checkNoOvercount(rt)
+			s.step(rt)
+			s.checkNoOvercount(rt)
 		}
-		w.converge()
-		w.checkNoOvercount(rt)
-		for i, h := range w.hubs {
+		s.converge()
+		s.checkNoOvercount(rt)
+		for i, h := range s.hubs {
 			for _, r := range h.Totals() {
-				if r.Service != w.served[r.Team] {
-					rt.Fatalf("hub %d counts %v for team %s, want %v", i, r.Service, r.Team, w.served[r.Team])
+				if r.Service != s.served[r.Team] {
+					rt.Fatalf("hub %d counts %v for team %s, want %v", i, r.Service, r.Team, s.served[r.Team])
 				}
 			}
 		}
 	})
 }
 
-func (w *simulation) step(rt *rapid.T) {
+func (s *simulation) step(rt *rapid.T) {
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") }
-	a := w.agents[pick(len(w.agents))]
+	a := s.agents[pick(len(s.agents))]
 	switch pick(10) {
 	case 0, 1, 2:
-		w.serve(a, []fleet.Team{"x", "y"}[pick(2)], time.Duration(1+pick(50))*time.Millisecond)
+		s.serve(a, []fleet.Team{"x", "y"}[pick(2)], time.Duration(1+pick(50))*time.Millisecond)
 	case 3:
-		w.report(a, boolInt(a.hall == "b")*2+pick(2))
+		s.report(a, boolInt(a.hall == "b")*2+pick(2))
 	case 4:
-		w.tick()
+		s.tick()
 	case 5:
-		w.deliverAll()
+		s.deliverAll()
 	case 6: // lose a message
-		if n := len(w.inFlight); n > 0 {
+		if n := len(s.inFlight); n > 0 {
 			i := pick(n)
-			m := w.inFlight[i]
-			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
-			w.reconnect(m)
+			m := s.inFlight[i]
+			s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
+			s.reconnect(m)
 		}
 	case 7: // repeat and reorder a message
-		if n := len(w.inFlight); n > 0 {
-			w.inFlight = append(w.inFlight, w.inFlight[pick(n)])
+		if n := len(s.inFlight); n > 0 {
+			s.inFlight = append(s.inFlight, s.inFlight[pick(n)])
 		}
 	case 8: // an agent restarts without state, after a last report
-		for i := range w.hubs {
-			if w.halls[i] == a.hall {
-				w.perform(i, w.hubs[i].Update(ServiceMsg{Now: w.now, Source: a.src, Hall: a.hall, Rows: a.own.rows()}))
-				w.perform(i, w.hubs[i].Update(AgentDownMsg{Now: w.now, Agent: a.src.Agent}))
+		for i := range s.hubs {
+			if s.halls[i] == a.hall {
+				s.perform(i, s.hubs[i].Update(ServiceMsg{Now: s.now, Source: a.src, Hall: a.hall, Rows: a.own.rows()}))
+				s.perform(i, s.hubs[i].Update(AgentDownMsg{Now: s.now, Agent: a.src.Agent}))
 			}
 		}
 		a.src.Incarnation++
 		a.own = serviceByTeam{}
-		delete(w.reported, a.src.Agent)
-		for i := range w.hubs {
-			if w.halls[i] == a.hall {
-				w.perform(i, w.hubs[i].Update(AgentUpMsg{Now: w.now, Source: a.src, Hall: a.hall}))
+		delete(s.reported, a.src.Agent)
+		for i := range s.hubs {
+			if s.halls[i] == a.hall {
+				s.perform(i, s.hubs[i].Update(AgentUpMsg{Now: s.now, Source: a.src, Hall: a.hall}))
 			}
 		}
 	case 9: // a hub restarts without state; the other hub of its hall keeps its counters
-		i := pick(len(w.hubs))
-		for j, h := range w.hubs {
+		i := pick(len(s.hubs))
+		for j, h := range s.hubs {
 			if j != i {
-				w.perform(j, h.Update(PeerDownMsg{Now: w.now, Peer: w.hubName(i)}))
+				s.perform(j, h.Update(PeerDownMsg{Now: s.now, Peer: s.hubName(i)}))
 			}
 		}
-		w.hubs[i] = NewHub(w.hubName(i), w.halls[i])
-		w.connect(i)
-		w.deliverTo(i)
+		s.hubs[i] = NewHub(s.hubName(i), s.halls[i])
+		s.connect(i)
+		s.deliverTo(i)
 	}
 }
 
 // reconnect replaces the link on which a message was lost, since TCP loses
 // messages only when a connection breaks.
-func (w *simulation) reconnect(m message) {
+func (s *simulation) reconnect(m message) {
 	if m.from < 0 {
 		return // agents report all their counters repeatedly
 	}
-	pair := w.halls[m.from] != w.halls[m.hub] && m.from%2 == m.hub%2
-	w.perform(m.from, w.hubs[m.from].Update(PeerDownMsg{Now: w.now, Peer: w.hubName(m.hub)}))
-	w.perform(m.from, w.hubs[m.from].Update(PeerUpMsg{Now: w.now, Peer: w.hubName(m.hub), Hall: w.halls[m.hub], Paired: pair}))
+	pair := s.halls[m.from] != s.halls[m.hub] && m.from%2 == m.hub%2
+	s.perform(m.from, s.hubs[m.from].Update(PeerDownMsg{Now: s.now, Peer: s.hubName(m.hub)}))
+	s.perform(m.from, s.hubs[m.from].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(m.hub), Hall: s.halls[m.hub], Paired: pair}))
 }
 
 // deliverTo delivers all messages to a new hub before any can be lost.
-func (w *simulation) deliverTo(hub int) {
+func (s *simulation) deliverTo(hub int) {
 	var rest []message
-	for _, m := range w.inFlight {
+	for _, m := range s.inFlight {
 		if m.hub == hub {
-			w.perform(hub, w.hubs[hub].Update(m.msg))
+			s.perform(hub, s.hubs[hub].Update(m.msg))
 			continue
 		}
 		rest = append(rest, m)
 	}
-	w.inFlight = rest
+	s.inFlight = rest
 }
 
 func boolInt(b bool) int {
@@ -262,17 +262,17 @@
 
 // checkNoOvercount checks that no hub and no agent counts more service than was
 // given.
-func (w *simulation) checkNoOvercount(rt *rapid.T) {
-	for i, h := range w.hubs {
+func (s *simulation) checkNoOvercount(rt *rapid.T) {
+	for i, h := range s.hubs {
 		for _, r := range h.Totals() {
-			if r.Service > w.served[r.Team] {
-				rt.Fatalf("hub %d counts %v for team %s, want at most %v", i, r.Service, r.Team, w.served[r.Team])
+			if r.Service > s.served[r.Team] {
+				rt.Fatalf("hub %d counts %v for team %s, want at most %v", i, r.Service, r.Team, s.served[r.Team])
 			}
 		}
 	}
-	for _, a := range w.agents {
-		for team, reported := range w.reported[a.src.Agent] {
-			if others := w.served[team] - a.own[team]; reported > others {
+	for _, a := range s.agents {
+		for team, reported := range s.reported[a.src.Agent] {
+			if others := s.served[team] - a.own[team]; reported > others {
 				rt.Fatalf("agent %s was sent %v for team %s, want at most %v", a.src.Agent, reported, team, others)
 			}
 		}
@@ -283,21 +283,21 @@
 // recovered from the hubs of other halls after all hubs of its own hall have
 // restarted.
 func TestBothHubsRestart(t *testing.T) {
-	w := newSimulation()
-	w.converge()
-	restarted := w.agents[0]
-	w.serve(restarted, "x", time.Second)
-	w.converge()
+	s := newSimulation()
+	s.converge()
+	restarted := s.agents[0]
+	s.serve(restarted, "x", time.Second)
+	s.converge()
 	restarted.src.Incarnation++
 	restarted.own = serviceByTeam{}
 	for i := range 2 {
-		w.hubs[i] = NewHub(w.hubName(i), "a")
+		s.hubs[i] = NewHub(s.hubName(i), "a")
 	}
 	for i := range 2 {
-		w.connect(i)
+		s.connect(i)
 	}
-	w.converge()
-	for i, h := range w.hubs {
+	s.converge()
+	for i, h := range s.hubs {
 		require.Equal(t, []fleet.ServiceRow{{Team: "x", Service: time.Second}}, h.Totals(), "hub %d", i)
 	}
 }
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -33,109 +33,109 @@
 }
 
 func newSimulation(overclaimsHistory bool) *simulation {
-	w := &simulation{
+	s := &simulation{
 		now: 2 * KeyTTL, startedAt: time.Unix(1_000_000, 0), owners: map[fleet.Name]*simOwner{},
 		runs: map[Key]int{}, attempts: map[uint64]Key{}, overclaimsHistory: overclaimsHistory,
 		routers: []*Coordinator{NewCoordinator(), NewCoordinator()},
 	}
 	for i := range 5 {
 		n := fleet.Name(fmt.Sprintf("app-%d", i))
-		w.agents = append(w.agents, n)
+		s.agents = append(s.agents, n)
 	}
-	for _, n := range w.agents {
-		w.start(n, 0)
+	for _, n := range s.agents {
+		s.start(n, 0)
 	}
-	return w
+	return s
 }
 
 // start starts an owner without state at the given time.
-func (w *simulation) start(n fleet.Name, at time.Duration) {
-	cfg := KeyTableConfig{Self: n, StartedAt: w.startedAt.Add(at)}
+func (s *simulation) start(n fleet.Name, at time.Duration) {
+	cfg := KeyTableConfig{Self: n, StartedAt: s.startedAt.Add(at)}
 	o := &simOwner{table: NewKeyTable(cfg), startedAt: at}
-	if w.overclaimsHistory {
+	if s.overclaimsHistory {
 		o.startedAt -= 3 * KeyTTL // the owner assumes that it started earlier than it did
 	}
-	o.table.Update(PoolMsg{Work: "tag", Agents: w.agents})
-	w.owners[n] = o
+	o.table.Update(PoolMsg{Work: "tag", Agents: s.agents})
+	s.owners[n] = o
 }
 
-func (w *simulation) age(o *simOwner) time.Duration { return w.now - o.startedAt }
+func (s *simulation) age(o *simOwner) time.Duration { return s.now - o.startedAt }
 
-func (w *simulation) perform(router int, cmds []Command) {
+func (s *simulation) perform(router int, cmds []Command) {
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case ReserveCmd:
-			w.inFlight = append(w.inFlight, func() { w.reserve(router, c) })
+			s.inFlight = append(s.inFlight, func() { s.reserve(router, c) })
 		case ReleaseCmd:
-			w.inFlight = append(w.inFlight, func() {
-				o := w.owners[c.Owner]
-				o.table.Update(ReleaseMsg{Now: w.age(o), Key: c.Key, Holder: c.Holder})
+			s.inFlight = append(s.inFlight, func() {
+				o := s.owners[c.Owner]
+				o.table.Update(ReleaseMsg{Now: s.age(o), Key: c.Key, Holder: c.Holder})
 			})
 		case DecideCmd:
 			if c.Decision == DecisionRun {
-				w.run(w.attempts[c.Request])
+				s.run(s.attempts[c.Request])
 			}
 		}
 	}
 }
 
-func (w *simulation) reserve(router int, c ReserveCmd) {
-	o := w.owners[c.Owner]
-	v := o.table.Update(ReserveMsg{Now: w.age(o), Key: c.Key, Holder: c.Holder, CreatedAt: c.CreatedAt})
-	w.inFlight = append(w.inFlight, func() {
-		w.perform(router, w.routers[router].Update(VerdictMsg{Now: w.now, Owner: c.Owner, Request: c.Holder.Request, Verdict: v}))
+func (s *simulation) reserve(router int, c ReserveCmd) {
+	o := s.owners[c.Owner]
+	v := o.table.Update(ReserveMsg{Now: s.age(o), Key: c.Key, Holder: c.Holder, CreatedAt: c.CreatedAt})
+	s.inFlight = append(s.inFlight, func() {
+		s.perform(router, s.routers[router].Update(VerdictMsg{Now: s.now, Owner: c.Owner, Request: c.Holder.Request, Verdict: v}))
 	})
 }
 
-func (w *simulation) run(k Key) {
-	w.runs[k]++
-	if w.runs[k] > 1 {
-		w.violation = "a key ran twice"
+func (s *simulation) run(k Key) {
+	s.runs[k]++
+	if s.runs[k] > 1 {
+		s.violation = "a key ran twice"
 	}
 }
 
 // step performs one random event. All uses of a key lie within KeyTTL.
-func (w *simulation) step(pick func(int) int) {
+func (s *simulation) step(pick func(int) int) {
 	switch pick(9) {
 	case 0, 1:
-		w.next++
+		s.next++
 		k := NewKey("team", "tag", fmt.Sprint(pick(3)))
-		w.attempts[w.next] = k
-		r := pick(len(w.routers))
-		w.perform(r, w.routers[r].Update(AcquireMsg{
-			Now: w.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: w.next}, Key: k, Agents: w.agents,
+		s.attempts[s.next] = k
+		r := pick(len(s.routers))
+		s.perform(r, s.routers[r].Update(AcquireMsg{
+			Now: s.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: s.next}, Key: k, Agents: s.agents,
 		}))
 	case 2, 3, 4:
 		for range 6 {
-			w.deliver(pick)
+			s.deliver(pick)
 		}
 	case 5:
-		if n := len(w.inFlight); n > 0 { // repeat a message
-			w.inFlight = append(w.inFlight, w.inFlight[pick(n)])
+		if n := len(s.inFlight); n > 0 { // repeat a message
+			s.inFlight = append(s.inFlight, s.inFlight[pick(n)])
 		}
 	case 6:
-		if n := len(w.inFlight); n > 0 { // lose a message
+		if n := len(s.inFlight); n > 0 { // lose a message
 			i := pick(n)
-			w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
+			s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 		}
 	case 7:
-		w.start(w.agents[pick(len(w.agents))], w.now)
+		s.start(s.agents[pick(len(s.agents))], s.now)
 	case 8:
-		w.now += time.Duration(pick(300)) * time.Millisecond
-		for i, r := range w.routers {
-			w.perform(i, r.Update(TickMsg{Now: w.now}))
+		s.now += time.Duration(pick(300)) * time.Millisecond
+		for i, r := range s.routers {
+			s.perform(i, r.Update(TickMsg{Now: s.now}))
 		}
 	}
 }
 
-func (w *simulation) deliver(pick func(int) int) {
-	n := len(w.inFlight)
+func (s *simulation) deliver(pick func(int) int) {
+	n := len(s.inFlight)
 	if n == 0 {
 		return
 	}
 	i := pick(n)
-	f := w.inFlight[i]
-	w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
+	f := s.inFlight[i]
+	s.inFlight = append(s.inFlight[:i:i], s.inFlight[i+1:]...)
 	f()
 }
 
@@ -144,11 +144,11 @@
 // repeated and reordered.
 func TestKeysRunOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newSimulation(false)
+		s := newSimulation(false)
 		for range 150 {
-			w.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") })
-			if w.violation != "" {
-				rt.Fatal(w.violation)
+			s.step(func(n int) int { return rapid.IntRange(0, n-1).Draw(rt, "pick") })
+			if s.violation != "" {
+				rt.Fatal(s.violation)
 			}
 		}
 	})
@@ -159,25 +159,25 @@
 func TestForgetfulOwnersAreCaught(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		w := newSimulation(true)
+		s := newSimulation(true)
 		for range 150 {
-			w.step(rng.IntN)
+			s.step(rng.IntN)
 		}
-		if w.violation != "" {
+		if s.violation != "" {
 			return
 		}
 	}
 	t.Fatal("no key ran twice, so the simulation would not detect the fault")
 }
 
-func acquire(t *testing.T, w *simulation, createdAt time.Time) []Command {
+func acquire(t *testing.T, s *simulation, createdAt time.Time) []Command {
 	t.Helper()
-	w.next++
-	k := NewKey("team", "tag", fmt.Sprint("k", w.next))
-	w.attempts[w.next] = k
-	w.perform(0, w.routers[0].Update(AcquireMsg{Now: w.now, Holder: Holder{Request: w.next}, Key: k, Agents: w.agents, CreatedAt: createdAt}))
-	for len(w.inFlight) > 0 {
-		w.deliver(func(int) int { return 0 })
+	s.next++
+	k := NewKey("team", "tag", fmt.Sprint("k", s.next))
+	s.attempts[s.next] = k
+	s.perform(0, s.routers[0].Update(AcquireMsg{Now: s.now, Holder: Holder{Request: s.next}, Key: k, Agents: s.agents, CreatedAt: createdAt}))
+	for len(s.inFlight) > 0 {
+		s.deliver(func(int) int { return 0 })
 	}
 	return nil
 }
@@ -186,17 +186,17 @@
 // fleet a key runs only if the caller reports that it was created after the
 // start.
 func TestYoungFleetNeedsTheTimeOfTheKey(t *testing.T) {
-	w := newSimulation(false)
-	for _, n := range w.agents {
-		w.start(n, w.now)
+	s := newSimulation(false)
+	for _, n := range s.agents {
+		s.start(n, s.now)
 	}
-	w.now += time.Minute
-	acquire(t, w, time.Time{})
-	require.Empty(t, w.runs)
-	acquire(t, w, w.startedAt.Add(w.now-2*time.Minute))
-	require.Empty(t, w.runs, "the key was created before the start")
-	acquire(t, w, w.startedAt.Add(w.now))
-	require.Len(t, w.runs, 1)
+	s.now += time.Minute
+	acquire(t, s, time.Time{})
+	require.Empty(t, s.runs)
+	acquire(t, s, s.startedAt.Add(s.now-2*time.Minute))
+	require.Empty(t, s.runs, "the key was created before the start")
+	acquire(t, s, s.startedAt.Add(s.now))
+	require.Len(t, s.runs, 1)
 }
 
 // TestNewOwnersDoNotVouch checks that an agent that became an owner of a key
