--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -7,46 +7,50 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// reserveTimeout is how long owners have to answer.
+// reserveTimeout is how long a coordinator waits for the verdicts of owners.
 const reserveTimeout = 500 * time.Millisecond
 
-// Decision is what may be done with a request that bears a key.
+// Decision is the coordinator's result for a request with an idempotency key.
 type Decision uint8
 
-// The decisions.
+// Decisions of a coordinator.
 const (
-	// DecisionRun means that no other attempt has run or will.
+	// DecisionRun means that no other attempt has run or will run.
 	DecisionRun Decision = iota
 	// DecisionDuplicate means that another attempt holds the key.
 	DecisionDuplicate
-	// DecisionUncertain means that too few owners can vouch for the key.
+	// DecisionUncertain means that too few owners could rule out an earlier
+	// attempt.
 	DecisionUncertain
 )
 
-// Coordinator is a router's part: it asks the owners of keys and counts their
-// answers. It is pure.
+// Coordinator reserves keys on behalf of a router: it sends reservations to the
+// owners of each key and counts their verdicts. It performs no I/O and reads no
+// clock.
 type Coordinator struct {
 	reservations map[uint64]*reservation
 }
 
-// reservation is one key that owners have been asked about.
+// reservation is the state of one key that a coordinator reserves or holds.
 type reservation struct {
 	holder     Holder
 	key        Key
 	owners     []fleet.Name
-	unanswered []fleet.Name // that have not answered
-	reserved   int
+	unanswered []fleet.Name // owners without a verdict yet
+	reserved   int          // owners that returned VerdictReserved
 	deadline   time.Duration
-	granted    bool // the request may run; the key stays until it is released
+	granted    bool // the request may run; kept until NotRunMsg or DoneMsg
 }
 
-// NewCoordinator returns an asker without questions.
+// NewCoordinator returns a coordinator without reservations.
 func NewCoordinator() *Coordinator { return &Coordinator{reservations: map[uint64]*reservation{}} }
 
-// CoordinatorMsg is anything that an Asker can be told.
+// CoordinatorMsg is an input to Coordinator.Update. The field Now of each
+// message is the time since the process started.
 type CoordinatorMsg interface{ isCoordinatorMsg() }
 
-// AcquireMsg asks about the key of a request.
+// AcquireMsg requests a decision on a request and its key. CreatedAt is when the
+// caller first used the key, by the caller's clock, or zero if unknown.
 type AcquireMsg struct {
 	Now       time.Duration
 	Holder    Holder
@@ -55,7 +59,7 @@
 	Agents    []fleet.Name // agents of the work's servers
 }
 
-// VerdictMsg brings an owner's verdict.
+// VerdictMsg carries one owner's verdict.
 type VerdictMsg struct {
 	Now     time.Duration
 	Owner   fleet.Name
@@ -63,19 +67,20 @@
 	Verdict Verdict
 }
 
-// NotRunMsg says that a request has not run and will not: its key is free.
+// NotRunMsg reports that a request has not run and will not run, so its key can
+// be released.
 type NotRunMsg struct {
 	Now     time.Duration
 	Request uint64
 }
 
-// DoneMsg says that a request has had its final answer.
+// DoneMsg reports that a request has had its final response.
 type DoneMsg struct {
 	Now     time.Duration
 	Request uint64
 }
 
-// TickMsg lets time pass.
+// TickMsg advances the time.
 type TickMsg struct{ Now time.Duration }
 
 func (AcquireMsg) isCoordinatorMsg() {}
@@ -84,10 +89,10 @@
 func (DoneMsg) isCoordinatorMsg()    {}
 func (TickMsg) isCoordinatorMsg()    {}
 
-// Command is something that an Asker wants done.
+// Command is an action that the caller of Coordinator.Update must carry out.
 type Command interface{ isCommand() }
 
-// ReserveCmd asks an owner to note a key.
+// ReserveCmd asks an owner to reserve a key.
 type ReserveCmd struct {
 	Owner     fleet.Name
 	Key       Key
@@ -95,14 +100,14 @@
 	CreatedAt time.Time
 }
 
-// ReleaseCmd tells an owner that a key's request has not run.
+// ReleaseCmd asks an owner to release a key because its request has not run.
 type ReleaseCmd struct {
 	Owner  fleet.Name
 	Key    Key
 	Holder Holder
 }
 
-// DecideCmd says what may be done with a request.
+// DecideCmd returns the decision on a request.
 type DecideCmd struct {
 	Request  uint64
 	Decision Decision
@@ -112,106 +117,106 @@
 func (ReleaseCmd) isCommand() {}
 func (DecideCmd) isCommand()  {}
 
-// Update takes one message and returns what is to be done about it, in order.
-func (a *Coordinator) Update(msg CoordinatorMsg) []Command {
+// Update processes one message and returns the resulting commands in order.
+func (c *Coordinator) Update(msg CoordinatorMsg) []Command {
 	switch msg := msg.(type) {
 	case AcquireMsg:
-		return a.acquire(msg)
+		return c.acquire(msg)
 	case VerdictMsg:
-		return a.handleVerdict(msg)
+		return c.handleVerdict(msg)
 	case NotRunMsg:
-		return a.notRun(msg)
+		return c.notRun(msg)
 	case DoneMsg:
-		delete(a.reservations, msg.Request)
+		delete(c.reservations, msg.Request)
 	case TickMsg:
-		return a.tick(msg)
+		return c.tick(msg)
 	}
 	return nil
 }
 
-func (a *Coordinator) acquire(msg AcquireMsg) []Command {
+func (c *Coordinator) acquire(msg AcquireMsg) []Command {
 	owners := Owners(msg.Key, msg.Agents)
-	q := &reservation{
+	r := &reservation{
 		holder: msg.Holder, key: msg.Key, owners: owners,
 		unanswered: slices.Clone(owners), deadline: msg.Now + reserveTimeout,
 	}
-	a.reservations[msg.Holder.Request] = q
+	c.reservations[msg.Holder.Request] = r
 	var cmds []Command
 	for _, o := range owners {
 		cmds = append(cmds, ReserveCmd{Owner: o, Key: msg.Key, Holder: msg.Holder, CreatedAt: msg.CreatedAt})
 	}
 	if len(owners) == 0 {
-		return a.decide(q, DecisionUncertain)
+		return c.decide(r, DecisionUncertain)
 	}
 	return cmds
 }
 
-func (a *Coordinator) handleVerdict(msg VerdictMsg) []Command {
-	q, ok := a.reservations[msg.Request]
-	if !ok || q.granted {
+func (c *Coordinator) handleVerdict(msg VerdictMsg) []Command {
+	r, ok := c.reservations[msg.Request]
+	if !ok || r.granted {
 		return nil
 	}
-	i := slices.Index(q.unanswered, msg.Owner)
+	i := slices.Index(r.unanswered, msg.Owner)
 	if i < 0 {
 		return nil
 	}
-	q.unanswered = slices.Delete(q.unanswered, i, i+1)
+	r.unanswered = slices.Delete(r.unanswered, i, i+1)
 	switch msg.Verdict {
 	case VerdictDuplicate:
-		return a.decide(q, DecisionDuplicate)
+		return c.decide(r, DecisionDuplicate)
 	case VerdictReserved:
-		q.reserved++
+		r.reserved++
 	}
-	quorum := Quorum(len(q.owners))
+	quorum := Quorum(len(r.owners))
 	switch {
-	case q.reserved >= quorum:
-		return a.decide(q, DecisionRun)
-	case q.reserved+len(q.unanswered) < quorum:
-		return a.decide(q, DecisionUncertain)
+	case r.reserved >= quorum:
+		return c.decide(r, DecisionRun)
+	case r.reserved+len(r.unanswered) < quorum:
+		return c.decide(r, DecisionUncertain)
 	}
 	return nil
 }
 
-// decide ends a question. Where the request may not run its notes are taken
-// back, so that the caller may come again.
-func (a *Coordinator) decide(q *reservation, d Decision) []Command {
-	cmds := []Command{DecideCmd{Request: q.holder.Request, Decision: d}}
+// decide ends the vote on a reservation. If the request may not run, the
+// reservation is released so that the caller can retry.
+func (c *Coordinator) decide(r *reservation, d Decision) []Command {
+	cmds := []Command{DecideCmd{Request: r.holder.Request, Decision: d}}
 	if d == DecisionRun {
-		q.granted = true
+		r.granted = true
 		return cmds
 	}
-	return append(cmds, a.release(q)...)
+	return append(cmds, c.release(r)...)
 }
 
-func (a *Coordinator) release(q *reservation) []Command {
-	delete(a.reservations, q.holder.Request)
+func (c *Coordinator) release(r *reservation) []Command {
+	delete(c.reservations, r.holder.Request)
 	var cmds []Command
-	for _, o := range q.owners {
-		cmds = append(cmds, ReleaseCmd{Owner: o, Key: q.key, Holder: q.holder})
+	for _, o := range r.owners {
+		cmds = append(cmds, ReleaseCmd{Owner: o, Key: r.key, Holder: r.holder})
 	}
 	return cmds
 }
 
-func (a *Coordinator) notRun(msg NotRunMsg) []Command {
-	q, ok := a.reservations[msg.Request]
+func (c *Coordinator) notRun(msg NotRunMsg) []Command {
+	r, ok := c.reservations[msg.Request]
 	if !ok {
 		return nil
 	}
-	return a.release(q)
+	return c.release(r)
 }
 
-// tick ends questions whose owners have not answered in time.
-func (a *Coordinator) tick(msg TickMsg) []Command {
+// tick ends reservations whose owners have not answered in time.
+func (c *Coordinator) tick(msg TickMsg) []Command {
 	var expired []uint64
-	for id, q := range a.reservations {
-		if !q.granted && q.deadline <= msg.Now {
+	for id, r := range c.reservations {
+		if !r.granted && r.deadline <= msg.Now {
 			expired = append(expired, id)
 		}
 	}
 	slices.Sort(expired)
 	var cmds []Command
 	for _, id := range expired {
-		cmds = append(cmds, a.decide(a.reservations[id], DecisionUncertain)...)
+		cmds = append(cmds, c.decide(c.reservations[id], DecisionUncertain)...)
 	}
 	return cmds
 }
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -19,8 +19,8 @@
 	return m
 }
 
-func arriveMsg(now time.Duration, id RequestID) ArriveMsg {
-	return ArriveMsg{Now: now, Request: Request{ID: id, Key: reportKey}}
+func requestMsg(now time.Duration, id RequestID) RequestMsg {
+	return RequestMsg{Now: now, Request: Request{ID: id, Key: reportKey}}
 }
 
 func claimMsg(seq uint64) ClaimMsg {
@@ -38,39 +38,40 @@
 	return RefuseCmd{}
 }
 
-// TestFullTeamIsRefusedAtOnce holds that a full team gets its answer in the
-// same step, with when to come back, and that another team does not suffer.
+// TestFullTeamIsRefusedAtOnce checks that a request of a team at its limit is
+// refused in the same update, with a Retry-After time, and that another team is
+// not affected.
 func TestFullTeamIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(2)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
-	r := findRefusal(t, m.Update(arriveMsg(2, 3)))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
+	r := findRefusal(t, m.Update(requestMsg(2, 3)))
 	require.Equal(t, ReasonTeamFull, r.Reason)
 	require.Equal(t, RanNo, r.Ran)
 	require.Positive(t, r.RetryAfter)
-	other := ArriveMsg{Now: 2, Request: Request{ID: 4, Key: fleet.DemandKey{Work: "report", Team: "basel"}}}
+	other := RequestMsg{Now: 2, Request: Request{ID: 4, Key: fleet.DemandKey{Work: "report", Team: "basel"}}}
 	require.Empty(t, m.Update(other))
 }
 
-// TestHopelessDeadlineIsRefusedAtOnce holds that a request which would come
-// too late, by the measured drain rate, is told so when it arrives, and that
-// Retry-After follows the rate.
+// TestHopelessDeadlineIsRefusedAtOnce checks that a request is refused on
+// arrival if it cannot meet its deadline at the measured drain rate, and that
+// Retry-After reflects the rate.
 func TestHopelessDeadlineIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(1000)
 	now := time.Duration(2)
 	id := RequestID(0)
-	for seq := range uint64(40) { // four claims a second, for ten seconds
+	for seq := range uint64(40) { // four claims a second for ten seconds
 		now += 250 * time.Millisecond
 		for range 3 {
 			id++
-			m.Update(arriveMsg(now, id))
+			m.Update(requestMsg(now, id))
 		}
 		c := claimMsg(seq + 1)
 		c.Now = now
 		m.Update(c)
 	}
-	late := arriveMsg(now, id+1)
-	late.Request.Deadline = now + 5*time.Second // some twenty seconds wait
+	late := requestMsg(now, id+1)
+	late.Request.Deadline = now + 5*time.Second // the expected wait is about 20 s
 	r := findRefusal(t, m.Update(late))
 	require.Equal(t, ReasonDeadline, r.Reason)
 	require.InDelta(t, 20, r.RetryAfter.Seconds(), 12)
@@ -78,14 +79,16 @@
 	require.Empty(t, m.Update(late))
 }
 
-// TestNoServerIsRefusedAtOnce holds that work that nobody runs does not wait.
+// TestNoServerIsRefusedAtOnce checks that a request is refused immediately if no
+// server runs its work.
 func TestNoServerIsRefusedAtOnce(t *testing.T) {
 	m := newTestMachine(10)
 	m.Update(AgentLeavingMsg{Now: 2, Agent: "a"})
-	require.Equal(t, ReasonNoServer, findRefusal(t, m.Update(arriveMsg(3, 1))).Reason)
+	require.Equal(t, ReasonNoServer, findRefusal(t, m.Update(requestMsg(3, 1))).Reason)
 }
 
-// TestDoubtIsNotRepeated holds what may follow a run that nobody knows of.
+// TestDoubtIsNotRepeated checks that a run with an unknown outcome is retried
+// only if the request is repeatable and no response has started.
 func TestDoubtIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -100,12 +103,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newTestMachine(10)
-			a := arriveMsg(2, 1)
+			a := requestMsg(2, 1)
 			a.Request.Repeatable = c.repeatable
 			m.Update(a)
 			m.Update(claimMsg(1))
 			if c.answered {
-				m.Update(AnswerStartedMsg{Now: 3, ID: 1})
+				m.Update(ResponseStartedMsg{Now: 3, ID: 1})
 			}
 			cmds := m.Update(EndMsg{Now: 4, ID: 1, Outcome: OutcomeUnknown})
 			require.Equal(t, c.retried, m.Waiting() == 1)
@@ -116,13 +119,13 @@
 	}
 }
 
-// TestRetriesAreBudgeted holds that a fleet that fails everything is not asked
-// again and again.
+// TestRetriesAreBudgeted checks that the number of retries stays within the
+// retry budget if every run fails.
 func TestRetriesAreBudgeted(t *testing.T) {
 	m := newTestMachine(10_000)
 	retries := 0
 	for id := range RequestID(500) {
-		a := arriveMsg(2, id+1)
+		a := requestMsg(2, id+1)
 		a.Request.Repeatable = true
 		m.Update(a)
 		for m.Waiting() > 0 && retries < 5000 {
@@ -135,12 +138,13 @@
 	require.InDelta(t, 500*0.1+initialTokens, retries, 2)
 }
 
-// TestUnrunRequestKeepsItsPlace holds that a request that an agent gave back
-// goes to the front, and that an agent that gives back for ever is given up on.
+// TestUnrunRequestKeepsItsPlace checks that a request that an agent returns
+// without running goes to the front of its queue, and that it is refused after
+// maxReturns returns.
 func TestUnrunRequestKeepsItsPlace(t *testing.T) {
 	m := newTestMachine(10)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
 	for i := range uint64(maxReturns) {
 		cmds := m.Update(claimMsg(i + 1))
 		require.Equal(t, RequestID(1), cmds[0].(RunCmd).ID)
@@ -152,14 +156,14 @@
 	require.Equal(t, 1, m.Waiting())
 }
 
-// TestLostAgentAbortsItsRuns holds that runs without an answer are given up
-// with their agent, and that answers which have begun are not.
+// TestLostAgentAbortsItsRuns checks that the loss of an agent aborts its runs
+// without a response, but not those whose response has started.
 func TestLostAgentAbortsItsRuns(t *testing.T) {
 	m := newTestMachine(10)
-	m.Update(arriveMsg(2, 1))
-	m.Update(arriveMsg(2, 2))
+	m.Update(requestMsg(2, 1))
+	m.Update(requestMsg(2, 2))
 	m.Update(claimMsg(1))
 	m.Update(claimMsg(2))
-	m.Update(AnswerStartedMsg{Now: 3, ID: 2})
+	m.Update(ResponseStartedMsg{Now: 3, ID: 2})
 	require.Equal(t, []Command{AbortCmd{ID: 1}}, m.Update(AgentDownMsg{Now: 4, Agent: "a"}))
 }
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -8,29 +8,33 @@
 )
 
 const (
-	// announceDelay is how long a line's oldest request must have waited before
-	// agents are told of the line: one that has only just come may be granted to
-	// an open claim, or claimed by an agent that knows the line already.
-	announceDelay = TickEvery / 2
-	// emptyDelay is how long a line must have been empty before agents are told.
-	// A Deny tells them sooner where it matters.
+	// announceDelay is how long a queue's oldest request must have waited before
+	// its count is sent to agents. A newer request may still be granted to an
+	// open claim, or be claimed by an agent already informed of the queue.
+	announceDelay = TickInterval / 2
+	// emptyDelay is how long a queue must have been empty before the informed
+	// agents are sent a zero count. An agent that claims earlier is sent a denial
+	// with the count.
 	emptyDelay = time.Second
-	// informedPerRequest is how many agents should know of each waiting request. A
-	// short line that all knew would draw a claim from each, most in vain.
+	// informedPerRequest is how many agents are informed per waiting request. If
+	// all agents were informed of a short queue, each would claim from it and
+	// most claims would be denied.
 	informedPerRequest = 2
-	// informMoreEvery is the wait after which one more agent should know.
+	// informMoreEvery is the wait of the oldest request after which one more
+	// agent is informed.
 	informMoreEvery = 100 * time.Millisecond
 )
 
-// tick ends waits that have lasted too long and tells agents of lines that
-// they should know. It looks at each line, not at each pair of line and agent.
+// tick expires requests that have waited too long and sends queue counts to the
+// agents that need them. Its cost grows with the number of queues, not with the
+// number of pairs of queue and agent.
 func (m *Machine) tick(msg TickMsg) []Command {
 	cmds := m.expire(msg)
 	for _, t := range m.byTeam {
 		t.rotateWindow(msg.Now)
 	}
-	for _, l := range m.ordered {
-		m.updateAgents(msg.Now, l)
+	for _, q := range m.ordered {
+		m.updateAgents(msg.Now, q)
 	}
 	return append(cmds, m.flush()...)
 }
@@ -47,72 +51,73 @@
 	return cmds
 }
 
-// updateAgents has agents told of one line: all that believe in it when it has long
-// been empty or has grown much, else as many more as should know.
-func (m *Machine) updateAgents(now time.Duration, l *requestQueue) {
-	if l.waiting == 0 {
-		l.baseline = 0
-		if l.informedAgents > 0 && now-l.lastRemoved >= emptyDelay {
-			m.updateInformed(l, fleet.Count{Key: l.key})
+// updateAgents decides which agents are sent the count of one queue. All
+// informed agents are sent it if the queue has been empty for emptyDelay or has
+// grown by the factor resendGrowth. Further agents are informed if too few are.
+func (m *Machine) updateAgents(now time.Duration, q *requestQueue) {
+	if q.waiting == 0 {
+		q.baseline = 0
+		if q.informedAgents > 0 && now-q.lastRemoved >= emptyDelay {
+			m.updateInformed(q, fleet.Count{Key: q.key})
 		}
 		return
 	}
-	c := l.count(now)
+	c := q.count(now)
 	if c.OldestAge < announceDelay {
 		return
 	}
-	if l.baseline > 0 && l.waiting >= resendGrowth*l.baseline {
-		m.updateInformed(l, c)
-		l.baseline = l.waiting
+	if q.baseline > 0 && q.waiting >= resendGrowth*q.baseline {
+		m.updateInformed(q, c)
+		q.baseline = q.waiting
 	}
-	m.informMore(l, c)
+	m.informMore(q, c)
 }
 
-// updateInformed corrects the count of every agent that believes in a line.
-func (m *Machine) updateInformed(l *requestQueue, c fleet.Count) {
+// updateInformed adds a new count for every informed agent of a queue.
+func (m *Machine) updateInformed(q *requestQueue, c fleet.Count) {
 	for _, a := range m.agents {
-		if a.sentCounts[l.key] > 0 {
-			m.addCount(a, l, c)
+		if a.sentCounts[q.key] > 0 {
+			m.addCount(a, q, c)
 		}
 	}
 }
 
-// informMore lets enough agents know of a line: a few for each request that
-// waits, and more the longer the oldest waits.
-func (m *Machine) informMore(l *requestQueue, c fleet.Count) {
-	want := 1 + informedPerRequest*l.waiting + int(c.OldestAge/informMoreEvery)
-	if l.informedAgents >= min(want, len(m.agents)) {
+// informMore informs further agents of a queue: informedPerRequest for each
+// waiting request, and one more for every informMoreEvery that the oldest waits.
+func (m *Machine) informMore(q *requestQueue, c fleet.Count) {
+	want := 1 + informedPerRequest*q.waiting + int(c.OldestAge/informMoreEvery)
+	if q.informedAgents >= min(want, len(m.agents)) {
 		return
 	}
-	if l.baseline == 0 {
-		l.baseline = l.waiting
+	if q.baseline == 0 {
+		q.baseline = q.waiting
 	}
 	n := len(m.agents)
-	for i := 0; i < n && l.informedAgents < want; i++ {
-		l.rotation++
-		a := m.agents[l.rotation%n]
-		if a.sentCounts[l.key] == 0 && a.canRun(l.key.Work) {
-			m.addCount(a, l, c)
+	for i := 0; i < n && q.informedAgents < want; i++ {
+		q.rotation++
+		a := m.agents[q.rotation%n]
+		if a.sentCounts[q.key] == 0 && a.canRun(q.key.Work) {
+			m.addCount(a, q, c)
 		}
 	}
 }
 
-// addCount adds a count to what an agent is told at the end of the tick.
-func (m *Machine) addCount(a *agentView, l *requestQueue, c fleet.Count) {
-	a.recordSent(l, c.Waiting)
+// addCount adds a count to those sent to an agent at the next flush.
+func (m *Machine) addCount(a *agentView, q *requestQueue, c fleet.Count) {
+	a.recordSent(q, c.Waiting)
 	if len(a.unsent) == 0 {
-		m.agentsToSend = append(m.agentsToSend, a)
+		m.agentsWithUnsent = append(m.agentsWithUnsent, a)
 	}
 	a.unsent = append(a.unsent, c)
 }
 
-// flush sends each agent all that this tick has for it, in one message.
+// flush returns one command per agent with all its unsent counts.
 func (m *Machine) flush() []Command {
 	var cmds []Command
-	for _, a := range m.agentsToSend {
+	for _, a := range m.agentsWithUnsent {
 		cmds = append(cmds, DemandCmd{Agent: a.name, Counts: a.unsent})
 		a.unsent = nil
 	}
-	m.agentsToSend = nil
+	m.agentsWithUnsent = nil
 	return cmds
 }
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -7,26 +7,26 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// arrive takes a claimed request. One whose claim is unknown, timed out or
-// used already is rejected: it has not run here and will not.
+// arrive accepts a claimed request. A request whose claim is unknown, timed out
+// or already used is rejected: it has not run here and will not run here.
 func (m *Machine) arrive(msg ArriveMsg) []Command {
-	r, ok := m.claims[msg.Seq]
+	c, ok := m.claims[msg.Seq]
 	if !ok {
-		r, ok = m.acceptOpenClaim(msg)
+		c, ok = m.acceptOpenClaim(msg)
 	}
-	if !ok || r.state != claimPending {
+	if !ok || c.state != claimPending {
 		return []Command{RejectCmd{Seq: msg.Seq}}
 	}
 	m.pendingClaims--
-	m.resumeRouter(r.router)
-	m.updateRemaining(msg, r)
-	r.state = claimReady
-	m.ready = append(m.ready, r.seq)
+	m.resumeRouter(c.router)
+	m.updateRemaining(msg, c)
+	c.state = claimReady
+	m.ready = append(m.ready, c.seq)
 	return append(m.startReady(msg.Now), m.rejectReady()...)
 }
 
-// acceptOpenClaim turns a request that uses an open claim into a claimed one, if a slot
-// is still idle. Each open claim can be used once.
+// acceptOpenClaim creates a claim for a request that uses an open claim, if a
+// slot is still idle. Each open claim can be used once.
 func (m *Machine) acceptOpenClaim(msg ArriveMsg) (*claim, bool) {
 	for _, v := range m.routers {
 		if !v.openClaims.has(msg.Seq) || m.usedOpenClaims[msg.Seq] {
@@ -35,7 +35,7 @@
 		m.usedOpenClaims[msg.Seq] = true
 		v.openClaims.used++
 		if m.idleSlots() <= 0 || m.leaving || !m.serving || !m.cfg.canRun(msg.Key.Work) {
-			v.openClaims.used = int(v.openClaims.end - v.openClaims.first) // the rest would fare no better
+			v.openClaims.used = int(v.openClaims.end - v.openClaims.first) // the others would be rejected too
 			return nil, false
 		}
 		return m.newClaim(msg.Now, msg.Seq, v.name, msg.Key), true
@@ -43,34 +43,35 @@
 	return nil, false
 }
 
-// newClaim notes a claim, and the estimate of what it will cost.
+// newClaim records a claim together with its estimated cost.
 func (m *Machine) newClaim(now time.Duration, seq uint64, router fleet.Name, k fleet.DemandKey) *claim {
 	t := m.team(now, k.Team)
-	r := &claim{seq: seq, key: k, router: router, claimedAt: now, estimate: m.costs.estimate(k)}
-	m.claims[seq] = r
+	c := &claim{seq: seq, key: k, router: router, claimedAt: now, estimate: m.costs.estimate(k)}
+	m.claims[seq] = c
 	m.pendingClaims++
-	t.pending += r.estimate
+	t.pending += c.estimate
 	t.lastActive = now
-	return r
+	return c
 }
 
-// updateRemaining takes the router's word for what is left of a request's line.
-func (m *Machine) updateRemaining(msg ArriveMsg, r *claim) {
-	if router, known := m.claimRouter(r); known {
-		m.setCount(msg.Now, router, fleet.Count{Key: r.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
+// updateRemaining records the router's count of the requests that remain in the
+// queue of an arrived request.
+func (m *Machine) updateRemaining(msg ArriveMsg, c *claim) {
+	if router, known := m.claimRouter(c); known {
+		m.setCount(msg.Now, router, fleet.Count{Key: c.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
 
-// rejectReady gives back the requests that came and can't start here, because
-// the server does not serve or has no slots any more; others may run them.
+// rejectReady rejects the requests that have arrived but cannot start because
+// the server is not serving or no longer has slots. Other servers may run them.
 func (m *Machine) rejectReady() []Command {
 	if m.serving && m.cfg.Slots > 0 {
 		return nil
 	}
 	var cmds []Command
 	for _, seq := range m.ready {
-		r := m.claims[seq]
-		m.byName[r.key.Team].pending -= r.estimate
+		c := m.claims[seq]
+		m.byName[c.key.Team].pending -= c.estimate
 		delete(m.claims, seq)
 		cmds = append(cmds, RejectCmd{Seq: seq})
 	}
@@ -78,16 +79,16 @@
 	return cmds
 }
 
-// startReady gives free slots to requests that have come, the highest class
-// first and in it the one that came first.
+// startReady starts arrived requests in free slots, highest class first and in
+// order of arrival within a class.
 func (m *Machine) startReady(now time.Duration) []Command {
 	var cmds []Command
 	for m.serving && len(m.ready) > 0 && m.running < m.cfg.Slots {
 		i := m.firstReady()
-		r := m.claims[m.ready[i]]
+		c := m.claims[m.ready[i]]
 		m.ready = slices.Delete(m.ready, i, i+1)
-		m.start(now, r)
-		cmds = append(cmds, StartCmd{Seq: r.seq})
+		m.start(now, c)
+		cmds = append(cmds, StartCmd{Seq: c.seq})
 	}
 	return cmds
 }
@@ -102,65 +103,68 @@
 	return best
 }
 
-// start charges the estimate at once, so that the other agents see it.
-func (m *Machine) start(now time.Duration, r *claim) {
-	r.state = claimStarted
-	r.startedAt = now
+// start starts a request and charges its estimated cost immediately, so that
+// the other agents take it into account.
+func (m *Machine) start(now time.Duration, c *claim) {
+	c.state = claimStarted
+	c.startedAt = now
 	m.running++
-	t := m.byName[r.key.Team]
+	t := m.byName[c.key.Team]
 	t.running++
-	t.pending -= r.estimate
-	t.own += r.estimate
-	r.charged = r.estimate
+	t.pending -= c.estimate
+	t.own += c.estimate
+	c.charged = c.estimate
 }
 
-// end settles a request that ran, or forgets one that did not start.
+// end settles the charge of a request that ran, or removes one that did not
+// start.
 func (m *Machine) end(msg EndMsg) {
-	r, ok := m.claims[msg.Seq]
+	c, ok := m.claims[msg.Seq]
 	if !ok {
 		return
 	}
-	switch r.state {
+	switch c.state {
 	case claimPending:
-		m.dropPending(r)
+		m.dropPending(c)
 	case claimReady:
-		m.dropReady(r)
+		m.dropReady(c)
 	case claimStarted:
-		m.settle(msg.Now, r)
+		m.settle(msg.Now, c)
 	}
 }
 
-func (m *Machine) dropReady(r *claim) {
-	if i := slices.Index(m.ready, r.seq); i >= 0 {
+func (m *Machine) dropReady(c *claim) {
+	if i := slices.Index(m.ready, c.seq); i >= 0 {
 		m.ready = slices.Delete(m.ready, i, i+1)
 	}
-	m.byName[r.key.Team].pending -= r.estimate
-	delete(m.claims, r.seq)
+	m.byName[c.key.Team].pending -= c.estimate
+	delete(m.claims, c.seq)
 }
 
-// settle replaces the charge by the true cost.
-func (m *Machine) settle(now time.Duration, r *claim) {
-	cost := now - r.startedAt
-	t := m.byName[r.key.Team]
-	t.own += cost - r.charged
+// settle replaces the charge with the actual cost.
+func (m *Machine) settle(now time.Duration, c *claim) {
+	cost := now - c.startedAt
+	t := m.byName[c.key.Team]
+	t.own += cost - c.charged
 	t.running--
 	t.lastActive = now
 	m.running--
-	m.costs.observe(r.key, cost)
-	delete(m.claims, r.seq)
+	m.costs.observe(c.key, cost)
+	delete(m.claims, c.seq)
 }
 
-// accrue raises the charges of runs that have outgrown their estimates.
+// accrue raises the charges of running requests that have exceeded their
+// estimates.
 func (m *Machine) accrue(now time.Duration) {
-	for _, r := range m.claims {
-		if r.state != claimStarted {
+	for _, c := range m.claims {
+		if c.state != claimStarted {
 			continue
 		}
-		t := m.byName[r.key.Team]
+		t := m.byName[c.key.Team]
 		t.lastActive = now
-		if used := now - r.startedAt; used > r.charged {
-			t.own += used - r.charged
-			r.charged = used
+		if used := now - c.startedAt; used > c.charged {
+			t.own += used - c.charged
+			c.charged = used
 		}
 	}
 }
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// applyDemand takes a router's counts. Counts from a router whose link is gone are
-// late and would never be corrected, so they are dropped.
+// applyDemand records a router's queue counts. Counts from a router whose link
+// is down are dropped because no later message would correct them.
 func (m *Machine) applyDemand(msg DemandMsg) {
 	r, _, ok := m.router(msg.Router)
 	if !ok {
@@ -31,17 +31,17 @@
 		t.lastActive = now
 	}
 	t.peerSlotRatio = max(t.peerSlotRatio, m.cfg.PeerSlotRatio[c.Key.Work])
-	l := t.queue(c.Key)
-	l.set(router, c.Waiting, now-c.OldestAge)
+	q := t.queue(c.Key)
+	q.set(router, c.Waiting, now-c.OldestAge)
 	if r, _, ok := m.router(router); ok && r.suspended {
-		l.setSuspended(router, true)
+		q.setSuspended(router, true)
 	}
 }
 
-// queue returns the team's queue of a key, making it where there is none.
+// queue returns the team's queue for key k and creates it if necessary.
 func (t *team) queue(k fleet.DemandKey) *queueDemand {
-	i, ok := slices.BinarySearchFunc(t.queues, k, func(l *queueDemand, k fleet.DemandKey) int {
-		return cmp.Or(cmp.Compare(l.key.Class, k.Class), cmp.Compare(l.key.Work, k.Work))
+	i, ok := slices.BinarySearchFunc(t.queues, k, func(q *queueDemand, k fleet.DemandKey) int {
+		return cmp.Or(cmp.Compare(q.key.Class, k.Class), cmp.Compare(q.key.Work, k.Work))
 	})
 	if !ok {
 		t.queues = slices.Insert(t.queues, i, &queueDemand{key: k})
@@ -49,22 +49,22 @@
 	return t.queues[i]
 }
 
-// handleDeny ends a claim that found its line empty.
+// handleDeny ends a pending claim whose queue was empty.
 func (m *Machine) handleDeny(msg DenyMsg) {
-	r, ok := m.claims[msg.Seq]
-	if !ok || r.state != claimPending {
+	c, ok := m.claims[msg.Seq]
+	if !ok || c.state != claimPending {
 		return
 	}
-	m.dropPending(r)
-	m.resumeRouter(r.router)
-	if src, known := m.claimRouter(r); known {
+	m.dropPending(c)
+	m.resumeRouter(c.router)
+	if src, known := m.claimRouter(c); known {
 		m.setCount(msg.Now, src, msg.Count)
 	}
 }
 
-// dropPending forgets a claim with which nothing came.
-func (m *Machine) dropPending(r *claim) {
+// dropPending removes a claim for which no request has arrived.
+func (m *Machine) dropPending(c *claim) {
 	m.pendingClaims--
-	m.byName[r.key.Team].pending -= r.estimate
-	delete(m.claims, r.seq)
+	m.byName[c.key.Team].pending -= c.estimate
+	delete(m.claims, c.seq)
 }
