--- a/quarantine/barring.go
+++ b/quarantine/barring.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// unexplained counts the crashes under a content that no other content explains.
+// unexplained returns the number of crashes under x that no other fingerprint explains.
 func (s *Suspects) unexplained(x *suspect) int {
 	n := 0
 	for _, c := range x.crashes {
@@ -16,20 +16,21 @@
 	return n
 }
 
-// harmful tells whether a content is to be barred that has seen so many crashes, of which no other
-// content explains some. Of two that crash servers together the one that has crashed more explains
-// the other's; once that has seen as many crashes as bar a content, one by itself is enough.
+// shouldBar reports whether to bar a fingerprint, given its crashes and how many of them no
+// other fingerprint explains. Of two fingerprints that crash servers together, the one with
+// more crashes explains the other's; a fingerprint with more than CrashThreshold crashes of its
+// own is barred by a single unexplained one.
 func shouldBar(crashes, unexplained int) bool {
 	return unexplained >= CrashThreshold || crashes > CrashThreshold && unexplained > 0
 }
 
-// explained tells whether another content was there when a server crashed that has seen
-// more crashes than this one.
+// explained reports whether a fingerprint with more crashes than x was also on server when
+// it crashed.
 func (s *Suspects) explained(x *suspect, server Server) bool {
 	return slices.ContainsFunc(s.byServer[server], func(other *suspect) bool { return len(other.crashes) > len(x.crashes) })
 }
 
-// judge decides anew what is barred, after something has changed: what one content has seen
+// updateBarred decides again what is barred, after any change: a change to one fingerprint
 // may explain the crashes under another.
 func (s *Suspects) updateBarred() {
 	s.digest = Digest{}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,19 +1,19 @@
-// Package quarantine decides which requests are not sent to backend servers any more, since
-// servers crash under them.
+// Package quarantine decides which requests are no longer sent to backend servers because
+// servers crash while they execute them.
 //
-// A request that crashes the server that runs it comes again: its caller tries once more, or
-// somebody sends the same later, through any router. Suspects keeps, by content, which servers
-// crashed while they ran it, for longer than any request lasts. Routers tell one another of
-// suspects, so each knows what all have seen. A content under which three servers crashed is
-// barred: its requests are refused at once.
+// A request that crashes its server comes again: its caller retries, or somebody sends the
+// same request later, through any router. Suspects records, by fingerprint of the request,
+// which servers crashed while they executed it, for longer than any request lasts. Routers
+// exchange reports of suspects, so each has the observations of all. A fingerprint under which
+// three servers crashed is barred: its requests are refused at once.
 //
-// A server runs many requests, and a crash ends all of them. So a crash counts for those
-// only that had just begun, and not for a content that another one explains: one that was
-// there and has seen more crashes. Where more than three servers crashed under a content that others
-// explain, one crash that none does is enough. A whole answer clears a content of everything
-// before it.
+// A server executes many requests, and a crash ends all of them. So a crash counts only for
+// requests that had just begun, and not for a fingerprint if another one explains it: one that
+// was on the same server and has more crashes. If more than three servers crashed under a
+// fingerprint whose crashes others explain, one unexplained crash is enough to bar it. A
+// complete response clears a fingerprint of all crashes before it.
 //
 //	var s quarantine.Suspects
-//	s.Crashed(now, content, server)
-//	if s.Barred(now, content) { ... }
+//	s.RecordCrash(now, fingerprint, server)
+//	if s.Barred(now, fingerprint) { ... }
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,34 +9,34 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint names what a request asks for: requests of one team with the same method, host,
-// target and body have the same content, whichever router they come to and however often.
-// Each try of a caller has an id of its own, so the id doesn't tell. The zero value names
-// nothing.
+// Fingerprint identifies what a request asks for: requests of one team with the same method,
+// host, target and body have the same fingerprint, at any router and on any retry. Request ids
+// are not included, since each attempt of a caller has its own. The zero value identifies no
+// request.
 //
-// It is a hash of 64 bits. Contents that share one by chance are treated as one: with a
-// thousand suspects and 10,000 other contents a second, that is one request in 60,000 years.
+// It is a 64-bit hash. Requests whose fingerprints collide are treated as one: with a thousand
+// suspects and 10,000 other fingerprints a second, that is one request in 60,000 years.
 type Fingerprint uint64
 
-// FingerprintOf returns the content of a request.
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(team, method, host, target string, body []byte) Fingerprint {
 	var h xxhash.Digest
 	h.Reset()
 	var length [8]byte
 	for _, field := range []string{team, method, host, target} {
-		// The lengths keep two fields from being read as another two.
+		// The length prefixes keep different fields from having the same encoding.
 		binary.LittleEndian.PutUint64(length[:], uint64(len(field)))
-		_, _ = h.Write(length[:]) // a hash in memory takes everything
+		_, _ = h.Write(length[:]) // writes to an in-memory hash never fail
 		_, _ = h.WriteString(field)
 	}
 	_, _ = h.Write(body)
 	return Fingerprint(max(h.Sum64(), 1))
 }
 
-// ErrFingerprint says that a text names no content.
-var ErrFingerprint = errors.New("no content of requests: it has 16 hexadecimal digits")
+// ErrFingerprint reports that a text is not a fingerprint.
+var ErrFingerprint = errors.New("invalid request fingerprint: want 16 lowercase hexadecimal digits, not all zero")
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of Fingerprint.String.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || n == 0 || Fingerprint(n).String() != text {
@@ -45,5 +45,5 @@
 	return Fingerprint(n), nil
 }
 
-// String returns the content as logs write it.
+// String returns the fingerprint as 16 hexadecimal digits.
 func (c Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(c)) }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestContent has requests that differ in one field have different contents, also where the
-// fields put together are the same, and a request that comes again the same one.
+// TestFingerprintOf verifies that requests that differ in one field have different
+// fingerprints, even if the concatenated fields are the same, and that a repeated request has
+// the same one.
 func TestFingerprintOf(t *testing.T) {
 	body := []byte("body")
 	seen := map[Fingerprint]bool{}
@@ -30,8 +31,7 @@
 	require.Equal(t, "000000000000002a", Fingerprint(42).String())
 }
 
-// BenchmarkContent is what each request pays: 1.0 µs with a body of 8 kB, where nothing was
-// computed before.
+// BenchmarkFingerprintOf measures the cost for each request: 1.0 µs with a body of 8 kB.
 func BenchmarkFingerprintOf(b *testing.B) {
 	body := make([]byte, 8<<10)
 	for b.Loop() {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// SetRecorded takes in which contents the store lists as barred, so that routers which all lost what
-// they knew still bar them. A content that is listed no longer was released: what is known of it
-// counts no more.
+// SetRecorded sets the fingerprints that the store lists as barred, so that routers which all
+// lost their state still bar them. A fingerprint that is no longer listed was released: its
+// earlier crashes are cleared.
 func (s *Suspects) SetRecorded(now time.Duration, listed []Fingerprint) {
 	previous := s.listed
 	s.listed = make(map[Fingerprint]bool, len(listed))
@@ -30,7 +30,7 @@
 	s.updateBarred()
 }
 
-// Unrecorded returns the contents that are barred and not in the store.
+// Unrecorded returns the fingerprints that are barred and not in the store.
 func (s *Suspects) Unrecorded() []Fingerprint {
 	var out []Fingerprint
 	for c, x := range s.byFingerprint {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// Outdated returns the contents that are in the store and not barred any more.
+// Outdated returns the fingerprints that are in the store and no longer barred.
 func (s *Suspects) Outdated() []Fingerprint {
 	var out []Fingerprint
 	for _, c := range slices.Sorted(maps.Keys(s.listed)) {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// barredBy returns suspects that have seen servers crash under a content.
+// newBarred returns suspects in which c is barred by crashes.
 func newBarred(c Fingerprint) *Suspects {
 	s := &Suspects{}
 	for i := range Server(CrashThreshold) {
@@ -16,7 +16,7 @@
 	return s
 }
 
-// TestRecordBars has a router that has seen nothing read from the store what is barred.
+// TestRecordBars verifies that a router without observations of its own bars what the store lists.
 func TestRecordBars(t *testing.T) {
 	seen := newBarred(bad)
 	require.Equal(t, []Fingerprint{bad}, seen.Unrecorded())
@@ -30,11 +30,11 @@
 	require.Empty(t, started.Unrecorded())
 	require.Equal(t, seen.Digest(), started.Digest())
 	started.Expire(Retention)
-	require.True(t, started.Barred(Retention, bad), "it counts as asked for when it was read")
+	require.True(t, started.Barred(Retention, bad), "reading the record counts as a request")
 }
 
-// TestReleaseClears has an operator delete a record: its content is tried again, also at routers
-// that are told of the old crashes once more.
+// TestReleaseClears verifies that after an operator deletes a record its requests are sent
+// again, also if another router reports the old crashes once more.
 func TestReleaseClears(t *testing.T) {
 	a, b := newBarred(bad), newBarred(bad)
 	a.SetRecorded(at(1), []Fingerprint{bad, harmless})
@@ -42,15 +42,15 @@
 	a.SetRecorded(at(2), nil)
 	require.False(t, a.Barred(at(2), bad))
 	require.False(t, a.Barred(at(2), harmless))
-	require.Empty(t, a.Unrecorded(), "it isn't recorded again")
+	require.Empty(t, a.Unrecorded(), "a released fingerprint must not be recorded again")
 	a.ApplyReports(at(3), b.TakeReports(at(3), 8))
 	require.False(t, a.Barred(at(3), bad))
 	b.ApplyReports(at(3), a.TakeReports(at(3), 8))
-	require.False(t, b.Barred(at(3), bad), "the release was told")
+	require.False(t, b.Barred(at(3), bad), "the release must be reported")
 }
 
-// TestOutdatedRecords has contents that are listed and not barred any more: their records are
-// to be removed, and don't bar them again meanwhile.
+// TestOutdatedRecords verifies that listed fingerprints that are no longer barred are
+// returned for removal, and that their records don't bar them again meanwhile.
 func TestOutdatedRecords(t *testing.T) {
 	s := newBarred(bad)
 	s.SetRecorded(at(1), []Fingerprint{bad, harmless})
@@ -64,8 +64,8 @@
 	require.Empty(t, s.Outdated())
 }
 
-// TestAskingIsTold has a content be asked for at one router only: the others are told now and
-// then, and don't forget it.
+// TestRefusalsAreReported verifies that routers keep a barred fingerprint that is requested at
+// another router only: the refusals are reported from time to time.
 func TestRefusalsAreReported(t *testing.T) {
 	refusing, other := newBarred(bad), &Suspects{}
 	now := at(0)
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// tellOwn is how many lists tell of what this router has learned itself: of ten lists one
-	// may be lost. tellHeard is the same for grave contents that others told of, since in a
-	// large fleet a list reaches only some routers. A content under which one server crashed,
-	// as most of its company have seen, is told by the router that saw it alone: where a second
-	// crash follows, some router has heard of both, and tells that on.
+	// ownSends is how many lists report what this router observed itself: one list in ten may
+	// be lost. relaySends is the same for multi-crash fingerprints that others reported, since in
+	// a large fleet a list reaches only some routers. A fingerprint with one crash, like most of
+	// those on a crashed server, is reported only by the router that observed it: if a second
+	// crash follows, some router has received both reports, and relays them.
 	ownSends   = 3
 	relaySends = 1
-	// repeatEvery is the least time between two times that all which are barred, or nearly, are
-	// told again, because another router knows others.
+	// resendInterval is the least time between two resends of all barred and nearly barred
+	// fingerprints, which a differing digest of another router triggers.
 	resendInterval = 500 * time.Millisecond
 )
 
-// Report is what a router tells others of one content. Times are told as ages, since clocks
-// of hosts differ.
+// Report holds what a router reports about one fingerprint. Times are sent as ages, since the
+// clocks of hosts differ.
 type Report struct {
 	Content Fingerprint
-	// Grave says that more than one server has crashed under it. Other reports needn't be told
-	// to other regions.
+	// Grave is set if more than one server has crashed under the fingerprint. Other reports
+	// need not be sent to other regions.
 	Grave    bool
 	Crashes  []CrashReport
 	Cleared  bool
 	ClearAge Age // since it was cleared
 	Asked    bool
-	AskAge   Age // since it was last refused
+	AskAge   Age // since a request was last refused
 }
 
-// CrashReport is one crash of a server that was running a content.
+// CrashReport is one crash of a server that was executing the fingerprint.
 type CrashReport struct {
 	Server Server
 	Age    Age
 }
 
-// Age is a time that has passed, in milliseconds.
+// Age is an elapsed time in milliseconds.
 type Age uint32
 
 func ageOf(d time.Duration) Age { return Age(max(d.Milliseconds(), 0)) }
 
 func (a Age) duration() time.Duration { return time.Duration(a) * time.Millisecond }
 
-// TakeReports returns what others have yet to be told, most at a time: first of the contents under which
-// most servers crashed, then of those that were learned last.
+// TakeReports returns up to limit reports that are due to other routers: first those with the
+// most crashes, then those with the latest update.
 func (s *Suspects) TakeReports(now time.Duration, limit int) []Report {
 	var due []*suspect
 	for _, x := range s.byFingerprint {
@@ -81,8 +81,8 @@
 	return r
 }
 
-// ApplyReports takes in what another router told. Reports may be late, lost, repeated and reordered:
-// crashes are added up, and the newest clearing holds.
+// ApplyReports merges the reports of another router. Reports may be late, lost, repeated and
+// reordered: crashes are united, and the latest clearing applies.
 func (s *Suspects) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
 		s.applyReport(now, r)
@@ -113,32 +113,32 @@
 	}
 	x.multiCrash = x.multiCrash || r.Grave
 	if x.multiCrash && (changed || stale) {
-		// A teller of crashes that no longer count hasn't heard that they were cleared.
+		// The sender of crashes that were already cleared hasn't received the clearing.
 		x.sendsLeft = max(x.sendsLeft, relaySends)
 	}
 }
 
-// sameTime is how much the age of one event may differ between what two routers told: the time
-// that lists take.
+// ageTolerance is how much the age of one event may differ between the reports of two routers:
+// the delivery time of a list.
 const ageTolerance = 100 * time.Millisecond
 
-// old tells whether all that a report says is too old to be kept.
+// expired reports whether everything in the report is too old to be kept.
 func (r Report) expired() bool {
 	maxAge := ageOf(Retention)
 	recent := (r.Cleared && r.ClearAge <= maxAge) || (r.Asked && r.AskAge <= maxAge)
 	return !recent && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= maxAge })
 }
 
-// nearlyBarred tells whether one more crash may bar the content.
+// nearlyBarred reports whether one more crash may bar the fingerprint.
 func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashThreshold-1 }
 
-// Digest is short sums of contents, by which routers find out that they know others; 0 for none.
+// Digest holds sums of fingerprints, with which routers detect that their states differ; 0 for none.
 type Digest struct {
 	Barred       uint64
 	NearlyBarred uint64 // one more crash may bar them
 }
 
-// add adds a content's part.
+// add adds a fingerprint to the sum it belongs to.
 func (d *Digest) add(x *suspect) {
 	switch {
 	case x.barred:
@@ -148,11 +148,11 @@
 	}
 }
 
-// Digest sums up what all routers have to know.
+// Digest returns the digest of the state that all routers should share.
 func (s *Suspects) Digest() Digest { return s.digest }
 
-// CompareDigest takes in the digest of another router. Where it differs, what it stands for is told
-// again, so that also a router that was away or has just started learns of it.
+// CompareDigest compares the digest of another router. If it differs, the barred and nearly
+// barred fingerprints are sent again, so that a router that was away or just started learns them.
 func (s *Suspects) CompareDigest(now time.Duration, digest Digest) {
 	if digest == s.Digest() || now-s.lastResend < resendInterval {
 		return
--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportsAreToldAFewTimes has a router tell of a crash in a few lists, and one that hears of
-// it tell it on.
+// TestReportsAreSentAFewTimes verifies that a router reports a crash in several lists, and that
+// a receiver relays it once a second server has crashed.
 func TestReportsAreSentAFewTimes(t *testing.T) {
 	var a, b Suspects
 	a.RecordCrash(at(0), bad, 10)
@@ -22,7 +22,7 @@
 	require.Empty(t, a.TakeReports(at(0.1), 8))
 	b.ApplyReports(at(0.2), reports)
 	b.ApplyReports(at(0.2), reports)
-	require.Empty(t, b.TakeReports(at(0.2), 8), "one crash is told by those who saw it")
+	require.Empty(t, b.TakeReports(at(0.2), 8), "only routers that observed a single crash report it")
 	require.Equal(t, 1, b.Crashes(bad))
 	a.RecordCrash(at(1), bad, 11)
 	reports = a.TakeReports(at(1), 8)
@@ -33,8 +33,8 @@
 	require.Empty(t, b.TakeReports(at(1.1), 8))
 }
 
-// TestNobodyIsToldOfHarmless has a request that was there when a server crashed be answered by
-// another one, before anybody was told.
+// TestClearedCrashIsNotReported verifies that a crash under a request that another server then
+// executes successfully, before anything was sent, is not reported.
 func TestClearedCrashIsNotReported(t *testing.T) {
 	var s Suspects
 	s.RecordCrash(at(0), harmless, 10)
@@ -43,10 +43,10 @@
 	s.RecordCrash(at(1), harmless, 11)
 	s.TakeReports(at(1.1), 8)
 	s.RecordSuccess(at(1.2), harmless)
-	require.Len(t, s.TakeReports(at(1.3), 8), 1, "who was told of the crash is told of this")
+	require.Len(t, s.TakeReports(at(1.3), 8), 1, "a clearing is reported if the crash was")
 }
 
-// TestWorstIsToldFirst has more to tell than fits into a list.
+// TestMostCrashesAreReportedFirst has more to report than fits into a list.
 func TestMostCrashesAreReportedFirst(t *testing.T) {
 	var s Suspects
 	for i := range 20 {
@@ -59,8 +59,8 @@
 	require.Equal(t, []Fingerprint{bad, 119, 118}, []Fingerprint{reports[0].Content, reports[1].Content, reports[2].Content})
 }
 
-// TestRestartedRouterLearns has a router start anew that knew what is barred: its digest tells the
-// others to tell it again, also of crashes from before its start.
+// TestRestartedRouterLearns verifies that the digest of a restarted router makes the others
+// send the barred fingerprints again, including crashes from before its start.
 func TestRestartedRouterLearns(t *testing.T) {
 	var a, b Suspects
 	for i := range Server(CrashThreshold) {
@@ -73,15 +73,15 @@
 	a.CompareDigest(at(60.1), b.Digest())
 	reports := a.TakeReports(at(60), 8)
 	require.Len(t, reports, 1)
-	require.Empty(t, a.TakeReports(at(60), 8), "not each time it hears that router")
+	require.Empty(t, a.TakeReports(at(60), 8), "not for each digest of that router")
 	b.ApplyReports(time.Second, reports)
 	require.True(t, b.Barred(time.Second, bad))
 	require.Equal(t, a.Digest(), b.Digest())
 }
 
-// TestRestartedRouterLearnsOfTwoCrashes has a router start anew after two servers crashed under a
-// content: others tell it again, so that one more crash bars it there too. Of a content under which
-// one server crashed it learns nothing.
+// TestRestartedRouterLearnsOfTwoCrashes verifies that a router that restarts after two crashes
+// under a fingerprint receives them, so that one more crash bars it there too. A fingerprint
+// with a single crash is not sent again.
 func TestRestartedRouterLearnsOfTwoCrashes(t *testing.T) {
 	var a, b Suspects
 	a.RecordCrash(at(0), harmless, 9)
@@ -91,18 +91,18 @@
 	for range ownSends {
 		a.TakeReports(at(0), 8)
 	}
-	require.Zero(t, a.Digest().Barred, "what older routers compare is what it was")
+	require.Zero(t, a.Digest().Barred, "the sum that older builds compare must not change")
 	a.CompareDigest(at(60), b.Digest())
 	b.ApplyReports(time.Second, a.TakeReports(at(60), 8))
 	require.Equal(t, a.Digest(), b.Digest())
 	require.Zero(t, b.Crashes(harmless))
 	require.True(t, b.OneCrashFromBarred(bad))
 	a.CompareDigest(at(61), b.Digest())
-	require.Empty(t, a.TakeReports(at(61), 8), "they agree")
+	require.Empty(t, a.TakeReports(at(61), 8), "the digests are equal")
 }
 
-// TestClearingWins has a router that hasn't heard of a clearing tell of crashes before it: it
-// is told that they don't count.
+// TestClearingWins verifies that a router that missed a clearing, and still reports the crashes
+// before it, receives the clearing.
 func TestClearingWins(t *testing.T) {
 	var a, b Suspects
 	for i := range Server(CrashThreshold) {
@@ -121,20 +121,20 @@
 	require.Equal(t, a.Digest(), b.Digest())
 }
 
-// TestOldReportsAreDropped has what nobody remembers any more come again.
+// TestOldReportsAreDropped verifies that a report older than the retention adds nothing.
 func TestOldReportsAreDropped(t *testing.T) {
 	var s Suspects
 	s.ApplyReports(at(0), []Report{{Content: bad, Crashes: []CrashReport{{Server: 1, Age: ageOf(Retention + time.Second)}}}, {Content: 0}})
 	require.Empty(t, s.byFingerprint)
 }
 
-// TestReportsAgree plays routers that see crashes and answers and tell one another, with
-// lists lost, late, repeated and in any order. In the end, when each has heard all, all bar
-// the same, and no more and no less than somebody who saw everything would.
+// TestReportsAgree simulates routers that observe crashes and responses and exchange reports,
+// with lists lost, delayed, repeated and reordered. Once each has received everything, all bar
+// the same fingerprints as an observer of all events would.
 func TestReportsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]Suspects, 3)
-		var observer Suspects // sees everything itself
+		var observer Suspects // observes all events directly
 		type message struct {
 			to   int
 			list []Report
@@ -147,7 +147,7 @@
 			routers[l.to].ApplyReports(now, aged(l.list, now-l.at))
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			now += 2 * crashDedupWindow // a server needs seconds to be back
+			now += 2 * crashDedupWindow // a server needs seconds to restart
 			content := Fingerprint(rapid.IntRange(1, 4).Draw(t, "content"))
 			sender := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -160,7 +160,7 @@
 				}
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "answered") == 0 {
-					// Only a router that knows of crashes has anything to clear.
+					// Only a router with recorded crashes has anything to clear.
 					routers[sender].RecordSuccess(now, content)
 					observer.clearSeen(now, content, &routers[sender])
 				}
@@ -200,7 +200,7 @@
 	})
 }
 
-// clearSeen clears a content where a router that answered it has cleared it.
+// clearSeen clears a fingerprint if the router that executed it has cleared it.
 func (s *Suspects) clearSeen(now time.Duration, c Fingerprint, router *Suspects) {
 	x := router.byFingerprint[c]
 	if x == nil || !x.cleared.valid || x.cleared.at != now {
@@ -211,7 +211,7 @@
 	s.updateBarred()
 }
 
-// aged returns a list as it is when it comes later: what it tells of is older by then.
+// aged returns a list as its receiver sees it after a delay: the ages have grown.
 func aged(list []Report, delay time.Duration) []Report {
 	out := make([]Report, 0, len(list))
 	for _, r := range list {
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// State is what is known of one content, for dumps.
+// State describes one fingerprint, for dumps.
 type State struct {
 	Content  string
 	Barred   bool
-	Recorded bool // in the store
-	Crashes  int  // of servers that ran it, as far as it was not cleared since
-	// Known is how long ago something was last learned of it, or it was last refused.
+	Recorded bool // listed in the store
+	Crashes  int  // crashes of servers that executed it, since it was last cleared
+	// Known is the time since its last update: a crash, a clearing or a refused request.
 	Known time.Duration
 }
 
-// States returns what is known of the contents under which most servers crashed, most at
-// a time; those that are barred come first.
+// States returns up to limit fingerprints: barred ones first, then those with the most
+// crashes.
 func (s *Suspects) States(now time.Duration, limit int) []State {
 	out := make([]State, 0, len(s.byFingerprint))
 	for c, x := range s.byFingerprint {
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// crash is one crash of a server that was running a content.
+// crash is one crash of a server that was executing a fingerprint.
 type crash struct {
 	server Server
 	at     time.Duration
 }
 
-// suspect is what is known of one content under which servers crashed.
+// suspect holds the state of one fingerprint under which servers crashed.
 type suspect struct {
 	fingerprint     Fingerprint
-	crashes         []crash      // the oldest first
-	cleared         optionalTime // when it was last found to do no harm: older crashes don't count
-	refused         optionalTime // when it was last refused
-	refusedReported optionalTime // the time of asked that others were last told
-	// recorded says that the store lists it as barred, and it wasn't cleared since.
+	crashes         []crash      // oldest first
+	cleared         optionalTime // last found harmless: earlier crashes don't count
+	refused         optionalTime // last refused
+	refusedReported optionalTime // value of refused in the last report
+	// recorded is set if the store lists it as barred and it was not cleared since.
 	recorded bool
 	barred   bool
-	// grave says that more than one server has crashed under it, so that all routers have to know.
+	// multiCrash is set if more than one server has crashed under it, so that all routers must learn it.
 	multiCrash bool
-	sendsLeft  int // lists that are still to tell of it
+	sendsLeft  int // number of lists that are yet to report it
 }
 
-// moment is a time, or none. What others told of may have happened before this router
-// started, at a negative time.
+// optionalTime is a time, or none. Events that others report may have happened before this
+// router started, at a negative time.
 type optionalTime struct {
 	at    time.Duration
 	valid bool
 }
 
-// renew takes in a time, if it is later.
+// advance sets the time to at if that is later.
 func (m *optionalTime) advance(at time.Duration) {
 	if !m.valid || at > m.at {
 		*m = optionalTime{at: at, valid: true}
 	}
 }
 
-// sameCrash is how far apart two reports of one crash may be. A server that is back and
-// hasn't said so crashes a second time under the name of its first start, seconds later.
+// crashDedupWindow is how far apart two reports of the same crash may be. A server that has
+// restarted and not yet announced it crashes again, seconds later, as its first incarnation.
 const crashDedupWindow = 1500 * time.Millisecond
 
-// sawCrash tells whether a crash is known.
+// hasCrash reports whether a crash is already recorded.
 func (x *suspect) hasCrash(one crash) bool {
 	return slices.ContainsFunc(x.crashes, func(c crash) bool {
 		return c.server == one.server && (c.at-one.at).Abs() < crashDedupWindow
 	})
 }
 
-// ranOn tells whether a server is known to have crashed under the content.
+// crashedServer reports whether s is known to have crashed under the fingerprint.
 func (x *suspect) crashedServer(s Server) bool {
 	return slices.ContainsFunc(x.crashes, func(c crash) bool { return c.server == s })
 }
 
-// void tells whether a crash at a time doesn't count, since the content was cleared later.
+// clearedSince reports whether a crash at the given time doesn't count, since the fingerprint
+// was cleared later.
 func (x *suspect) clearedSince(at time.Duration) bool { return x.cleared.valid && at <= x.cleared.at }
 
-// lastAt is when something was last learned of the content.
+// lastUpdate returns the time of the last event of the fingerprint.
 func (x *suspect) lastUpdate() time.Duration {
 	var last optionalTime
 	for _, m := range []optionalTime{x.cleared, x.refused} {
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// CrashThreshold is how many servers may crash under a content: one may crash by itself,
-	// two in a row under one request are rare but do happen when hosts fail in series.
+	// CrashThreshold is the number of servers that crash under a fingerprint before it is
+	// barred. One server may crash by itself; two in a row under one request are rare but happen
+	// when hosts fail in series.
 	CrashThreshold = 3
-	// Retention is how long a content is remembered after the last crash under it, or after it was last
-	// asked for while it was barred. It is far longer than the time between two tries of one that
-	// is asked for every few seconds or minutes, so that each stays barred.
+	// Retention is how long a fingerprint is kept after the last crash under it, or after its
+	// last request while it was barred. It is far longer than the retry interval of requests that
+	// come every few seconds or minutes, so that these stay barred.
 	Retention = 10 * time.Minute
-	// askToldEvery is the time between two lists that tell that a barred content is asked for.
+	// refusedReportInterval is the time between two reports that a barred fingerprint is still requested.
 	refusedReportInterval = Retention / 4
-	// crashesKept bounds the crashes that are kept of one content; the oldest are dropped.
+	// maxCrashesKept limits the crashes kept per fingerprint; the oldest are dropped.
 	maxCrashesKept = 16
-	// suspectsMost bounds the contents that are kept, which take some 150 bytes each: a hundred
-	// crashes of servers that each run forty requests at their beginning.
+	// maxSuspects limits the fingerprints kept, which take about 150 bytes each. It covers a
+	// hundred crashes of servers that each run forty requests at their beginning.
 	maxSuspects = 4096
-	// forgottenAtOnce is how many are forgotten when there are as many: finding them takes a
-	// millisecond, which must not be the price of each new one.
+	// evictionBatch is how many suspects are removed when the limit is reached. Finding them
+	// takes a millisecond, too long for each new suspect.
 	evictionBatch = maxSuspects / 8
 )
 
-// Server names one incarnation of a backend server.
+// Server identifies one incarnation of a backend server.
 type Server uint32
 
-// Suspects are the contents under which servers have crashed, as one router knows them. The
-// zero value knows none. Times are of the router's monotonic clock.
+// Suspects holds one router's view of the fingerprints under which servers have crashed. The
+// zero value is empty. Times are on the router's monotonic clock.
 type Suspects struct {
 	byFingerprint map[Fingerprint]*suspect
-	byServer      map[Server][]*suspect // that were there when it crashed
+	byServer      map[Server][]*suspect // suspects that were on the server when it crashed
 	changed       []Change
-	listed        map[Fingerprint]bool // by the store, see Record
+	listed        map[Fingerprint]bool // by the store, see SetRecorded
 	digest        Digest
-	urgent        bool          // see Urgent
-	lastResend    time.Duration // when all that are barred were last told again
+	urgent        bool          // see TakeUrgent
+	lastResend    time.Duration // when the barred suspects were last sent again
 }
 
-// Change says that a content has become barred, or is no longer.
+// Change reports that a fingerprint has become barred, or no longer is.
 type Change struct {
 	Fingerprint Fingerprint
 	Barred      bool
-	Crashes     int // of servers that ran it
+	Crashes     int // crashes of servers that executed it
 }
 
-// RecordCrash takes in that a server crashed while it ran a content, through this router.
+// RecordCrash records that a server crashed while it executed a request of this router.
 func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
 	if x := s.getOrAdd(now, c); s.addCrash(x, crash{server, now}) {
 		x.sendsLeft = ownSends
@@ -58,17 +59,17 @@
 	}
 }
 
-// TakeUrgent tells whether anything was learned since the last call that other routers must be told at
-// once: a crash after which one more may bar a content, or that one has become barred. Until they
-// hear of it they send copies of the request on to other servers.
+// TakeUrgent reports whether anything happened since the last call that other routers must
+// receive at once: a crash after which one more may bar a fingerprint, or that one was barred. Until
+// then they send copies of the request to other servers.
 func (s *Suspects) TakeUrgent() bool {
 	out := s.urgent
 	s.urgent = false
 	return out
 }
 
-// RecordSuccess takes in that a server has answered a content in full: no crash before it was
-// the content's doing.
+// RecordSuccess records a complete response to a request: it did not cause any of the crashes
+// before it.
 func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
 	x := s.byFingerprint[c]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
@@ -76,15 +77,15 @@
 	}
 	s.clear(x, now)
 	if x.sendsLeft == ownSends && !x.multiCrash {
-		x.sendsLeft = 0 // nobody was told of the crash either
+		x.sendsLeft = 0 // the crash was not reported to anyone either
 	} else {
 		x.sendsLeft = ownSends
 	}
 	s.updateBarred()
 }
 
-// Barred tells whether requests of a content must not be sent, and takes in that one is
-// asked for.
+// Barred reports whether requests with the fingerprint must be refused, and records that one
+// arrived.
 func (s *Suspects) Barred(now time.Duration, c Fingerprint) bool {
 	x := s.byFingerprint[c]
 	if x == nil || !x.barred {
@@ -92,20 +93,20 @@
 	}
 	x.refused.advance(now)
 	if !x.refusedReported.valid || now-x.refusedReported.at >= refusedReportInterval {
-		// Routers that aren't asked would forget it.
+		// Routers without such requests would drop it.
 		x.sendsLeft = max(x.sendsLeft, 1)
 	}
 	return true
 }
 
-// OneCrashFromBarred tells whether one more crash would bar a content.
+// OneCrashFromBarred reports whether one more crash would bar the fingerprint.
 func (s *Suspects) OneCrashFromBarred(c Fingerprint) bool {
 	x := s.byFingerprint[c]
 	return x != nil && shouldBar(len(x.crashes)+1, s.unexplained(x)+1)
 }
 
-// Crashes counts the servers that crashed under a content, those that another content
-// explains included.
+// Crashes returns the number of crashes under the fingerprint, including those that another
+// one explains.
 func (s *Suspects) Crashes(c Fingerprint) int {
 	if x := s.byFingerprint[c]; x != nil {
 		return len(x.crashes)
@@ -113,14 +114,14 @@
 	return 0
 }
 
-// TakeChanges returns the contents that became barred since the last call, or no longer are.
+// TakeChanges returns the fingerprints that became barred, or stopped to be, since the last call.
 func (s *Suspects) TakeChanges() []Change {
 	out := s.changed
 	s.changed = nil
 	return out
 }
 
-// Expire forgets what is old.
+// Expire removes the suspects whose last update is older than Retention.
 func (s *Suspects) Expire(now time.Duration) {
 	for _, x := range s.byFingerprint {
 		if now-x.lastUpdate() > Retention {
@@ -130,7 +131,7 @@
 	s.updateBarred()
 }
 
-// suspect returns what is known of a content, and makes room for it where it is new.
+// getOrAdd returns the suspect of a fingerprint, and adds it if it is new.
 func (s *Suspects) getOrAdd(now time.Duration, c Fingerprint) *suspect {
 	if x := s.byFingerprint[c]; x != nil {
 		return x
@@ -146,8 +147,8 @@
 	return x
 }
 
-// makeRoom forgets some of the suspects of which least is lost: those that are not barred,
-// with the fewest crashes, known longest.
+// evict removes a batch of the least important suspects: not barred, with the fewest crashes,
+// least recently updated.
 func (s *Suspects) evict() {
 	all := slices.SortedFunc(maps.Values(s.byFingerprint), func(a, b *suspect) int {
 		return cmp.Or(cmp.Compare(len(a.crashes), len(b.crashes)), cmp.Compare(a.lastUpdate(), b.lastUpdate()), cmp.Compare(a.fingerprint, b.fingerprint))
@@ -168,7 +169,7 @@
 	delete(s.byFingerprint, x.fingerprint)
 }
 
-// addCrash adds a crash, and tells whether it was new and counts.
+// addCrash adds a crash, and reports whether it is new and counts.
 func (s *Suspects) addCrash(x *suspect, c crash) bool {
 	if x.hasCrash(c) || x.clearedSince(c.at) {
 		return false
@@ -189,7 +190,7 @@
 	return true
 }
 
-// clear makes all crashes up to a time count no more.
+// clear discards all crashes up to the given time.
 func (s *Suspects) clear(x *suspect, at time.Duration) {
 	x.cleared.advance(at)
 	x.recorded = false
--- a/quarantine/suspects_test.go
+++ b/quarantine/suspects_test.go
@@ -12,18 +12,18 @@
 	harmless Fingerprint = 2
 )
 
-// at is a time, in seconds, well after a router's start.
+// at returns a time in seconds, relative to a point well after a router's start.
 func at(seconds float64) time.Duration {
 	return time.Hour + time.Duration(seconds*float64(time.Second))
 }
 
-// TestThreeCrashesBar has three servers crash under one content: from then on it is refused,
-// until it has not been asked for as long as it is remembered.
+// TestThreeCrashesBar verifies that a fingerprint is barred once three servers crashed under
+// it, until it has not been requested for the whole retention.
 func TestThreeCrashesBar(t *testing.T) {
 	var s Suspects
 	require.False(t, s.Barred(at(0), bad))
 	s.RecordCrash(at(0), bad, 10)
-	s.RecordCrash(at(0.1), bad, 10) // the same crash, seen twice
+	s.RecordCrash(at(0.1), bad, 10) // second report of the same crash
 	require.False(t, s.OneCrashFromBarred(bad))
 	s.RecordCrash(at(3), bad, 11)
 	require.False(t, s.Barred(at(3), bad))
@@ -36,7 +36,7 @@
 
 	last := at(6) + Retention - time.Second
 	s.Expire(last)
-	require.True(t, s.Barred(last, bad), "asked for again")
+	require.True(t, s.Barred(last, bad), "a request just before expiry extends the retention")
 	s.Expire(last + Retention)
 	require.True(t, s.Barred(last+Retention, bad))
 	s.Expire(last + 2*Retention + time.Second)
@@ -47,8 +47,8 @@
 	require.Empty(t, s.byServer)
 }
 
-// TestServerCrashesTwice has a server be back and crash again before anybody knows that it has
-// started anew: that is another crash.
+// TestServerCrashesTwice verifies that a server that restarts and crashes again before its
+// restart is known counts as another crash.
 func TestServerCrashesTwice(t *testing.T) {
 	var s Suspects
 	for i := range CrashThreshold {
@@ -60,7 +60,7 @@
 	require.Empty(t, s.byServer)
 }
 
-// TestAnswerClears has a content be answered after two crashes: they were not its doing.
+// TestAnswerClears verifies that a response after two crashes clears them.
 func TestAnswerClears(t *testing.T) {
 	var s Suspects
 	s.RecordCrash(at(0), harmless, 10)
@@ -69,22 +69,23 @@
 	s.RecordCrash(at(3), harmless, 12)
 	require.Equal(t, 1, s.Crashes(harmless))
 	require.False(t, s.Barred(at(3), harmless))
-	s.RecordSuccess(at(4), bad) // of whom nothing is known
+	s.RecordSuccess(at(4), bad) // has no recorded crashes
 	require.Len(t, s.byFingerprint, 1)
 }
 
-// TestCompanyIsNotBlamed has a request be there whenever servers crash under another one that
-// has crashed more. It is not barred; where nothing tells the two apart, both are.
+// TestConcurrentRequestIsNotBarred verifies that a request is not barred if it was running
+// whenever servers crashed under another one that has more crashes. Without such a difference
+// both are barred.
 func TestConcurrentRequestIsNotBarred(t *testing.T) {
 	var s Suspects
 	for i := range Server(3) {
 		s.RecordCrash(at(float64(i)), bad, 10+i)
 		s.RecordCrash(at(float64(i)), harmless, 10+i)
 	}
-	require.True(t, s.Barred(at(3), harmless), "nothing tells them apart")
+	require.True(t, s.Barred(at(3), harmless), "both have the same crashes")
 	s.RecordCrash(at(4), bad, 20)
 	require.True(t, s.Barred(at(4), bad))
-	require.False(t, s.Barred(at(4), harmless), "the other explains all its crashes")
+	require.False(t, s.Barred(at(4), harmless), "all its crashes are explained by the other")
 
 	var later Suspects
 	for i := range Server(4) {
@@ -97,11 +98,11 @@
 	require.False(t, later.Barred(at(4), harmless))
 }
 
-// TestReleasedContentThatCrashesAlone has two contents end the same servers at once, as on a day when
-// two requests ended all six of a service within ten milliseconds: "quarantine_begun" of the one, and
-// 65 ms later "quarantine_ended", since the other had seen more crashes and explained these. The one
-// that was released needed as many crashes again as one of which nothing is known; one more by
-// itself must do.
+// TestReleasedFingerprintThatCrashesAlone guards against a fingerprint that needs three more
+// crashes after its release. Two requests crash the same six servers of a service within ten
+// milliseconds; one is barred and released 65 ms later ("quarantine_begun", then
+// "quarantine_ended"), since the other has more crashes and explains these. One more crash
+// without the other must bar it again.
 func TestReleasedFingerprintThatCrashesAlone(t *testing.T) {
 	const other Fingerprint = 3
 	var s Suspects
@@ -112,10 +113,10 @@
 		}
 	}
 	require.True(t, s.Barred(at(0.1), other))
-	require.False(t, s.Barred(at(0.1), bad), "the other explains its crashes")
+	require.False(t, s.Barred(at(0.1), bad), "its crashes are explained by the other")
 	require.True(t, s.OneCrashFromBarred(bad))
 	s.RecordCrash(at(5), bad, 20)
-	require.True(t, s.Barred(at(5), bad), "nothing else was there")
+	require.True(t, s.Barred(at(5), bad), "the crash has no other explanation")
 
 	var twice Suspects
 	for i := range Server(4) {
@@ -124,11 +125,11 @@
 	twice.RecordCrash(at(0), harmless, 10)
 	twice.RecordCrash(at(0), harmless, 11)
 	twice.RecordCrash(at(5), harmless, 20)
-	require.False(t, twice.Barred(at(5), harmless), "one crash more than another explains may happen by itself")
+	require.False(t, twice.Barred(at(5), harmless), "below the threshold, one unexplained crash is not enough")
 }
 
-// TestSuspectsAreFew has far more servers crash than contents are kept: what has crashed most is
-// kept.
+// TestSuspectsAreBounded verifies that with far more crashes than suspects are kept, the one
+// with the most crashes is kept.
 func TestSuspectsAreBounded(t *testing.T) {
 	var s Suspects
 	for i := range Server(CrashThreshold) {
@@ -147,7 +148,7 @@
 	require.Equal(t, maxCrashesKept, s.Crashes(harmless))
 }
 
-// BenchmarkBarred is what each request pays while thousands of contents are suspected: 20 ns.
+// BenchmarkBarred measures the cost for each request with thousands of suspects: 20 ns.
 func BenchmarkBarred(b *testing.B) {
 	var s Suspects
 	for i := range maxSuspects {
--- a/rollout/baseline.go
+++ b/rollout/baseline.go
@@ -1,43 +1,43 @@
 package rollout
 
 const (
-	// firstGuess is the rate of bad answers that old servers are taken to have before any
-	// answer is known: healthy servers stay below it.
+	// priorRate is the assumed rate of bad responses of old servers without any responses
+	// yet: healthy servers stay below it.
 	priorRate = 0.05
-	// firstWeight is how many answers the first guess counts for: a second's answers of
-	// a small service outweigh it.
+	// priorWeight is the weight of priorRate, in responses: one second of a small service
+	// outweighs it.
 	priorWeight = 10
-	// shrinkWeight is how many answers the wider rate (of the route, of the seconds before)
-	// counts for beside a cell's own answers: a rate of fewer answers is mostly chance.
+	// shrinkageWeight is the weight, in responses, of the broader rate (of the route, of the
+	// earlier slices) next to a cell's own responses: the rate of fewer responses is mostly noise.
 	shrinkageWeight = 15
-	// keepOfSecond is the part of the earlier answers' weight that is left after another
-	// slice of a second: in a few seconds the baseline follows a change of load.
+	// sliceDecay is the factor by which the weight of earlier responses decays with each slice
+	// of a second: the baseline follows a change of load within a few seconds.
 	sliceDecay = 0.8
-	// leastRate bounds the rate of old servers from below: at a rate of nearly nothing
-	// a single bad answer would decide.
+	// minRate is the lower bound of the expected rate: near a rate of 0, a single bad response
+	// would decide.
 	minRate = 0.03
-	// mostRate bounds it from above, to leave room for a worse one.
+	// maxRate is the upper bound, which leaves room for a worse rate.
 	maxRate = 0.75
 )
 
-// routeKind names the answers of one route, of one kind.
+// routePhase identifies the responses of one route in one phase.
 type routePhase struct {
 	Route      string
 	AfterStart bool
 }
 
-// share is a count of bad answers among all, with weights.
+// weightedCount holds weighted counts of bad and of all responses.
 type weightedCount struct{ bad, all float64 }
 
 func (s weightedCount) rate(prior, weight float64) float64 {
 	return (s.bad + prior*weight) / (s.all + weight)
 }
 
-// baseline remembers how often answers of old servers were bad of late.
+// baseline holds the recent counts of bad responses of old servers, with exponential decay.
 type baseline map[routePhase]weightedCount
 
-// learn takes in the old servers' answers of a slice. Where there were none the memory
-// stays, as in a roll-out's last stage nothing goes to old servers.
+// update adds the old servers' responses of a slice. Routes without any keep their counts,
+// since in a rollout's last stage old servers get no requests.
 func (b baseline) update(slice cells) {
 	for rk, s := range oldByRoute(slice) {
 		if s.all == 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// expected returns the rate of bad answers that a good version has in a cell's cohort,
-// by the old servers in the same slice of time.
+// expected returns the rate of bad responses expected of a good version in a cell's cohort,
+// based on the old servers in the same slice.
 func (b baseline) expected(slice cells, routes map[routePhase]weightedCount, k cellKey) float64 {
 	rk := routePhase{k.Route, k.AfterStart}
 	before := b[rk].rate(priorRate, priorWeight)
--- a/rollout/cells.go
+++ b/rollout/cells.go
@@ -6,13 +6,13 @@
 	"slices"
 )
 
-// cellKey names a cell.
+// cellKey identifies a cell.
 type cellKey struct {
 	Route, Cohort      string
 	Target, AfterStart bool
 }
 
-// cells counts answers by cell.
+// cells holds the counts of responses by cell.
 type cells map[cellKey]Tally
 
 func cellsOf(list []Cell) cells {
@@ -33,8 +33,8 @@
 	}
 }
 
-// since returns what has been counted since an earlier sum. A router that has gone took
-// its counts along, so that a cell may hold less than before: then nothing is new in it.
+// since returns the counts added since an earlier sum. A router that is lost takes its counts
+// with it, so a cell may hold less than before; then its difference is 0.
 func (c cells) since(before cells) cells {
 	d := make(cells, len(c))
 	for k, t := range c {
@@ -44,7 +44,7 @@
 	return d
 }
 
-// ofTarget returns the cells of the target's servers that have answers.
+// ofTarget returns the non-empty cells of the target's servers.
 func (c cells) ofTarget() cells {
 	d := cells{}
 	for _, k := range c.targetKeys() {
@@ -53,12 +53,12 @@
 	return d
 }
 
-// keys are in a fixed order, as sums of floats depend on it.
+// sortedKeys returns the keys in a fixed order, since sums of floats depend on it.
 func (c cells) sortedKeys() []cellKey {
 	return slices.SortedFunc(maps.Keys(c), compareKeys)
 }
 
-// targetKeys are those of the target's servers that have answers, in the same order.
+// targetKeys returns the keys of the target's non-empty cells, in the same order.
 func (c cells) targetKeys() []cellKey {
 	var keys []cellKey
 	for k, t := range c {
@@ -98,7 +98,7 @@
 	return list
 }
 
-// total adds up how answers began: of the target's servers, or of the old ones.
+// total returns the counts of responses by their start: of the target's servers, or of the old ones.
 func (c cells) total(target bool) Tally {
 	var sum Tally
 	for k, t := range c {
@@ -109,10 +109,10 @@
 	return sum
 }
 
-// answers counts all answers, each once.
+// responses returns the number of responses, counting each once.
 func (c cells) responses() float64 { return c.total(true).responses() + c.total(false).responses() }
 
-// badOfTarget counts the target's bad answers of both kinds.
+// targetBad returns the number of the target's bad counts, of both phases.
 func targetBad(list []Cell) uint32 {
 	bad := uint32(0)
 	for _, c := range list {
--- a/rollout/commands.go
+++ b/rollout/commands.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Cmd is something that a router has to do.
+// Cmd is an action for the router to execute.
 type Cmd interface{ isCmd() }
 
-// GateCmd puts a gate in force.
+// GateCmd applies a gate.
 type GateCmd struct{ Gate Gate }
 
-// WriteCmd writes to the store, on the condition that the object still has the revision
-// that was seen. A WrittenMsg answers it. Where the store's answer shows the object as it
-// is then, an OrdersMsg or a RecordsMsg with it comes before the WrittenMsg.
+// WriteCmd writes to the store, on the condition that the object still has the observed
+// revision. The router replies with a WriteDoneMsg. If the store's response contains the
+// object's present state, an OrdersMsg or a RecordsMsg with it precedes the WriteDoneMsg.
 type WriteCmd struct {
 	Kind    WriteKind
 	Service string
-	// Status is for WriteStatus: the order's new state, and the revision of the order
-	// that it was decided on.
+	// Status is set for WriteStatus: the order's new state, and the revision of the order that
+	// the decision was based on.
 	Status Status
-	// Record is for WriteRecord. Its Revision is that of the record that it replaces; 0: the
-	// store must hold none yet.
+	// Record is set for WriteRecord. Its Revision is that of the record it replaces; 0 means
+	// that the store must not hold a record yet.
 	Record Record
 }
 
-// Status is the status to be written on an order.
+// Status is a status to write to an order.
 type Status struct {
 	State    State
 	Target   string
 	Revision uint64
 }
 
-// WriteKind says what a WriteCmd writes.
+// WriteKind is the kind of object that a WriteCmd writes.
 type WriteKind uint8
 
 // The kinds of writes.
@@ -38,33 +38,33 @@
 	WriteRecord
 )
 
-// WriteResult says how a write ended.
+// WriteResult is the outcome of a write.
 type WriteResult uint8
 
 // The results of a write.
 const (
 	Written  WriteResult = iota
-	Conflict             // the object has changed, or is gone: it was not written
-	Refused              // the store did not write it; try again
-	Unknown              // no answer came: it may have been written, or may yet be
+	Conflict             // the object has changed or was deleted; nothing was written
+	Refused              // the store did not execute the write; retry
+	Unknown              // no reply: the write may have been executed, or may still be
 )
 
-// StepCmd says that a roll-out has moved on. It is only logged.
+// StepCmd reports a step of a rollout. It is only logged.
 type StepCmd struct {
 	Service string
 	Target  string
-	Step    string // what happened: see the constants Step...
+	Step    string // what happened: one of the constants Step...
 	Cause   string
 	Stage   Stage
 	Age     time.Duration
 	Within  time.Duration
 	Leads   bool
-	Routers int // whose reports were merged, this one included
-	// New and Old count how answers of the target's and of the old servers began.
+	Routers int // routers whose reports were merged, including this one
+	// New and Old count the responses of the target's and of the old servers by their start.
 	New, Old Tally
 }
 
-// Tally counts answers.
+// Tally counts good and bad responses.
 type Tally struct{ Good, Bad uint32 }
 
 func (GateCmd) isCmd()  {}
--- a/rollout/confirm_test.go
+++ b/rollout/confirm_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// inLastStage returns a fleet of one router whose roll-out has come to its last stage.
+// newSimInLastStage returns a fleet of one router whose rollout has reached its last stage.
 func newSimInLastStage() *sim {
 	s := newSim(1, 1)
 	s.run(time.Second)
@@ -16,8 +16,8 @@
 	return s
 }
 
-// TestRolloutConfirmedWaitsForAll shows that a roll-out which was found done is not
-// written as completed while a router that is heard of late is not in the last stage.
+// TestRolloutConfirmedWaitsForAll verifies that a confirmed rollout is not written as
+// completed while a router with a current report is not in the last stage.
 func TestRolloutConfirmedWaitsForAll(t *testing.T) {
 	t.Parallel()
 	s := newSimInLastStage()
@@ -27,15 +27,15 @@
 	require.Equal(t, WaitStatus, m.Snapshots()[0].WaitsFor)
 	require.False(t, writesCompleted(s, m, Half))
 	require.True(t, writesCompleted(s, m, All))
-	require.Less(t, s.now-s.orderAt, newTimeline(simWithin).rejectAt, "there was time for both")
+	require.Less(t, s.now-s.orderAt, newTimeline(simWithin).rejectAt, "both writes must have been possible before the rejection")
 }
 
-// writePause bounds the pauses between writes that fail within idleFor: each is twice the one
-// before.
+// maxFailedWritePause bounds the pauses between writes that fail within minOldIdle: each is
+// twice the one before.
 const maxFailedWritePause = minOldIdle
 
-// completes tells whether a machine writes `completed` within such a pause while another
-// router has a stage in force.
+// writesCompleted reports whether a machine writes `completed` within maxFailedWritePause
+// while another router applies the given stage.
 func writesCompleted(s *sim, m *Machine, inForce Stage) bool {
 	other := m.Reports()[0]
 	other.MinAppliedStage = inForce
@@ -51,8 +51,8 @@
 	return false
 }
 
-// TestRolloutSettledNeedsAllRouters shows that `completed` isn't written early while a
-// router is there that has told nothing.
+// TestRolloutSettledNeedsAllRouters verifies that `completed` isn't written early while a
+// live router has not reported.
 func TestRolloutSettledNeedsAllRouters(t *testing.T) {
 	t.Parallel()
 	s := newSimInLastStage()
@@ -60,7 +60,7 @@
 	require.True(t, confirms(s, 1))
 }
 
-// settles tells whether a router finds the roll-out done soon, with so many routers there.
+// confirms reports whether a router soon confirms the rollout, given the number of live routers.
 func confirms(s *sim, routers int) bool {
 	m := s.routers[0].machine
 	for end := s.now + 2*minOldIdle; s.now < end; {
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Demand is how many requests callers ask of one router, or of several together.
+// Demand is the rate of requests that one router, or several together, receive from callers.
 type Demand struct {
-	// Complete says that every router whose requests are in it has told of them. Routers of
+	// Complete is set if every router whose requests are included has reported them. Routers of
 	// earlier builds don't.
 	Complete bool
-	// PerSecond is the rate of requests, over the time that each router has watched.
+	// PerSecond is the rate of requests per second, over the time that each router has observed.
 	PerSecond float64
-	// Observed is the shortest time for which any of the routers has watched the service.
+	// Observed is the shortest time for which any of the routers has observed the service.
 	Observed time.Duration
 }
 
-// plus adds what other routers are asked.
+// add returns the joint demand of two sets of routers.
 func (d Demand) add(o Demand) Demand {
 	return Demand{
 		Complete:  d.Complete && o.Complete,
@@ -22,15 +22,15 @@
 	}
 }
 
-// expected is how many requests come in a time, if as many come as before.
+// expected returns the number of requests to expect within a time, at the present rate.
 func (d Demand) expected(within time.Duration) float64 { return d.PerSecond * within.Seconds() }
 
-// ownDemand is what this router is asked: at least as much as it has judged answers.
+// ownDemand returns this router's demand: at least as many requests as it has responses in its evidence.
 func (r *rollout) ownDemand() Demand {
 	return r.demandOf(max(float64(r.requests), r.own.responses()))
 }
 
-// demand is what all routers are asked.
+// demand returns the demand of all routers.
 func (r *rollout) demand() Demand {
 	switch {
 	case r.peers.Routers == 0:
@@ -41,7 +41,7 @@
 	return r.demandOf(r.estimatedRequests())
 }
 
-// demandOf is the demand that so many requests make since this router began to watch.
+// demandOf returns the demand for a number of requests since this router saw the order.
 func (r *rollout) demandOf(requests float64) Demand {
 	d := Demand{Complete: true, Observed: r.observed}
 	if r.observed > 0 {
@@ -50,9 +50,9 @@
 	return d
 }
 
-// estimatedRequests is how many requests have come to all routers, as far as that shows in their
-// evidence. Answers that say nothing of a version, such as those of cold servers, are not in it,
-// so as many more are taken to have come to all as came to this router.
+// estimatedRequests estimates the requests that all routers received from their evidence.
+// Responses that are no evidence about a version, such as those of cold servers, are not
+// included, so their ratio is assumed to be the same at all routers as at this one.
 func (r *rollout) estimatedRequests() float64 {
 	requests := float64(r.requests)
 	unjudged := max(1, requests/max(1, r.own.responses()))
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,11 +1,11 @@
 // Package rollout decides how the traffic of a service moves from the servers of one
-// version to those of another: how much of it, whether the new version is good, and
-// when the move is done or taken back.
+// version to those of another: which fraction of the requests the new version gets, whether
+// it is good, and when the rollout is completed or rolled back.
 //
-// A Machine runs in every router. All of them judge the same evidence and stop sending
-// to a bad version by themselves; the one that leads also raises the stage and writes
-// to the store. Machine is pure: it is told what happened, with the time in the message,
-// and returns commands for its router to carry out.
+// Every router runs a Machine. All routers evaluate the same evidence and stop sending to a
+// bad version on their own; the leader also raises the stage and writes to the store. A
+// Machine is pure: it receives events as messages, with the time in the message, and returns
+// commands for its router to execute.
 //
 //	m := rollout.NewMachine(rollout.Bounds{Share: 0.1, Slack: 50})
 //	m.Update(rollout.OrdersMsg{Now: now, Orders: orders})
--- a/rollout/early_test.go
+++ b/rollout/early_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutEarlyGate has a router that was out of touch hear that an order is completed
-// before it hears of the new servers: the old ones get its requests until then. A version
-// that is rejected is not kept so.
+// TestRolloutEarlyGate verifies that a router that was partitioned, and learns that an order is
+// completed before it learns of the new servers, keeps sending to the old ones until then. A
+// rejected version is not kept in this way.
 func TestRolloutEarlyGate(t *testing.T) {
 	newLoadedMachine := func(inUse ...string) *Machine {
 		m := NewMachine(Bounds{Share: 0.1})
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// leastOthers is the part of a test's answers that must come from other cohorts before
-// one may be left out: a tenth still finds a bad version, if more slowly.
+// minOtherFraction is the fraction of a test's responses that must come from other cohorts
+// for one to be excluded: with a tenth, a bad version is still found, if more slowly.
 const minOtherFraction = 0.1
 
-// secondPart is the part of the greatest sum of one cohort that the second greatest must reach to confirm it.
+// secondFraction is the fraction of the largest cohort sum that the second largest must reach
+// to confirm it.
 const secondFraction = 0.5
 
-// evidence is the running sum of one test. It adds up log likelihood ratios, bad version
-// against good, and is never below 0 (Page's CUSUM): so it is the sum over that stretch of
-// time, up to now, that speaks most against the target.
+// evidence holds the running sums of one test. A sum adds up log likelihood ratios of a bad
+// version to a good one, and is never below 0 (Page's CUSUM): it is the largest sum over any
+// period that ends now.
 type evidence struct {
 	all     float64
 	cohorts []cohortEvidence
-	// inFavour is the same sum kept at or below 0, so it is that of the latest stretch of
-	// time that speaks most for the target. Of each slice of time it leaves out the cohort
-	// that speaks most against the target.
+	// inFavour is the same sum clamped to at most 0: the smallest sum over any period that ends
+	// now. In each slice it excludes the cohort with the largest ratio against the target.
 	inFavour float64
 }
 
-// cohortEvidence is what a test knows of one cohort.
+// cohortEvidence holds a test's sums for one cohort.
 type cohortEvidence struct {
 	cohort    string
-	excluding float64 // the test's sum with this cohort left out
-	own       float64 // the same sum of this cohort alone
+	excluding float64 // sum of the test without this cohort
+	own       float64 // sum of this cohort alone
 	responses float64
 }
 
@@ -35,7 +35,7 @@
 	return &c
 }
 
-// ratio is the log likelihood ratio of a slice of time in one cohort.
+// ratio is the log likelihood ratio of one cohort's responses, of a slice or of one evaluation.
 type ratio struct {
 	cohort    string
 	ratio     float64
@@ -62,7 +62,7 @@
 	return r
 }
 
-// addAgainst adds the answers of one look to what speaks against the target.
+// addAgainst adds the responses of one evaluation to the sums against the target.
 func (e *evidence) addAgainst(increment ratios) {
 	sum := 0.0
 	for _, r := range increment {
@@ -78,7 +78,7 @@
 	e.all = max(0, e.all+sum)
 }
 
-// addInFavour adds the answers of a slice of time to what speaks for the target.
+// addInFavour adds the responses of a slice to the sum in favour of the target.
 func (e *evidence) addInFavour(slice ratios) {
 	sum, largest := 0.0, 0.0
 	for _, r := range slice {
@@ -88,7 +88,7 @@
 	e.inFavour = min(0, e.inFavour+sum-largest)
 }
 
-// cohort finds or adds a cohort. Until it is added the sum without it is the whole sum.
+// getOrAddCohort returns the cohort's sums. Before a cohort is added, the sum without it is the whole sum.
 func (e *evidence) getOrAddCohort(name string) *cohortEvidence {
 	i := slices.IndexFunc(e.cohorts, func(c cohortEvidence) bool { return c.cohort == name })
 	if i < 0 {
@@ -98,9 +98,9 @@
 	return &e.cohorts[i]
 }
 
-// inTwoCohorts returns how much speaks against the target where each cohort is looked at alone: the
-// greatest sum, as far as the second greatest confirms it. Servers that turn bad cohort by cohort show it
-// so, while the good answers of the rest still hide it in the common sum.
+// againstByCohort returns the evidence against the target with each cohort taken alone: the
+// largest sum, as far as the second largest confirms it. This shows servers that turn bad cohort
+// by cohort while the good responses of the others still hide them in the common sum.
 func (e *evidence) againstByCohort() float64 {
 	largest, second := 0.0, 0.0
 	for _, c := range e.cohorts {
@@ -113,8 +113,7 @@
 	return min(largest, second/secondFraction)
 }
 
-// against returns how much speaks against the target, leaving out the cohort that does
-// most.
+// against returns the evidence against the target without the cohort that contributes most.
 func (e *evidence) against() float64 {
 	total := 0.0
 	for _, c := range e.cohorts {
@@ -132,7 +131,7 @@
 	return smallest
 }
 
-// relax lowers what speaks against the target.
+// capAt lowers the sums against the target to at most limit.
 func (e *evidence) capAt(limit float64) {
 	e.all = min(e.all, limit)
 	for i := range e.cohorts {
--- a/rollout/exposure_test.go
+++ b/rollout/exposure_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutExposure shows how much a bad version gets, by when it turns bad: of the
-// requests until the deadline, and after its 50th bad answer.
+// TestRolloutExposure measures how much a bad version gets, by when it turns bad: its fraction
+// of the requests until the deadline, and for how long it gets any after its 50th bad response.
 func TestRolloutExposure(t *testing.T) {
 	t.Parallel()
 	const maxBad, seeds = 50, 40
@@ -25,15 +25,15 @@
 				require.Equal(t, RolledBack, state)
 				maxShare, maxDelay = max(maxShare, part), max(maxDelay, after)
 			}
-			t.Logf("bad %s: at most %.3f of the requests; %s after %d bad answers", c.name, maxShare, maxDelay, maxBad)
+			t.Logf("bad %s: at most %.3f of the requests; %s after %d bad responses", c.name, maxShare, maxDelay, maxBad)
 			require.LessOrEqual(t, maxShare, 0.1)
 			require.LessOrEqual(t, maxDelay, time.Second)
 		})
 	}
 }
 
-// exposed returns the part of the requests that a version got which turned bad, how long
-// it got any after so many bad answers, and what became of it.
+// measureExposure returns the fraction of the requests that a version got which turns bad at
+// the given time, how long it got any after maxBad bad responses, and the order's final state.
 func measureExposure(t *testing.T, seed int64, at time.Duration, maxBad int) (float64, time.Duration, State) {
 	s := newSimWithOrder(seed, 0, simWithin)
 	s.run(at)
@@ -58,8 +58,8 @@
 	return float64(s.requests[newVersion]) / float64(all), lastAt - limitAt, s.status()
 }
 
-// TestRolloutExposureInLastStage has a version turn bad once all requests go to it, before
-// the deadline: what it gets should keep to the bound even then.
+// TestRolloutExposureInLastStage verifies that the bound also holds for a version that turns
+// bad once all requests go to it, before the deadline.
 func TestRolloutExposureInLastStage(t *testing.T) {
 	t.Parallel()
 	const maxBad, seeds = 50, 10
--- a/rollout/first_test.go
+++ b/rollout/first_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutFirstVersionsLeaveOutRejected shows that without a record, a version that was
-// rolled back by the order before this one is not taken for one in use.
+// TestRolloutInitialVersionsExcludeRejected verifies that without a record, a version that the
+// previous order rolled back does not count as in use.
 func TestRolloutInitialVersionsExcludeRejected(t *testing.T) {
 	m := NewMachine(Bounds{Share: 0.1})
 	m.Update(VersionsMsg{Services: map[string][]string{"s": {oldVersion, newVersion, "v3"}}})
--- a/rollout/flapping_test.go
+++ b/rollout/flapping_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutRouterHeardAgain shows that the answers of a router which is not heard for
-// some time, again and again, count once: a few bad ones do not end a roll-out, and remain
-// known.
+// TestRolloutReturningRouterCountsOnce verifies that the responses of a router whose reports
+// are repeatedly missing for some time count once: a few bad ones do not end a rollout, and
+// stay in the evidence.
 func TestRolloutReturningRouterCountsOnce(t *testing.T) {
 	order := Order{Service: "s", Target: newVersion, Within: time.Minute, Made: "1", Revision: 2}
 	m := NewMachine(Bounds{Share: 0.1})
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// disturbed is a fleet to which things happen until the last third of an order's time.
+// faultyFleet is a fleet with random faults until the last third of an order's time.
 type faultyFleet struct {
 	*sim
 	ordersMade int
-	// moved: the wall clock was set; lost: routers were. Only both together can make
-	// the fleet mistake an order's age.
+	// clockStepped is set once the wall clock was stepped, routersLost once routers were lost.
+	// Only both together can give the fleet a wrong age of an order.
 	clockStepped, routersLost bool
 	bad                       bool
 }
@@ -83,13 +83,13 @@
 		return
 	}
 	if d.store.order == nil {
-		d.ordersMade++ // a mark comes up once
+		d.ordersMade++ // a mark is used once
 	}
 	d.placeRecordedOrder(target, fmt.Sprint(mark, d.ordersMade))
 }
 
-// seen makes an order, and lets some router see it and record it: what no router has ever
-// known has no age.
+// placeRecordedOrder places an order and lets a router see and record it: without any router
+// that has seen the order its age is unknown.
 func (d *faultyFleet) placeRecordedOrder(target, mark string) {
 	before := *d.store
 	d.store.down, d.store.losesReplies, d.store.delaysWrites = false, false, false
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestRolloutFleetFuzz lets anything happen to routers, store, clocks and order, and then
-// leaves the last third of the order's time in peace: no rule may be broken, a good
-// version is completed in time and a bad one is rolled back.
+// TestRolloutFleetFuzz injects random faults of routers, store, clocks and orders, and none in
+// the last third of the order's time: no invariant may be violated, a good version is completed
+// in time and a bad one is rolled back.
 func TestRolloutFleetFuzz(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -13,17 +13,17 @@
 	newVersion = "v2"
 )
 
-// simStore is a store with conditional writes, that may be down, lose answers or do
-// writes late.
+// simStore is a store with conditional writes that may be down, lose replies or delay
+// writes.
 type simStore struct {
 	revision     uint64
 	order        *Order
 	record       *Record
 	down         bool
-	losesReplies bool // does the write, the answer is lost
-	delaysWrites bool // does the write later, if its condition still holds
+	losesReplies bool // executes writes, but their replies are lost
+	delaysWrites bool // executes writes later, if their condition still holds
 	delayed      []WriteCmd
-	lastStates   map[string]State // by mark and target of the order
+	lastStates   map[string]State // last status written, by mark and target of the order
 	fault        string
 }
 
@@ -69,10 +69,10 @@
 	}
 	id := s.order.Made + "/" + s.order.Target
 	if final := s.lastStates[id]; final.Final() {
-		s.fault = fmt.Sprintf("%s written on %s, which was %s", st.State, id, final)
+		s.fault = fmt.Sprintf("%s written to order %s, which is already %s", st.State, id, final)
 	}
 	if st.Target != s.order.Target {
-		s.fault = fmt.Sprintf("status of %s written on an order for %s", st.Target, s.order.Target)
+		s.fault = fmt.Sprintf("status for target %s written to an order for %s", st.Target, s.order.Target)
 	}
 	s.lastStates[id] = st.State
 	s.revision++
@@ -97,18 +97,18 @@
 		o.State, o.StateTarget = s.order.State, s.order.StateTarget
 	}
 	if o.StateTarget != target {
-		delete(s.lastStates, made+"/"+target) // what was put before is another order
+		delete(s.lastStates, made+"/"+target) // the previous order is another one
 	}
 	s.order = &o
 }
 
-// simRouter is a router: a machine and what it has in force.
+// simRouter is a router: a machine with the gate that it applies.
 type simRouter struct {
 	machine     *Machine
 	started     time.Duration
 	paused      bool
 	partitioned bool
-	leads       bool // although it is not the first
+	leads       bool // even if it is not the first live one
 	gate        Gate
 	stage       Stage
 	orderKey    uint64
@@ -116,22 +116,22 @@
 	steps       []StepCmd
 }
 
-// sim is a fleet with its store and its servers.
+// sim is a simulated fleet with its store and its servers.
 type sim struct {
 	now        time.Duration
-	wallOffset time.Duration // how far the wall clock is off
+	wallOffset time.Duration // offset of the wall clock
 	orderAt    time.Duration
 	store      *simStore
 	routers    []*simRouter
 	versions   []string
 	badRate    map[string]float64
-	// load is in requests a second, of all routers.
+	// requestRate is in requests a second, over all routers.
 	requestRate float64
-	// oldEnds: what runs at old servers ends once nothing is sent there.
+	// oldDrains is set if requests on old servers end once no new ones are sent there.
 	oldDrains     bool
-	silentVersion string         // a version whose servers never answer
-	requests      map[string]int // requests, by version
-	badResponses  map[string]int // bad answers, by version
+	silentVersion string         // version whose servers never respond
+	requests      map[string]int // by version
+	badResponses  map[string]int // by version
 	rng           *rand.Rand
 	fault         string
 	ticks         int
@@ -161,7 +161,7 @@
 	}
 }
 
-// restartAll starts all routers anew: what they knew is lost.
+// restartAll replaces all routers by new ones without state.
 func (s *sim) restartAll() {
 	for i := range s.routers {
 		s.routers[i] = s.newRouter()
@@ -328,7 +328,7 @@
 	}
 	for _, report := range append(r.peerReports, r.machine.Reports()...) {
 		if report.MinAppliedStage < All && report.Order == r.machine.services[simService].order.Key() {
-			s.fault = "completed is written while a router that is heard has not the last stage in force"
+			s.fault = "completed was written while a router with a current report does not apply the last stage"
 		}
 	}
 }
@@ -336,20 +336,20 @@
 func (s *sim) checkStage(r *simRouter) {
 	for _, report := range r.machine.Reports() {
 		if report.Order == r.orderKey && report.MaxStage < r.stage {
-			s.fault = "a stage fell"
+			s.fault = "a router's stage decreased"
 		}
 		r.orderKey, r.stage = report.Order, report.MaxStage
 	}
 }
 
-// checkGate finds versions that were never ordered, and targets that were rolled back.
+// checkGate detects requests to versions that were never ordered, or were rolled back.
 func (s *sim) checkGate(r *simRouter) {
 	receiving := slices.Clone(r.gate.InUse)
 	if r.gate.Fraction > 0 {
 		receiving = append(receiving, r.gate.Target)
 	}
 	if slices.Contains(receiving, "never") {
-		s.fault = "a version that nobody ordered gets requests"
+		s.fault = "a version that was never ordered gets requests"
 	}
 	o := r.machine.services[simService].order
 	if o != nil && o.status() == RolledBack && slices.Contains(receiving, o.Target) && o.Target != oldVersion {
@@ -364,7 +364,7 @@
 	return s.store.order.status()
 }
 
-// begun returns a fleet that has been at work for a while and then got an order.
+// newSimWithOrder returns a fleet that has run for a second and then got an order.
 func newSimWithOrder(seed int64, bad float64, within time.Duration) *sim {
 	s := newSim(3, seed)
 	s.run(time.Second)
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -3,21 +3,22 @@
 import "slices"
 
 const (
-	// trialPart of the bound on exposure is what the trial may use. The rest is for requests
-	// that are on their way when the version is found to be bad, and for the ramp.
+	// trialFraction is the fraction of the exposure bound that the trial may use. The rest is
+	// for requests in flight when the version is found to be bad, and for the ramp.
 	trialFraction = 0.5
-	// watchPart of the bound is what a version goes on with that the evidence says is good, until
-	// the ramp: enough to see it turn bad, and the rest is left for one that does so later.
+	// passedTrialFraction is the fraction of the bound that a version gets between passing the
+	// trial and the ramp: enough to detect that it turns bad, while the rest is left for one that
+	// does so later.
 	passedTrialFraction = 0.25
-	// rampSlack lets a router send a little more than the ramp's part, by count: prompts
-	// do not divide evenly.
+	// rampSlack lets a router send slightly more than the ramp's fraction, by count: prompts do
+	// not divide evenly.
 	rampSlack = 1.2
-	// quarterPart and halfPart are the parts of the requests in the stages of these names.
+	// quarterFraction and halfFraction are the fractions of the requests in stages Quarter and Half.
 	quarterFraction = 0.25
 	halfFraction    = 0.5
 )
 
-// gate returns the gate that the state of a service asks for.
+// gate returns the gate for the service's present state.
 func (s *service) gate(share float64) Gate {
 	g := Gate{Service: s.name, InUse: s.inUse}
 	if s.rollout == nil || s.inUse == nil {
@@ -25,7 +26,7 @@
 	}
 	r := s.rollout
 	if r.trusted && r.appliedStage() == Waiting {
-		// Its servers take requests already, and there may be no others.
+		// Its servers already take requests, and there may be no others.
 		return g
 	}
 	g.Target = r.order.Target
@@ -56,10 +57,10 @@
 		a.ServerFraction == b.ServerFraction && a.OldClosed == b.OldClosed && a.MoveStreams == b.MoveStreams
 }
 
-// awaitsList tells whether a gate must not be put in force before a newer list of servers
-// has come: no roll-out is under way, no listed server has a version that the gate lets
-// through, and the gate in force lets some through. A router that was out of touch gets
-// there when it hears that an order is completed before it hears of the new servers.
+// awaitsServerList reports whether a gate must not be applied before a newer server list has
+// arrived: no rollout is running, no listed server has a version that the gate admits, and the
+// applied gate admits some. This happens to a router that was partitioned if it learns that an
+// order is completed before it learns of the new servers.
 func (s *service) awaitsServerList(g Gate) bool {
 	if g.Target != "" || slices.ContainsFunc(g.InUse, s.hasServers) {
 		return false
--- a/rollout/gates_test.go
+++ b/rollout/gates_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutOfVersionInUseServesMeanwhile shows that a version in use gets requests from
-// the order for it until a leader raises the stage, and where the order makes no sense.
+// TestRolloutOfVersionInUseKeepsServing verifies that a version in use gets requests after an
+// order for it until a leader raises the stage, and also if the order is invalid.
 func TestRolloutOfVersionInUseKeepsServing(t *testing.T) {
 	for _, within := range []time.Duration{time.Minute, 0} {
 		m := NewMachine(Bounds{Share: 0.1})
@@ -18,7 +18,7 @@
 		gates := gatesOf(m.Update(OrdersMsg{Orders: []Order{{Service: "s", Target: oldVersion, Within: within, Made: "1", Revision: 2}}}))
 		gates = append(gates, gatesOf(m.Update(TickMsg{Now: TickInterval}))...)
 		for _, g := range gates {
-			require.NotEqual(t, oldVersion, g.Target, "its servers are closed and there are no others")
+			require.NotEqual(t, oldVersion, g.Target, "the gate closes the only servers")
 		}
 	}
 }
--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// firstHold is how long a router that judges a version bad sends nothing to it at first:
-	// enough for the leader to reject the version, or for other routers' evidence to come.
+	// initialHold is how long a router that finds a version bad first sends nothing to it:
+	// enough for the leader to reject the version, or for other routers' evidence to arrive.
 	initialHold = 5 * time.Second
-	// holdGrowth makes each hold so many times as long as the last: a router that is cut off
-	// from the leader then tries a bad version only a few times before the deadline.
+	// holdGrowth is the factor between the lengths of successive holds: a router that is cut off
+	// from the leader then retries a bad version only a few times before the deadline.
 	holdGrowth = 4
 )
 
-// hold is a pause in which this router alone sends nothing to the target, because it has
-// judged it bad. The leader's rejection, in contrast, is final and for all routers.
+// hold is a pause in which this router alone sends nothing to the target, because its own
+// verdict is Bad. The leader's rejection, in contrast, is final and applies to all routers.
 type hold struct {
 	active     bool
 	until      time.Duration
-	lastLength time.Duration // length of the last one
+	lastLength time.Duration // length of the last hold
 }
 
 func (h *hold) begin(now time.Duration) {
--- a/rollout/hold_test.go
+++ b/rollout/hold_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutHoldIsNotForEver shows that a router out of touch whose own few answers speak
-// against the target stops by itself and goes on after some seconds, and that the others
-// go on all the time.
+// TestRolloutHoldIsNotForEver verifies that a partitioned router that has few responses, most of
+// them bad, stops sending to the target and resumes after some seconds, while the others
+// continue.
 func TestRolloutHoldIsNotForEver(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -29,7 +29,7 @@
 	require.Equal(t, Completed, s.status())
 }
 
-// answerBadly tells a router of bad answers of the target, in several cohorts.
+// respondBadly delivers n bad responses of the target, in several cohorts, to a router.
 func (s *sim) respondBadly(r *simRouter, n int) {
 	for i := range n {
 		s.update(r, ResponseMsg{
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestRolloutHoldsGrow shows that each hold lasts longer than the one before.
+// TestRolloutHoldsGrow verifies that each hold lasts longer than the one before.
 func TestRolloutHoldsGrow(t *testing.T) {
 	t.Parallel()
 	var h hold
@@ -53,8 +53,8 @@
 	require.Equal(t, initialHold*holdGrowth, h.until)
 }
 
-// TestRolloutRejectionIsTold shows that what the leader has rejected stays closed at all
-// routers while the store can't be written.
+// TestRolloutRejectionIsTold verifies that a target that the leader has rejected stays closed
+// at all routers while the store can't be written.
 func TestRolloutRejectionIsTold(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
--- a/rollout/interleaving_test.go
+++ b/rollout/interleaving_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// turn gives one router the time of two ticks.
+// turn runs a tick of one router after the time of two.
 func (s *sim) turn(i int) {
 	s.now += 2 * TickInterval
 	s.tickRouter(i, s.routers[i])
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestRolloutTwoLeadersInterleaved tries every order of turns of two leaders, of a store
-// that becomes slow and of its late write, around the final status.
+// TestRolloutTwoLeadersInterleaved tries all interleavings of the turns of two leaders, of a
+// store that starts to delay writes and of its delayed write, around the final status.
 func TestRolloutTwoLeadersInterleaved(t *testing.T) {
 	t.Parallel()
 	const depth = 5
@@ -69,8 +69,8 @@
 	t.Logf("%d interleavings", tried)
 }
 
-// beforeTheEnd is a fleet of two leaders a moment before they find the roll-out done. The
-// order is a short one, as it is built for every interleaving.
+// newSimBeforeCompletion returns a fleet of two leaders shortly before they confirm the
+// rollout. The order is short, as it is simulated for every interleaving.
 func newSimBeforeCompletion() *sim {
 	const within = 6 * time.Second
 	s := newSim(2, 1)
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Verdict is what the evidence says of a version.
+// Verdict is the result of evaluating a version's evidence.
 type Verdict uint8
 
 // The verdicts.
@@ -15,36 +15,36 @@
 	Bad
 )
 
-// String names the verdict for logs.
+// String returns the name of the verdict for logs.
 func (v Verdict) String() string { return [...]string{"undecided", "good", "bad"}[v] }
 
 const (
-	// worseBy is by how much the part of bad answers of a bad version is above that of old
-	// servers. Versions that matter to callers are worse by a third or more; the test is for
+	// badRateIncrease is how much the rate of bad responses of a bad version exceeds that of old
+	// servers. Versions that matter to callers are worse by a third or more; the test assumes
 	// less, so that it finds all of these.
 	badRateIncrease = 0.2
-	// alpha is the probability with which one test may judge a good version bad. A roll-out
-	// makes many tests, over routes, kinds of answers and time, and of 200 good versions
-	// fewer than one may be rolled back.
+	// alpha is the probability that one test finds a good version bad. A rollout makes many
+	// tests, over routes, phases and time, and of 200 good versions fewer than one may be
+	// rolled back.
 	alpha = 1e-4
-	// beta is the probability with which a bad version may pass as good before the ramp: the
-	// test goes on after it, so it may be higher than alpha.
+	// beta is the probability that a bad version passes as good before the ramp. The test
+	// continues after it, so beta may exceed alpha.
 	beta = 0.005
-	// leastGood is how many good answers a version needs, however well they speak: fewer
-	// can't show a fault that only some requests meet.
+	// minGood is the least number of good responses for the verdict Good: fewer can't show a
+	// fault that affects only some requests.
 	minGood = 20
-	// suspectPart of the bound makes the ramp wait, or go back: it takes two or three bad
-	// answers more than expected.
+	// suspectFraction of badThreshold makes the ramp wait or go back. Two or three bad
+	// responses more than expected reach it.
 	suspectFraction = 0.5
-	// relaxedPart of the bound is what is left against a version that is tried again.
+	// retainedFraction of badThreshold is the evidence kept against a version that is retried.
 	retainedFraction = 0.4
-	// sliceFor is the length of the slices of time in which the target's answers are compared
-	// with the old servers': in shorter ones a cell holds too few answers, and in longer ones
-	// overload that has just begun is compared with the normal load before it.
+	// sliceDuration is the length of the slices of time in which the target's responses are
+	// compared with the old servers'. In shorter slices a cell holds too few responses; in longer
+	// ones a beginning overload is compared with the normal load before it.
 	sliceDuration = time.Second
 )
 
-// testKey names a test: of one route or all (""), of one kind of answers or both.
+// testKey identifies a test: of one route or all (""), of one phase or both.
 type testKey struct {
 	Route string
 	Phase phase
@@ -58,24 +58,23 @@
 	afterStartPhase
 )
 
-// Judge tells from counts of answers whether a version is bad. It compares the target's
-// answers with those of the old servers in the same second, route and cohort by sequential
-// tests: Wald's likelihood ratio, summed from the moment since which it speaks most against
-// the version (Page's CUSUM). Such a sum finds both a version that is bad from its start and
-// one that turns bad later, without windows of a fixed length. The sums follow the order of the
-// looks, also within a second: the good answers at its start are no excuse for the bad ones
-// at its end.
+// Judge decides from counts of responses whether a version is bad. It compares the target's
+// responses with those of the old servers in the same second, route and cohort by sequential
+// tests: Wald's likelihood ratio, summed over the period up to now for which the sum is largest
+// (Page's CUSUM). Such a sum finds both a version that is bad from its start and one
+// that turns bad later, without windows of a fixed length. The sums follow the order of the
+// evaluations, also within a second: good responses at its start don't offset bad ones at its end.
 type Judge struct {
 	sliceBase      cells                 // all counts at the start of the open slice
-	slice          cells                 // the open slice, as of the last look
-	increments     []cells               // what each look of the open slice has brought of the target
-	incrementSum   cells                 // the sum of steps
-	sliceStartedAt time.Duration         // when it started
+	slice          cells                 // counts of the open slice, at the last evaluation
+	increments     []cells               // the target's counts that each evaluation of the open slice added
+	incrementSum   cells                 // sum of increments
+	sliceStartedAt time.Duration         // start of the open slice
 	started        bool                  // a slice is open
 	tests          map[testKey]*evidence // up to the open slice
-	current        map[testKey]*evidence // the same with the open slice
+	current        map[testKey]*evidence // tests with the open slice added
 	baseline       baseline
-	good           uint32 // good answers of the target, in all
+	good           uint32 // total good responses of the target
 }
 
 // NewJudge returns a judge without evidence.
@@ -88,7 +87,7 @@
 	}
 }
 
-// Evaluate takes in the counts of all routers since the order, and returns the verdict.
+// Evaluate evaluates the counts of all routers since the order, and returns the verdict.
 func (j *Judge) Evaluate(now time.Duration, counts []Cell) Verdict {
 	return j.evaluate(now, cellsOf(counts))
 }
@@ -109,14 +108,14 @@
 	return j.Verdict()
 }
 
-// skip takes counts as known without judging them: only what comes on top is judged.
+// skip excludes the present counts from evaluation: only later increments are evaluated.
 func (j *Judge) skip(now time.Duration, all cells) {
 	if j.started {
 		j.closeSlice(now, all)
 	}
 }
 
-// close ends the open slice of time and opens the next.
+// closeSlice ends the open slice and opens the next.
 func (j *Judge) closeSlice(now time.Duration, all cells) {
 	j.tests = j.current
 	j.sliceBase = all
@@ -125,7 +124,7 @@
 	j.slice, j.increments, j.incrementSum = nil, nil, cells{}
 }
 
-// withSlice returns copies of the tests with the open slice added.
+// testsWithSlice returns copies of the tests with the open slice added.
 func (j *Judge) testsWithSlice() map[testKey]*evidence {
 	sums := map[testKey]*evidence{}
 	for key, e := range j.tests {
@@ -148,8 +147,8 @@
 	return sums[key]
 }
 
-// ratios returns, for each test, the likelihood ratios of counts by cohort, against the old
-// servers' answers in the open slice.
+// ratios returns, for each test, the likelihood ratios of counts by cohort, relative to the old
+// servers' responses in the open slice.
 func (j *Judge) ratios(counts cells, routes map[routePhase]weightedCount) map[testKey]ratios {
 	found := map[testKey]ratios{}
 	for _, k := range counts.targetKeys() {
@@ -161,8 +160,8 @@
 	return found
 }
 
-// wholeRatios returns those of the open slice for the test over all routes and kinds, which
-// alone decides that a version is good.
+// overallRatios returns the ratios of the open slice for the test over all routes and phases,
+// the only test that can find a version good.
 func (j *Judge) overallRatios(routes map[routePhase]weightedCount) ratios {
 	var found ratios
 	for _, k := range j.slice.targetKeys() {
@@ -176,14 +175,14 @@
 	return ratio{k.Cohort, logLikelihoodRatio(t, j.baseline.expected(j.slice, routes, k)), t.responses()}
 }
 
-// logRatio says how much likelier answers are from a bad version than from a good one.
+// logLikelihoodRatio returns the log of how much likelier t is for a bad version than for a good one.
 func logLikelihoodRatio(t Tally, expected float64) float64 {
 	worse := expected + badRateIncrease
 	return float64(t.Bad)*math.Log(worse/expected) +
 		float64(t.Good)*math.Log((1-worse)/(1-expected))
 }
 
-// testsOf returns the tests that a cell's answers count in.
+// testsOf returns the tests that include a cell's responses.
 func testsOf(k cellKey) []testKey {
 	phase := startPhase
 	if k.AfterStart {
@@ -192,7 +191,7 @@
 	return []testKey{{k.Route, phase}, {k.Route, anyPhase}, {"", phase}, {"", anyPhase}}
 }
 
-// Verdict is that of the last look.
+// Verdict returns the verdict of the last evaluation.
 func (j *Judge) Verdict() Verdict {
 	against := j.against()
 	if against >= badThreshold() {
@@ -208,12 +207,12 @@
 	return Good
 }
 
-// Suspected tells whether so much speaks against the version that it must get no more than
-// it takes to judge it: too little to reject it, as more answers may yet clear it.
+// Suspected reports whether the evidence is too weak to reject the version, but strong enough
+// to limit it to the requests needed for a verdict: more responses may yet clear it.
 func (j *Judge) Suspected() bool { return j.against() >= suspectThreshold() }
 
-// WeaklySuspected tells whether as much speaks against the version as makes it suspect when no cohort is left
-// out: it may be one faulty server, or the first servers of a version that turns bad.
+// WeaklySuspected reports whether any test reaches the suspect threshold with no cohort
+// excluded: the cause may be one faulty server, or the first servers of a version that turns bad.
 func (j *Judge) WeaklySuspected() bool {
 	for _, e := range j.current {
 		if e.all >= suspectThreshold() {
@@ -223,13 +222,13 @@
 	return false
 }
 
-// badAt is the sum of log likelihood ratios from which a version is bad.
+// badThreshold returns the sum of log likelihood ratios at which a version is bad.
 func badThreshold() float64 { return -math.Log(alpha) }
 
-// suspectAt is the sum from which a version is suspected.
+// suspectThreshold returns the sum at which a version is suspected.
 func suspectThreshold() float64 { return suspectFraction * badThreshold() }
 
-// against is the greatest sum of all tests.
+// against returns the largest sum of all tests.
 func (j *Judge) against() float64 {
 	largest := 0.0
 	for _, e := range j.current {
@@ -241,8 +240,8 @@
 	return largest
 }
 
-// CapEvidence lets a version that was judged bad be tried again. Part of the evidence against it
-// stays, so that a few more bad answers are enough the next time.
+// CapEvidence prepares a retry of a version that was found bad. It keeps part of the evidence
+// against it, so that a few more bad responses suffice the next time.
 func (j *Judge) CapEvidence() {
 	for _, e := range j.tests {
 		e.capAt(retainedFraction * badThreshold())
--- a/rollout/judge_bench_test.go
+++ b/rollout/judge_bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkJudge looks at the answers of a hundred routes in three halls, of which each look brings
-// new ones of ten: a second of a busy service has about twenty looks.
+// BenchmarkJudge evaluates the responses of a hundred routes in three halls, ten of which
+// change with each evaluation: a busy service has about twenty evaluations a second.
 func BenchmarkJudge(b *testing.B) {
 	const routes, halls, changed = 100, 3, 10
 	judge := NewJudge()
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -9,25 +9,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// judged is how a simulated fleet does: rates of bad answers, and what the judge said.
+// judgeSim simulates the responses of a fleet and evaluates them.
 type judgeSim struct {
-	perSecond float64 // of the target, in the trial
-	seconds   float64 // until the ramp
-	// bad returns the rate of bad answers at a time.
+	perSecond float64 // responses of the target, in the trial
+	seconds   float64 // time until the ramp
+	// bad returns the rate of bad responses at a time.
 	bad func(at float64, route, cohort, server int, target bool) float64
-	// later: the bad answers begin well and go on slowly.
+	// afterStart is set if the bad responses start well and fail after their start.
 	afterStart bool
 }
 
 const (
 	simRoutes      = 3
 	simCohorts     = 3
-	simServers     = 2 // of each cohort that take requests
+	simServers     = 2 // in each cohort, that take requests
 	simOldFactor   = 19
-	simEvaluations = 5 // a second; fewer than in use, to be done sooner
+	simEvaluations = 5 // a second; fewer than routers make, to save time
 )
 
-// run returns the verdict, when it was Bad and how many bad answers the target gave.
+// run returns the verdict, when it became Bad and how many bad responses the target gave.
 func (s judgeSim) run(seed int64) (Verdict, float64, int) {
 	rng := rand.New(rand.NewSource(seed))
 	judge := NewJudge()
@@ -59,7 +59,7 @@
 	for range n {
 		route, cohort, server := rng.Intn(simRoutes), rng.Intn(simCohorts), rng.Intn(simServers)
 		if rng.Float64() < 0.5 {
-			route = 0 // one route has most of the load
+			route = 0 // one route has most of the requests
 		}
 		k := cellKey{Route: string(rune('a' + route)), Cohort: string(rune('x' + cohort)), Target: target}
 		bad := rng.Float64() < s.bad(at, route, cohort, server, target)
@@ -142,8 +142,8 @@
 type badCase struct {
 	bad        badRate
 	afterStart bool
-	atOnce     bool // on all routes: nearly all are to be found before the ramp
-	ownFault   bool // all its bad answers are the version's own doing
+	atOnce     bool // on all routes: nearly all must be found before the ramp
+	ownFault   bool // all its bad responses are caused by the version
 }
 
 func badCases() map[string]badCase {
@@ -167,13 +167,13 @@
 const (
 	simSeeds   = 1000
 	simSeconds = 25
-	// Answers of the target a second, in all routes and cohorts: of a busy service and of
+	// Responses of the target a second, over all routes and cohorts: of a busy service and of
 	// one with little traffic.
 	highRate = 25
 	lowRate  = 6
 )
 
-// atRates runs a test of each case with many and with few answers of the target a second.
+// atRates runs a test of each case at a high and at a low rate of responses.
 func atRates[C any](t *testing.T, cases map[string]C, test func(t *testing.T, name string, c C, rate float64)) {
 	for name, c := range cases {
 		for _, rate := range []float64{highRate, lowRate} {
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestRolloutJudgeSpares shows how seldom a good version is judged bad, and that nearly
-// all are judged good before the ramp.
+// TestRolloutJudgeSpares measures how often a good version is found bad, and verifies that
+// nearly all are found good before the ramp.
 func TestRolloutJudgeSpares(t *testing.T) {
 	t.Parallel()
 	atRates(t, goodCases(), func(t *testing.T, name string, bad badRate, rate float64) {
@@ -200,14 +200,14 @@
 				passed++
 			}
 		}
-		t.Logf("%s, %g a second: %d of %d judged bad, %d good", name, rate, falseAlarms, simSeeds, passed)
+		t.Logf("%s, %g a second: %d of %d found bad, %d good", name, rate, falseAlarms, simSeeds, passed)
 		require.LessOrEqual(t, falseAlarms, simSeeds/200)
 		require.GreaterOrEqual(t, passed, simSeeds*99/100)
 	})
 }
 
-// TestRolloutJudgeFinds shows how many bad versions are missed before the ramp, and how
-// many bad answers the others gave until they were found.
+// TestRolloutJudgeFinds measures how many bad versions are missed before the ramp, and how
+// many bad responses the others gave until they were found.
 func TestRolloutJudgeFinds(t *testing.T) {
 	t.Parallel()
 	atRates(t, badCases(), func(t *testing.T, name string, c badCase, rate float64) {
@@ -229,7 +229,7 @@
 			totalTime += at
 		}
 		found := max(1, simSeeds-missed)
-		t.Logf("%s, %g a second: %d of %d missed (%d judged good); bad answers until found: mean %.1f, most %d, 50 or more in %d; mean time %.2f s",
+		t.Logf("%s, %g a second: %d of %d missed (%d found good); bad responses until found: mean %.1f, most %d, 50 or more in %d; mean time %.2f s",
 			name, rate, missed, simSeeds, passed, float64(totalBad)/float64(found), maxBad, atLimit, totalTime/float64(found))
 		if c.atOnce || rate == highRate {
 			require.LessOrEqual(t, missed, simSeeds/100)
--- a/rollout/lowtraffic.go
+++ b/rollout/lowtraffic.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// quietRequests is how many requests, from now to the deadline, may go to a version on
-// little or no evidence. Callers bear some 50 bad answers of a version before it is stopped;
-// half of that leaves room for traffic that picks up.
+// lowTrafficRequests is the number of requests, from now to the deadline, that may go to a
+// version on little or no evidence. Callers bear about 50 bad responses of a version before it
+// is stopped; half of that leaves room for rising traffic.
 const lowTrafficRequests = 25
 
-// quietAfter is how long each router has to watch a service before it is called quiet.
+// lowTrafficMinObserved is how long each router must observe a service before its traffic counts as low.
 const lowTrafficMinObserved = 2 * time.Second
 
-// quiet tells whether so few requests come that the target may get all of them without
-// evidence. Otherwise a service that nobody calls could never be moved. A router that does
-// not hear all others can't tell how many come.
+// lowTraffic reports whether so few requests arrive that the target may get all of them without
+// evidence: otherwise a service without callers could never be moved. Without reports from all
+// other routers, the number of requests is unknown.
 func (r *rollout) lowTraffic(routers int) bool {
 	demand := r.demand()
 	if demand.Observed < lowTrafficMinObserved || r.routerCount() < routers {
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Machine decides on the roll-outs of all services, in one router.
+// Machine decides on the rollouts of all services, in one router.
 type Machine struct {
 	bounds         Bounds
 	services       map[string]*service
-	ordersLoaded   bool // the store's orders are known
-	recordsLoaded  bool // the store's records are known
-	versionsLoaded bool // a list of servers has come
+	ordersLoaded   bool // the orders have been read from the store
+	recordsLoaded  bool // the records have been read from the store
+	versionsLoaded bool // a server list has been received
 	leads          bool
-	routers        int       // that are there, this one included
-	wall           time.Time // time of day at the last tick or list of records
-	cmds           []Cmd     // of the present Update
+	routers        int       // routers alive, including this one
+	wall           time.Time // time of day at the last TickMsg or RecordsMsg
+	cmds           []Cmd     // emitted by the current Update
 }
 
-// NewMachine returns a machine that knows nothing yet.
+// NewMachine returns a machine without any state.
 func NewMachine(bounds Bounds) *Machine {
 	return &Machine{bounds: bounds, services: map[string]*service{}, routers: 1}
 }
 
-// Update tells the machine what happened and returns what is to be done.
+// Update processes a message and returns the commands to execute.
 func (m *Machine) Update(msg Msg) []Cmd {
 	if !m.bounds.Enabled() {
 		return nil
@@ -53,7 +53,7 @@
 	return append(m.changedGates(), m.cmds...)
 }
 
-// Reports returns what this router tells the others, by service.
+// Reports returns this router's reports to its peers, sorted by service.
 func (m *Machine) Reports() []Report {
 	var reports []Report
 	for _, s := range m.sortedServices() {
@@ -73,7 +73,7 @@
 	return s
 }
 
-// sorted returns the services by name: the order of commands must not depend on a map.
+// sortedServices returns the services by name: the order of commands must be deterministic.
 func (m *Machine) sortedServices() []*service {
 	var list []*service
 	for _, name := range slices.Sorted(maps.Keys(m.services)) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// count adds one answer to this router's own evidence.
+// countResponse adds one response to this router's own evidence.
 func (m *Machine) countResponse(msg ResponseMsg) {
 	s := m.services[msg.Service]
 	if s == nil || s.rollout == nil {
@@ -136,7 +136,7 @@
 	s.rollout.own.count(cellKey{msg.Route, msg.Cohort, msg.Target, msg.AfterStart}, t)
 }
 
-// hear takes in the reports of the other routers.
+// updatePeers merges the reports of the other routers.
 func (m *Machine) updatePeers(msg PeerReportsMsg) {
 	for _, s := range m.sortedServices() {
 		if s.rollout == nil {
@@ -156,7 +156,7 @@
 	}
 }
 
-// follow takes over a rejection or a higher stage that other routers report.
+// followPeers applies a rejection or a higher stage that peers report.
 func (m *Machine) followPeers(s *service) {
 	r := s.rollout
 	if r.peers.Routers == 0 {
@@ -170,15 +170,15 @@
 	}
 }
 
-// raise moves a roll-out on to a higher stage.
+// raiseStage raises the stage of a rollout.
 func (m *Machine) raiseStage(s *service, stage Stage, cause string) {
 	s.rollout.stage = stage
 	s.rollout.raisedAtAge = s.rollout.age
 	m.emitStep(s, StepRaised, cause)
 }
 
-// gates returns a command for each gate that has changed. They come before other commands,
-// so that a gate is in force here before a write announces it.
+// changedGates returns a command for each gate that has changed. They precede other commands,
+// so that a gate is applied here before a write announces it.
 func (m *Machine) changedGates() []Cmd {
 	var changed []Cmd
 	for _, s := range m.sortedServices() {
@@ -193,7 +193,7 @@
 	return changed
 }
 
-// step emits that a roll-out has moved on, for the log.
+// emitStep emits a StepCmd, which logs a step of the service's rollout.
 func (m *Machine) emitStep(s *service, name, cause string) {
 	c := StepCmd{Service: s.name, Step: name, Cause: cause, Leads: m.leads, Routers: 1}
 	if s.order != nil {
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -1,8 +1,8 @@
 package rollout
 
-// Merge adds up what two sets of routers tell of the same order. The order of merging
-// makes no difference. Where the two tell of different orders, which a router may for a
-// moment after an order is replaced, the one with the higher key stays.
+// Merge combines the reports of two sets of routers on the same order. It is commutative and
+// associative. If the reports are of different orders, which can happen for a moment after an
+// order is replaced, Merge returns the one with the higher key.
 func Merge(a, b Report) Report {
 	if a.Routers == 0 {
 		return b
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawReport draws what some routers, or none, tell of one of some orders. Its cells are in
+// drawReport draws a report of some routers, or none, on one of the orders. Its cells are in
 // any order and may repeat.
 func drawReport(t *rapid.T, orders int) Report {
 	r := Report{
@@ -37,7 +37,7 @@
 	return r
 }
 
-// TestRolloutMerge shows that the order of merging makes no difference.
+// TestRolloutMerge verifies that Merge is commutative and associative.
 func TestRolloutMerge(t *testing.T) {
 	t.Parallel()
 	for _, orders := range []int{1, 2} {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestRolloutMergeCountsAll has sums of what is counted, and the least that is in force.
+// TestRolloutMergeCountsAll verifies that counts are added and the lowest applied stage is kept.
 func TestRolloutMergeCountsAll(t *testing.T) {
 	t.Parallel()
 	cell := Cell{Route: "r", Cohort: "h", Good: 2, Bad: 1}
--- a/rollout/messages.go
+++ b/rollout/messages.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Msg is anything that a Machine can be told. Now is the time since the process
-// started, on its monotonic clock.
+// Msg is an event that a Machine processes. Now is the time since the process started, on
+// its monotonic clock.
 type Msg interface{ isMsg() }
 
-// OrdersMsg brings all orders that are in the store.
+// OrdersMsg carries all orders in the store.
 type OrdersMsg struct {
 	Now    time.Duration
 	Orders []Order
 }
 
-// RecordsMsg brings all records that are in the store.
+// RecordsMsg carries all records in the store.
 type RecordsMsg struct {
 	Now time.Duration
-	// Wall is the time of day, which tells how long ago a record was written.
+	// Wall is the time of day, from which the age of a record is computed.
 	Wall    time.Time
 	Records []Record
 }
 
-// VersionsMsg tells which versions the listed servers of each service have.
+// VersionsMsg carries the versions of the listed servers of each service.
 type VersionsMsg struct {
 	Now      time.Duration
 	Services map[string][]string // sorted
 }
 
-// ResponseMsg tells how one answer began, or how it went on until its end, from a server of a
-// service that is being rolled out.
+// ResponseMsg carries the outcome of one response, of its start or of the rest up to its end,
+// from a server of a service with a running rollout.
 type ResponseMsg struct {
 	Now        time.Duration
 	Service    string
@@ -35,17 +35,17 @@
 	Cohort     string
 	Target     bool // from a server of the target
 	AfterStart bool // see Cell
-	Bad        bool // it failed, or came several times too late
+	Bad        bool // the response failed, or was several times slower than expected
 }
 
-// PeerReportsMsg brings the reports of all other routers, merged by service and order. While an
-// order is being replaced there may be two reports of a service, of different orders.
+// PeerReportsMsg carries the reports of all other routers, merged by service and order. While
+// an order is being replaced there may be two reports of a service, on different orders.
 type PeerReportsMsg struct {
 	Now     time.Duration
 	Reports []Report
 }
 
-// WriteDoneMsg tells how a WriteCmd ended.
+// WriteDoneMsg carries the result of a WriteCmd.
 type WriteDoneMsg struct {
 	Now     time.Duration
 	Service string
@@ -53,24 +53,24 @@
 	Result  WriteResult
 }
 
-// TickMsg lets time pass; send it every TickEvery.
+// TickMsg advances the time; send it every TickInterval.
 type TickMsg struct {
 	Now  time.Duration
 	Wall time.Time
-	// Leads says that this router is the leader: it raises stages, rejects and writes.
+	// Leads is set if this router is the leader, which raises stages, rejects and writes.
 	Leads bool
-	// Routers counts the routers of the fleet that are there, this one included.
+	// Routers is the number of live routers of the fleet, including this one.
 	Routers int
-	// OldRunning counts, by service, this router's requests at servers that are not of
+	// OldRunning is, by service, the number of this router's requests on servers that are not of
 	// the target's version.
 	OldRunning map[string]int
-	// Requests counts, by service, the requests that came to this router since the service began to
-	// move, whatever became of them.
+	// Requests is, by service, the number of requests that this router received since the service
+	// began to move, whatever their outcome.
 	Requests map[string]int
 }
 
-// TickInterval is the time between two ticks: short beside the second within which evidence is
-// compared, so that a bad version is stopped soon after the answers that show it.
+// TickInterval is the time between two ticks. It is short compared to sliceDuration, so that a
+// bad version is stopped soon after the responses that show it.
 const TickInterval = 100 * time.Millisecond
 
 func (OrdersMsg) isMsg()      {}
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -9,8 +9,8 @@
 
 const simWithin = 30 * time.Second
 
-// TestRolloutOfTheOrder shows how roll-outs end, by what is wrong or right with the order
-// itself.
+// TestRolloutOfTheOrder verifies how rollouts end, by what happens to the order, the version
+// and its servers.
 func TestRolloutOfTheOrder(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestRolloutOfOneVersionInUse shows that an order for the only version in use, and for
+// TestRolloutOfOneVersionInUse verifies that an order for the only version in use, and for
 // one of several, is completed soon and without a trial.
 func TestRolloutOfOneVersionInUse(t *testing.T) {
 	t.Parallel()
@@ -133,8 +133,8 @@
 	require.Equal(t, Completed, s.status())
 }
 
-// TestRolloutOrderGoneWhileAllWereLost shows what becomes of a roll-out of which only the
-// record is left: completed where only servers of its target are there, rejected else.
+// TestRolloutOrderDeletedWhileRoutersDown verifies how a rollout ends of which only the record
+// is left: completed if only servers of its target are listed, else rejected.
 func TestRolloutOrderDeletedWhileRoutersDown(t *testing.T) {
 	t.Parallel()
 	for _, versions := range [][]string{{newVersion}, {oldVersion, newVersion}} {
@@ -149,7 +149,7 @@
 	}
 }
 
-// TestRolloutOrderSeenLate shows that an older view of an order takes nothing back.
+// TestRolloutOrderSeenLate verifies that a stale version of an order reverts nothing.
 func TestRolloutOrderSeenLate(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -163,8 +163,8 @@
 	require.Empty(t, r.machine.Reports())
 }
 
-// TestRolloutOrderSeenLateMidway shows that an older view of an order under way leads to
-// no other write.
+// TestRolloutOrderSeenLateMidway verifies that a stale version of a running order causes no
+// other write.
 func TestRolloutOrderSeenLateMidway(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -176,8 +176,8 @@
 	require.Empty(t, r.machine.Update(tick))
 }
 
-// TestRolloutOrderWithMarkOfEarlierOne shows that an order which was followed by another
-// of its own mark is not taken up again when it is seen late.
+// TestRolloutOrderWithMarkOfEarlierOne verifies that an order that was followed by another one
+// with its own mark is not started again when it arrives late.
 func TestRolloutOrderWithMarkOfEarlierOne(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -190,8 +190,8 @@
 	require.Equal(t, "v3", r.machine.Snapshots()[0].Target)
 }
 
-// TestRolloutOrderAfterOneThatWasNotRecorded shows that the status of the order before
-// tells which version is in use, where the record was not brought up to it.
+// TestRolloutOrderAfterUnrecordedOne verifies that the status of the previous order determines
+// the version in use if the record was not updated.
 func TestRolloutOrderAfterUnrecordedOne(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -204,8 +204,8 @@
 	require.Equal(t, "v3", s.routers[0].gate.Target)
 }
 
-// TestRolloutOrderDeletedRejects shows that the target of an order which was deleted
-// midway is among the versions that were rejected.
+// TestRolloutOrderDeletedRejects verifies that the target of an order that was deleted
+// midway is among the rejected versions.
 func TestRolloutOrderDeletedRejects(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -216,8 +216,8 @@
 	require.Empty(t, s.store.record.Target)
 }
 
-// TestRolloutAgeIsHeard shows that a router which begins late knows the order's age from
-// the others, before it trusts the record.
+// TestRolloutAgeFromPeers verifies that a router that starts late takes the order's age from
+// its peers' reports rather than from the record.
 func TestRolloutAgeFromPeers(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -228,8 +228,8 @@
 	require.InDelta(t, simWithin/2, age, float64(time.Second))
 }
 
-// TestRolloutGivenUpWithoutProof shows that a target which nothing is known of gets no
-// more than the trial, and is rolled back as soon as the rest can't be done in time.
+// TestRolloutGivenUpWithoutProof verifies that a target without evidence gets no more than the
+// trial, and is rolled back as soon as the remaining steps can't be done in time.
 func TestRolloutGivenUpWithoutProof(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -241,8 +241,8 @@
 	}
 }
 
-// TestRolloutUnorderedVersion shows that servers which nobody ordered get nothing, and
-// that this is logged once.
+// TestRolloutUnorderedVersion verifies that servers of a version that nobody ordered get no
+// requests, and that this is logged once.
 func TestRolloutUnorderedVersion(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -258,7 +258,7 @@
 	require.Equal(t, 1, logged)
 }
 
-// TestRolloutOff shows that without a bound on exposure nothing is done.
+// TestRolloutDisabled verifies that without a bound on exposure nothing is done.
 func TestRolloutDisabled(t *testing.T) {
 	t.Parallel()
 	m := NewMachine(Bounds{})
--- a/rollout/paused_test.go
+++ b/rollout/paused_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callsFor has a leading machine that hears some routers of a fleet watch a service with
-// many calls for a moment.
+// newLeader returns a leading machine of a fleet with the given number of routers, and a
+// function that delivers a tick.
 func newLeader(routers int) (m *Machine, tick func(now time.Duration)) {
 	m = NewMachine(Bounds{Share: 0.2, Slack: 50})
 	m.Update(VersionsMsg{Services: map[string][]string{"llm": {"v1", "v2"}}})
@@ -18,8 +18,8 @@
 	return m, tick
 }
 
-// TestRolloutPausedIsNotQuiet stops the leading router for a while, under load: that it
-// saw no answers meanwhile is no sign that nobody calls the service.
+// TestRolloutPausedIsNotQuiet pauses the leading router under load: the absence of responses
+// during the pause must not count as low traffic.
 func TestRolloutPausedIsNotQuiet(t *testing.T) {
 	m, tick := newLeader(1)
 	for now := time.Duration(0); now <= 200*time.Millisecond; now += TickInterval {
@@ -33,8 +33,8 @@
 	require.Equal(t, Trial, m.Snapshots()[0].Stage)
 }
 
-// TestRolloutUnheardIsNotQuiet has a leading router see no calls itself and hear nothing
-// of what another sees.
+// TestRolloutUnheardIsNotQuiet verifies that a leading router without requests of its own and
+// without the report of another router does not assume low traffic.
 func TestRolloutUnheardIsNotQuiet(t *testing.T) {
 	for _, routers := range []int{1, 2} {
 		m, tick := newLeader(routers)
@@ -45,22 +45,23 @@
 	}
 }
 
-// A version that fails three in ten of its answers was taken into use on 152 requests, of which no
-// answer had been judged: "rollout_step stage=quarter new_good=0 new_bad=0 old_good=0 old_bad=0", and
-// the same for half and all. Servers were cold, links cut and engines slow, so that all answers
-// came from servers whose answers say nothing of a version; without any, the service was taken for
-// one that nobody calls. Another such version then got 390 of 589 requests.
+// TestRolloutUnjudgedIsNotQuiet guards against moving a busy service without evidence. If its
+// servers are cold, links are cut and engines are slow, no response counts as evidence, and
+// without evidence the service was taken for one without callers: a version that fails 30% of
+// its responses was taken into use on 152 requests without a judged response (rollout_step with
+// new_good=0 new_bad=0 old_good=0 old_bad=0 for the stages quarter, half and all). Another such
+// version got 390 of 589 requests.
 func TestRolloutUnjudgedIsNotQuiet(t *testing.T) {
 	for _, c := range []struct {
-		routers, calls, every int // calls at the leading router in each of so many ticks
-		judged                int // answers of all others
+		routers, calls, every int // calls at the leading router, once every so many ticks
+		judged                int // responses in the evidence of all others
 		quiet                 bool
 	}{
 		{routers: 3, calls: 0, every: 1, quiet: true},
 		{routers: 3, calls: 3, every: 1, quiet: false},
-		// None of the leading router's answers can be judged, and few of the others'.
+		// None of the leading router's responses count as evidence, and few of the others'.
 		{routers: 3, calls: 1, every: 1, judged: 9, quiet: false},
-		// Of twenty requests in a large fleet one came to the leading router.
+		// In a large fleet, one of twenty requests arrives at the leading router.
 		{routers: 384, calls: 1, every: 100, judged: 20, quiet: true},
 	} {
 		m, _ := newLeader(c.routers)
@@ -79,11 +80,10 @@
 	}
 }
 
-// TestRolloutBusyElsewhereIsNotQuiet has three routers of which the leading one is asked little, and
-// no answer of which can be judged: a service that the others are asked much of must not be moved
-// without evidence.
+// TestRolloutBusyElsewhereIsNotQuiet verifies that a service without any evidence isn't moved
+// if the leading one of three routers receives few requests but the others receive many.
 func TestRolloutBusyElsewhereIsNotQuiet(t *testing.T) {
-	for _, atPeers := range []int{0, 1} { // requests at each other router, a tick
+	for _, atPeers := range []int{0, 1} { // requests a tick at each other router
 		var routers []*Machine
 		for range 3 {
 			m, _ := newLeader(3)
@@ -106,6 +106,6 @@
 				m.Update(TickMsg{Now: now, Leads: i == 0, Routers: len(routers), Requests: map[string]int{"llm": requests}})
 			}
 		}
-		require.Equal(t, atPeers == 0, routers[0].Snapshots()[0].Stage > Trial, "%d a tick elsewhere", atPeers)
+		require.Equal(t, atPeers == 0, routers[0].Snapshots()[0].Stage > Trial, "%d requests a tick at each other router", atPeers)
 	}
 }
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// reconcile brings roll-outs in line with what the store and the lists of servers say.
+// reconcile updates the rollouts to the state of the store and the server lists.
 func (m *Machine) reconcile(now time.Duration) {
 	if !m.ordersLoaded || !m.recordsLoaded {
 		return
@@ -18,7 +18,7 @@
 	}
 }
 
-// reconcileOrder ends a roll-out whose order is over.
+// reconcileOrder ends the rollout of an order that was completed, rolled back, replaced or deleted.
 func (m *Machine) reconcileOrder(s *service, now time.Duration) {
 	if s.rollout != nil && s.order == nil {
 		m.abandon(s, causeDeleted)
@@ -34,13 +34,13 @@
 		return
 	}
 	if s.order.State.Final() && s.order.StateTarget != "" && s.endedKey == 0 {
-		// The status is that of the order before this one, which has ended. Its leader may
-		// have stopped before it wrote the record, so the status is applied here.
+		// The status is that of the previous order. Its leader may have stopped before it wrote
+		// the record, so the status is applied here.
 		s.applyFinalState(s.order.StateTarget, s.order.State)
 	}
 }
 
-// abandon ends a roll-out whose order is gone, as if it had been rolled back.
+// abandon ends a rollout whose order was deleted or replaced, like a rollback.
 func (m *Machine) abandon(s *service, cause string) {
 	m.emitStep(s, StepAbandoned, cause)
 	target, trusted := s.rollout.order.Target, s.rollout.trusted
@@ -50,7 +50,7 @@
 	}
 }
 
-// end applies the final status of an order. Nothing opens that order again.
+// finish applies the final status of an order. The order is not started again.
 func (m *Machine) finish(s *service, state State) {
 	s.applyFinalState(s.order.Target, state)
 	if s.endedKey == s.order.Key() {
@@ -66,7 +66,7 @@
 	s.rollout = nil
 }
 
-// reconcileVersions finds the versions in use where the record does not say them.
+// reconcileVersions determines the versions in use that the record does not contain.
 func (m *Machine) reconcileVersions(s *service) {
 	if s.inUse == nil {
 		s.inUse = s.initialVersions()
@@ -76,7 +76,7 @@
 	}
 }
 
-// reconcileRollout begins the roll-out of an order that is open, or updates the one under way.
+// reconcileRollout starts the rollout of an open order, or updates the running one.
 func (m *Machine) reconcileRollout(s *service, now time.Duration) {
 	if s.order == nil || s.endedKey == s.order.Key() {
 		return
@@ -102,7 +102,7 @@
 	r.hasServers = hasServers
 }
 
-// begin starts the roll-out of a service's order.
+// begin starts the rollout of a service's order.
 func (m *Machine) begin(s *service, now time.Duration) {
 	r := newRollout(*s.order, now)
 	s.rollout = r
@@ -120,7 +120,7 @@
 	}
 }
 
-// logUnordered logs, once for each version, that it has servers which get no requests.
+// logUnordered logs, once for each version, that nobody ordered it and its servers get no requests.
 func (m *Machine) logUnordered(s *service) {
 	if s.inUse == nil {
 		return
--- a/rollout/record.go
+++ b/rollout/record.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Record is what the routers keep in the store about a service's versions: what a fleet of
-// which all routers were lost can't find out anew.
+// Record holds what the routers keep in the store about a service's versions: the state that
+// can't be recovered from elsewhere after all routers were lost.
 type Record struct {
 	Service string
-	// Revision is that of the record's object.
+	// Revision is the revision of the record's object.
 	Revision uint64
-	// InUse are the versions that get requests, Rejected those that were rolled back.
+	// InUse holds the versions that get requests, Rejected those that were rolled back.
 	InUse    []string
 	Rejected []string
-	// Target, Made, Stage and Age are of the roll-out under way; an empty Target: none is.
+	// Target, Made, Stage and Age describe the current rollout; Target is empty without one.
 	Target string
 	Made   string
 	Stage  Stage
-	Age    time.Duration // of the order, when the record was written
-	Wall   time.Time     // when it was written
+	Age    time.Duration // age of the order when the record was written
+	Wall   time.Time     // time of day at which the record was written
 }
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Report is what one router, or several together, report of the roll-out of one service.
+// Report holds what one router, or several merged, report about the rollout of one service.
 type Report struct {
 	Service string
 	Order   uint64 // see Order.Key
-	Routers uint32 // whose reports are merged in it
-	// MaxStage is the highest stage that any of them knows, MinAppliedStage the lowest that any has
-	// in force.
+	Routers uint32 // number of routers merged in the report
+	// MaxStage is the highest stage that any of them has reached, MinAppliedStage the lowest
+	// that any of them applies.
 	MaxStage, MinAppliedStage Stage
-	// Age is the greatest time since the order that any of them knows.
+	// Age is the greatest age of the order that any of them reports.
 	Age time.Duration
-	// OldRunning counts the requests that run at servers of old versions.
+	// OldRunning is the number of requests running on servers of old versions.
 	OldRunning uint32
-	// Rejected says that a leader among them has found the target bad: it stays closed.
+	// Rejected is set if a leader among them has rejected the target, permanently.
 	Rejected bool
-	// Demand is what callers ask of them.
+	// Demand is the rate of requests that they receive.
 	Demand Demand
-	// Cells are the evidence since the order.
+	// Cells holds the evidence since the order.
 	Cells []Cell
 }
 
-// Cell counts answers of one route from the servers of one cohort.
+// Cell counts the responses of one route from the servers of one cohort.
 type Cell struct {
 	Route      string
-	Cohort     string // group of servers that may fail together, whatever their version: a data hall
+	Cohort     string // servers that may fail together whatever their version: a data hall
 	Target     bool   // true: servers of the target; false: old servers
-	AfterStart bool   // true: how answers went on after their first event; false: how they began
+	AfterStart bool   // true: outcomes after the first event of a response; false: outcomes of its start
 	Good       uint32
 	Bad        uint32
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// rollout is one roll-out under way, as one router sees it. Ages are times since the order was
-// made; other times are on this router's monotonic clock.
+// rollout is one router's view of a running rollout. Ages are times since the order was made;
+// other times are on this router's monotonic clock.
 type rollout struct {
 	order Order
 	key   uint64
 	plan  timeline
-	// trusted: the target is among the versions in use; it needs no trial.
+	// trusted is set if the target is among the versions in use: it needs no trial.
 	trusted bool
-	// age is the order's age at agedAt.
+	// age is the order's age at ageUpdatedAt.
 	age, ageUpdatedAt time.Duration
-	// recorded is the age that the record gives, for a router that begins after all others
-	// have lost it; 0: not given, or used already.
+	// recordedAge is the age from the record, for a router that starts after all others have
+	// lost it; 0 if there is none or it was already applied.
 	recordedAge   time.Duration
-	firstSeenAt   time.Duration // when this router first saw the order
-	observed      time.Duration // time since seenAt in which this router ran
+	firstSeenAt   time.Duration // when this router first received the order
+	observed      time.Duration // time since firstSeenAt in which this router was running
 	stage         Stage
-	raisedAtAge   time.Duration // age at which the stage was raised
+	raisedAtAge   time.Duration // age at which the stage was last raised
 	own           cells         // evidence of this router
-	evaluated     cells         // own, at the last look
-	peers         Report        // merged, of the other routers
-	peerCount     uint32        // how many others were heard at the last look
-	maxPeerCount  uint32        // the greatest heard so far
-	peerBad       uint32        // bad answers of the target at others, at the last look
-	all           cells         // evidence of all, at the last tick
+	evaluated     cells         // own, at the last evaluation
+	peers         Report        // merged reports of the other routers
+	peerCount     uint32        // number of other routers in peers at the last evaluation
+	maxPeerCount  uint32        // largest peerCount so far
+	peerBad       uint32        // bad responses of the target in peers at the last evaluation
+	all           cells         // evidence of all routers, at the last evaluation
 	judge         *Judge
 	hold          hold
-	suspected     bool // evidence speaks against the target, and does not decide yet
-	rejected      bool // for good, by a leader: by the evidence, or for lack of time
+	suspected     bool // evidence against the target, not enough to reject it
+	rejected      bool // rejected by a leader, permanently
 	cause         string
-	confirmed     bool          // to be completed
+	confirmed     bool          // the rollout is to be completed
 	trialPassed   bool          // the trial has shown that the target is good
-	oldRunning    uint32        // this router's requests at old servers
-	requests      int           // requests that came to this router
-	oldIdle       bool          // nothing runs at old servers of any router
-	oldIdleSince  time.Duration // when idle became true
-	hasServers    bool          // servers of the target are listed
-	serversLostAt time.Duration // when serversThere became false
+	oldRunning    uint32        // this router's requests running on old servers
+	requests      int           // requests that this router received
+	oldIdle       bool          // no router has requests running on old servers
+	oldIdleSince  time.Duration // when oldIdle became true
+	hasServers    bool          // the server list contains servers of the target
+	serversLostAt time.Duration // when hasServers became false
 }
 
 const (
-	// mostOverdue bounds how far an age may be past the deadline: a greater age changes no
-	// decision, and one that a wrong clock gave must not overflow.
+	// maxOverdue limits how far an age may exceed the deadline. A greater age changes no
+	// decision, and the age computed from a wrong clock must not overflow.
 	maxOverdue = time.Hour
-	// hearFor is how long a router that sees an order for the first time waits for the age
-	// that others report before it uses the record's. Reports come ten times a second, and
+	// peerAgeWait is how long a router that sees an order for the first time waits for the age
+	// in its peers' reports before it uses the record's. Reports arrive ten times a second, and
 	// the record's age depends on the wall clocks of two hosts.
 	peerAgeWait = time.Second
-	// idleFor is how long nothing must have run at old servers before they are stopped: a
-	// request that was sent while the gate closed is reported by then.
+	// minOldIdle is how long old servers must have been idle before they are stopped: a request
+	// that was sent while the gate closed is reported within this time.
 	minOldIdle = time.Second
-	// goneFor is how long a target may have no listed server in the last stage before it is
-	// rejected: a list that was read incomplete is replaced by a whole one by then.
+	// missingServersTimeout is how long the target may have no listed server in the last stage
+	// before it is rejected: an incomplete list is replaced by a complete one within this time.
 	missingServersTimeout = time.Second
 )
 
@@ -73,11 +73,11 @@
 	}
 }
 
-// longestLook is the most that the time between two ticks counts as watched: a router that
-// was stopped for longer saw nothing of what went on.
+// maxObservedGap limits the time between two ticks that counts as observed: a router that was
+// paused for longer missed what happened meanwhile.
 const maxObservedGap = 3 * TickInterval
 
-// pass lets time pass up to now.
+// advanceClock advances the rollout's age to now.
 func (r *rollout) advanceClock(now time.Duration) {
 	if now > r.ageUpdatedAt {
 		r.observed += min(now-r.ageUpdatedAt, maxObservedGap)
@@ -89,8 +89,8 @@
 	}
 }
 
-// useRecorded takes the record's age, unless another router has told of a time before
-// this one began.
+// applyRecordedAge uses the record's age, unless a peer has reported an age from before this
+// router started.
 func (r *rollout) applyRecordedAge(watched time.Duration) {
 	if r.age < watched+peerAgeWait/2 {
 		r.raiseAge(r.recordedAge + watched)
@@ -102,7 +102,7 @@
 	r.age = max(r.age, min(age, r.order.Within+maxOverdue))
 }
 
-// hear takes in the merged report of all other routers.
+// updatePeers sets the merged report of all other routers.
 func (r *rollout) updatePeers(others Report, now time.Duration) {
 	r.peers = others
 	r.advanceClock(now)
@@ -126,7 +126,7 @@
 
 func (r *rollout) stopped() bool { return r.rejected || r.hold.active }
 
-// inForce is the stage that this router's gate follows.
+// appliedStage returns the stage that this router's gate applies.
 func (r *rollout) appliedStage() Stage {
 	if r.stopped() {
 		return Waiting
@@ -137,7 +137,7 @@
 	return r.stage
 }
 
-// look judges the evidence of all routers.
+// evaluate evaluates the evidence of all routers.
 func (r *rollout) evaluate(now time.Duration) Verdict {
 	r.all = cells{}
 	r.all.add(r.own)
@@ -155,12 +155,13 @@
 	return r.judge.evaluate(now, r.all)
 }
 
-// hearsBad tells whether other routers have told of more bad answers of the target than at the last look.
+// peersReportMoreBad reports whether peers have counted more bad responses of the target than
+// at the last evaluation.
 func (r *rollout) peersReportMoreBad() bool { return targetBad(r.peers.Cells) > r.peerBad }
 
-// regrouped tells whether routers were lost, or came back, since the last look: the counts of
-// one that comes back were judged before, and must not be judged again. Routers beyond the
-// most that were heard together are new to this one, and so are all their counts.
+// peersChanged reports whether routers were lost or came back since the last evaluation. The
+// counts of a returning router were evaluated before and must not be evaluated again. Routers
+// beyond the largest number seen so far are new, and so are all their counts.
 func (r *rollout) peersChanged() bool {
 	n := r.peers.Routers
 	changed := n != r.peerCount && n <= r.maxPeerCount
@@ -168,7 +169,7 @@
 	return changed
 }
 
-// proven tells whether the target may get more than the trial's part.
+// mayRamp reports whether the target may get more than the trial's fraction.
 func (r *rollout) mayRamp(routers int) bool {
 	if r.trusted {
 		return true
@@ -177,7 +178,7 @@
 	return verdict == Good || verdict != Bad && r.lowTraffic(routers)
 }
 
-// next returns the stage that follows, and whether it is due now.
+// nextStage returns the stage that follows, and whether it is due now.
 func (r *rollout) nextStage() (Stage, bool) {
 	if r.stage == All || r.stopped() || !r.hasServers {
 		return r.stage, false
@@ -193,7 +194,7 @@
 	return next, r.age >= r.plan.stageAt(next) && !late
 }
 
-// settled tells whether nothing has run at old servers, for any router, for long enough.
+// oldDrained reports whether the old servers of all routers have been idle for long enough.
 func (r *rollout) oldDrained(now time.Duration, routers int) bool {
 	nothingRuns := r.oldRunning == 0 && r.peers.OldRunning == 0
 	if !nothingRuns || r.routerCount() < routers || !r.allInLastStage() {
@@ -206,15 +207,15 @@
 	return now-r.oldIdleSince >= minOldIdle
 }
 
-// everywhere tells whether all routers that are heard have the last stage in force.
+// allInLastStage reports whether all routers with a current report apply the last stage.
 func (r *rollout) allInLastStage() bool {
 	return r.appliedStage() >= All && (r.peers.Routers == 0 || r.peers.MinAppliedStage >= All)
 }
 
-// routers counts those that are heard, this one included.
+// routerCount returns the number of routers with a current report, including this one.
 func (r *rollout) routerCount() int { return 1 + int(r.peers.Routers) }
 
-// reject closes the target for good, and tells whether it was open.
+// reject rejects the target permanently, and reports whether it was not yet rejected.
 func (r *rollout) reject(cause string) bool {
 	if r.rejected {
 		return false
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// service is what a router knows of the versions of one service.
+// service holds one router's view of the versions of a service.
 type service struct {
 	name  string
-	order *Order // in the store; nil: none
-	// endedMarks are the marks (Order.Made) of orders that were deleted or replaced. Such an
-	// order shows up again only in messages that come late.
+	order *Order // order in the store; nil: none
+	// endedOrders holds the Order.Made of orders that were deleted or replaced. Such an order
+	// can reappear only in delayed messages.
 	endedOrders []string
-	// reappeared says that the order was deleted and is then seen again.
+	// reappeared is set if the order was deleted and then received again.
 	reappeared bool
-	// ended is the key of the order whose final status is known; 0: none.
+	// endedKey is the key of the order whose final status has been applied; 0: none.
 	endedKey    uint64
-	inUse       []string // see Gate; nil: not known
+	inUse       []string // see Gate; nil: unknown
 	rejected    []string // versions that were rolled back
-	record      Record   // Revision 0: none in the store
-	versions    []string // of the listed servers
-	rollout     *rollout // nil: no roll-out is under way
+	record      Record   // Revision is 0 if the store holds none
+	versions    []string // versions of the listed servers
+	rollout     *rollout // nil: no rollout is running
 	writer      writer
 	appliedGate Gate
-	gateSent    bool // a GateCmd was emitted for inForce
-	// unorderedLogged are the versions of which it was logged that nobody ordered them.
+	gateSent    bool // a GateCmd was emitted for appliedGate
+	// unorderedLogged holds the versions already logged as never ordered.
 	unorderedLogged []string
 }
 
-// mostRemembered bounds the lists of rejected versions, of ended orders and of unordered
-// versions. The first two matter only to messages that come late, by minutes at the most,
-// and a service gets far fewer orders in that time.
+// maxRemembered limits the lists of rejected versions, of ended orders and of unordered
+// versions. The first two only matter for messages that are delayed, by minutes at most, and
+// a service gets far fewer orders in that time.
 const maxRemembered = 16
 
 func appendBounded(list []string, s string) []string {
@@ -47,7 +47,7 @@
 
 func (s *service) uses(version string) bool { return slices.Contains(s.inUse, version) }
 
-// takeOrder takes an order as the store holds it, unless it is older than what is known.
+// updateOrder applies an order from the store, unless it is older than the current one.
 func (s *service) updateOrder(o Order) {
 	if s.order != nil && o.Made == s.order.Made {
 		if o.Revision >= s.order.Revision {
@@ -76,7 +76,7 @@
 	s.order = &o
 }
 
-// dropOrder notes that the store holds no order any more.
+// removeOrder records that the store no longer holds an order.
 func (s *service) removeOrder() {
 	s.endedOrders = appendBounded(s.endedOrders, s.order.Made)
 	s.order = nil
@@ -85,7 +85,7 @@
 	s.writer.objectChanged()
 }
 
-// takeRecord takes a record, unless it is older than what is known.
+// updateRecord applies a record from the store, unless it is older than the current one.
 func (s *service) updateRecord(r Record) {
 	if r.Revision <= s.record.Revision {
 		return
@@ -99,7 +99,7 @@
 	s.rejected = slices.Clone(r.Rejected)
 }
 
-// apply notes how an order for a version ended.
+// applyFinalState updates the versions in use and rejected by how the order for target ended.
 func (s *service) applyFinalState(target string, state State) {
 	if state == Completed {
 		s.inUse = []string{target}
@@ -109,7 +109,7 @@
 	s.reject(target)
 }
 
-// reject takes a version out of use, unless nothing else is in use.
+// reject removes a version from those in use, unless it is the only one.
 func (s *service) reject(target string) {
 	if rest := without(s.inUse, target); len(rest) > 0 {
 		s.inUse = rest
@@ -119,9 +119,9 @@
 	}
 }
 
-// firstVersions returns the versions in use of a service without a record: those of its
-// first list of servers, except the target of its order and versions that were rejected,
-// unless no others are left.
+// initialVersions returns the versions in use of a service without a record: those in its
+// first server list, without the target of its order and without rejected versions, unless
+// no others are left.
 func (s *service) initialVersions() []string {
 	initial := s.versions
 	exclude := func(version string) {
@@ -141,7 +141,7 @@
 	return slices.Clone(initial)
 }
 
-// wanted returns the record as the store should hold it.
+// desiredRecord returns the record that the store should hold.
 func (s *service) desiredRecord(wall time.Time) Record {
 	w := Record{
 		Service:  s.name,
@@ -157,16 +157,16 @@
 	return w
 }
 
-// recordCurrent tells whether the record in the store need not be written again. Stage and
-// age alone are not worth a write.
+// recordCurrent reports whether the stored record is up to date. A change of stage or age
+// alone does not justify a write.
 func (s *service) recordCurrent(w Record) bool {
 	r := s.record
 	return slices.Equal(r.InUse, w.InUse) && slices.Equal(r.Rejected, w.Rejected) &&
 		r.Target == w.Target && r.Made == w.Made
 }
 
-// orphanedTarget returns the target of the roll-out that the record has under way, where
-// the store holds no order for it any more; empty: there is none.
+// orphanedTarget returns the target of the rollout in the record if the store no longer holds
+// an order for it; empty otherwise.
 func (s *service) orphanedTarget() string {
 	r := s.record
 	if r.Target == "" || s.uses(r.Target) {
@@ -178,9 +178,9 @@
 	return r.Target
 }
 
-// orphanState tells how a roll-out ended of which only the record is left. Old servers stop
-// when a roll-out is completed. So where servers of the target are listed and none of the
-// versions in use, it was completed, and rejecting the target would leave no server.
+// orphanState returns how a rollout ended of which only the record is left. Old servers stop
+// once a rollout is completed. So if servers of the target are listed, and none of the versions
+// in use, it was completed, and rejecting the target would leave no server.
 func (s *service) orphanState(target string) State {
 	if s.hasServers(target) && !slices.ContainsFunc(s.inUse, s.hasServers) {
 		return Completed
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Snapshot is what a router knows of the versions and the roll-out of a service, for
-// operators' dumps. Where no roll-out is under way, Target and what follows it are empty,
-// but for Leads and WaitsFor.
+// Snapshot is a router's view of the versions and the rollout of a service, for state dumps.
+// Without a running rollout, Target and the fields after it are empty, except Leads and
+// WaitsFor.
 type Snapshot struct {
 	Service     string
 	InUse       []string
 	Rejected    []string // versions that were rolled back
 	Target      string
 	Stage       Stage
-	Part        float64 // of the requests that goes to the target
+	Part        float64 // fraction of the requests that goes to the target
 	Age, Within time.Duration
 	Leads       bool
-	Routers     int // whose reports are merged, this one included
+	Routers     int // routers whose reports are merged, including this one
 	Verdict     Verdict
 	Stopped     bool   // this router sends nothing to the target
 	Rejecting   bool   // a leader has rejected the target
-	Cause       string // of the rejection
+	Cause       string // cause of the rejection
 	Routes      []RouteEvidence
 	WaitsFor    Wait
 }
 
-// RouteEvidence counts the answers of one route, both how they began and how they went on.
+// RouteEvidence counts the responses of one route, both their starts and their later phases.
 type RouteEvidence struct {
 	Route    string
 	New, Old Tally
@@ -59,7 +59,7 @@
 	return snap
 }
 
-// routes adds up evidence by route.
+// routes returns the evidence summed by route.
 func (c cells) routes() []RouteEvidence {
 	var list []RouteEvidence
 	for _, k := range c.sortedKeys() {
--- a/rollout/snapshot_test.go
+++ b/rollout/snapshot_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutSnapshotTellsWhatItWaitsFor shows the reasons that an operator reads.
+// TestRolloutSnapshotTellsWhatItWaitsFor verifies the values of WaitsFor during a rollout.
 func TestRolloutSnapshotTellsWhatItWaitsFor(t *testing.T) {
 	t.Parallel()
 	waitsFor := func(s *sim) Wait { return s.routers[0].machine.Snapshots()[0].WaitsFor }
@@ -30,8 +30,8 @@
 	require.Equal(t, Good, snap.Verdict)
 }
 
-// TestRolloutSnapshotWithoutServersInUse shows what an operator reads where all servers
-// were replaced by those of a version that nobody ordered.
+// TestRolloutSnapshotWithoutServersInUse verifies the value of WaitsFor after all servers were
+// replaced by those of a version that nobody ordered.
 func TestRolloutSnapshotWithoutServersInUse(t *testing.T) {
 	t.Parallel()
 	s := newSim(1, 1)
@@ -41,8 +41,8 @@
 	require.Equal(t, "order", s.routers[0].machine.Snapshots()[0].WaitsFor.String())
 }
 
-// TestRolloutTimeline shows that the steps come in order, whatever time there is, and
-// that a part of it is left to judge.
+// TestRolloutTimeline verifies that the steps are in order for any time of an order, and that
+// a part of it is left for evaluation.
 func TestRolloutTimeline(t *testing.T) {
 	t.Parallel()
 	for within := 10 * time.Millisecond; within < time.Hour; within = within*5/4 + 1 {
--- a/rollout/stage.go
+++ b/rollout/stage.go
@@ -1,15 +1,15 @@
 package rollout
 
-// Stage is how far a roll-out has come at a router, or in the fleet. It only rises.
+// Stage is the progress of a rollout, at one router or in the fleet. It never decreases.
 type Stage uint8
 
-// The stages of a roll-out.
+// The stages of a rollout.
 const (
-	Waiting Stage = iota // nothing goes to the target yet
-	Trial                // a small part of each route's requests does
+	Waiting Stage = iota // the target gets no requests yet
+	Trial                // canary: the target gets a small fraction of each route's requests
 	Quarter
 	Half
-	All // nothing goes to the old versions any more
+	All // the old versions get no new requests
 )
 
 // String names the stage for logs.
--- a/rollout/steps.go
+++ b/rollout/steps.go
@@ -1,23 +1,23 @@
 package rollout
 
-// The steps of a roll-out, as logs name them.
+// The steps of a rollout, as they appear in logs.
 const (
-	StepBegan      = "began"       // this router has seen the order
-	StepRaised     = "raised"      // the stage has risen here
-	StepHeld       = "held"        // this router has paused sending to the target, by itself
+	StepBegan      = "began"       // this router has received the order
+	StepRaised     = "raised"      // this router has raised the stage
+	StepHeld       = "held"        // this router has paused sending to the target, on its own
 	StepReleased   = "released"    // that pause is over
-	StepSuspected  = "suspected"   // evidence against the target: it gets a quarter at the most
-	StepCleared    = "cleared"     // the evidence does not speak against it any more
-	StepRejected   = "rejected"    // the target is bad or late: it is to be rolled back
-	StepConfirmed  = "confirmed"   // all is done: it is to be completed
-	StepCompleted  = "completed"   // the order's status says so
-	StepRolledBack = "rolled_back" // the order's status says so
+	StepSuspected  = "suspected"   // there is evidence against the target: it gets at most a quarter of the requests
+	StepCleared    = "cleared"     // the evidence against the target has decayed
+	StepRejected   = "rejected"    // the target is bad or late, and will be rolled back
+	StepConfirmed  = "confirmed"   // the rollout will be completed
+	StepCompleted  = "completed"   // the order's status is completed
+	StepRolledBack = "rolled_back" // the order's status is rolled_back
 	StepAbandoned  = "abandoned"   // the order was replaced or deleted
-	StepInvalid    = "senseless"   // the order can't be carried out as it stands
-	StepUnordered  = "unordered"   // a version that nobody ordered has servers; the cause names it
+	StepInvalid    = "senseless"   // the order is invalid
+	StepUnordered  = "unordered"   // a version that nobody ordered has servers; the cause is its name
 )
 
-// The causes of steps, as logs name them.
+// The causes of steps, as they appear in logs.
 const (
 	causeOrder    = "order"
 	causeTime     = "time"
--- a/rollout/suspect_test.go
+++ b/rollout/suspect_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lastStage has a leading machine move a busy service to a target that answers well until all
-// requests go there, and returns a function that lets a tick pass with answers of each cohort.
+// leaderInLastStage returns a leading machine that has moved a busy service to a good target up
+// to the last stage, and a function that runs a tick with good and bad responses in each cohort.
 func leaderInLastStage(t *testing.T) (*Machine, func(good, bad int)) {
 	m, tick := newLeader(1)
 	now := time.Duration(0)
@@ -35,8 +35,8 @@
 	return m, advance
 }
 
-// TestRolloutSuspectedGoesBack has a version answer badly for a moment once it has all requests: it
-// must get fewer until it is clear whether it is bad, and all again if it is not.
+// TestRolloutSuspectedGoesBack verifies that a version that responds badly for a moment in the
+// last stage gets fewer requests until the evidence is clear, and then all again if it is good.
 func TestRolloutSuspectedGoesBack(t *testing.T) {
 	m, pass := leaderInLastStage(t)
 	pass(2, 1)
@@ -50,8 +50,8 @@
 	require.InDelta(t, 1, m.Snapshots()[0].Part, 0)
 }
 
-// TestRolloutSuspectedIsNotCompleted has a version answer badly in the last moments before it would
-// be completed, too little to be judged bad: every caller would have it from then on.
+// TestRolloutSuspectedIsNotCompleted verifies that a version is not completed if it responds
+// badly shortly before, but not enough for the verdict Bad: all callers would depend on it.
 func TestRolloutSuspectedIsNotCompleted(t *testing.T) {
 	m, pass := leaderInLastStage(t)
 	plan := newTimeline(6 * time.Second)
@@ -65,9 +65,9 @@
 	require.False(t, m.services["llm"].rollout.confirmed)
 }
 
-// TestRolloutDoubtedWaits has the servers of one hall alone answer badly in the last moments: the
-// version must be completed, since it may be one faulty server, but only when no time is left for the
-// others to show that it is the version.
+// TestRolloutDoubtedWaits has only the servers of one hall respond badly shortly before the
+// deadline: the version must be completed, since one faulty server may be the cause, but only
+// when no time is left for the other servers to show that it is the version.
 func TestRolloutDoubtedWaits(t *testing.T) {
 	m, pass := leaderInLastStage(t)
 	plan := newTimeline(6 * time.Second)
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tick lets time pass for every service.
+// tick advances the rollouts of all services.
 func (m *Machine) tick(msg TickMsg) {
 	m.leads, m.routers, m.wall = msg.Leads, msg.Routers, msg.Wall
 	if !m.ordersLoaded || !m.recordsLoaded || !m.versionsLoaded {
@@ -20,11 +20,11 @@
 	}
 }
 
-// watchAfter is how long a version is tried at the trial's whole part, however well the evidence
-// speaks for it: what its first moments show says little of what comes later.
+// minTrialTime is the least time a version gets the trial's full fraction, however good its
+// evidence is: the first seconds show little about later ones.
 const minTrialTime = 3 * time.Second
 
-// advance judges and moves one roll-out on.
+// advance evaluates a rollout and, on the leader, moves it to its next step.
 func (m *Machine) advance(s *service, now time.Duration) {
 	r := s.rollout
 	r.advanceClock(now)
@@ -41,17 +41,17 @@
 	m.confirm(s, now)
 }
 
-// judge takes in the evidence and stops what it speaks against: at each tick, and as soon as other
-// routers tell of bad answers.
+// evaluate evaluates the evidence and applies the verdict: at each tick, and as soon as peers
+// report more bad responses.
 func (m *Machine) evaluate(s *service, now time.Duration) {
 	verdict := s.rollout.evaluate(now)
 	m.updateSuspicion(s)
 	m.applyVerdict(s, verdict, now)
 }
 
-// suspect has the target get no more than a quarter of the requests, and keeps it from being completed,
-// for as long as evidence speaks against it that does not decide: what it gets meanwhile can't
-// be taken back, and going on a little later costs callers nothing.
+// updateSuspicion limits a suspected target to a quarter of the requests and prevents its
+// completion, until the evidence against it decays or suffices to reject it. Requests that it
+// gets meanwhile can't be taken back, while a short delay of the rollout costs callers nothing.
 func (m *Machine) updateSuspicion(s *service) {
 	r := s.rollout
 	suspected := !r.trusted && r.judge.Suspected()
@@ -67,8 +67,8 @@
 	m.emitStep(s, StepSuspected, causeEvidence)
 }
 
-// stop closes the target where the evidence says that it is bad: for good where this router
-// leads, else for a time. It reopens it when that time is over.
+// applyVerdict stops sending to a bad target: permanently on the leader, which rejects it, and
+// for the time of a hold elsewhere. It releases the hold when that time is over.
 func (m *Machine) applyVerdict(s *service, verdict Verdict, now time.Duration) {
 	r := s.rollout
 	if verdict == Bad && m.leads {
@@ -93,7 +93,7 @@
 	}
 }
 
-// giveUp rejects a target to which the service can't be moved in time.
+// rejectOverdue rejects a target to which the service can't be moved before the deadline.
 func (m *Machine) rejectOverdue(s *service, now time.Duration) {
 	r := s.rollout
 	if r.age >= r.plan.latestRampAt && r.stage <= Trial && !r.mayRamp(m.routers) {
@@ -110,15 +110,15 @@
 	}
 }
 
-// mayYetTurn tells whether some evidence speaks against the target and there is time for more: what is
-// completed can't be taken back. One faulty server does not keep a good version from being
-// completed in the end.
+// awaitsMoreEvidence reports whether there is some evidence against the target and time for
+// more is left: a completed rollout can't be undone. One faulty server does not prevent a good
+// version from being completed in the end.
 func (r *rollout) awaitsMoreEvidence() bool {
 	return !r.trusted && r.judge.WeaklySuspected() && r.age < r.plan.rejectAt
 }
 
-// confirm decides that the roll-out is to be completed: nothing runs at old servers any
-// more, or the time for the last write has come.
+// confirm decides to complete the rollout: once the old servers are drained, or at the latest
+// time for the final write.
 func (m *Machine) confirm(s *service, now time.Duration) {
 	r := s.rollout
 	drained := r.oldDrained(now, m.routers)
--- a/rollout/timeline.go
+++ b/rollout/timeline.go
@@ -3,48 +3,48 @@
 import "time"
 
 const (
-	// The margin is kept between the last write and the deadline: a store that is slow,
-	// or answers 503 once, still gets the write in time.
+	// The margin is the time between the last write and the deadline. It suffices for a store
+	// that is slow or responds 503 once.
 	marginFraction = 0.06
 	minMargin      = 800 * time.Millisecond
 	maxMargin      = 2 * time.Second
-	// Settling is the time in which old servers finish what they run, before `completed`
-	// stops them: most answers of a few seconds end by themselves. It is no longer than
-	// that, since a version that turns bad meanwhile has all requests.
+	// Settling is the time in which old servers finish their requests before `completed`
+	// stops them: most responses of a few seconds end by themselves. It is no longer than
+	// that, since a version that turns bad during this time gets all requests.
 	settleFraction = 0.08
 	minSettle      = 1200 * time.Millisecond
 	maxSettle      = 2400 * time.Millisecond
-	// The ramp is short, as a bad version that shows itself only under load costs most
-	// there, but gives each step time to show it.
+	// The ramp is short, as a version that is bad only under load costs most there, but each of
+	// its steps is long enough to show that.
 	rampFraction = 0.06
 	minRamp      = 800 * time.Millisecond
 	maxRamp      = 2500 * time.Millisecond
-	// mostReserved is how much of a short order's time margin, settling and ramp may
-	// take together; the rest is needed to judge anything.
+	// maxReservedFraction is the largest fraction of an order's time for margin, settling and
+	// ramp together. It applies to short orders; the rest is needed for evaluation.
 	maxReservedFraction = 0.7
-	// rampSteps are from Quarter to All.
+	// rampSteps is the number of steps from Quarter to All.
 	rampSteps = 2
-	// hastyPart is how short steps and settling may become, against those planned, where
-	// the evidence came late.
+	// minStepFraction is the fraction of their planned time that steps and settling last at
+	// least if the evidence arrives late.
 	minStepFraction = 0.3
-	// movePart of the settling time is left when streams are moved from old servers:
-	// most have ended by themselves by then, and the rest needs time to start anew.
+	// moveFraction of the settling time is left when streams are moved from old servers: most
+	// have ended by themselves by then, and the others need time to restart.
 	moveFraction = 0.4
-	// gracePart of the margin is for a router that confirms late; after it a roll-out
-	// that isn't done is taken back, while there is time to write that.
+	// graceFraction of the margin is for a router that confirms late. After it, a rollout that
+	// is not done is rolled back while there is time to write that.
 	graceFraction = 0.5
 )
 
-// timeline says at which age of an order its steps are due.
+// timeline holds the ages of an order at which its steps are due.
 type timeline struct {
-	rampAt          time.Duration // Quarter, if the version is good
-	latestRampAt    time.Duration // the latest time for that
-	minStepInterval time.Duration // least time between steps, when in haste
-	stepInterval    time.Duration // between steps as planned
+	rampAt          time.Duration // stage Quarter, if the version is good
+	latestRampAt    time.Duration // latest age for stage Quarter
+	minStepInterval time.Duration // least time between steps, if the evidence arrives late
+	stepInterval    time.Duration // planned time between steps
 	moveAt          time.Duration
-	writeAt         time.Duration // the final status, whatever still runs
+	writeAt         time.Duration // final status, whatever still runs
 	rejectAt        time.Duration
-	deadline        time.Duration // the deadline
+	deadline        time.Duration
 }
 
 func newTimeline(within time.Duration) timeline {
@@ -72,7 +72,7 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// due is the age at which a stage of the ramp is planned.
+// stageAt returns the planned age for a stage of the ramp.
 func (t timeline) stageAt(s Stage) time.Duration {
 	return t.rampAt + time.Duration(s-Quarter)*t.stepInterval
 }
--- a/rollout/turn_test.go
+++ b/rollout/turn_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutTurnWithinASecond has a version turn bad in the middle of a second in which it has had
-// all of a busy service's requests: the good answers before that must not hide the bad ones.
+// TestRolloutTurnWithinASecond has a version turn bad in the middle of a second in which it gets
+// all requests of a busy service: the good responses before must not hide the bad ones.
 func TestRolloutTurnWithinASecond(t *testing.T) {
 	const (
-		perEvaluation    = 12 // answers of each cohort
-		badPerEvaluation = 4  // of these, once it is bad
-		turnAt           = 5  // looks
-		limit            = 9  // looks until it has to be found
+		perEvaluation    = 12 // responses of each cohort
+		badPerEvaluation = 4  // bad ones of these, once the version is bad
+		turnAt           = 5  // in evaluations
+		limit            = 9  // evaluations until it must be found
 	)
 	judge := NewJudge()
 	counts := []Cell{}
@@ -34,9 +34,8 @@
 	require.Equal(t, Bad, judge.Verdict())
 }
 
-// TestRolloutJudgeAfterLoss has the counts of a router vanish and come back within a second: the
-// answers that it brings then are not among those of that second, and the version must be judged
-// all the same.
+// TestRolloutJudgeAfterLoss has the counts of a router vanish and come back within a second. Its
+// new responses are then not among those of that second, and must be evaluated all the same.
 func TestRolloutJudgeAfterLoss(t *testing.T) {
 	judge := NewJudge()
 	now := time.Duration(0)
@@ -58,16 +57,16 @@
 	require.Equal(t, Bad, evaluate(10, 20))
 }
 
-// TestRolloutHallsTurnOneAfterAnother has the servers of three halls turn bad one after another, as a
-// version does that fails after some number of requests: two halls that show it are enough, though
-// the good answers of the third hide most of it in the sum of all.
+// TestRolloutHallsTurnOneAfterAnother has the servers of three halls turn bad one after another,
+// like a version that fails after a number of requests. Two bad halls must suffice, although the
+// good responses of the third hide most of the evidence in the common sum.
 func TestRolloutHallsTurnOneAfterAnother(t *testing.T) {
 	const (
-		perEvaluation    = 10 // answers of each hall
-		badPerEvaluation = 3  // of these, once its servers are bad
-		limit            = 11 // looks until it has to be found
+		perEvaluation    = 10 // responses of each hall
+		badPerEvaluation = 3  // bad ones of these, once the hall's servers are bad
+		limit            = 11 // evaluations until it must be found
 	)
-	turns := map[string]int{"a": 3, "b": 6, "c": 40} // looks
+	turns := map[string]int{"a": 3, "b": 6, "c": 40} // in evaluations
 	judge := NewJudge()
 	var counts []Cell
 	for evaluation := 1; evaluation <= limit; evaluation++ {
--- a/rollout/unlisted_test.go
+++ b/rollout/unlisted_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutUnlistedRejectsNothing has a router that just started lead in the last stage
-// before it knows any servers: that it knows none of the target's does not end the
-// roll-out, but that there are none any more does.
+// TestRolloutUnlistedRejectsNothing verifies that a router that starts and leads in the last
+// stage does not reject the target for lack of servers before it has received a server list,
+// but does if the list has none of the target.
 func TestRolloutUnlistedRejectsNothing(t *testing.T) {
 	order := Order{Service: "s", Target: newVersion, Within: time.Minute, Made: "1", Revision: 2, State: InProgress, StateTarget: newVersion}
 	m := NewMachine(Bounds{Share: 0.1})
--- a/rollout/wait.go
+++ b/rollout/wait.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// Wait says what a roll-out waits for.
+// Wait is what a rollout waits for.
 type Wait uint8
 
-// What a roll-out can wait for.
+// The values of Wait.
 const (
 	WaitNothing    Wait = iota
-	WaitStore           // for orders and records from the store
-	WaitVersions        // for a first list of servers
-	WaitServers         // for servers of the target
-	WaitHold            // for others, or some seconds, after this router stopped by itself
-	WaitEvidence        // for more answers of the target
-	WaitTime            // for the time of the next step
-	WaitRouters         // for the last stage at all routers
-	WaitOldServers      // for requests at old servers
-	WaitStatus          // for the final status in the store
-	WaitOrder           // for an order: servers are there, and none of a version in use
+	WaitStore           // orders and records from the store
+	WaitVersions        // first server list
+	WaitServers         // servers of the target
+	WaitHold            // other routers' evidence, or the end of this router's own hold
+	WaitEvidence        // more responses of the target
+	WaitTime            // time of the next step
+	WaitRouters         // last stage at all routers
+	WaitOldServers      // requests on old servers
+	WaitStatus          // final status in the store
+	WaitOrder           // an order: there are servers, but none of a version in use
 )
 
-// String names what is waited for.
+// String returns the name of what is waited for.
 func (w Wait) String() string {
 	return [...]string{"nothing", "store", "versions", "servers", "hold", "evidence", "time",
 		"routers", "old_servers", "status", "order"}[w]
 }
 
-// waitsFor returns what the roll-out of a service waits for.
+// waitsFor returns what the rollout of a service waits for.
 func (m *Machine) waitsFor(s *service) Wait {
 	r := s.rollout
 	switch {
--- a/rollout/write.go
+++ b/rollout/write.go
@@ -3,8 +3,8 @@
 import "time"
 
 // write emits the write that is due, one at a time for each service. A final status comes
-// first. The record of a roll-out is written before the status InProgress, since only the
-// record tells a router that starts how old the order is.
+// first. The record of a rollout is written before the status InProgress, since only the
+// record gives the order's age to a router that starts.
 func (m *Machine) write(s *service, now time.Duration, wall time.Time) {
 	if !s.writer.ready(now) {
 		return
@@ -29,7 +29,7 @@
 	m.cmds = append(m.cmds, s.writer.send(c, s.key(), now))
 }
 
-// finalDue returns the final status that is to be written now; Ordered: none.
+// dueFinalState returns the final status to write now; Ordered: none.
 func (s *service) dueFinalState() State {
 	r := s.rollout
 	if r == nil || r.order.Target == "" {
@@ -44,7 +44,7 @@
 	return Ordered
 }
 
-// key is that of the service's order; 0: it has none.
+// key returns the key of the service's order; 0: no order.
 func (s *service) key() uint64 {
 	if s.order == nil {
 		return 0
@@ -52,8 +52,8 @@
 	return s.order.Key()
 }
 
-// written takes in the end of a write. The object as it is now may have come before; where
-// it has not, the content of the write is taken for it until it comes.
+// finishWrite processes the result of a write. If the object's new state has not arrived
+// before it, the written content is used until it does.
 func (m *Machine) finishWrite(msg WriteDoneMsg) {
 	s := m.services[msg.Service]
 	if s == nil {
--- a/rollout/writer.go
+++ b/rollout/writer.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// firstPause is the time before a write is repeated that the store refused or did not
-	// answer: a store that restarts one of its parts is back by then.
+	// initialBackoff is the delay before the first retry of a write that the store refused or
+	// did not answer: a store that restarts a component is available again by then.
 	initialBackoff = 200 * time.Millisecond
-	// mostPause bounds the growing pauses: a store that is back is used in time.
+	// maxBackoff limits the growing delays, so that a recovered store is used soon.
 	maxBackoff = 2 * time.Second
-	// conflictPause is how long a write waits, after a conflict, for the change that caused
-	// it to come from the store.
+	// conflictWait is how long a write waits, after a conflict, for the store to deliver the
+	// change that caused it.
 	conflictWait = 2 * time.Second
-	// forgotten is the time after which a write without a WrittenMsg counts as unanswered;
-	// routers bound each call far below it.
+	// writeTimeout is the time after which a write without a WriteDoneMsg counts as unanswered;
+	// routers' timeouts of single calls are far below it.
 	writeTimeout = 15 * time.Second
 )
 
-// writer allows one write of a service at a time, and decides when to repeat one.
+// writer allows one write of a service at a time, and schedules retries.
 type writer struct {
 	pending      *WriteCmd
-	key          uint64 // of the order that it was decided on
+	key          uint64 // key of the order that the write is based on
 	sentAt       time.Duration
 	retryAt      time.Duration
 	backoff      time.Duration
@@ -39,7 +39,7 @@
 	return c
 }
 
-// shown notes that the store holds something newer than was known.
+// objectChanged records that the store has delivered a newer object.
 func (w *writer) objectChanged() {
 	w.changed = true
 	if w.awaitsChange {
@@ -47,7 +47,7 @@
 	}
 }
 
-// ended notes how a write ended, and returns it if it is the one under way.
+// finish records the result of a write, and returns the write if it is the pending one.
 func (w *writer) finish(m WriteDoneMsg) *WriteCmd {
 	if w.pending == nil || w.pending.Kind != m.Kind {
 		return nil
--- a/rollout/writer_test.go
+++ b/rollout/writer_test.go
@@ -12,8 +12,8 @@
 	w.finish(WriteDoneMsg{Now: now, Kind: WriteStatus, Result: result})
 }
 
-// TestRolloutWriterPausesGrow shows that a write which the store refuses is repeated
-// after growing pauses.
+// TestRolloutWriterBackoffGrows verifies that a write that the store refuses is retried with
+// growing backoff.
 func TestRolloutWriterBackoffGrows(t *testing.T) {
 	t.Parallel()
 	var w writer
@@ -29,8 +29,8 @@
 	require.True(t, w.ready(time.Minute+maxBackoff))
 }
 
-// TestRolloutWriterWaitsForNews shows that after a conflict nothing is written until the
-// store has shown what holds, but not for ever.
+// TestRolloutWriterWaitsForChange verifies that after a conflict nothing is written until the
+// store has delivered the change, or conflictWait has passed.
 func TestRolloutWriterWaitsForChange(t *testing.T) {
 	t.Parallel()
 	var w writer
@@ -42,8 +42,8 @@
 	require.True(t, w.ready(conflictWait))
 }
 
-// TestRolloutWriterSendsOne shows that there is one write at a time, and that one which
-// never ends is given up.
+// TestRolloutWriterSendsOne verifies that there is one write at a time, and that a write
+// without a result times out.
 func TestRolloutWriterSendsOne(t *testing.T) {
 	t.Parallel()
 	var w writer
