--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -91,9 +91,9 @@
 
 // applyRecordedAge uses the record's age, unless a peer has reported an age from before this
 // router started.
-func (r *rollout) applyRecordedAge(watched time.Duration) {
-	if r.age < watched+peerAgeWait/2 {
-		r.raiseAge(r.recordedAge + watched)
+func (r *rollout) applyRecordedAge(observed time.Duration) {
+	if r.age < observed+peerAgeWait/2 {
+		r.raiseAge(r.recordedAge + observed)
 	}
 	r.recordedAge = 0
 }
@@ -103,10 +103,10 @@
 }
 
 // updatePeers sets the merged report of all other routers.
-func (r *rollout) updatePeers(others Report, now time.Duration) {
-	r.peers = others
+func (r *rollout) updatePeers(peers Report, now time.Duration) {
+	r.peers = peers
 	r.advanceClock(now)
-	r.raiseAge(others.Age)
+	r.raiseAge(peers.Age)
 }
 
 func (r *rollout) report() Report {
