--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -46,8 +46,8 @@
 
 func (a Age) duration() time.Duration { return time.Duration(a) * time.Millisecond }
 
-// TakeReports returns up to limit reports that are due to other routers: first those with the
-// most crashes, then those with the latest update.
+// TakeReports returns up to limit reports to send to other routers: first those with the most
+// crashes, then those with the latest update.
 func (s *Suspects) TakeReports(now time.Duration, limit int) []Report {
 	var due []*suspect
 	for _, x := range s.byFingerprint {
@@ -82,7 +82,7 @@
 }
 
 // ApplyReports merges the reports of another router. Reports may be late, lost, repeated and
-// reordered: crashes are united, and the latest clearing applies.
+// reordered: the union of all crashes after the latest clearing counts.
 func (s *Suspects) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
 		s.applyReport(now, r)
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -41,7 +41,7 @@
 }
 
 // crashDedupWindow is how far apart two reports of the same crash may be. A server that has
-// restarted and not yet announced it crashes again, seconds later, as its first incarnation.
+// restarted without announcing it crashes again, seconds later, under its old Server value.
 const crashDedupWindow = 1500 * time.Millisecond
 
 // hasCrash reports whether a crash is already recorded.
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -60,8 +60,8 @@
 }
 
 // TakeUrgent reports whether anything happened since the last call that other routers must
-// receive at once: a crash after which one more may bar a fingerprint, or that one was barred. Until
-// then they send copies of the request to other servers.
+// receive at once: a crash after which one more may bar a fingerprint, or a fingerprint that was
+// barred. Until they receive it they send copies of the request to other servers.
 func (s *Suspects) TakeUrgent() bool {
 	out := s.urgent
 	s.urgent = false
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -25,7 +25,7 @@
 // expected returns the number of requests to expect within a time, at the present rate.
 func (d Demand) expected(within time.Duration) float64 { return d.PerSecond * within.Seconds() }
 
-// ownDemand returns this router's demand: at least as many requests as it has responses in its evidence.
+// ownDemand returns this router's demand: at least one request for each response in its evidence.
 func (r *rollout) ownDemand() Demand {
 	return r.demandOf(max(float64(r.requests), r.own.responses()))
 }
@@ -50,9 +50,9 @@
 	return d
 }
 
-// estimatedRequests estimates the requests that all routers received from their evidence.
-// Responses that are no evidence about a version, such as those of cold servers, are not
-// included, so their ratio is assumed to be the same at all routers as at this one.
+// estimatedRequests estimates, from the evidence of all routers, how many requests they received.
+// The evidence lacks responses that show nothing about a version, such as those of cold servers;
+// their ratio to the others is assumed to be the same at all routers as at this one.
 func (r *rollout) estimatedRequests() float64 {
 	requests := float64(r.requests)
 	unjudged := max(1, requests/max(1, r.own.responses()))
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -88,7 +88,7 @@
 	e.inFavour = min(0, e.inFavour+sum-largest)
 }
 
-// getOrAddCohort returns the cohort's sums. Before a cohort is added, the sum without it is the whole sum.
+// getOrAddCohort returns the cohort's sums. Until a cohort is added, the sum without it equals e.all.
 func (e *evidence) getOrAddCohort(name string) *cohortEvidence {
 	i := slices.IndexFunc(e.cohorts, func(c cohortEvidence) bool { return c.cohort == name })
 	if i < 0 {
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if d.store.order == nil {
-		d.ordersMade++ // a mark is used once
+		d.ordersMade++ // each Order.Made is used once
 	}
 	d.placeRecordedOrder(target, fmt.Sprint(mark, d.ordersMade))
 }
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -23,7 +23,7 @@
 	losesReplies bool // executes writes, but their replies are lost
 	delaysWrites bool // executes writes later, if their condition still holds
 	delayed      []WriteCmd
-	lastStates   map[string]State // last status written, by mark and target of the order
+	lastStates   map[string]State // last status written, by Made and Target of the order
 	fault        string
 }
 
@@ -97,7 +97,7 @@
 		o.State, o.StateTarget = s.order.State, s.order.StateTarget
 	}
 	if o.StateTarget != target {
-		delete(s.lastStates, made+"/"+target) // the previous order is another one
+		delete(s.lastStates, made+"/"+target) // another target makes this a new order
 	}
 	s.order = &o
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -39,7 +39,7 @@
 	// retainedFraction of badThreshold is the evidence kept against a version that is retried.
 	retainedFraction = 0.4
 	// sliceDuration is the length of the slices of time in which the target's responses are
-	// compared with the old servers'. In shorter slices a cell holds too few responses; in longer
+	// compared with those of the old servers. In shorter slices a cell holds too few responses; in longer
 	// ones a beginning overload is compared with the normal load before it.
 	sliceDuration = time.Second
 )
@@ -175,7 +175,7 @@
 	return ratio{k.Cohort, logLikelihoodRatio(t, j.baseline.expected(j.slice, routes, k)), t.responses()}
 }
 
-// logLikelihoodRatio returns the log of how much likelier t is for a bad version than for a good one.
+// logLikelihoodRatio returns the log likelihood ratio of t, for a bad version against a good one.
 func logLikelihoodRatio(t Tally, expected float64) float64 {
 	worse := expected + badRateIncrease
 	return float64(t.Bad)*math.Log(worse/expected) +
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -177,7 +177,7 @@
 }
 
 // TestRolloutOrderWithMarkOfEarlierOne verifies that an order that was followed by another one
-// with its own mark is not started again when it arrives late.
+// with another Made is not started again when it arrives late.
 func TestRolloutOrderWithMarkOfEarlierOne(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -120,7 +120,8 @@
 	}
 }
 
-// logUnordered logs, once for each version, that nobody ordered it and its servers get no requests.
+// logUnordered logs, once for each version, that it has servers but was never ordered: they get
+// no requests.
 func (m *Machine) logUnordered(s *service) {
 	if s.inUse == nil {
 		return
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -109,7 +109,8 @@
 	s.reject(target)
 }
 
-// reject removes a version from those in use, unless it is the only one.
+// reject removes a version from those in use and adds it to the rejected ones, unless it is the
+// only one in use.
 func (s *service) reject(target string) {
 	if rest := without(s.inUse, target); len(rest) > 0 {
 		s.inUse = rest
