--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -163,7 +163,7 @@
 		return
 	}
 	if r.peers.Rejected {
-		m.reject(s, causeTold)
+		m.reject(s, causeLeader)
 	}
 	if r.peers.MaxStage > r.stage {
 		m.raiseStage(s, r.peers.MaxStage, causePeers)
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -115,8 +115,8 @@
 		r.reject(causeOrder)
 	}
 	if s.reappeared {
-		r.reject(causeAgain)
-		m.emitStep(s, StepRejected, causeAgain)
+		r.reject(causeReappeared)
+		m.emitStep(s, StepRejected, causeReappeared)
 	}
 }
 
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -97,13 +97,13 @@
 func (m *Machine) rejectOverdue(s *service, now time.Duration) {
 	r := s.rollout
 	if r.age >= r.plan.latestRampAt && r.stage <= Trial && !r.mayRamp(m.routers) {
-		m.reject(s, causeNoProof)
+		m.reject(s, causeNoEvidence)
 	}
 	if r.age >= r.plan.latestRampAt && r.stage <= Trial && !r.hasServers {
-		m.reject(s, causeServers)
+		m.reject(s, causeNoServers)
 	}
 	if r.stage == All && !r.hasServers && now-r.serversLostAt >= missingServersTimeout {
-		m.reject(s, causeServers)
+		m.reject(s, causeNoServers)
 	}
 	if r.age >= r.plan.rejectAt && !r.allInLastStage() {
 		m.reject(s, causeDeadline)
@@ -127,7 +127,7 @@
 	}
 	if drained {
 		r.confirmed = true
-		m.emitStep(s, StepConfirmed, causeIdle)
+		m.emitStep(s, StepConfirmed, causeOldDrained)
 		return
 	}
 	if r.age >= r.plan.writeAt && r.allInLastStage() {
