--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -46,7 +46,7 @@
 	require.Len(t, s.TakeReports(at(1.3), 8), 1, "a clearing is reported if the crash was")
 }
 
-// TestMostCrashesAreReportedFirst has more to report than fits into a list.
+// TestMostCrashesAreReportedFirst verifies the order of reports if not all fit into a list.
 func TestMostCrashesAreReportedFirst(t *testing.T) {
 	var s Suspects
 	for i := range 20 {
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -50,7 +50,8 @@
 	Crashes     int // crashes of servers that executed it
 }
 
-// RecordCrash records that a server crashed while it executed a request of this router.
+// RecordCrash records that a server crashed while it executed a request with the fingerprint,
+// sent by this router.
 func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
 	if x := s.getOrAdd(now, c); s.addCrash(x, crash{server, now}) {
 		x.sendsLeft = ownSends
@@ -68,8 +69,8 @@
 	return out
 }
 
-// RecordSuccess records a complete response to a request: it did not cause any of the crashes
-// before it.
+// RecordSuccess records a complete response to a request with the fingerprint: it did not cause
+// any earlier crash.
 func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
 	x := s.byFingerprint[c]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
@@ -93,7 +94,7 @@
 	}
 	x.refused.advance(now)
 	if !x.refusedReported.valid || now-x.refusedReported.at >= refusedReportInterval {
-		// Routers without such requests would drop it.
+		// Routers that receive no such requests would otherwise expire it.
 		x.sendsLeft = max(x.sendsLeft, 1)
 	}
 	return true
@@ -114,7 +115,7 @@
 	return 0
 }
 
-// TakeChanges returns the fingerprints that became barred, or stopped to be, since the last call.
+// TakeChanges returns the fingerprints that became barred, or no longer are, since the last call.
 func (s *Suspects) TakeChanges() []Change {
 	out := s.changed
 	s.changed = nil
--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// initialHold is how long a router that finds a version bad first sends nothing to it:
+	// initialHold is the length of the first hold of a router that finds a version bad:
 	// enough for the leader to reject the version, or for other routers' evidence to arrive.
 	initialHold = 5 * time.Second
 	// holdGrowth is the factor between the lengths of successive holds: a router that is cut off
--- a/rollout/messages.go
+++ b/rollout/messages.go
@@ -34,8 +34,8 @@
 	Route      string
 	Cohort     string
 	Target     bool // from a server of the target
-	AfterStart bool // see Cell
-	Bad        bool // the response failed, or was several times slower than expected
+	AfterStart bool // see Cell.AfterStart
+	Bad        bool // the response failed, or took several times as long as those of old servers
 }
 
 // PeerReportsMsg carries the reports of all other routers, merged by service and order. While
--- a/rollout/stage.go
+++ b/rollout/stage.go
@@ -12,7 +12,7 @@
 	All // the old versions get no new requests
 )
 
-// String names the stage for logs.
+// String returns the name of the stage for logs.
 func (s Stage) String() string {
 	return [...]string{"waiting", "trial", "quarter", "half", "all"}[s]
 }
