--- a/cmd/croftvaled/gateway.go
+++ b/cmd/croftvaled/gateway.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	if s.Gateway.Without, err = direct.ParseDisabledMechanisms(os.Getenv(withoutVariable)); err != nil {
+	if s.Gateway.DisabledMechanisms, err = direct.ParseDisabledMechanisms(os.Getenv(withoutVariable)); err != nil {
 		return errors.Wrap(err, withoutVariable)
 	}
 	store := platform.NewStore(s.Store, s.Gateway.Name)
--- a/gateway/accounts_test.go
+++ b/gateway/accounts_test.go
@@ -28,9 +28,9 @@
 	note(resultFailed, 900, 0, 130)
 	note(resultLeft, 0, 0, 500)
 	teams, routes := a.take()
-	want := Account{FirstInTime: 2, Late: 1, LaterTries: 1, Refused: 1, Again: 1, HeldMS: 200}
-	require.Equal(t, map[string]Account{"red": want}, teams)
-	require.Equal(t, map[string]Account{"r": want}, routes)
+	want := OutcomeCounts{FirstOnTime: 2, FirstLate: 1, RetriesServed: 1, FirstUnserved: 1, RetriesUnserved: 1, UnservedMS: 200}
+	require.Equal(t, map[string]OutcomeCounts{"red": want}, teams)
+	require.Equal(t, map[string]OutcomeCounts{"r": want}, routes)
 	teams, _ = a.take()
 	require.Empty(t, teams, "each is told once")
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -85,7 +85,7 @@
 		Method: a.x.r.Method,
 		Target: a.x.r.RequestURI,
 		Host:   a.x.r.Host,
-		Header: a.x.front.dialect.Outbound(a.x.r.Header, a.call(left)),
+		Header: a.x.front.dialect.OutboundHeader(a.x.r.Header, a.call(left)),
 		Body:   a.x.body,
 	})
 	if err != nil {
@@ -99,8 +99,8 @@
 }
 
 // call is what the server is told.
-func (a *attempt) call(left time.Duration) Call {
-	c := Call{Left: left, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.envelope.AfterEvent}
+func (a *attempt) call(left time.Duration) CallInfo {
+	c := CallInfo{TimeLeft: left, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.envelope.AfterEvent}
 	if a.x.headSent {
 		c.AfterEvent = formatID(a.x.lastID)
 	}
@@ -114,17 +114,17 @@
 		_ = a.conn.SetReadDeadline(time.Now().Add(patience))
 	}
 	answer, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
-		verdict := a.x.front.dialect.Verdict(h.StatusCode, h.Header)
+		verdict := a.x.front.dialect.ParseResponse(h.StatusCode, h.Header)
 		a.noticed(verdict)
-		return verdict.ID == a.x.envelope.ID
+		return verdict.RequestID == a.x.envelope.ID
 	})
 	if err != nil {
 		a.conn.Close()
 		return a.lost(a.silence(err, bounded))
 	}
-	verdict := a.x.front.dialect.Verdict(answer.StatusCode, answer.Header)
+	verdict := a.x.front.dialect.ParseResponse(answer.StatusCode, answer.Header)
 	switch {
-	case verdict.Elsewhere:
+	case verdict.WrongServer:
 		a.discard(answer)
 		return direct.Elsewhere, false
 	case verdict.NotRun && answer.StatusCode != http.StatusBadRequest:
@@ -139,12 +139,12 @@
 
 // noticed takes in what the server says of itself with an answer, also one that comes late
 // and answers an earlier request.
-func (a *attempt) noticed(v Verdict) {
-	if v.Elsewhere {
+func (a *attempt) noticed(v ResponseInfo) {
+	if v.WrongServer {
 		return // it is another server's word
 	}
-	if v.Unreadable != nil {
-		a.x.front.log.Unreadable(a.cmd.Server, v.Unreadable)
+	if v.NoticeErr != nil {
+		a.x.front.log.Unreadable(a.cmd.Server, v.NoticeErr)
 	}
 	if v.Notice.IsZero() {
 		return
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -30,7 +30,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	ctx      context.Context // ends when the caller leaves
-	envelope Envelope
+	envelope RequestInfo
 	route    *direct.Route
 	service  string
 	team     string
@@ -188,7 +188,7 @@
 func (x *exchange) finish(result string, status int, reason string) {
 	x.count(result, reason)
 	if result == resultServed && x.last.PlacementBasis.Share < withinShare {
-		x.front.ages.learn(x.route.Name, x.envelope.Left)
+		x.front.ages.learn(x.route.Name, x.envelope.TimeLeft)
 	}
 	x.front.accounts.note(x, result, x.front.core.Now())
 	x.log(result, status, reason)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -121,7 +121,7 @@
 	if route == nil {
 		return nil, f.unknown(http.StatusNotFound, "no_route")
 	}
-	envelope, err := f.dialect.Envelope(r.Header)
+	envelope, err := f.dialect.ParseRequest(r.Header)
 	if err != nil {
 		return nil, &refusal{http.StatusBadRequest, "bad_header", 0}
 	}
@@ -130,7 +130,7 @@
 		service: table.Service(route, envelope.ID), regions: direct.RegionsOf(route.Regions), priority: route.Priority, start: start,
 	}
 	if table.HasTeams() {
-		team := table.Team(envelope.Key)
+		team := table.Team(envelope.TeamKey)
 		if team == nil && !route.Anonymous {
 			return nil, f.unknown(http.StatusUnauthorized, "unknown_key")
 		}
@@ -142,7 +142,7 @@
 		caller.SetTeam(x.team)
 	}
 	x.setDeadline()
-	x.age = f.ages.of(start, route.Name, envelope.Left)
+	x.age = f.ages.of(start, route.Name, envelope.TimeLeft)
 	return x, nil
 }
 
@@ -180,8 +180,8 @@
 	if x.route.Timeout > 0 {
 		hold = x.route.Timeout
 	}
-	if x.envelope.Left > 0 {
-		hold = min(hold, x.envelope.Left)
+	if x.envelope.TimeLeft > 0 {
+		hold = min(hold, x.envelope.TimeLeft)
 	}
 	x.deadline = x.start + hold
 	// Test writers have no deadlines.
@@ -202,7 +202,7 @@
 // refuse writes an answer of the router's own.
 func (f *front) refuse(w http.ResponseWriter, status int, reason string, after time.Duration) {
 	if after > 0 {
-		f.dialect.ComeBack(w.Header(), after)
+		f.dialect.SetRetryAfter(w.Header(), after)
 	}
 	f.closing(w)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -44,13 +44,15 @@
 // plainDialect is a dialect without any headers.
 type plainDialect struct{ Dialect }
 
-func (plainDialect) Envelope(http.Header) (Envelope, error) {
-	return Envelope{ID: "a", Left: time.Minute, Key: "key", PromptTokens: 5000, OutputTokens: 100}, nil
+func (plainDialect) ParseRequest(http.Header) (RequestInfo, error) {
+	return RequestInfo{ID: "a", TimeLeft: time.Minute, TeamKey: "key", PromptTokens: 5000, OutputTokens: 100}, nil
 }
 
-func (plainDialect) ID(http.Header) string { return "a" }
+func (plainDialect) RequestID(http.Header) string { return "a" }
 
-func (plainDialect) ComeBack(h http.Header, after time.Duration) { h.Set("Come-Back", after.String()) }
+func (plainDialect) SetRetryAfter(h http.Header, after time.Duration) {
+	h.Set("Come-Back", after.String())
+}
 
 // floodedFront returns a front whose only team has used its allowance up, so that
 // all requests are refused at the door.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -64,8 +64,8 @@
 	g := &Gateway{settings: s, source: source, dialect: dialect, log: eventlog.New(out, s.Name)}
 	g.grace.Store(int64(s.Grace))
 	g.core = newCore(direct.Options{
-		Zone: s.Zone, Region: s.Region, HallRegions: s.HallRegions, RetryBudget: s.Budget, Drain: s.Drain, DisabledMechanisms: s.Without,
-		Gated: s.Rollout.Enabled(),
+		Zone: s.Zone, Region: s.Region, HallRegions: s.HallRegions, RetryBudget: s.RetryBudget, Drain: s.MaxDrainTime, DisabledMechanisms: s.DisabledMechanisms,
+		Gated: s.RolloutBounds.Enabled(),
 	}, g.log)
 	g.admin = admin.New(admin.Source{Ready: g.ready, State: g.dump})
 	g.stats = stats.New(g.admin.Scope())
@@ -77,8 +77,8 @@
 	g.front = &front{
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
 		pool:   backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: silentPeer, MaxIdle: maxIdle}),
-		queues: queues, callers: newCallers(callersMost(s.Descriptors), s.Power, queues), eventDelay: s.EventDelay,
-		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.Rollout.Enabled(),
+		queues: queues, callers: newCallers(callersMost(s.Descriptors), s.Cores, queues), eventDelay: s.MaxEventDelay,
+		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.RolloutBounds.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
@@ -91,13 +91,13 @@
 // join sets up what the router shares with the others.
 func (g *Gateway) join() error {
 	s := g.settings
-	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.Evacuate}
+	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.MaxEvacuationTime}
 	parts := cluster.Dependencies{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
-	if s.Rollout.Enabled() {
+	if s.RolloutBounds.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
-			Bounds: s.Rollout, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
+			Bounds: s.RolloutBounds, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
 		g.core.answers = g.rollouts.Tell
 		feeds.Rollouts, parts.Rollouts = g.rollouts, g.rollouts
@@ -111,7 +111,7 @@
 	}
 	g.core.report = g.cluster.ReportNow
 	g.puller, err = feed.NewPuller(g.feeds, feed.PullOptions{
-		Address: s.Address, Control: s.Control, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
+		Address: s.Address, Control: s.ControlAddress, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
 	})
 	return err
 }
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -25,14 +25,14 @@
 		key, address string
 		server       *http.Server
 	}{
-		{"ready", g.settings.Ready, &http.Server{Handler: mux, ReadHeaderTimeout: headerWait}},
-		{"control", g.settings.Control, &http.Server{Handler: g.feeds.Handler(), ReadHeaderTimeout: headerWait}},
-		{"front", g.settings.Front, g.server},
+		{"ready", g.settings.ReadyAddress, &http.Server{Handler: mux, ReadHeaderTimeout: headerWait}},
+		{"control", g.settings.ControlAddress, &http.Server{Handler: g.feeds.Handler(), ReadHeaderTimeout: headerWait}},
+		{"front", g.settings.FrontAddress, g.server},
 	}
 	for _, s := range servers {
 		ln, err := listenTCP(life, s.address)
 		if err == nil && s.server == g.server {
-			boundQueue(ln, g.settings.Power)
+			boundQueue(ln, g.settings.Cores)
 			ln = listener{ln, g.front.callers, g.core.pressure.TooLateToAccept, time.Sleep}
 		}
 		if err != nil {
@@ -44,12 +44,12 @@
 			}
 		}()
 	}
-	if g.settings.Metrics == "" {
+	if g.settings.MetricsAddress == "" {
 		return nil
 	}
-	ln, err := net.Listen("tcp", g.settings.Metrics)
+	ln, err := net.Listen("tcp", g.settings.MetricsAddress)
 	if err != nil {
-		return errors.Wrapf(err, "settings: the metrics address %q: choose one of this host that is not in use", g.settings.Metrics)
+		return errors.Wrapf(err, "settings: the metrics address %q: choose one of this host that is not in use", g.settings.MetricsAddress)
 	}
 	go func() {
 		if err := g.admin.Serve(life, ln); err != nil {
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -13,15 +13,15 @@
 func (g *Gateway) Reload(s Settings) {
 	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
 	g.grace.Store(int64(s.Grace))
-	g.core.Update(direct.RetryBudgetMsg{RetryBudget: s.Budget})
-	g.core.Update(direct.DrainMsg{Drain: s.Drain})
+	g.core.Update(direct.RetryBudgetMsg{RetryBudget: s.RetryBudget})
+	g.core.Update(direct.DrainMsg{Drain: s.MaxDrainTime})
 	g.core.Update(direct.HallRegionsMsg{Now: g.core.Now(), Halls: s.HallRegions})
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
 			g.cluster.Peers.Add(host)
 		}
 	}
-	moved := s.Front != g.settings.Front || s.Ready != g.settings.Ready || s.Control != g.settings.Control
+	moved := s.FrontAddress != g.settings.FrontAddress || s.ReadyAddress != g.settings.ReadyAddress || s.ControlAddress != g.settings.ControlAddress
 	g.log.Event("reload").Bool("restart_needed", moved).Msg("")
 }
 
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -37,7 +37,7 @@
 func (x *exchange) describe(e *log.Entry) *log.Entry {
 	feeds := x.front.feeds
 	e.Str("request", x.envelope.ID).Str("team", x.team).Str("route", x.route.Name).Str("service", x.service).
-		Dur("age", x.age).Dur("left", x.envelope.Left).
+		Dur("age", x.age).Dur("left", x.envelope.TimeLeft).
 		Int("attempts", x.attempts).Uint64("config", feeds.Config.Revision()).Uint64("servers", feeds.Servers.Revision()).Uint64("evacuations", feeds.Evacuations.Revision()).
 		Dur("config_age", feeds.Config.Age()).Float64("share", x.last.PlacementBasis.Share)
 	if x.content != 0 {
@@ -63,13 +63,13 @@
 // logRejected logs a request that was not admitted.
 func (f *front) logRejected(r *http.Request, refused refusal) {
 	// Under pressure there are too many to be told one by one.
-	if refused.reason == reasonPressure && !eventlog.Sampled(f.dialect.ID(r.Header)) {
+	if refused.reason == reasonPressure && !eventlog.Sampled(f.dialect.RequestID(r.Header)) {
 		f.log.Drop()
 		return
 	}
 	if !f.log.AllowFailure() {
 		return
 	}
-	f.log.Event("request_rejected").Str("request", f.dialect.ID(r.Header)).Str("host", r.Host).Str("path", pathOf(r.RequestURI)).
+	f.log.Event("request_rejected").Str("request", f.dialect.RequestID(r.Header)).Str("host", r.Host).Str("path", pathOf(r.RequestURI)).
 		Int("status", refused.status).Str("reason", refused.reason).Uint64("config", f.feeds.Config.Revision()).Msg("")
 }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -25,7 +25,7 @@
 
 // stream passes whole events on as they come. Where the server breaks off, the
 // stream may go on at another server after the last event that was forwarded.
-func (a *attempt) stream(answer *http.Response, v Verdict) (direct.Outcome, bool) {
+func (a *attempt) stream(answer *http.Response, v ResponseInfo) (direct.Outcome, bool) {
 	if !sound(answer, v) {
 		a.conn.Close()
 		return a.lost(direct.Broken)
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -19,7 +19,7 @@
 }
 
 // whole reads an answer that is no stream, and forwards it where it is sound.
-func (a *attempt) whole(answer *http.Response, v Verdict) (direct.Outcome, bool) {
+func (a *attempt) whole(answer *http.Response, v ResponseInfo) (direct.Outcome, bool) {
 	body, err := readHeld(answer.Body, wholeSize(answer), wholeMost, a.x.grow)
 	a.count(len(body))
 	if errors.Is(err, errNoMemory) {
@@ -78,7 +78,7 @@
 
 // sound tells whether an answer may be forwarded: a success must be vouched
 // for, and callers ask for plain bodies.
-func sound(answer *http.Response, v Verdict) bool {
+func sound(answer *http.Response, v ResponseInfo) bool {
 	if answer.StatusCode/100 == 2 && !v.Signed {
 		return false
 	}
--- a/standin/cmd/experiment/callers.go
+++ b/standin/cmd/experiment/callers.go
@@ -15,20 +15,20 @@
 // callers is what callers got in a play, as the routers' logs tell it, by team and by
 // route.
 type callers struct {
-	Teams  map[string]gateway.Account `json:"teams"`
-	Routes map[string]gateway.Account `json:"routes"`
+	Teams  map[string]gateway.OutcomeCounts `json:"teams"`
+	Routes map[string]gateway.OutcomeCounts `json:"routes"`
 }
 
 // add adds up what one line of a log tells.
-func (c *callers) add(line gateway.AccountsLine) {
+func (c *callers) add(line gateway.OutcomeCountsLine) {
 	if c.Teams == nil {
-		c.Teams, c.Routes = make(map[string]gateway.Account), make(map[string]gateway.Account)
+		c.Teams, c.Routes = make(map[string]gateway.OutcomeCounts), make(map[string]gateway.OutcomeCounts)
 	}
 	addAccounts(c.Teams, line.Teams)
 	addAccounts(c.Routes, line.Routes)
 }
 
-func addAccounts(sums, counted map[string]gateway.Account) {
+func addAccounts(sums, counted map[string]gateway.OutcomeCounts) {
 	for name, one := range counted {
 		sum := sums[name]
 		sum.Add(one)
@@ -37,8 +37,8 @@
 }
 
 // all adds up all teams.
-func (c *callers) all() gateway.Account {
-	var sum gateway.Account
+func (c *callers) all() gateway.OutcomeCounts {
+	var sum gateway.OutcomeCounts
 	for _, one := range c.Teams {
 		sum.Add(one)
 	}
@@ -75,12 +75,12 @@
 		o.text.WriteByte('\n')
 		return
 	}
-	if !bytes.Contains(line, []byte(gateway.AccountsEvent)) {
+	if !bytes.Contains(line, []byte(gateway.OutcomeCountsEvent)) {
 		return
 	}
-	var said gateway.AccountsLine
+	var said gateway.OutcomeCountsLine
 	begin := bytes.IndexByte(line, '{')
-	if json.Unmarshal(line[begin:], &said) == nil && said.Event == gateway.AccountsEvent {
+	if json.Unmarshal(line[begin:], &said) == nil && said.Event == gateway.OutcomeCountsEvent {
 		o.callers.add(said)
 	}
 }
@@ -102,16 +102,16 @@
 }
 
 // worst returns the names of those with the most first tries not served in time.
-func worst(all map[string]gateway.Account) []string {
-	missed := func(name string) int64 { return all[name].Late + all[name].Refused }
+func worst(all map[string]gateway.OutcomeCounts) []string {
+	missed := func(name string) int64 { return all[name].FirstLate + all[name].FirstUnserved }
 	names := slices.SortedFunc(maps.Keys(all), func(a, b string) int {
 		return cmp.Or(cmp.Compare(missed(b), missed(a)), cmp.Compare(a, b))
 	})
 	return names[:min(mostShown, len(names))]
 }
 
-func accountText(name string, a gateway.Account, plays float64) string {
+func accountText(name string, a gateway.OutcomeCounts, plays float64) string {
 	per := func(n int64) float64 { return float64(n) / plays }
 	return fmt.Sprintf("%s: first tries in time %.0f, late %.0f, unserved %.0f; later tries served %.0f, in vain %.0f; held in vain %.0f s",
-		name, per(a.FirstInTime), per(a.Late), per(a.Refused), per(a.LaterTries), per(a.Again), per(a.HeldMS)/1000)
+		name, per(a.FirstOnTime), per(a.FirstLate), per(a.FirstUnserved), per(a.RetriesServed), per(a.RetriesUnserved), per(a.UnservedMS)/1000)
 }
--- a/standin/cmd/experiment/compare_test.go
+++ b/standin/cmd/experiment/compare_test.go
@@ -56,6 +56,6 @@
 		require.NoError(t, err)
 	}
 	require.Equal(t, "built in 3 s\nworth 0.5\n", o.text.String())
-	require.Equal(t, gateway.Account{FirstInTime: 5, HeldMS: 7}, o.callers.all())
-	require.EqualValues(t, 2, o.callers.Routes["r"].FirstInTime)
+	require.Equal(t, gateway.OutcomeCounts{FirstOnTime: 5, UnservedMS: 7}, o.callers.all())
+	require.EqualValues(t, 2, o.callers.Routes["r"].FirstOnTime)
 }
--- a/standin/cmd/experiment/table.go
+++ b/standin/cmd/experiment/table.go
@@ -54,7 +54,7 @@
 				n++
 				add(parts, p.Parts)
 				add(prices, p.Prices)
-				got.add(gateway.AccountsLine{Teams: p.Callers.Teams, Routes: p.Callers.Routes})
+				got.add(gateway.OutcomeCountsLine{Teams: p.Callers.Teams, Routes: p.Callers.Routes})
 			}
 			if n > 0 {
 				fmt.Fprintf(w, "- %s, %s: %s; less %s\n", siteName(site), v.Name, largest(parts, n, len(parts)), largest(prices, n, pricesShown))
