--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -11,16 +11,16 @@
 // TestAges tells requests that come back from new ones, by the time that they
 // have left, for each route on its own.
 func TestAges(t *testing.T) {
-	var a callerAges
-	require.Zero(t, a.of(0, "reports", 15*time.Second))
-	require.Zero(t, a.of(time.Second, "reports", 14900*time.Millisecond), "noise")
-	require.Equal(t, 1200*time.Millisecond, a.of(time.Second, "reports", 13800*time.Millisecond))
-	require.Zero(t, a.of(time.Second, "tags", 2500*time.Millisecond))
-	require.Equal(t, 500*time.Millisecond, a.of(time.Second, "tags", 2*time.Second))
-	require.Zero(t, a.of(time.Second, "tags", 0), "no time given")
-	require.Zero(t, a.of(time.Minute, "tags", 2*time.Second), "the longest is forgotten")
-	a.keep(func(route string) bool { return route == "reports" })
-	require.Len(t, a.longest, 1)
+	var a ageEstimator
+	require.Zero(t, a.estimate(0, "reports", 15*time.Second))
+	require.Zero(t, a.estimate(time.Second, "reports", 14900*time.Millisecond), "noise")
+	require.Equal(t, 1200*time.Millisecond, a.estimate(time.Second, "reports", 13800*time.Millisecond))
+	require.Zero(t, a.estimate(time.Second, "tags", 2500*time.Millisecond))
+	require.Equal(t, 500*time.Millisecond, a.estimate(time.Second, "tags", 2*time.Second))
+	require.Zero(t, a.estimate(time.Second, "tags", 0), "no time given")
+	require.Zero(t, a.estimate(time.Minute, "tags", 2*time.Second), "the longest is forgotten")
+	a.retainRoutes(func(route string) bool { return route == "reports" })
+	require.Len(t, a.maxTimeLeft, 1)
 }
 
 // TestAgesOfUnevenCallers has callers of a route begin with times that differ by up to 15 in
@@ -28,33 +28,33 @@
 // new, the others as older by more than a second. Before, 859 of 1,000 first tries
 // counted as late already, so that new requests did not go first.
 func TestAgesOfUnevenCallers(t *testing.T) {
-	random := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	const longest = 12 * time.Second
-	first := func() time.Duration { return time.Duration((1 - 0.15*random.Float64()) * float64(longest)) }
-	var a callerAges
+	newTimeLeft := func() time.Duration { return time.Duration((1 - 0.15*rng.Float64()) * float64(longest)) }
+	var a ageEstimator
 	for range 300 {
-		left := first()
-		a.of(time.Second, "r", left)
-		a.learn("r", left)
+		timeLeft := newTimeLeft()
+		a.estimate(time.Second, "r", timeLeft)
+		a.observeFirstTry("r", timeLeft)
 	}
-	old, young := 0, 0
+	overestimated, underestimated := 0, 0
 	for range 1000 {
-		left := first()
-		if a.of(time.Second, "r", left) > 200*time.Millisecond {
-			old++
+		timeLeft := newTimeLeft()
+		if a.estimate(time.Second, "r", timeLeft) > 200*time.Millisecond {
+			overestimated++
 		}
-		if a.of(time.Second, "r", left*2/3) < time.Second {
-			young++
+		if a.estimate(time.Second, "r", timeLeft*2/3) < time.Second {
+			underestimated++
 		}
-		if random.IntN(25) == 0 {
-			left = left * 2 / 3 // some come back although their team is within its share
+		if rng.IntN(25) == 0 {
+			timeLeft = timeLeft * 2 / 3 // some come back although their team is within its share
 		}
-		a.learn("r", left)
+		a.observeFirstTry("r", timeLeft)
 	}
-	require.Less(t, old, 50)
-	require.Zero(t, young)
+	require.Less(t, overestimated, 50)
+	require.Zero(t, underestimated)
 	for range 1000 {
-		a.learn("r", first()*2/3)
+		a.observeFirstTry("r", newTimeLeft()*2/3)
 	}
-	require.LessOrEqual(t, a.spread, mostSpread, "also where most come back")
+	require.LessOrEqual(t, a.spread, maxSpread, "also where most come back")
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,171 +16,171 @@
 )
 
 const (
-	// streamSilence is the least pause within a stream after which it goes on
+	// minStreamStall is the least pause within a stream after which it goes on
 	// elsewhere, where it may; pauseSilence the same in longest pauses.
-	streamSilence = 800 * time.Millisecond
-	pauseSilence  = 4
-	// firstPatience is the part of the objective after which a request that may
+	minStreamStall    = 800 * time.Millisecond
+	streamStallPauses = 4
+	// stallObjectives is the part of the objective after which a request that may
 	// be repeated is tried elsewhere; streams get streamPatience.
-	firstPatience  = 0.6
-	streamPatience = 3.0
-	// estimateTimes is the least patience in expected times to a first event.
-	estimateTimes = 3
-	// leastLeft is the shortest time that is worth sending a request for.
-	leastLeft = 2 * time.Millisecond
+	stallObjectives       = 0.6
+	streamStallObjectives = 3.0
+	// stallEstimates is the least patience in expected times to a first event.
+	stallEstimates = 3
+	// minTimeLeft is the shortest time that is worth sending a request for.
+	minTimeLeft = 2 * time.Millisecond
 )
 
-// errSpoiled says that an answer is not one that a server may give.
-var errSpoiled = errors.New("the answer is spoiled")
+// errTooLarge says that an answer is not one that a server may give.
+var errTooLarge = errors.New("the answer is spoiled")
 
 // attempt is one request to one server.
 type attempt struct {
-	x    *exchange
-	cmd  direct.SendCmd
-	conn *backend.Conn
-	stop func() bool // ends the watch on the caller
-	// begun says that the first event of a stream has been forwarded.
-	begun bool
-	path  traffic.Path
+	x         *exchange
+	cmd       direct.SendCmd
+	conn      *backend.Conn
+	stopWatch func() bool // ends the watch on the caller
+	// forwarding says that the first event of a stream has been forwarded.
+	forwarding bool
+	path       traffic.Path
 	// moved says that the attempt was broken off to go on at another version's server.
-	moved   atomic.Bool
-	movable bool // a move may break it off; see allowMove
-	refused bool // the server's host refused a connection
-	overdue bool // this process ran too late to connect
+	moved       atomic.Bool
+	movable     bool // a move may break it off; see allowMove
+	connRefused bool // the server's host refused a connection
+	dialOverdue bool // this process ran too late to connect
 }
 
-// count counts bytes that go to the server or come from it.
-func (a *attempt) count(n int) { a.x.front.traffic.Add(a.path, n) }
+// countBytes counts bytes that go to the server or come from it.
+func (a *attempt) countBytes(n int) { a.x.front.traffic.Add(a.path, n) }
 
 // run sends the request and passes the answer on. It returns how the attempt
 // ended and whether the caller's request has ended with it.
 func (a *attempt) run() (direct.Outcome, bool) {
 	// The caller's time goes on while the host is suspended.
-	a.x.front.core.wake()
-	left := a.x.deadline - a.x.front.core.Now()
-	if left < leastLeft {
-		a.endLate(direct.GivenUp)
+	a.x.front.core.checkSuspension()
+	timeLeft := a.x.deadline - a.x.front.core.Now()
+	if timeLeft < minTimeLeft {
+		a.endExpired(direct.GivenUp)
 		return direct.GivenUp, true
 	}
 	conn, err := a.x.front.pool.Get(a.x.ctx, a.cmd.Server.Address)
 	if err != nil {
-		a.refused = errors.Is(err, syscall.ECONNREFUSED)
-		a.overdue = errors.Is(err, backend.ErrOverdue)
-		return a.lost(direct.Unsent)
+		a.connRefused = errors.Is(err, syscall.ECONNREFUSED)
+		a.dialOverdue = errors.Is(err, backend.ErrOverdue)
+		return a.endWithoutResponse(direct.Unsent)
 	}
-	if a.x.front.core.withheld(a.x.id) {
+	if a.x.front.core.shouldWithhold(a.x.id) {
 		conn.Close()
-		return a.lost(direct.Withheld)
+		return a.endWithoutResponse(direct.Withheld)
 	}
 	a.conn = conn
-	a.stop = context.AfterFunc(a.x.ctx, func() { conn.Close() })
-	defer a.stop()
+	a.stopWatch = context.AfterFunc(a.x.ctx, func() { conn.Close() })
+	defer a.stopWatch()
 	a.allowMove()
 	defer a.forbidMove()
-	left = a.x.deadline - a.x.front.core.Now()
-	_ = conn.SetDeadline(time.Now().Add(left)) // here and below: a closed connection shows when it is used
+	timeLeft = a.x.deadline - a.x.front.core.Now()
+	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: a closed connection shows when it is used
 	a.path = a.x.front.pathTo(a.cmd)
-	a.count(len(a.x.body))
+	a.countBytes(len(a.x.body))
 	err = conn.Send(&backend.Request{
 		Method: a.x.r.Method,
 		Target: a.x.r.RequestURI,
 		Host:   a.x.r.Host,
-		Header: a.x.front.dialect.OutboundHeader(a.x.r.Header, a.call(left)),
+		Header: a.x.front.dialect.OutboundHeader(a.x.r.Header, a.callInfo(timeLeft)),
 		Body:   a.x.body,
 	})
 	if err != nil {
 		conn.Close()
 		if errors.Is(err, backend.ErrUnsent) {
-			return a.lost(direct.Unsent)
+			return a.endWithoutResponse(direct.Unsent)
 		}
-		return a.lost(direct.Broken)
+		return a.endWithoutResponse(direct.Broken)
 	}
-	return a.receive(left)
+	return a.receive(timeLeft)
 }
 
-// call is what the server is told.
-func (a *attempt) call(left time.Duration) CallInfo {
-	c := CallInfo{TimeLeft: left, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.envelope.AfterEvent}
+// callInfo is what the server is told.
+func (a *attempt) callInfo(timeLeft time.Duration) CallInfo {
+	info := CallInfo{TimeLeft: timeLeft, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.info.AfterEvent}
 	if a.x.headSent {
-		c.AfterEvent = formatID(a.x.lastID)
+		info.AfterEvent = formatID(a.x.lastEventID)
 	}
-	return c
+	return info
 }
 
 // receive reads the head of the answer, and hands over to what reads the rest.
-func (a *attempt) receive(left time.Duration) (direct.Outcome, bool) {
-	patience, bounded := a.patience(left)
+func (a *attempt) receive(timeLeft time.Duration) (direct.Outcome, bool) {
+	timeout, bounded := a.stallTimeout(timeLeft)
 	if bounded {
-		_ = a.conn.SetReadDeadline(time.Now().Add(patience))
+		_ = a.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
-	answer, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
-		verdict := a.x.front.dialect.ParseResponse(h.StatusCode, h.Header)
-		a.noticed(verdict)
-		return verdict.RequestID == a.x.envelope.ID
+	resp, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
+		info := a.x.front.dialect.ParseResponse(h.StatusCode, h.Header)
+		a.applyNotice(info)
+		return info.RequestID == a.x.info.ID
 	})
 	if err != nil {
 		a.conn.Close()
-		return a.lost(a.silence(err, bounded))
+		return a.endWithoutResponse(a.readOutcome(err, bounded))
 	}
-	verdict := a.x.front.dialect.ParseResponse(answer.StatusCode, answer.Header)
+	info := a.x.front.dialect.ParseResponse(resp.StatusCode, resp.Header)
 	switch {
-	case verdict.WrongServer:
-		a.discard(answer)
+	case info.WrongServer:
+		a.discard(resp)
 		return direct.Elsewhere, false
-	case verdict.NotRun && answer.StatusCode != http.StatusBadRequest:
-		a.discard(answer)
+	case info.NotRun && resp.StatusCode != http.StatusBadRequest:
+		a.discard(resp)
 		return direct.NotRun, false
-	case a.isStream(answer):
-		return a.stream(answer, verdict)
+	case a.isStream(resp):
+		return a.stream(resp, info)
 	}
 	_ = a.conn.SetReadDeadline(time.Now().Add(a.x.deadline - a.x.front.core.Now()))
-	return a.whole(answer, verdict)
+	return a.bufferResponse(resp, info)
 }
 
-// noticed takes in what the server says of itself with an answer, also one that comes late
+// applyNotice takes in what the server says of itself with an answer, also one that comes late
 // and answers an earlier request.
-func (a *attempt) noticed(v ResponseInfo) {
-	if v.WrongServer {
+func (a *attempt) applyNotice(info ResponseInfo) {
+	if info.WrongServer {
 		return // it is another server's word
 	}
-	if v.NoticeErr != nil {
-		a.x.front.log.Unreadable(a.cmd.Server, v.NoticeErr)
+	if info.NoticeErr != nil {
+		a.x.front.log.Unreadable(a.cmd.Server, info.NoticeErr)
 	}
-	if v.Notice.IsZero() {
+	if info.Notice.IsZero() {
 		return
 	}
-	a.x.notice = v.Notice
-	a.x.front.stats.Notice(v.Notice)
-	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: v.Notice})
+	a.x.notice = info.Notice
+	a.x.front.stats.Notice(info.Notice)
+	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: info.Notice})
 }
 
-// patience is how long the server may say nothing, where the request could be
+// stallTimeout is how long the server may say nothing, where the request could be
 // tried elsewhere.
-func (a *attempt) patience(left time.Duration) (time.Duration, bool) {
+func (a *attempt) stallTimeout(timeLeft time.Duration) (time.Duration, bool) {
 	route := a.x.route
-	if !a.mayGoOn() || !a.x.front.core.without.Enabled(direct.StallTimeout) {
+	if !a.mayRetry() || !a.x.front.core.disabled.Enabled(direct.StallTimeout) {
 		return 0, false
 	}
-	part := firstPatience
+	objectives := stallObjectives
 	if route.Kind == direct.Stream {
-		part = streamPatience
+		objectives = streamStallObjectives
 	}
-	patience := max(time.Duration(part*float64(route.Objective)), estimateTimes*a.cmd.PlacementBasis.Estimate)
-	return patience, patience < left
+	timeout := max(time.Duration(objectives*float64(route.Objective)), stallEstimates*a.cmd.PlacementBasis.Estimate)
+	return timeout, timeout < timeLeft
 }
 
-// silence tells a server that said nothing in good time from one that broke
+// readOutcome tells a server that said nothing in good time from one that broke
 // off.
-func (a *attempt) silence(err error, bounded bool) direct.Outcome {
+func (a *attempt) readOutcome(err error, bounded bool) direct.Outcome {
 	if bounded && errors.Is(err, os.ErrDeadlineExceeded) {
 		return direct.Hung
 	}
 	return direct.Broken
 }
 
-// lost ends an attempt without an answer. The request has ended too where the
+// endWithoutResponse ends an attempt without an answer. The request has ended too where the
 // caller left or its time is over.
-func (a *attempt) lost(o direct.Outcome) (direct.Outcome, bool) {
+func (a *attempt) endWithoutResponse(o direct.Outcome) (direct.Outcome, bool) {
 	if a.moved.Load() && (o == direct.Broken || o == direct.Hung) {
 		o = direct.Moved
 	}
@@ -188,33 +188,33 @@
 	case a.x.ctx.Err() != nil:
 		a.x.callerLeft(0)
 		return direct.GivenUp, true
-	case a.x.front.core.Now()+leastLeft >= a.x.deadline:
+	case a.x.front.core.Now()+minTimeLeft >= a.x.deadline:
 		if o != direct.Unsent && o != direct.Withheld {
 			o = direct.GivenUp
 		}
-		a.endLate(o)
+		a.endExpired(o)
 		return o, true
 	}
 	return o, false
 }
 
-// endLate gives the answer of a request whose time is over. It may panic to
+// endExpired gives the answer of a request whose time is over. It may panic to
 // break a stream off, so the machine is told first.
-func (a *attempt) endLate(o direct.Outcome) {
+func (a *attempt) endExpired(o direct.Outcome) {
 	if a.x.headSent {
-		a.closeRun(o)
+		a.reportEnd(o)
 	}
 	a.x.timedOut()
 }
 
-// closeRun tells the machine that the attempt ended, before a panic.
-func (a *attempt) closeRun(o direct.Outcome) {
+// reportEnd tells the machine that the attempt ended, before a panic.
+func (a *attempt) reportEnd(o direct.Outcome) {
 	a.x.front.core.Update(direct.AttemptEndMsg{Now: a.x.front.core.Now(), ID: a.x.id, Outcome: o})
 }
 
 // discard drops an answer of which only the head counts.
-func (a *attempt) discard(answer *http.Response) {
-	if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, discardMost)); err != nil || n == discardMost {
+func (a *attempt) discard(resp *http.Response) {
+	if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes)); err != nil || n == maxDiscardBytes {
 		a.conn.Close()
 		return
 	}
@@ -225,12 +225,12 @@
 // may close it, it is this request's alone.
 func (a *attempt) release() {
 	a.forbidMove()
-	if !a.stop() {
+	if !a.stopWatch() {
 		a.conn.Close()
 		return
 	}
 	a.conn.Release()
 }
 
-// discardMost bounds a body that is read only to keep its connection.
-const discardMost = 64 << 10
+// maxDiscardBytes bounds a body that is read only to keep its connection.
+const maxDiscardBytes = 64 << 10
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -10,25 +10,25 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// firstPiece is what is allocated at first for a body or an answer. Most fit; of a larger one
+// initialAllocation is what is allocated at first for a body or an answer. Most fit; of a larger one
 // the router holds about what has come and not what was announced, so that a caller can't
 // take its memory by a header.
-const firstPiece = 32 << 10
+const initialAllocation = 32 << 10
 
 // errNoMemory says that what came can't be held beside what the router holds already.
 var errNoMemory = errors.New("the memory for bodies and unread answers is used up")
 
-// readHeld reads size bytes, or where size is negative to the end, of at most most bytes. grow is
+// readBuffered reads size bytes, or where size is negative to the end, of at most most bytes. grow is
 // asked before more is allocated.
-func readHeld(r io.Reader, size, most int64, grow func(n int) bool) ([]byte, error) {
-	limit := most + 1
+func readBuffered(r io.Reader, size, maxSize int64, grow func(n int) bool) ([]byte, error) {
+	limit := maxSize + 1
 	if size >= 0 {
 		limit = size
 	}
 	var body []byte
 	for int64(len(body)) < limit {
 		if len(body) == cap(body) {
-			next := int(min(max(2*int64(cap(body)), firstPiece), limit))
+			next := int(min(max(2*int64(cap(body)), initialAllocation), limit))
 			if !grow(next - cap(body)) {
 				return nil, errNoMemory
 			}
@@ -46,41 +46,41 @@
 		}
 	}
 	if size < 0 {
-		return nil, errSpoiled
+		return nil, errTooLarge
 	}
 	return body, nil
 }
 
 // grow asks for memory for n bytes more of the request's body or its answer.
-func (x *exchange) grow(n int) bool { return x.front.queues.Grow(&x.memory, n, x.dropBody) }
+func (x *exchange) grow(n int) bool { return x.front.sendQueues.Grow(&x.memory, n, x.abortBodyRead) }
 
-// dropBody ends the reading of a body that must give way: its caller is told at once that the
+// abortBodyRead ends the reading of a body that must give way: its caller is told at once that the
 // request has not run.
-func (x *exchange) dropBody() {
+func (x *exchange) abortBodyRead() {
 	// Test writers have no deadlines.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Unix(1, 0))
 }
 
 // readBody reads the caller's body, of at most most bytes, within the request's time.
-func (x *exchange) readBody(most int) *refusal {
+func (x *exchange) readBody(maxSize int) *refusal {
 	if x.r.ContentLength == 0 {
 		x.memory.Kept = true
-	} else if err := x.takeBody(int64(most)); err != nil {
+	} else if err := x.bufferBody(int64(maxSize)); err != nil {
 		// What is left of the body, or a late dropBody, would meet the next request.
 		x.w.Header().Set("Connection", "close")
 		return bodyRefusal(err)
 	}
-	x.content = quarantine.FingerprintOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
+	x.fingerprint = quarantine.FingerprintOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
 	return nil
 }
 
-// takeBody reads the body, and has it give no way any more.
-func (x *exchange) takeBody(most int64) error {
+// bufferBody reads the body, and has it give no way any more.
+func (x *exchange) bufferBody(maxSize int64) error {
 	// Test writers have no deadlines.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
-	body, err := x.receive(most)
-	if !x.front.queues.Keep(&x.memory) {
+	body, err := x.receiveBody(maxSize)
+	if !x.front.sendQueues.Keep(&x.memory) {
 		return errNoMemory
 	}
 	if err != nil {
@@ -91,19 +91,19 @@
 	return nil
 }
 
-// receive reads the body as it comes.
-func (x *exchange) receive(most int64) ([]byte, error) {
-	var source io.Reader = http.MaxBytesReader(x.w, x.r.Body, most)
-	if caller := callerOf(x.ctx); caller != nil {
+// receiveBody reads the body as it comes.
+func (x *exchange) receiveBody(maxSize int64) ([]byte, error) {
+	var source io.Reader = http.MaxBytesReader(x.w, x.r.Body, maxSize)
+	if caller := callerConnOf(x.ctx); caller != nil {
 		source = &watchedBody{source, caller}
-		defer caller.bodyAt.Store(0)
+		defer caller.bodyReadAt.Store(0)
 	}
 	size := x.r.ContentLength
-	if size > most {
+	if size > maxSize {
 		_, err := io.Copy(io.Discard, source) // the caller may only read its answer after that
 		return nil, err
 	}
-	body, err := readHeld(source, size, most, x.grow)
+	body, err := readBuffered(source, size, maxSize, x.grow)
 	if err != nil || size < 0 {
 		return body, err
 	}
@@ -122,7 +122,7 @@
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	b.caller.bodyAt.Store(int64(b.caller.callers.queues.Now()))
+	b.caller.bodyReadAt.Store(int64(b.caller.conns.queues.Now()))
 	return b.Reader.Read(p)
 }
 
@@ -130,10 +130,10 @@
 func bodyRefusal(err error) *refusal {
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &tooLarge), errors.Is(err, errSpoiled):
+	case errors.As(err, &tooLarge), errors.Is(err, errTooLarge):
 		return &refusal{http.StatusRequestEntityTooLarge, "body", 0}
 	case errors.Is(err, errNoMemory):
-		return &refusal{http.StatusServiceUnavailable, "memory", memoryAfter}
+		return &refusal{http.StatusServiceUnavailable, "memory", memoryRetryAfter}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &refusal{http.StatusRequestTimeout, "body_late", 0}
 	}
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// crowdedPart is the part of the connections that may be held from which answers
+	// closeFraction is the part of the connections that may be held from which answers
 	// close theirs.
-	crowdedPart = 0.6
-	// keptPerCore is how many connections a router that runs late keeps for each of
+	closeFraction = 0.6
+	// lateConnsPerCore is how many connections a router that runs late keeps for each of
 	// its cores: if all of them ask at once, the last is read some 70 milliseconds
 	// later, at 75 us each.
-	keptPerCore = 900
-	// stalledLeast is for how long a caller must have taken and sent nothing for its place to go
+	lateConnsPerCore = 900
+	// minStall is for how long a caller must have taken and sent nothing for its place to go
 	// to a new caller: longer than a lost packet holds a line up.
-	stalledLeast = time.Second
+	minStall = time.Second
 )
 
-// callers keeps account of the connections that callers hold: no more than a
+// callerConns keeps account of the connections that callers hold: no more than a
 // number at once, and none at rest for too long. Where all places are taken, callers that
 // neither read nor send lose theirs first.
-type callers struct {
-	places chan struct{}
-	queues *sendqueue.Queues
-	mu     sync.Mutex
-	open   map[*callerConn]bool
-	fresh  pressure.UnreadConns
-	kept   int // connections that are kept while the router runs late; 0: all
+type callerConns struct {
+	slots       chan struct{}
+	queues      *sendqueue.Queues
+	mu          sync.Mutex
+	open        map[*callerConn]bool
+	unreadConns pressure.UnreadConns
+	maxWhenLate int // connections that are kept while the router runs late; 0: all
 	// unserved counts the connections that were closed before they were accepted.
 	unserved atomic.Int64
 }
@@ -43,82 +43,82 @@
 // callerConn is one connection of a caller.
 type callerConn struct {
 	*sendqueue.Conn
-	callers   *callers
-	arrival   pressure.AcceptedConn
+	conns     *callerConns
+	accepted  pressure.AcceptedConn
 	active    bool      // a request is under way
 	idleSince time.Time // zero before the first request, and during one
 	closed    bool      // by this router, while it was at rest
-	// bodyAt is when the last bytes of a body came that is being read, in nanoseconds on the
+	// bodyReadAt is when the last bytes of a body came that is being read, in nanoseconds on the
 	// queues' clock; 0: none is.
-	bodyAt atomic.Int64
+	bodyReadAt atomic.Int64
 }
 
-// newCallers returns the account of a router that may hold most connections, and has
+// newCallerConns returns the account of a router that may hold most connections, and has
 // so many cores; 0: unknown.
-func newCallers(most int, cores float64, queues *sendqueue.Queues) *callers {
-	return &callers{
-		queues: queues, places: make(chan struct{}, most), open: make(map[*callerConn]bool),
-		fresh: pressure.NewUnreadConns(cores), kept: int(keptPerCore * cores),
+func newCallerConns(maxConns int, cores float64, queues *sendqueue.Queues) *callerConns {
+	return &callerConns{
+		queues: queues, slots: make(chan struct{}, maxConns), open: make(map[*callerConn]bool),
+		unreadConns: pressure.NewUnreadConns(cores), maxWhenLate: int(lateConnsPerCore * cores),
 	}
 }
 
-// take begins the account of a new connection, which has a place.
-func (c *callers) take(conn net.Conn) *callerConn {
-	caller := &callerConn{callers: c, arrival: pressure.AcceptedConn{At: time.Now()}}
-	caller.Conn = c.queues.Wrap(conn, caller.gone)
+// add begins the account of a new connection, which has a place.
+func (c *callerConns) add(conn net.Conn) *callerConn {
+	caller := &callerConn{conns: c, accepted: pressure.AcceptedConn{At: time.Now()}}
+	caller.Conn = c.queues.Wrap(conn, caller.onClose)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open[caller] = true
-	c.fresh.Add(&caller.arrival)
+	c.unreadConns.Add(&caller.accepted)
 	return caller
 }
 
 // full tells whether there is no place for a new connection, or as many wait to be
 // read as the router reads in good time.
-func (c *callers) full() bool {
-	if len(c.places) == cap(c.places) && !c.dropStalled() {
+func (c *callerConns) full() bool {
+	if len(c.slots) == cap(c.slots) && !c.dropStalled() {
 		return true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.fresh.Full(time.Now())
+	return c.unreadConns.Full(time.Now())
 }
 
-// gone gives the place back, once the connection is closed.
-func (c *callerConn) gone() {
-	c.callers.mu.Lock()
-	delete(c.callers.open, c)
-	c.callers.fresh.Remove(&c.arrival)
-	c.callers.mu.Unlock()
-	<-c.callers.places
+// onClose gives the place back, once the connection is closed.
+func (c *callerConn) onClose() {
+	c.conns.mu.Lock()
+	delete(c.conns.open, c)
+	c.conns.unreadConns.Remove(&c.accepted)
+	c.conns.mu.Unlock()
+	<-c.conns.slots
 }
 
-// stalled is for how long the caller has neither read what waits for it nor sent more of the body
+// stalledFor is for how long the caller has neither read what waits for it nor sent more of the body
 // that is being read.
-func (c *callerConn) stalled() time.Duration {
+func (c *callerConn) stalledFor() time.Duration {
 	stalled := c.Stalled()
-	if at := c.bodyAt.Load(); at != 0 {
-		stalled = max(stalled, c.callers.queues.Now()-time.Duration(at))
+	if at := c.bodyReadAt.Load(); at != 0 {
+		stalled = max(stalled, c.conns.queues.Now()-time.Duration(at))
 	}
 	return stalled
 }
 
-// callerKey is the context key of a request's connection.
-type callerKey struct{}
+// callerConnKey is the context key of a request's connection.
+type callerConnKey struct{}
 
-// context is the http.Server's ConnContext.
-func (c *callers) context(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, conn)
+// connContext is the http.Server's ConnContext.
+func (c *callerConns) connContext(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// callerOf returns the connection of a request, nil where it isn't known.
-func callerOf(ctx context.Context) *callerConn {
-	caller, _ := ctx.Value(callerKey{}).(*callerConn)
+// callerConnOf returns the connection of a request, nil where it isn't known.
+func callerConnOf(ctx context.Context) *callerConn {
+	caller, _ := ctx.Value(callerConnKey{}).(*callerConn)
 	return caller
 }
 
-// state is the http.Server's ConnState.
-func (c *callers) state(conn net.Conn, s http.ConnState) {
+// connState is the http.Server's ConnState.
+func (c *callerConns) connState(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -128,7 +128,7 @@
 	switch s {
 	case http.StateActive:
 		caller.active = true
-		c.fresh.Remove(&caller.arrival)
+		c.unreadConns.Remove(&caller.accepted)
 		caller.idleSince = time.Time{}
 	case http.StateIdle:
 		caller.active = false
@@ -136,10 +136,10 @@
 	}
 }
 
-// lost tells whether a request came on a connection that was closed as it
+// closedByRouter tells whether a request came on a connection that was closed as it
 // came: it must not be forwarded, since its answer could not be given.
-func (c *callers) lost(ctx context.Context) bool {
-	caller := callerOf(ctx)
+func (c *callerConns) closedByRouter(ctx context.Context) bool {
+	caller := callerConnOf(ctx)
 	if caller == nil {
 		return false
 	}
@@ -148,48 +148,48 @@
 	return caller.closed
 }
 
-// left tells whether a request's caller has closed its connection; the request must
+// closedByCaller tells whether a request's caller has closed its connection; the request must
 // have been read to its end.
-func (c *callers) left(ctx context.Context) bool {
-	caller := callerOf(ctx)
+func (c *callerConns) closedByCaller(ctx context.Context) bool {
+	caller := callerConnOf(ctx)
 	return caller != nil && socket.Look(caller.Conn) == socket.Ended
 }
 
-// crowded tells whether answers should close their connections. A router that runs
+// shouldClose tells whether answers should close their connections. A router that runs
 // late keeps few: the more callers ask it at once, the later it reads each of them.
-func (c *callers) crowded(late bool) bool {
-	held := len(c.places)
-	if late && c.kept > 0 && held > c.kept {
+func (c *callerConns) shouldClose(late bool) bool {
+	open := len(c.slots)
+	if late && c.maxWhenLate > 0 && open > c.maxWhenLate {
 		return true
 	}
-	return float64(held) > crowdedPart*float64(cap(c.places))
+	return float64(open) > closeFraction*float64(cap(c.slots))
 }
 
 // dropStalled closes the connection that has stalled longest, where one has, and tells whether
 // there is a place then.
-func (c *callers) dropStalled() bool {
-	var found *callerConn
-	longest := stalledLeast
+func (c *callerConns) dropStalled() bool {
+	var longestStalled *callerConn
+	longest := minStall
 	c.mu.Lock()
 	for caller := range c.open {
-		if stalled := caller.stalled(); stalled >= longest {
-			found, longest = caller, stalled
+		if stalled := caller.stalledFor(); stalled >= longest {
+			longestStalled, longest = caller, stalled
 		}
 	}
 	c.mu.Unlock()
-	if found == nil {
+	if longestStalled == nil {
 		return false
 	}
-	found.Drop(sendqueue.ErrStalled)
-	return len(c.places) < cap(c.places)
+	longestStalled.Drop(sendqueue.ErrStalled)
+	return len(c.slots) < cap(c.slots)
 }
 
-// waiting tells whether answers wait for their callers to read them.
-func (c *callers) waiting() bool { return c.queues.Waiting() > 0 }
+// hasPendingResponses tells whether answers wait for their callers to read them.
+func (c *callerConns) hasPendingResponses() bool { return c.queues.Waiting() > 0 }
 
-// unread tells whether a request lies unread on a connection at rest, or on a
+// hasUnreadRequests tells whether a request lies unread on a connection at rest, or on a
 // new one.
-func (c *callers) unread() bool {
+func (c *callerConns) hasUnreadRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for caller := range c.open {
@@ -200,28 +200,28 @@
 	return false
 }
 
-// sweep closes connections that have been at rest longer than rest. One that
+// closeIdle closes connections that have been at rest longer than rest. One that
 // has bytes to read is not at rest: a late router has not come to read them.
-func (c *callers) sweep(rest time.Duration) {
-	for _, caller := range c.atRest(rest) {
+func (c *callerConns) closeIdle(idleTimeout time.Duration) {
+	for _, caller := range c.markIdle(idleTimeout) {
 		_ = caller.Close() // at rest, so nothing is lost
 	}
 }
 
-// atRest marks and returns the connections to close.
-func (c *callers) atRest(rest time.Duration) []*callerConn {
-	if rest <= 0 {
+// markIdle marks and returns the connections to close.
+func (c *callerConns) markIdle(idleTimeout time.Duration) []*callerConn {
+	if idleTimeout <= 0 {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*callerConn
+	var idle []*callerConn
 	for caller := range c.open {
-		old := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > rest && !caller.Waits()
-		if old && socket.Look(caller.Conn) != socket.Bytes {
+		expired := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > idleTimeout && !caller.Waits()
+		if expired && socket.Look(caller.Conn) != socket.Bytes {
 			caller.closed = true
-			out = append(out, caller)
+			idle = append(idle, caller)
 		}
 	}
-	return out
+	return idle
 }
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -37,25 +37,25 @@
 	return c.machine.Teams(c.Now())
 }
 
-// weightOf returns how much of this router's work a team asks for.
-func (c *core) weightOf(team string) float64 {
+// teamWeight returns how much of this router's work a team asks for.
+func (c *core) teamWeight(team string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.TeamWeight(c.Now(), team)
 }
 
-// records returns which records of barred contents the store should get, and which it should lose.
-func (c *core) records() (add, remove []quarantine.Fingerprint) {
+// pendingRecords returns which records of barred contents the store should get, and which it should lose.
+func (c *core) pendingRecords() (add, remove []quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.PendingRecords()
 }
 
-// suspects returns what is known of contents under which servers crashed.
-func (c *core) suspects(most int) []quarantine.State {
+// quarantineStates returns what is known of contents under which servers crashed.
+func (c *core) quarantineStates(limit int) []quarantine.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.QuarantineStates(c.Now(), most)
+	return c.machine.QuarantineStates(c.Now(), limit)
 }
 
 // shares returns what the machine takes the teams' shares to be.
@@ -79,8 +79,8 @@
 	return c.machine.RequestCounts()
 }
 
-// servers returns what the machine takes the servers to be.
-func (c *core) servers() []direct.ServerState {
+// serverStates returns what the machine takes the servers to be.
+func (c *core) serverStates() []direct.ServerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Servers(c.Now())
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	acceptFor  = 2500 * time.Millisecond
-	lastMoment = 300 * time.Millisecond // before the end of the grace
-	drainPoll  = 50 * time.Millisecond
-	drainQuiet = 8 // polls without a request, before the end
-	// drainRest is how long a connection must have been at rest to be closed
+	drainAcceptTime   = 2500 * time.Millisecond
+	shutdownReserve   = 300 * time.Millisecond // before the end of the grace
+	drainPollInterval = 50 * time.Millisecond
+	drainQuietPolls   = 8 // polls without a request, before the end
+	// drainIdleTimeout is how long a connection must have been at rest to be closed
 	// once the balancer sends no more: its caller then asks another router.
-	drainRest    = 200 * time.Millisecond
-	defaultGrace = 8 * time.Second
+	drainIdleTimeout = 200 * time.Millisecond
+	defaultGrace     = 8 * time.Second
 )
 
 // ready tells why the router takes no callers, or nil.
@@ -34,7 +34,7 @@
 	return nil
 }
 
-func (g *Gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if err := g.ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	}
@@ -44,26 +44,26 @@
 // connections served until the balancer has stopped sending them, requests
 // under way to their end within the grace.
 func (g *Gateway) drain() {
-	began := time.Now()
+	start := time.Now()
 	g.front.draining.Store(true)
 	g.log.Event("drain").Int64("active", g.front.active.Load()).Msg("")
 	grace := time.Duration(g.grace.Load())
 	if grace <= 0 {
 		grace = defaultGrace
 	}
-	time.Sleep(min(acceptFor, grace/3))
+	time.Sleep(min(drainAcceptTime, grace/3))
 	g.front.refusing.Store(true)
 	// Requests may still lie unread where the router is late: it ends only
 	// after nothing has come for a while.
-	for quiet := 0; quiet < drainQuiet && time.Since(began) < grace-lastMoment; {
-		time.Sleep(drainPoll)
-		g.front.callers.sweep(drainRest)
+	for quiet := 0; quiet < drainQuietPolls && time.Since(start) < grace-shutdownReserve; {
+		time.Sleep(drainPollInterval)
+		g.front.conns.closeIdle(drainIdleTimeout)
 		quiet++
-		if g.front.active.Load() > 0 || g.front.callers.unread() || g.front.callers.waiting() {
+		if g.front.active.Load() > 0 || g.front.conns.hasUnreadRequests() || g.front.conns.hasPendingResponses() {
 			quiet = 0
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), lastMoment/3)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve/3)
 	defer cancel()
 	_ = g.server.Shutdown(ctx) // it fails where callers still hold connections; the process ends with them
 }
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -9,11 +9,11 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// teamsDumped bounds the teams in a dump.
-const teamsDumped = 50
+// maxDumpedTeams bounds the teams in a dump.
+const maxDumpedTeams = 50
 
-// suspectsDumped bounds the contents in a dump under which servers crashed.
-const suspectsDumped = 50
+// maxDumpedSuspects bounds the contents in a dump under which servers crashed.
+const maxDumpedSuspects = 50
 
 // State is what a router shows of itself.
 type State struct {
@@ -45,8 +45,8 @@
 		Name: g.settings.Name, Config: feeds.Config.Revision(), ConfigAge: feeds.Config.Age(),
 		Servers: feeds.Servers.Revision(), Evacuations: feeds.Evacuations.Revision(),
 		Active: g.front.active.Load(), Dropped: g.log.Dropped(), Peers: g.cluster.Peers.Live(),
-		Suspects: g.core.suspects(suspectsDumped),
-		Shares:   g.core.shares(teamsDumped), Engines: g.core.servers(), Traffic: g.traffic.Sums(),
+		Suspects: g.core.quarantineStates(maxDumpedSuspects),
+		Shares:   g.core.shares(maxDumpedTeams), Engines: g.core.serverStates(), Traffic: g.traffic.Sums(),
 	}
 	if e := feeds.Evacuations.Newest(); e != nil {
 		s.EvacuatedHalls = e.Halls
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -21,25 +21,25 @@
 // route or key. Found on a grown site as CONFIG.
 func TestLateRouterDisownsNothing(t *testing.T) {
 	f := &front{core: &core{}}
-	refused := f.unknown(http.StatusNotFound, "no_route")
+	refused := f.refuseUnknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusNotFound, refused.status)
 	require.Equal(t, "no_route", refused.reason)
 	f.core.pressure.Observe(0, time.Second)
-	refused = f.unknown(http.StatusNotFound, "no_route")
+	refused = f.refuseUnknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
 	require.Equal(t, reasonPressure, refused.reason)
-	require.Positive(t, refused.after)
+	require.Positive(t, refused.retryAfter)
 }
 
-// unreadBody fails the test when it is read.
-type unreadBody struct{ t *testing.T }
+// mustNotReadBody fails the test when it is read.
+type mustNotReadBody struct{ t *testing.T }
 
-func (b unreadBody) Read([]byte) (int, error) {
+func (b mustNotReadBody) Read([]byte) (int, error) {
 	b.t.Error("the body of a request that is refused at the door was read")
 	return 0, io.EOF
 }
 
-func (unreadBody) Close() error { return nil }
+func (mustNotReadBody) Close() error { return nil }
 
 // plainDialect is a dialect without any headers.
 type plainDialect struct{ Dialect }
@@ -57,14 +57,14 @@
 // floodedFront returns a front whose only team has used its allowance up, so that
 // all requests are refused at the door.
 func floodedFront(tb testing.TB) *front {
-	j := eventlog.New(io.Discard, "bench")
-	tb.Cleanup(j.Close)
-	c := newCore(direct.Options{}, j)
+	log := eventlog.New(io.Discard, "bench")
+	tb.Cleanup(log.Close)
+	c := newCore(direct.Options{}, log)
 	counts := stats.New(tally.NoopScope)
-	feeds := feed.NewSet(feed.Options{Decisions: c, Log: j, Stats: counts})
+	feeds := feed.NewSet(feed.Options{Decisions: c, Log: log, Stats: counts})
 	f := &front{
-		core: c, feeds: feeds, log: j, stats: counts, dialect: plainDialect{},
-		queues: newTestQueues(1 << 20), callers: newTestCallers(1000, 0),
+		core: c, feeds: feeds, log: log, stats: counts, dialect: plainDialect{},
+		sendQueues: newTestQueues(1 << 20), conns: newTestCallerConns(1000, 0),
 	}
 	feeds.Config.Offer(&direct.Config{
 		Version:  1,
@@ -75,10 +75,10 @@
 	}, "bench")
 	feeds.Servers.OfferAll(&direct.Directory{Servers: []direct.Server{{ID: "i-1", Service: "llm", Slots: 8}}}, "bench")
 	request := direct.Request{Team: "flood", Service: "llm", Objective: time.Second, PromptTokens: 5000}
-	first, _ := c.arrive(request)
+	first, _ := c.submit(request)
 	c.Update(direct.FirstEventMsg{Now: c.Now(), ID: first})
 	c.Update(direct.TickMsg{Now: 150 * time.Millisecond})
-	c.arrive(request)
+	c.submit(request)
 	return f
 }
 
@@ -87,7 +87,7 @@
 func TestFloodIsRefusedUnread(t *testing.T) {
 	f := floodedFront(t)
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, &http.Request{Method: http.MethodPost, Host: "h", RequestURI: "/x", Header: http.Header{}, Body: unreadBody{t}, ContentLength: 5000})
+	f.ServeHTTP(w, &http.Request{Method: http.MethodPost, Host: "h", RequestURI: "/x", Header: http.Header{}, Body: mustNotReadBody{t}, ContentLength: 5000})
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.Equal(t, "over_share\n", w.Body.String())
 	require.NotEmpty(t, w.Header().Get("Come-Back"))
@@ -115,6 +115,6 @@
 	_, err = conn.Write([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"))
 	require.NoError(t, err)
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
-	answer, _ := io.ReadAll(conn)
-	require.Empty(t, string(answer))
+	resp, _ := io.ReadAll(conn)
+	require.Empty(t, string(resp))
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	dialTimeout = 300 * time.Millisecond
-	silentPeer  = 1200 * time.Millisecond
-	maxIdle     = 64
-	sweepEvery  = time.Second
-	vitalsEvery = 2 * time.Second
-	teamsLogged = 4
-	headerLimit = 32 << 10
-	headerWait  = 5 * time.Second
-	idleWait    = 120 * time.Second
-	// heldShare is the part of the memory for callers' bodies and unread answers; with copies
+	dialTimeout        = 300 * time.Millisecond
+	peerSilenceTimeout = 1200 * time.Millisecond
+	maxIdleConns       = 64
+	sweepInterval      = time.Second
+	vitalsInterval     = 2 * time.Second
+	maxLoggedTeams     = 4
+	maxHeaderBytes     = 32 << 10
+	headerTimeout      = 5 * time.Second
+	defaultIdleTimeout = 120 * time.Second
+	// heldMemoryDivisor is the part of the memory for callers' bodies and unread answers; with copies
 	// that are made as they grow, and the garbage of those, they take up to thrice that.
-	heldShare   = 8
-	memoryShare = 0.6 // of the memory, from which the collector works harder
+	heldMemoryDivisor   = 8
+	memoryLimitFraction = 0.6 // of the memory, from which the collector works harder
 )
 
 // Gateway is one router.
@@ -60,7 +60,7 @@
 
 // New returns a gateway that logs to out.
 func New(s Settings, source Source, dialect Dialect, out io.Writer) (*Gateway, error) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	g := &Gateway{settings: s, source: source, dialect: dialect, log: eventlog.New(out, s.Name)}
 	g.grace.Store(int64(s.Grace))
 	g.core = newCore(direct.Options{
@@ -70,46 +70,46 @@
 	g.admin = admin.New(admin.Source{Ready: g.ready, State: g.dump})
 	g.stats = stats.New(g.admin.Scope())
 	g.traffic = traffic.NewCounter(g.admin.Scope())
-	if err := g.join(); err != nil {
+	if err := g.setUpCluster(); err != nil {
 		return nil, err
 	}
-	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldShare), g.log.Unread)
+	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldMemoryDivisor), g.log.Unread)
 	g.front = &front{
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
-		pool:   backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: silentPeer, MaxIdle: maxIdle}),
-		queues: queues, callers: newCallers(callersMost(s.Descriptors), s.Cores, queues), eventDelay: s.MaxEventDelay,
+		pool:       backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: peerSilenceTimeout, MaxIdle: maxIdleConns}),
+		sendQueues: queues, conns: newCallerConns(maxCallers(s.Descriptors), s.Cores, queues), maxEventDelay: s.MaxEventDelay,
 		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.RolloutBounds.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
-		Handler: g.front, MaxHeaderBytes: headerLimit, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait,
-		ConnState: g.front.callers.state, ConnContext: g.front.callers.context,
+		Handler: g.front, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: defaultIdleTimeout,
+		ConnState: g.front.conns.connState, ConnContext: g.front.conns.connContext,
 	}
 	return g, nil
 }
 
-// join sets up what the router shares with the others.
-func (g *Gateway) join() error {
+// setUpCluster sets up what the router shares with the others.
+func (g *Gateway) setUpCluster() error {
 	s := g.settings
 	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.MaxEvacuationTime}
-	parts := cluster.Dependencies{
+	deps := cluster.Dependencies{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
 	if s.RolloutBounds.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
 			Bounds: s.RolloutBounds, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
-		g.core.answers = g.rollouts.Tell
-		feeds.Rollouts, parts.Rollouts = g.rollouts, g.rollouts
+		g.core.notifyRollouts = g.rollouts.Tell
+		feeds.Rollouts, deps.Rollouts = g.rollouts, g.rollouts
 	}
 	g.feeds = feed.NewSet(feeds)
-	parts.Feeds = g.feeds
+	deps.Feeds = g.feeds
 	var err error
-	g.cluster, err = cluster.New(s.cluster(), parts)
+	g.cluster, err = cluster.New(s.cluster(), deps)
 	if err != nil {
 		return err
 	}
-	g.core.report = g.cluster.ReportNow
+	g.core.reportNow = g.cluster.ReportNow
 	g.puller, err = feed.NewPuller(g.feeds, feed.PullOptions{
 		Address: s.Address, Control: s.ControlAddress, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
 	})
@@ -120,13 +120,13 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	defer g.log.Close()
 	g.log.Event("start").Str("zone", g.settings.Zone).Str("address", g.settings.Address).Msg("")
-	life, end := context.WithCancel(context.Background())
-	defer end()
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
 	failed := make(chan error, 8)
-	if err := g.listen(life, failed); err != nil {
+	if err := g.listen(runCtx, failed); err != nil {
 		return err
 	}
-	g.duties(life)
+	g.startTasks(runCtx)
 	select {
 	case err := <-failed:
 		return err
@@ -137,72 +137,72 @@
 	return nil
 }
 
-// duties starts what goes on beside the requests.
-func (g *Gateway) duties(life context.Context) {
-	duties := append(g.cluster.Tasks(), g.core.tick, g.puller.Run, g.sweep, g.vitals)
+// startTasks starts what goes on beside the requests.
+func (g *Gateway) startTasks(ctx context.Context) {
+	tasks := append(g.cluster.Tasks(), g.core.runTicks, g.puller.Run, g.runSweeps, g.logVitals)
 	for _, f := range g.feeds.Followed() {
-		duties = append(duties, func(ctx context.Context) error { return g.feeds.Follow(ctx, f, g.cluster.Peers) })
+		tasks = append(tasks, func(ctx context.Context) error { return g.feeds.Follow(ctx, f, g.cluster.Peers) })
 	}
-	if g.core.without.Enabled(direct.Quarantine) {
-		duties = append(duties, newKeeper(g.core, g.source, g.cluster.Peers.Leads, g.log).run)
+	if g.core.disabled.Enabled(direct.Quarantine) {
+		tasks = append(tasks, newQuarantineRecorder(g.core, g.source, g.cluster.Peers.Leads, g.log).run)
 	}
 	if g.rollouts != nil {
-		duties = append(duties, func(ctx context.Context) error { return g.rollouts.Run(ctx, g.cluster.Peers) })
+		tasks = append(tasks, func(ctx context.Context) error { return g.rollouts.Run(ctx, g.cluster.Peers) })
 	}
-	for _, duty := range duties {
+	for _, task := range tasks {
 		go func() {
-			if err := duty(life); err != nil {
+			if err := task(ctx); err != nil {
 				g.log.Event("duty_ended").Err(err).Msg("")
 			}
 		}()
 	}
 }
 
-// sweep closes connections that are of no more use.
-func (g *Gateway) sweep(ctx context.Context) error {
+// runSweeps closes connections that are of no more use.
+func (g *Gateway) runSweeps(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, sweepEvery)
-		wanted := make(map[string]bool)
+		wait.Sleep(ctx, sweepInterval)
+		listed := make(map[string]bool)
 		if d := g.feeds.Servers.Newest(); d != nil {
 			for _, s := range d.Servers {
-				wanted[s.Address] = true
+				listed[s.Address] = true
 			}
 		}
 		if table := g.feeds.Config.Table(); table != nil {
-			g.front.ages.keep(table.HasRoute)
+			g.front.ages.retainRoutes(table.HasRoute)
 		}
-		g.front.callers.sweep(g.restTime())
-		g.front.pool.Sweep(func(address string) bool { return wanted[address] })
+		g.front.conns.closeIdle(g.callerIdleTimeout())
+		g.front.pool.Sweep(func(address string) bool { return listed[address] })
 	}
 	return nil
 }
 
-// restTime is how long a caller's connection may be at rest: somewhat longer
+// callerIdleTimeout is how long a caller's connection may be at rest: somewhat longer
 // than callers are told, since they may resume one until then.
-func (g *Gateway) restTime() time.Duration {
+func (g *Gateway) callerIdleTimeout() time.Duration {
 	t := g.feeds.Config.Table()
 	if t == nil {
-		return idleWait
+		return defaultIdleTimeout
 	}
 	return t.Config.Limits.IdleTimeout * 5 / 4
 }
 
-// vitals logs how the process itself does, every few seconds.
-func (g *Gateway) vitals(ctx context.Context) error {
+// logVitals logs how the process itself does, every few seconds.
+func (g *Gateway) logVitals(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, vitalsEvery)
+		wait.Sleep(ctx, vitalsInterval)
 		var m runtime.MemStats
 		runtime.ReadMemStats(&m)
-		g.log.Event("vitals").Int64("active", g.front.active.Load()).Int64("held_bytes", g.front.queues.Held()).
-			Int64("answers_waiting", g.front.queues.Waiting()).Int64("answers_dropped", g.front.queues.Dropped()).
+		g.log.Event("vitals").Int64("active", g.front.active.Load()).Int64("held_bytes", g.front.sendQueues.Held()).
+			Int64("answers_waiting", g.front.sendQueues.Waiting()).Int64("answers_dropped", g.front.sendQueues.Dropped()).
 			Dur("lag", g.core.pressure.Lag()).Float64("shed", g.core.pressure.ShedFraction()).
 			Bool("yields", g.core.pressure.Yields()).Int("goroutines", runtime.NumGoroutine()).
 			Uint64("heap_bytes", m.HeapInuse).Uint64("stack_bytes", m.StackInuse).Uint32("collections", m.NumGC).
-			Int("connections", len(g.front.callers.places)).
-			Int64("connections_unserved", g.front.callers.unserved.Load()).Uint64("lines_dropped", g.log.Dropped()).Msg("")
+			Int("connections", len(g.front.conns.slots)).
+			Int64("connections_unserved", g.front.conns.unserved.Load()).Uint64("lines_dropped", g.log.Dropped()).Msg("")
 		g.stats.ConfigAge.RecordDuration(g.feeds.Config.Age())
-		g.log.Shares(g.core.shares(teamsLogged))
-		g.front.accounts.log(g.log)
+		g.log.Shares(g.core.shares(maxLoggedTeams))
+		g.front.outcomes.log(g.log)
 		g.log.Event("traffic").Any("bytes", g.traffic.Sums()).Any("source_calls", g.stats.SourceCalls()).Msg("")
 	}
 	return nil
--- a/gateway/moving.go
+++ b/gateway/moving.go
@@ -7,7 +7,7 @@
 		return
 	}
 	a.movable = true
-	a.x.front.core.setBreakOff(a.x.id, func() {
+	a.x.front.core.setAbort(a.x.id, func() {
 		a.moved.Store(true)
 		_ = a.conn.Close() // whoever reads from it finds it closed
 	})
@@ -17,6 +17,6 @@
 func (a *attempt) forbidMove() {
 	if a.movable {
 		a.movable = false
-		a.x.front.core.clearBreakOff(a.x.id)
+		a.x.front.core.clearAbort(a.x.id)
 	}
 }
--- a/gateway/accounts.go
+++ b/gateway/outcomes.go
@@ -41,20 +41,20 @@
 	a.UnservedMS += b.UnservedMS
 }
 
-// accounts are those of a router, by team and by route. The zero value is ready.
-type accounts struct {
+// outcomeCounters are those of a router, by team and by route. The zero value is ready.
+type outcomeCounters struct {
 	mu     sync.Mutex
 	teams  map[string]OutcomeCounts
 	routes map[string]OutcomeCounts
 }
 
-// note counts how a request ended. Requests whose caller left are not counted: nobody
+// record counts how a request ended. Requests whose caller left are not counted: nobody
 // knows what it would have got.
-func (a *accounts) note(x *exchange, result string, now time.Duration) {
-	if result == resultLeft {
+func (a *outcomeCounters) record(x *exchange, result string, now time.Duration) {
+	if result == resultCallerLeft {
 		return
 	}
-	one := accountOf(x, result, now)
+	counts := countsOf(x, result, now)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.teams == nil {
@@ -62,37 +62,37 @@
 	}
 	for name, all := range map[string]map[string]OutcomeCounts{x.team: a.teams, x.route.Name: a.routes} {
 		sum := all[name]
-		sum.Add(one)
+		sum.Add(counts)
 		all[name] = sum
 	}
 }
 
-func accountOf(x *exchange, result string, now time.Duration) OutcomeCounts {
-	returned := x.age > 0
+func countsOf(x *exchange, result string, now time.Duration) OutcomeCounts {
+	isRetry := x.age > 0
 	if result == resultServed {
-		answered := now
-		if x.firstAt > 0 {
-			answered = x.firstAt
+		respondedAt := now
+		if x.respondedAt > 0 {
+			respondedAt = x.respondedAt
 		}
 		switch {
-		case returned:
+		case isRetry:
 			return OutcomeCounts{RetriesServed: 1}
-		case answered-x.start > x.route.Objective:
+		case respondedAt-x.start > x.route.Objective:
 			return OutcomeCounts{FirstLate: 1}
 		}
 		return OutcomeCounts{FirstOnTime: 1}
 	}
-	one := OutcomeCounts{UnservedMS: (now - x.start).Milliseconds()}
-	if returned {
-		one.RetriesUnserved = 1
+	counts := OutcomeCounts{UnservedMS: (now - x.start).Milliseconds()}
+	if isRetry {
+		counts.RetriesUnserved = 1
 	} else {
-		one.FirstUnserved = 1
+		counts.FirstUnserved = 1
 	}
-	return one
+	return counts
 }
 
 // take returns what was counted since the last call.
-func (a *accounts) take() (teams, routes map[string]OutcomeCounts) {
+func (a *outcomeCounters) take() (teams, routes map[string]OutcomeCounts) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	teams, routes = a.teams, a.routes
@@ -101,7 +101,7 @@
 }
 
 // log logs what was counted since the last such line.
-func (a *accounts) log(l *eventlog.Log) {
+func (a *outcomeCounters) log(l *eventlog.Log) {
 	if teams, routes := a.take(); len(teams) > 0 {
 		l.Event(OutcomeCountsEvent).Any("teams", teams).Any("routes", routes).Msg("")
 	}
--- a/gateway/accounts_test.go
+++ b/gateway/outcomes_test.go
@@ -8,25 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAccounts counts a request of each end.
-func TestAccounts(t *testing.T) {
+// TestOutcomeCounts counts a request of each end.
+func TestOutcomeCounts(t *testing.T) {
 	route := &direct.Route{Name: "r", Objective: 300 * time.Millisecond}
 	at := func(ms int) time.Duration { return time.Second + time.Duration(ms)*time.Millisecond }
-	var a accounts
-	note := func(result string, age, first, end int) {
+	var a outcomeCounters
+	record := func(result string, age, first, end int) {
 		x := &exchange{route: route, team: "red", start: time.Second, age: time.Duration(age) * time.Millisecond}
 		if first > 0 {
-			x.firstAt = at(first)
+			x.respondedAt = at(first)
 		}
-		a.note(x, result, at(end))
+		a.record(x, result, at(end))
 	}
-	note(resultServed, 0, 200, 2000) // in time: its first event was
-	note(resultServed, 0, 0, 200)
-	note(resultServed, 0, 400, 2000)
-	note(resultServed, 900, 100, 2000)
-	note(resultRefused, 0, 0, 70)
-	note(resultFailed, 900, 0, 130)
-	note(resultLeft, 0, 0, 500)
+	record(resultServed, 0, 200, 2000) // in time: its first event was
+	record(resultServed, 0, 0, 200)
+	record(resultServed, 0, 400, 2000)
+	record(resultServed, 900, 100, 2000)
+	record(resultRefused, 0, 0, 70)
+	record(resultFailed, 900, 0, 130)
+	record(resultCallerLeft, 0, 0, 500)
 	teams, routes := a.take()
 	want := OutcomeCounts{FirstOnTime: 2, FirstLate: 1, RetriesServed: 1, FirstUnserved: 1, RetriesUnserved: 1, UnservedMS: 200}
 	require.Equal(t, map[string]OutcomeCounts{"red": want}, teams)
--- a/gateway/keeper.go
+++ b/gateway/quarantine.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// keepEvery is the time between two looks for records that the store should get or lose:
+	// recordInterval is the time between two looks for records that the store should get or lose:
 	// routers that lose power sooner after a crash have few more.
-	keepEvery = 250 * time.Millisecond
-	// keepRetry is the time after a call that failed.
-	keepRetry = time.Second
-	// keepAgain is the time after which a call is made again whose change the feed hasn't brought,
+	recordInterval = 250 * time.Millisecond
+	// recordRetryDelay is the time after a call that failed.
+	recordRetryDelay = time.Second
+	// recordRepeatDelay is the time after which a call is made again whose change the feed hasn't brought,
 	// which may take it as long as one call of its own.
-	keepAgain = 35 * time.Second
-	// keepTimeout bounds one call.
-	keepTimeout = 1500 * time.Millisecond
+	recordRepeatDelay = 35 * time.Second
+	// recordTimeout bounds one call.
+	recordTimeout = 1500 * time.Millisecond
 )
 
 // QuarantineStore is where records of barred contents are written.
@@ -31,31 +31,31 @@
 	RemoveQuarantine(ctx context.Context, c quarantine.Fingerprint) error
 }
 
-// keeper writes the records of barred contents, as long as its router leads.
-type keeper struct {
+// quarantineRecorder writes the records of barred contents, as long as its router leads.
+type quarantineRecorder struct {
 	core        *core
 	leads       func() bool
 	log         *eventlog.Log
 	add, remove *recordWriter
 }
 
-func newKeeper(c *core, s QuarantineStore, leads func() bool, l *eventlog.Log) *keeper {
-	return &keeper{
+func newQuarantineRecorder(c *core, s QuarantineStore, leads func() bool, l *eventlog.Log) *quarantineRecorder {
+	return &quarantineRecorder{
 		core: c, leads: leads, log: l,
 		add: newRecordWriter("add", s.AddQuarantine), remove: newRecordWriter("remove", s.RemoveQuarantine),
 	}
 }
 
 // run keeps the records until ctx ends.
-func (k *keeper) run(ctx context.Context) error {
+func (k *quarantineRecorder) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, keepEvery)
+		wait.Sleep(ctx, recordInterval)
 		if !k.leads() {
 			continue
 		}
-		add, remove := k.core.records()
+		add, remove := k.core.pendingRecords()
 		if !k.write(ctx, k.add, add) || !k.write(ctx, k.remove, remove) {
-			wait.Sleep(ctx, keepRetry)
+			wait.Sleep(ctx, recordRetryDelay)
 		}
 	}
 	return nil
@@ -63,11 +63,11 @@
 
 // write makes one call for each content that none was made for lately, and tells whether all
 // were done.
-func (k *keeper) write(ctx context.Context, w *recordWriter, contents []quarantine.Fingerprint) bool {
+func (k *quarantineRecorder) write(ctx context.Context, w *recordWriter, fingerprints []quarantine.Fingerprint) bool {
 	now := k.core.Now()
-	w.forget(now)
-	for _, c := range contents {
-		if _, lately := w.done[c]; lately {
+	w.expire(now)
+	for _, c := range fingerprints {
+		if _, recent := w.writtenAt[c]; recent {
 			continue
 		}
 		err := w.write(ctx, now, c)
@@ -81,26 +81,26 @@
 
 // recordWriter makes one kind of call for contents, and remembers for which it was made.
 type recordWriter struct {
-	what string // as logs name it
-	call func(ctx context.Context, c quarantine.Fingerprint) error
-	done map[quarantine.Fingerprint]time.Duration // when a call was done
+	what      string // as logs name it
+	call      func(ctx context.Context, c quarantine.Fingerprint) error
+	writtenAt map[quarantine.Fingerprint]time.Duration // when a call was done
 }
 
 func newRecordWriter(what string, call func(context.Context, quarantine.Fingerprint) error) *recordWriter {
-	return &recordWriter{what: what, call: call, done: make(map[quarantine.Fingerprint]time.Duration)}
+	return &recordWriter{what: what, call: call, writtenAt: make(map[quarantine.Fingerprint]time.Duration)}
 }
 
-// forget drops the calls of which the feed should long have brought what they changed.
-func (w *recordWriter) forget(now time.Duration) {
-	maps.DeleteFunc(w.done, func(_ quarantine.Fingerprint, at time.Duration) bool { return now-at > keepAgain })
+// expire drops the calls of which the feed should long have brought what they changed.
+func (w *recordWriter) expire(now time.Duration) {
+	maps.DeleteFunc(w.writtenAt, func(_ quarantine.Fingerprint, at time.Duration) bool { return now-at > recordRepeatDelay })
 }
 
 func (w *recordWriter) write(ctx context.Context, now time.Duration, c quarantine.Fingerprint) error {
-	limited, cancel := context.WithTimeout(ctx, keepTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	err := w.call(limited, c)
+	err := w.call(callCtx, c)
 	if err == nil {
-		w.done[c] = now
+		w.writtenAt[c] = now
 	}
 	return err
 }
--- a/gateway/keeper_test.go
+++ b/gateway/quarantine_test.go
@@ -17,20 +17,20 @@
 
 // recordStore keeps records of barred contents, or fails.
 type recordStore struct {
-	mu    sync.Mutex
-	down  bool
-	calls int
-	names map[quarantine.Fingerprint]bool
+	mu      sync.Mutex
+	down    bool
+	calls   int
+	records map[quarantine.Fingerprint]bool
 }
 
-func (s *recordStore) write(c quarantine.Fingerprint, there bool) error {
+func (s *recordStore) write(c quarantine.Fingerprint, present bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
 		return errors.New("the store is down")
 	}
-	s.names[c] = there
+	s.records[c] = present
 	return nil
 }
 
@@ -46,24 +46,24 @@
 func (s *recordStore) has(c quarantine.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.names[c]
+	return s.records[c]
 }
 
-// TestKeeperWritesRecords has contents be barred and released while the store is down and a router
+// TestQuarantineRecorder has contents be barred and released while the store is down and a router
 // leads, or doesn't: what is barred is recorded once the store is back, by the one that leads, and
 // each record costs one call where the store answers.
-func TestKeeperWritesRecords(t *testing.T) {
+func TestQuarantineRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
 		log := eventlog.New(io.Discard, "test")
 		defer log.Close()
 		core := newCore(direct.Options{}, log)
-		store := &recordStore{names: make(map[quarantine.Fingerprint]bool), down: true}
+		store := &recordStore{records: make(map[quarantine.Fingerprint]bool), down: true}
 		leads := false
 		var mu sync.Mutex
-		keeper := newKeeper(core, store, func() bool { mu.Lock(); defer mu.Unlock(); return leads }, log)
+		recorder := newQuarantineRecorder(core, store, func() bool { mu.Lock(); defer mu.Unlock(); return leads }, log)
 		ended := make(chan error)
-		go func() { ended <- keeper.run(ctx) }()
+		go func() { ended <- recorder.run(ctx) }()
 		crashes := quarantine.Report{Content: 7}
 		for i := range quarantine.Server(quarantine.CrashThreshold) {
 			crashes.Crashes = append(crashes.Crashes, quarantine.CrashReport{Server: i})
--- a/gateway/refusal_bench_test.go
+++ b/gateway/refusal_bench_test.go
@@ -29,8 +29,8 @@
 			f := floodedFront(b)
 			ln, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(b, err)
-			server := &http.Server{Handler: f, ConnState: f.callers.state, ConnContext: f.callers.context}
-			go func() { _ = server.Serve(listener{ln, f.callers, func() bool { return false }, time.Sleep}) }()
+			server := &http.Server{Handler: f, ConnState: f.conns.connState, ConnContext: f.conns.connContext}
+			go func() { _ = server.Serve(callerListener{ln, f.conns, func() bool { return false }, time.Sleep}) }()
 			defer server.Close()
 			body := bytes.Repeat([]byte("x"), 6000)
 			request := []byte(fmt.Sprintf("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
@@ -44,7 +44,7 @@
 				return fd
 			}
 			fd := open()
-			answer := make([]byte, 4096)
+			resp := make([]byte, 4096)
 			all, own := cpuTime(syscall.RUSAGE_SELF), cpuTime(syscall.RUSAGE_THREAD)
 			for b.Loop() {
 				if !kept {
@@ -53,9 +53,9 @@
 				}
 				_, err := syscall.Write(fd, request)
 				require.NoError(b, err)
-				n, err := syscall.Read(fd, answer)
+				n, err := syscall.Read(fd, resp)
 				require.NoError(b, err)
-				require.True(b, bytes.HasPrefix(answer[:n], []byte("HTTP/1.1 503")))
+				require.True(b, bytes.HasPrefix(resp[:n], []byte("HTTP/1.1 503")))
 			}
 			spent := cpuTime(syscall.RUSAGE_SELF) - all - (cpuTime(syscall.RUSAGE_THREAD) - own)
 			b.ReportMetric(float64(spent)/float64(b.N)/1000, "server-us/op")
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -11,7 +11,7 @@
 // until its end; a changed address of its own is logged. Bounds of roll-outs are taken at
 // the start alone: what is under way was begun with them.
 func (g *Gateway) Reload(s Settings) {
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	g.grace.Store(int64(s.Grace))
 	g.core.Update(direct.RetryBudgetMsg{RetryBudget: s.RetryBudget})
 	g.core.Update(direct.DrainMsg{Drain: s.MaxDrainTime})
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -12,15 +12,15 @@
 // by a sample of ids.
 func (x *exchange) log(result string, status int, reason string) {
 	if result == resultServed {
-		if !eventlog.Sampled(x.envelope.ID) {
+		if !eventlog.Sampled(x.info.ID) {
 			return
 		}
 	} else if !x.front.log.AllowFailure() {
 		return
 	}
 	e := x.describe(x.front.log.Event("request_"+result)).Int("status", status).Str("reason", reason).Dur("took", x.front.core.Now()-x.start)
-	if x.firstAt > 0 {
-		e.Dur("first_after", x.firstAt-x.start)
+	if x.respondedAt > 0 {
+		e.Dur("first_after", x.respondedAt-x.start)
 	}
 	e.Msg("")
 }
@@ -36,19 +36,19 @@
 // it, with ages and versions.
 func (x *exchange) describe(e *log.Entry) *log.Entry {
 	feeds := x.front.feeds
-	e.Str("request", x.envelope.ID).Str("team", x.team).Str("route", x.route.Name).Str("service", x.service).
-		Dur("age", x.age).Dur("left", x.envelope.TimeLeft).
+	e.Str("request", x.info.ID).Str("team", x.team).Str("route", x.route.Name).Str("service", x.service).
+		Dur("age", x.age).Dur("left", x.info.TimeLeft).
 		Int("attempts", x.attempts).Uint64("config", feeds.Config.Revision()).Uint64("servers", feeds.Servers.Revision()).Uint64("evacuations", feeds.Evacuations.Revision()).
-		Dur("config_age", feeds.Config.Age()).Float64("share", x.last.PlacementBasis.Share)
-	if x.content != 0 {
-		e.Str("content", x.content.String())
+		Dur("config_age", feeds.Config.Age()).Float64("share", x.lastSend.PlacementBasis.Share)
+	if x.fingerprint != 0 {
+		e.Str("content", x.fingerprint.String())
 	}
 	if x.attempts > 0 {
-		b := x.last.PlacementBasis
-		e.Str("server", x.last.Server.ID).Int("running", b.Running).Int("pending_tokens", b.Pending).
-			Int("miss_tokens", b.MissTokens).Dur("estimate", b.Estimate).Dur("waited", b.QueueWait)
-		if b.Side != "" {
-			e.Str("version", x.last.Server.Version).Str("side", string(b.Side))
+		basis := x.lastSend.PlacementBasis
+		e.Str("server", x.lastSend.Server.ID).Int("running", basis.Running).Int("pending_tokens", basis.Pending).
+			Int("miss_tokens", basis.MissTokens).Dur("estimate", basis.Estimate).Dur("waited", basis.QueueWait)
+		if basis.Side != "" {
+			e.Str("version", x.lastSend.Server.Version).Str("side", string(basis.Side))
 		}
 		if x.notice.Leaving {
 			e.Bool("server_leaving", true)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -14,98 +14,98 @@
 	"github.com/croftvale/croftvale/gateway/pressure"
 )
 
-// eventMost bounds one event of a stream.
-const eventMost = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
 // isStream tells whether an answer is a series of events.
-func (a *attempt) isStream(answer *http.Response) bool {
-	return answer.StatusCode == http.StatusOK && a.x.route.Kind == direct.Stream &&
-		strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream")
+func (a *attempt) isStream(resp *http.Response) bool {
+	return resp.StatusCode == http.StatusOK && a.x.route.Kind == direct.Stream &&
+		strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
 // stream passes whole events on as they come. Where the server breaks off, the
 // stream may go on at another server after the last event that was forwarded.
-func (a *attempt) stream(answer *http.Response, v ResponseInfo) (direct.Outcome, bool) {
-	if !sound(answer, v) {
+func (a *attempt) stream(resp *http.Response, info ResponseInfo) (direct.Outcome, bool) {
+	if !isForwardable(resp, info) {
 		a.conn.Close()
-		return a.lost(direct.Broken)
+		return a.endWithoutResponse(direct.Broken)
 	}
-	events := eventReader{reader: bufio.NewReaderSize(answer.Body, eventBuffer)}
+	events := eventReader{reader: bufio.NewReaderSize(resp.Body, eventBufferBytes)}
 	for {
-		a.bound()
+		a.setStallDeadline()
 		event, err := events.next()
-		if err == io.EOF && answer.ContentLength < 0 && answer.Close && len(answer.TransferEncoding) == 0 {
+		if err == io.EOF && resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 {
 			// Without a frame nobody can tell this end from a break.
 			err = io.ErrUnexpectedEOF
 		}
 		if err == io.EOF {
-			return a.streamEnded()
+			return a.endStream()
 		}
 		if err != nil {
 			a.conn.Close()
-			return a.broken(a.silence(err, a.mayGoOn()))
+			return a.endBrokenStream(a.readOutcome(err, a.mayRetry()))
 		}
-		if !a.follows(event) {
+		if !a.isNext(event) {
 			a.conn.Close()
-			return a.broken(direct.Broken)
+			return a.endBrokenStream(direct.Broken)
 		}
-		last := !events.another()
-		if a.pass(answer, event, last) != nil {
+		last := !events.hasNext()
+		if a.forward(resp, event, last) != nil {
 			a.conn.Close()
 			a.x.callerLeft(http.StatusOK)
 			return direct.GivenUp, true
 		}
-		if last && a.x.front.core.without.Enabled(direct.EventBatching) {
-			time.Sleep(pressure.BatchDelay(a.x.front.core.Now(), a.x.front.core.pressure.Lag(), a.x.front.eventDelay))
+		if last && a.x.front.core.disabled.Enabled(direct.EventBatching) {
+			time.Sleep(pressure.BatchDelay(a.x.front.core.Now(), a.x.front.core.pressure.Lag(), a.x.front.maxEventDelay))
 		}
 	}
 }
 
-// eventBuffer is the buffer over a stream's body.
-const eventBuffer = 1 << 10
+// eventBufferBytes is the buffer over a stream's body.
+const eventBufferBytes = 1 << 10
 
-// bound sets how long the server may say nothing.
-func (a *attempt) bound() {
-	left := a.x.deadline - a.x.front.core.Now()
-	if a.mayGoOn() && a.x.headSent {
-		left = min(left, max(streamSilence, pauseSilence*a.x.route.Pause))
-	} else if patience, bounded := a.patience(left); bounded && !a.x.headSent {
-		left = patience
+// setStallDeadline sets how long the server may say nothing.
+func (a *attempt) setStallDeadline() {
+	timeLeft := a.x.deadline - a.x.front.core.Now()
+	if a.mayRetry() && a.x.headSent {
+		timeLeft = min(timeLeft, max(minStreamStall, streamStallPauses*a.x.route.Pause))
+	} else if timeout, bounded := a.stallTimeout(timeLeft); bounded && !a.x.headSent {
+		timeLeft = timeout
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(left)) // a closed connection shows when it is read
+	_ = a.conn.SetReadDeadline(time.Now().Add(timeLeft)) // a closed connection shows when it is read
 }
 
-// mayGoOn tells whether the route allows another attempt after this one.
-func (a *attempt) mayGoOn() bool {
+// mayRetry tells whether the route allows another attempt after this one.
+func (a *attempt) mayRetry() bool {
 	return a.x.route.MayRepeat() && a.cmd.Attempt < a.x.route.Attempts
 }
 
-// follows checks that an event is the next of the stream.
-func (a *attempt) follows(event event) bool {
+// isNext checks that an event is the next of the stream.
+func (a *attempt) isNext(event event) bool {
 	if !event.hasID {
 		return true
 	}
-	if a.x.lastID != 0 && event.id != a.x.lastID+1 {
+	if a.x.lastEventID != 0 && event.id != a.x.lastEventID+1 {
 		return false
 	}
-	a.x.lastID = event.id
+	a.x.lastEventID = event.id
 	return true
 }
 
-// pass writes one event, with the head before the first. Events that came
+// forward writes one event, with the head before the first. Events that came
 // together leave together: only the last is flushed.
-func (a *attempt) pass(answer *http.Response, event event, flush bool) error {
+func (a *attempt) forward(resp *http.Response, event event, flush bool) error {
 	if !a.x.headSent {
-		copyHeader(a.x.w.Header(), answer.Header)
-		a.x.front.closing(a.x.w)
-		a.x.w.WriteHeader(answer.StatusCode)
+		copyHeader(a.x.w.Header(), resp.Header)
+		a.x.front.setConnectionClose(a.x.w)
+		a.x.w.WriteHeader(resp.StatusCode)
 		a.x.headSent = true
 	}
-	if !a.begun {
-		a.begun = true
-		a.first()
+	if !a.forwarding {
+		a.forwarding = true
+		a.reportResponse()
 	}
-	a.count(len(event.raw))
+	a.countBytes(len(event.raw))
 	if _, err := a.x.w.Write(event.raw); err != nil {
 		return err
 	}
@@ -113,32 +113,32 @@
 		return nil
 	}
 	now := a.x.front.core.Now()
-	if a.x.passedAt > 0 {
-		a.x.front.stats.Pause.RecordDuration(now - a.x.passedAt)
+	if a.x.forwardedAt > 0 {
+		a.x.front.stats.Pause.RecordDuration(now - a.x.forwardedAt)
 	}
-	a.x.passedAt = now
+	a.x.forwardedAt = now
 	return a.x.front.flush(a.x.w)
 }
 
-// streamEnded ends a stream whose last event has come.
-func (a *attempt) streamEnded() (direct.Outcome, bool) {
+// endStream ends a stream whose last event has come.
+func (a *attempt) endStream() (direct.Outcome, bool) {
 	a.release()
 	if !a.x.headSent {
-		return a.lost(direct.Broken)
+		return a.endWithoutResponse(direct.Broken)
 	}
 	a.x.finish(resultServed, http.StatusOK, "")
 	return direct.Done, true
 }
 
-// broken ends an attempt whose stream broke off. Where it cannot go on
+// endBrokenStream ends an attempt whose stream broke off. Where it cannot go on
 // elsewhere, the caller's connection is broken off too.
-func (a *attempt) broken(o direct.Outcome) (direct.Outcome, bool) {
-	o, ended := a.lost(o)
+func (a *attempt) endBrokenStream(o direct.Outcome) (direct.Outcome, bool) {
+	o, ended := a.endWithoutResponse(o)
 	if ended {
 		return o, true
 	}
 	if a.x.headSent && !a.x.route.MayRepeat() {
-		a.closeRun(o)
+		a.reportEnd(o)
 		a.x.abort("stream_broken")
 	}
 	return o, false
@@ -162,8 +162,8 @@
 	eventEnd = []byte("\n\n")
 )
 
-// another tells whether one more whole event can be read without waiting.
-func (e *eventReader) another() bool {
+// hasNext tells whether one more whole event can be read without waiting.
+func (e *eventReader) hasNext() bool {
 	buffered, err := e.reader.Peek(e.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, eventEnd)
 }
@@ -177,8 +177,8 @@
 		line, err := e.reader.ReadSlice('\n')
 		e.buffer = append(e.buffer, line...)
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(e.buffer) > eventMost {
-				return event{}, errSpoiled
+			if len(e.buffer) > maxEventBytes {
+				return event{}, errTooLarge
 			}
 			continue
 		}
--- a/gateway/waiter.go
+++ b/gateway/waiter.go
@@ -5,10 +5,10 @@
 // waiter is what the core knows of the goroutine of a request. The core's lock guards it.
 type waiter struct {
 	commands chan direct.Cmd
-	// breakOff breaks the running attempt off, so that its stream goes on elsewhere; nil: no
+	// abort breaks the running attempt off, so that its stream goes on elsewhere; nil: no
 	// attempt that may be broken off is running. It must not block.
-	breakOff func()
-	moves    bool // a move came before there was anything to break off
+	abort       func()
+	movePending bool // a move came before there was anything to break off
 }
 
 // move breaks off the attempt that runs. One that is just beginning is broken off as soon
@@ -16,33 +16,33 @@
 func (w *waiter) move() {
 	switch {
 	case w == nil:
-	case w.breakOff == nil:
-		w.moves = true
+	case w.abort == nil:
+		w.movePending = true
 	default:
-		w.breakOff()
+		w.abort()
 	}
 }
 
-// setBreakOff sets what breaks the running attempt of a request off when it is to move.
-func (c *core) setBreakOff(id direct.RequestID, breakOff func()) {
+// setAbort sets what breaks the running attempt of a request off when it is to move.
+func (c *core) setAbort(id direct.RequestID, abort func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.waiters[id]
 	if w == nil {
 		return
 	}
-	w.breakOff = breakOff
-	if w.moves {
-		w.moves = false
-		breakOff()
+	w.abort = abort
+	if w.movePending {
+		w.movePending = false
+		abort()
 	}
 }
 
-// clearBreakOff undoes setBreakOff: once it returns, breakOff is not called any more.
-func (c *core) clearBreakOff(id direct.RequestID) {
+// clearAbort undoes setBreakOff: once it returns, breakOff is not called any more.
+func (c *core) clearAbort(id direct.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w := c.waiters[id]; w != nil {
-		w.breakOff, w.moves = nil, false
+		w.abort, w.movePending = nil, false
 	}
 }
--- a/gateway/waiter_test.go
+++ b/gateway/waiter_test.go
@@ -12,16 +12,16 @@
 func TestMoveEndsWithItsAttempt(t *testing.T) {
 	c := newCore(direct.Options{}, nil)
 	c.waiters[1] = &waiter{commands: make(chan direct.Cmd, 2)}
-	broken := 0
-	attempt := func() { c.setBreakOff(1, func() { broken++ }) }
+	aborted := 0
+	startAttempt := func() { c.setAbort(1, func() { aborted++ }) }
 	c.deliver(1, direct.SendCmd{ID: 1})
 	c.waiters[1].move() // no connection was opened
 	c.deliver(1, direct.SendCmd{ID: 1})
-	attempt()
-	require.Zero(t, broken)
+	startAttempt()
+	require.Zero(t, aborted)
 
-	c.clearBreakOff(1)
+	c.clearAbort(1)
 	c.waiters[1].move()
-	attempt()
-	require.Equal(t, 1, broken, "one that is just beginning is broken off")
+	startAttempt()
+	require.Equal(t, 1, aborted, "one that is just beginning is broken off")
 }
