--- a/gateway/age.go
+++ b/gateway/age.go
@@ -6,42 +6,42 @@
 )
 
 const (
-	// maxTimeLeftTTL is how long the longest time that a route's callers gave is
-	// remembered.
+	// maxTimeLeftTTL is how long the longest remaining time sent by a route's callers is
+	// kept.
 	maxTimeLeftTTL = 30 * time.Second
-	// transitFraction is the part of that time within which a request counts as new in any case:
-	// the time that a request is on its way.
+	// transitFraction is the fraction of that time within which a request always counts as
+	// new. It covers the time that a request is in transit.
 	transitFraction = 0.02
-	// misjudgedFraction is the part of first tries that may count as older than they are: the
-	// times that callers of one route give at first differ, by a seventh where that
-	// was measured.
+	// misjudgedFraction is the fraction of first tries that may count as older than they
+	// are. The remaining times of first tries on one route differ, by as much as a
+	// seventh.
 	misjudgedFraction = 0.05
-	// spreadStep is by how much one first try moves the estimate of how far they
-	// differ: some fifty of them bring it to within 0.02.
+	// spreadStep is how much one first try changes the estimated spread; about fifty first
+	// tries bring the estimate to within 0.02.
 	spreadStep = 0.02
-	// maxSpread bounds that estimate, so that callers who come back are told apart
-	// also where many of those served do: they have used a third of their time.
+	// maxSpread caps the estimated spread, so that retries are still detected where many
+	// of the served requests are retries: they have used up a third of their time.
 	maxSpread = 0.25
 )
 
-// ageEstimator estimates how long ago a caller first asked for something: callers of a
-// route begin with about the same time to live and come back with what is left of it.
-// How far the times of first tries lie below the longest is learned from requests of
-// teams that are served as they come. The zero value knows nothing.
+// ageEstimator estimates how long ago a caller sent the first try of a request. Callers of
+// a route start with about the same time limit and send what remains of it with each retry.
+// The spread of the remaining times of first tries is learned from requests of teams that
+// stay within their shares. The zero value is ready to use.
 type ageEstimator struct {
 	mu          sync.Mutex
 	maxTimeLeft map[string]timeLeftRecord
-	spread      float64 // part of the longest time by which first tries lie below it
+	spread      float64 // how far first tries lie below the longest time, as a fraction of it
 }
 
-// timeLeftRecord is the longest time that a route's callers gave lately.
+// timeLeftRecord holds the longest remaining time that a route's callers sent recently.
 type timeLeftRecord struct {
 	timeLeft time.Duration
 	at       time.Duration
 }
 
-// estimate returns the age of a request that came with some time left; 0 where it may be a
-// first try, or its caller gave none.
+// estimate returns the age of a request that arrives with timeLeft. It returns 0 if the
+// request may be a first try or its caller sent no time limit.
 func (a *ageEstimator) estimate(now time.Duration, route string, timeLeft time.Duration) time.Duration {
 	if timeLeft <= 0 {
 		return 0
@@ -63,8 +63,8 @@
 	return time.Duration(minNewTimeLeft) - timeLeft
 }
 
-// observeFirstTry takes in the time that a request of a team within its share came with: nearly
-// all of them are first tries.
+// observeFirstTry updates the spread with a request of a team within its share. Nearly all
+// such requests are first tries.
 func (a *ageEstimator) observeFirstTry(route string, timeLeft time.Duration) {
 	if timeLeft <= 0 {
 		return
@@ -82,7 +82,7 @@
 	a.spread = max(a.spread-spreadStep*misjudgedFraction, 0)
 }
 
-// retainRoutes forgets the routes that are not in force.
+// retainRoutes drops the routes that are no longer configured.
 func (a *ageEstimator) retainRoutes(configured func(route string) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -8,25 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAges tells requests that come back from new ones, by the time that they
-// have left, for each route on its own.
+// TestAges checks that retries are told from first tries by their remaining time,
+// separately for each route.
 func TestAges(t *testing.T) {
 	var a ageEstimator
 	require.Zero(t, a.estimate(0, "reports", 15*time.Second))
-	require.Zero(t, a.estimate(time.Second, "reports", 14900*time.Millisecond), "noise")
+	require.Zero(t, a.estimate(time.Second, "reports", 14900*time.Millisecond), "within the transit time")
 	require.Equal(t, 1200*time.Millisecond, a.estimate(time.Second, "reports", 13800*time.Millisecond))
 	require.Zero(t, a.estimate(time.Second, "tags", 2500*time.Millisecond))
 	require.Equal(t, 500*time.Millisecond, a.estimate(time.Second, "tags", 2*time.Second))
-	require.Zero(t, a.estimate(time.Second, "tags", 0), "no time given")
-	require.Zero(t, a.estimate(time.Minute, "tags", 2*time.Second), "the longest is forgotten")
+	require.Zero(t, a.estimate(time.Second, "tags", 0), "no time limit given")
+	require.Zero(t, a.estimate(time.Minute, "tags", 2*time.Second), "the longest time has expired")
 	a.retainRoutes(func(route string) bool { return route == "reports" })
 	require.Len(t, a.maxTimeLeft, 1)
 }
 
-// TestAgesOfUnevenCallers has callers of a route begin with times that differ by up to 15 in
-// 100, as some do, and come back when a third of their time is over: first tries count as
-// new, the others as older by more than a second. Before, 859 of 1,000 first tries
-// counted as late already, so that new requests did not go first.
+// TestAgesOfUnevenCallers guards against first tries that count as retries, so that new
+// requests do not go first. Callers of a route start with times that differ by up to 15 in
+// 100, and retry when a third of their time is over. First tries must count as new, and
+// retries as older by more than a second. Without an estimate of the spread, 859 of 1,000
+// first tries counted as late.
 func TestAgesOfUnevenCallers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	const longest = 12 * time.Second
@@ -47,7 +48,7 @@
 			underestimated++
 		}
 		if rng.IntN(25) == 0 {
-			timeLeft = timeLeft * 2 / 3 // some come back although their team is within its share
+			timeLeft = timeLeft * 2 / 3 // some retry although their team is within its share
 		}
 		a.observeFirstTry("r", timeLeft)
 	}
@@ -56,5 +57,5 @@
 	for range 1000 {
 		a.observeFirstTry("r", newTimeLeft()*2/3)
 	}
-	require.LessOrEqual(t, a.spread, maxSpread, "also where most come back")
+	require.LessOrEqual(t, a.spread, maxSpread, "even if most requests are retries")
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,46 +16,48 @@
 )
 
 const (
-	// minStreamStall is the least pause within a stream after which it goes on
-	// elsewhere, where it may; pauseSilence the same in longest pauses.
+	// minStreamStall is the shortest pause within a stream after which the stream
+	// continues on another server, if it may. streamStallPauses is the same limit as a
+	// multiple of the route's longest pause.
 	minStreamStall    = 800 * time.Millisecond
 	streamStallPauses = 4
-	// stallObjectives is the part of the objective after which a request that may
-	// be repeated is tried elsewhere; streams get streamPatience.
+	// stallObjectives is the fraction of the objective after which a repeatable request is
+	// tried on another server. Streams use streamStallObjectives.
 	stallObjectives       = 0.6
 	streamStallObjectives = 3.0
-	// stallEstimates is the least patience in expected times to a first event.
+	// stallEstimates is the shortest stall timeout, as a multiple of the estimated time to
+	// the first event.
 	stallEstimates = 3
-	// minTimeLeft is the shortest time that is worth sending a request for.
+	// minTimeLeft is the shortest remaining time for which a request is still sent.
 	minTimeLeft = 2 * time.Millisecond
 )
 
-// errTooLarge says that an answer is not one that a server may give.
-var errTooLarge = errors.New("the answer is spoiled")
+// errTooLarge is returned for a body or a stream event that exceeds its size limit.
+var errTooLarge = errors.New("the body or event exceeds its size limit")
 
-// attempt is one request to one server.
+// attempt is one try of a request on one server.
 type attempt struct {
 	x         *exchange
 	cmd       direct.SendCmd
 	conn      *backend.Conn
-	stopWatch func() bool // ends the watch on the caller
-	// forwarding says that the first event of a stream has been forwarded.
+	stopWatch func() bool // stops watching whether the caller leaves
+	// forwarding is set once the first event of a stream has been forwarded.
 	forwarding bool
 	path       traffic.Path
-	// moved says that the attempt was broken off to go on at another version's server.
+	// moved is set when the attempt is aborted to continue on a server of another version.
 	moved       atomic.Bool
-	movable     bool // a move may break it off; see allowMove
-	connRefused bool // the server's host refused a connection
+	movable     bool // a move may abort the attempt; see allowMove
+	connRefused bool // the server's host refused the connection
 	dialOverdue bool // this process ran too late to connect
 }
 
-// countBytes counts bytes that go to the server or come from it.
+// countBytes counts bytes sent to the server or received from it.
 func (a *attempt) countBytes(n int) { a.x.front.traffic.Add(a.path, n) }
 
-// run sends the request and passes the answer on. It returns how the attempt
-// ended and whether the caller's request has ended with it.
+// run sends the request and forwards the response. It returns the outcome of the attempt
+// and whether the caller's request has ended.
 func (a *attempt) run() (direct.Outcome, bool) {
-	// The caller's time goes on while the host is suspended.
+	// The caller's deadline also passes while the host is suspended.
 	a.x.front.core.checkSuspension()
 	timeLeft := a.x.deadline - a.x.front.core.Now()
 	if timeLeft < minTimeLeft {
@@ -78,7 +80,7 @@
 	a.allowMove()
 	defer a.forbidMove()
 	timeLeft = a.x.deadline - a.x.front.core.Now()
-	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: a closed connection shows when it is used
+	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: using a closed connection returns the error
 	a.path = a.x.front.pathTo(a.cmd)
 	a.countBytes(len(a.x.body))
 	err = conn.Send(&backend.Request{
@@ -98,7 +100,7 @@
 	return a.receive(timeLeft)
 }
 
-// callInfo is what the server is told.
+// callInfo returns what is sent to the server along with the request.
 func (a *attempt) callInfo(timeLeft time.Duration) CallInfo {
 	info := CallInfo{TimeLeft: timeLeft, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.info.AfterEvent}
 	if a.x.headSent {
@@ -107,7 +109,8 @@
 	return info
 }
 
-// receive reads the head of the answer, and hands over to what reads the rest.
+// receive reads the header of the response and passes the response to the reader of its
+// body.
 func (a *attempt) receive(timeLeft time.Duration) (direct.Outcome, bool) {
 	timeout, bounded := a.stallTimeout(timeLeft)
 	if bounded {
@@ -137,11 +140,11 @@
 	return a.bufferResponse(resp, info)
 }
 
-// applyNotice takes in what the server says of itself with an answer, also one that comes late
-// and answers an earlier request.
+// applyNotice processes the server's notice in a response header, including that of a late
+// response to an earlier request.
 func (a *attempt) applyNotice(info ResponseInfo) {
 	if info.WrongServer {
-		return // it is another server's word
+		return // the response comes from another server
 	}
 	if info.NoticeErr != nil {
 		a.x.front.log.Unreadable(a.cmd.Server, info.NoticeErr)
@@ -154,8 +157,8 @@
 	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: info.Notice})
 }
 
-// stallTimeout is how long the server may say nothing, where the request could be
-// tried elsewhere.
+// stallTimeout returns how long the server may stay silent before the request is tried on
+// another server, and whether that limit applies.
 func (a *attempt) stallTimeout(timeLeft time.Duration) (time.Duration, bool) {
 	route := a.x.route
 	if !a.mayRetry() || !a.x.front.core.disabled.Enabled(direct.StallTimeout) {
@@ -169,8 +172,8 @@
 	return timeout, timeout < timeLeft
 }
 
-// readOutcome tells a server that said nothing in good time from one that broke
-// off.
+// readOutcome returns Hung if the server sent nothing before the stall timeout, and Broken
+// if its connection failed.
 func (a *attempt) readOutcome(err error, bounded bool) direct.Outcome {
 	if bounded && errors.Is(err, os.ErrDeadlineExceeded) {
 		return direct.Hung
@@ -178,8 +181,8 @@
 	return direct.Broken
 }
 
-// endWithoutResponse ends an attempt without an answer. The request has ended too where the
-// caller left or its time is over.
+// endWithoutResponse ends an attempt without a usable response. It also ends the request if
+// its caller has left or its deadline has passed.
 func (a *attempt) endWithoutResponse(o direct.Outcome) (direct.Outcome, bool) {
 	if a.moved.Load() && (o == direct.Broken || o == direct.Hung) {
 		o = direct.Moved
@@ -198,8 +201,8 @@
 	return o, false
 }
 
-// endExpired gives the answer of a request whose time is over. It may panic to
-// break a stream off, so the machine is told first.
+// endExpired ends a request whose deadline has passed. It may panic to abort a stream, so
+// it reports the outcome to the machine first.
 func (a *attempt) endExpired(o direct.Outcome) {
 	if a.x.headSent {
 		a.reportEnd(o)
@@ -207,12 +210,12 @@
 	a.x.timedOut()
 }
 
-// reportEnd tells the machine that the attempt ended, before a panic.
+// reportEnd reports the outcome of the attempt to the machine, before a panic.
 func (a *attempt) reportEnd(o direct.Outcome) {
 	a.x.front.core.Update(direct.AttemptEndMsg{Now: a.x.front.core.Now(), ID: a.x.id, Outcome: o})
 }
 
-// discard drops an answer of which only the head counts.
+// discard drops a response of which only the header matters.
 func (a *attempt) discard(resp *http.Response) {
 	if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes)); err != nil || n == maxDiscardBytes {
 		a.conn.Close()
@@ -221,8 +224,8 @@
 	a.release()
 }
 
-// release keeps the connection for other requests. Once the caller's leaving
-// may close it, it is this request's alone.
+// release returns the connection to the pool. It closes the connection instead if the
+// caller has left, since that may close the connection at any time.
 func (a *attempt) release() {
 	a.forbidMove()
 	if !a.stopWatch() {
@@ -232,5 +235,5 @@
 	a.conn.Release()
 }
 
-// maxDiscardBytes bounds a body that is read only to keep its connection.
+// maxDiscardBytes bounds a body that is read only to reuse its connection.
 const maxDiscardBytes = 64 << 10
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -10,16 +10,17 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// initialAllocation is what is allocated at first for a body or an answer. Most fit; of a larger one
-// the router holds about what has come and not what was announced, so that a caller can't
-// take its memory by a header.
+// initialAllocation is the size in bytes of the first buffer for a body or a response. Most
+// fit into it. Beyond it, the router allocates memory for the bytes that have arrived, not
+// for the announced length, so that a caller cannot claim memory with a header alone.
 const initialAllocation = 32 << 10
 
-// errNoMemory says that what came can't be held beside what the router holds already.
-var errNoMemory = errors.New("the memory for bodies and unread answers is used up")
+// errNoMemory is returned when a body or a response does not fit into the memory budget.
+var errNoMemory = errors.New("the memory budget for request bodies and unread responses is exhausted")
 
-// readBuffered reads size bytes, or where size is negative to the end, of at most most bytes. grow is
-// asked before more is allocated.
+// readBuffered reads size bytes. If size is negative, it reads to the end, but at most
+// maxSize bytes. It calls grow before each allocation and fails with errNoMemory if grow
+// returns false.
 func readBuffered(r io.Reader, size, maxSize int64, grow func(n int) bool) ([]byte, error) {
 	limit := maxSize + 1
 	if size >= 0 {
@@ -51,22 +52,25 @@
 	return body, nil
 }
 
-// grow asks for memory for n bytes more of the request's body or its answer.
+// grow reserves memory for n more bytes of the request's body or its response, and reports
+// whether that succeeded.
 func (x *exchange) grow(n int) bool { return x.front.sendQueues.Grow(&x.memory, n, x.abortBodyRead) }
 
-// abortBodyRead ends the reading of a body that must give way: its caller is told at once that the
-// request has not run.
+// abortBodyRead stops reading a body whose memory is reclaimed. The caller receives a
+// response at once that the request has not run.
 func (x *exchange) abortBodyRead() {
-	// Test writers have no deadlines.
+	// Writers of tests do not support deadlines.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Unix(1, 0))
 }
 
-// readBody reads the caller's body, of at most most bytes, within the request's time.
+// readBody reads the caller's body, of at most maxSize bytes, before the request's
+// deadline.
 func (x *exchange) readBody(maxSize int) *refusal {
 	if x.r.ContentLength == 0 {
 		x.memory.Kept = true
 	} else if err := x.bufferBody(int64(maxSize)); err != nil {
-		// What is left of the body, or a late dropBody, would meet the next request.
+		// The rest of the body, or a late abortBodyRead, would affect the next request on
+		// the connection.
 		x.w.Header().Set("Connection", "close")
 		return bodyRefusal(err)
 	}
@@ -74,9 +78,9 @@
 	return nil
 }
 
-// bufferBody reads the body, and has it give no way any more.
+// bufferBody reads the body and marks its memory as not reclaimable.
 func (x *exchange) bufferBody(maxSize int64) error {
-	// Test writers have no deadlines.
+	// Writers of tests do not support deadlines.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
 	body, err := x.receiveBody(maxSize)
@@ -86,12 +90,12 @@
 	if err != nil {
 		return err
 	}
-	_ = control.SetReadDeadline(time.Time{}) // as above
+	_ = control.SetReadDeadline(time.Time{}) // not supported by writers of tests
 	x.body = body
 	return nil
 }
 
-// receiveBody reads the body as it comes.
+// receiveBody reads the body as it arrives.
 func (x *exchange) receiveBody(maxSize int64) ([]byte, error) {
 	var source io.Reader = http.MaxBytesReader(x.w, x.r.Body, maxSize)
 	if caller := callerConnOf(x.ctx); caller != nil {
@@ -100,21 +104,21 @@
 	}
 	size := x.r.ContentLength
 	if size > maxSize {
-		_, err := io.Copy(io.Discard, source) // the caller may only read its answer after that
+		_, err := io.Copy(io.Discard, source) // the caller may read its response only after it has sent the body
 		return nil, err
 	}
 	body, err := readBuffered(source, size, maxSize, x.grow)
 	if err != nil || size < 0 {
 		return body, err
 	}
-	// Reading to the end lets the server notice when the caller leaves.
+	// Reading to the end lets net/http detect that the caller leaves.
 	if _, err = source.Read(make([]byte, 1)); err != io.EOF {
 		return body, err
 	}
 	return body, nil
 }
 
-// watchedBody notes when a caller sends more of its body.
+// watchedBody records when a caller's body was last read.
 type watchedBody struct {
 	io.Reader
 	caller *callerConn
@@ -126,7 +130,7 @@
 	return b.Reader.Read(p)
 }
 
-// bodyRefusal is how a request ends whose body could not be read.
+// bodyRefusal returns the refusal for a body that could not be read.
 func bodyRefusal(err error) *refusal {
 	var tooLarge *http.MaxBytesError
 	switch {
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -14,47 +14,46 @@
 )
 
 const (
-	// closeFraction is the part of the connections that may be held from which answers
-	// close theirs.
+	// closeFraction is the fraction of the connection limit above which responses close
+	// their connections.
 	closeFraction = 0.6
-	// lateConnsPerCore is how many connections a router that runs late keeps for each of
-	// its cores: if all of them ask at once, the last is read some 70 milliseconds
-	// later, at 75 us each.
+	// lateConnsPerCore is how many connections a late router keeps for each of its cores.
+	// If all of them send a request at once, the last is read about 70 ms later, at 75 us
+	// each.
 	lateConnsPerCore = 900
-	// minStall is for how long a caller must have taken and sent nothing for its place to go
-	// to a new caller: longer than a lost packet holds a line up.
+	// minStall is how long a caller must have read and sent nothing before its slot may go
+	// to a new caller. It is longer than the delay that a lost packet causes.
 	minStall = time.Second
 )
 
-// callerConns keeps account of the connections that callers hold: no more than a
-// number at once, and none at rest for too long. Where all places are taken, callers that
-// neither read nor send lose theirs first.
+// callerConns tracks the connections of callers and bounds their number and their idle
+// time. If all slots are taken, a new connection replaces the one that has stalled longest.
 type callerConns struct {
 	slots       chan struct{}
 	queues      *sendqueue.Queues
 	mu          sync.Mutex
 	open        map[*callerConn]bool
 	unreadConns pressure.UnreadConns
-	maxWhenLate int // connections that are kept while the router runs late; 0: all
+	maxWhenLate int // connections kept while the router is late; 0: no limit
 	// unserved counts the connections that were closed before they were accepted.
 	unserved atomic.Int64
 }
 
-// callerConn is one connection of a caller.
+// callerConn is a connection of a caller.
 type callerConn struct {
 	*sendqueue.Conn
 	conns     *callerConns
 	accepted  pressure.AcceptedConn
-	active    bool      // a request is under way
-	idleSince time.Time // zero before the first request, and during one
-	closed    bool      // by this router, while it was at rest
-	// bodyReadAt is when the last bytes of a body came that is being read, in nanoseconds on the
-	// queues' clock; 0: none is.
+	active    bool      // a request is in progress
+	idleSince time.Time // zero before the first request and during a request
+	closed    bool      // by this router, while it was idle
+	// bodyReadAt is when the body in progress was last read, in nanoseconds on the clock
+	// of the send queues; 0 if no body is being read.
 	bodyReadAt atomic.Int64
 }
 
-// newCallerConns returns the account of a router that may hold most connections, and has
-// so many cores; 0: unknown.
+// newCallerConns returns the connection table of a router that may hold maxConns
+// connections and has the given number of cores; 0 cores: unknown.
 func newCallerConns(maxConns int, cores float64, queues *sendqueue.Queues) *callerConns {
 	return &callerConns{
 		queues: queues, slots: make(chan struct{}, maxConns), open: make(map[*callerConn]bool),
@@ -62,7 +61,7 @@
 	}
 }
 
-// add begins the account of a new connection, which has a place.
+// add registers a new connection, which already holds a slot.
 func (c *callerConns) add(conn net.Conn) *callerConn {
 	caller := &callerConn{conns: c, accepted: pressure.AcceptedConn{At: time.Now()}}
 	caller.Conn = c.queues.Wrap(conn, caller.onClose)
@@ -73,8 +72,8 @@
 	return caller
 }
 
-// full tells whether there is no place for a new connection, or as many wait to be
-// read as the router reads in good time.
+// full reports whether no slot is free for a new connection, or whether as many connections
+// are unread as the router can read in time.
 func (c *callerConns) full() bool {
 	if len(c.slots) == cap(c.slots) && !c.dropStalled() {
 		return true
@@ -84,7 +83,7 @@
 	return c.unreadConns.Full(time.Now())
 }
 
-// onClose gives the place back, once the connection is closed.
+// onClose unregisters a closed connection and frees its slot.
 func (c *callerConn) onClose() {
 	c.conns.mu.Lock()
 	delete(c.conns.open, c)
@@ -93,8 +92,8 @@
 	<-c.conns.slots
 }
 
-// stalledFor is for how long the caller has neither read what waits for it nor sent more of the body
-// that is being read.
+// stalledFor returns how long the caller has neither read its pending response nor sent
+// more of the body in progress.
 func (c *callerConn) stalledFor() time.Duration {
 	stalled := c.Stalled()
 	if at := c.bodyReadAt.Load(); at != 0 {
@@ -106,18 +105,18 @@
 // callerConnKey is the context key of a request's connection.
 type callerConnKey struct{}
 
-// connContext is the http.Server's ConnContext.
+// connContext is the ConnContext function of the http.Server.
 func (c *callerConns) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// callerConnOf returns the connection of a request, nil where it isn't known.
+// callerConnOf returns the connection of a request, or nil if it is unknown.
 func callerConnOf(ctx context.Context) *callerConn {
 	caller, _ := ctx.Value(callerConnKey{}).(*callerConn)
 	return caller
 }
 
-// connState is the http.Server's ConnState.
+// connState is the ConnState function of the http.Server.
 func (c *callerConns) connState(conn net.Conn, s http.ConnState) {
 	caller, ok := conn.(*callerConn)
 	if !ok {
@@ -136,8 +135,8 @@
 	}
 }
 
-// closedByRouter tells whether a request came on a connection that was closed as it
-// came: it must not be forwarded, since its answer could not be given.
+// closedByRouter reports whether a request arrived on a connection that was just being
+// closed. Such a request must not be forwarded, since its response could not be delivered.
 func (c *callerConns) closedByRouter(ctx context.Context) bool {
 	caller := callerConnOf(ctx)
 	if caller == nil {
@@ -148,15 +147,15 @@
 	return caller.closed
 }
 
-// closedByCaller tells whether a request's caller has closed its connection; the request must
-// have been read to its end.
+// closedByCaller reports whether the caller of a request has closed its connection. The
+// request must have been read to its end.
 func (c *callerConns) closedByCaller(ctx context.Context) bool {
 	caller := callerConnOf(ctx)
 	return caller != nil && socket.Look(caller.Conn) == socket.Ended
 }
 
-// shouldClose tells whether answers should close their connections. A router that runs
-// late keeps few: the more callers ask it at once, the later it reads each of them.
+// shouldClose reports whether responses should close their connections. A late router keeps
+// few connections: the more callers send requests at once, the later it reads each of them.
 func (c *callerConns) shouldClose(late bool) bool {
 	open := len(c.slots)
 	if late && c.maxWhenLate > 0 && open > c.maxWhenLate {
@@ -165,8 +164,8 @@
 	return float64(open) > closeFraction*float64(cap(c.slots))
 }
 
-// dropStalled closes the connection that has stalled longest, where one has, and tells whether
-// there is a place then.
+// dropStalled closes the connection that has stalled longest, if any has, and reports
+// whether a slot is free then.
 func (c *callerConns) dropStalled() bool {
 	var longestStalled *callerConn
 	longest := minStall
@@ -184,11 +183,10 @@
 	return len(c.slots) < cap(c.slots)
 }
 
-// hasPendingResponses tells whether answers wait for their callers to read them.
+// hasPendingResponses reports whether any response waits for its caller to read it.
 func (c *callerConns) hasPendingResponses() bool { return c.queues.Waiting() > 0 }
 
-// hasUnreadRequests tells whether a request lies unread on a connection at rest, or on a
-// new one.
+// hasUnreadRequests reports whether a request is unread on an idle or a new connection.
 func (c *callerConns) hasUnreadRequests() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,15 +198,15 @@
 	return false
 }
 
-// closeIdle closes connections that have been at rest longer than rest. One that
-// has bytes to read is not at rest: a late router has not come to read them.
+// closeIdle closes connections that have been idle for longer than idleTimeout. A
+// connection with bytes to read is not idle: a late router may not have read them yet.
 func (c *callerConns) closeIdle(idleTimeout time.Duration) {
 	for _, caller := range c.markIdle(idleTimeout) {
-		_ = caller.Close() // at rest, so nothing is lost
+		_ = caller.Close() // idle, so nothing is lost
 	}
 }
 
-// markIdle marks and returns the connections to close.
+// markIdle marks the connections to close and returns them.
 func (c *callerConns) markIdle(idleTimeout time.Duration) []*callerConn {
 	if idleTimeout <= 0 {
 		return nil
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -13,20 +13,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestCallerConns returns an account of connections with memory for all that they hold.
+// newTestCallerConns returns a connection table with memory for all that it holds.
 func newTestCallerConns(maxConns int, cores float64) *callerConns {
 	return newCallerConns(maxConns, cores, newTestQueues(1<<20))
 }
 
-// newTestQueues returns queues that share so many bytes of memory.
+// newTestQueues returns send queues that share maxBytes of memory.
 func newTestQueues(maxBytes int64) *sendqueue.Queues {
 	return sendqueue.NewQueues(memory.NewBudget(maxBytes), func(sendqueue.Loss) {})
 }
 
-// TestSweepLeavesUnreadRequests has a late router close connections at rest: one
-// whose request it has not come to read yet stays open. Found on the grown sites
-// as LOST, beside changes of the configuration on a router without processor
-// time.
+// TestSweepLeavesUnreadRequests guards against lost requests: a late router that closes
+// idle connections must keep one whose request it has not read yet. Such requests were lost
+// while the configuration changed on a router without processor time.
 func TestSweepLeavesUnreadRequests(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,14 +53,13 @@
 	require.False(t, unread.closed)
 	require.Equal(t, socket.Bytes, socket.Look(unread.Conn))
 	require.True(t, idle.closed)
-	require.Len(t, c.slots, 1, "a closed connection gives its place back")
+	require.Len(t, c.slots, 1, "a closed connection frees its slot")
 }
 
-// TestLateRouterTakesInNoMore has a router run late for some time: what waits in its
-// socket's queue is closed unread after a moment, and it accepts again when it keeps
-// up. Found on the large site: a flood of 2,500 new connections a second through one
-// host of 0.144 cores was read half a second late, and with it all that the host
-// served.
+// TestLateRouterTakesInNoMore checks that a late router closes queued connections unread
+// after a moment, and accepts again when it keeps up. Otherwise a flood of 2,500 new
+// connections a second through one host of 0.144 cores is read half a second late, and with
+// it all that the host serves.
 func TestLateRouterTakesInNoMore(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -96,8 +94,8 @@
 	require.Error(t, err, "closed unread")
 }
 
-// TestUnreadConnectionsHoldOthersBack has as many connections wait unread as the
-// host reads in good time: the next is not accepted until one of them is read.
+// TestUnreadConnectionsHoldOthersBack opens as many connections as the host reads in time:
+// the next one is accepted only after one of them is read.
 func TestUnreadConnectionsHoldOthersBack(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -121,8 +119,8 @@
 	require.Equal(t, pressure.MinUnreadConns, c.unreadConns.Count())
 }
 
-// TestLateRouterKeepsFewConnections has a router close some connections while it runs
-// late, and keep as many as it may hold while it does not.
+// TestLateRouterKeepsFewConnections checks that a router closes some connections while it
+// runs late, and otherwise keeps as many as it may hold.
 func TestLateRouterKeepsFewConnections(t *testing.T) {
 	c := newTestCallerConns(1000, 0.1)
 	for range c.maxWhenLate {
@@ -140,12 +138,13 @@
 	for len(c.slots) < cap(c.slots) {
 		c.slots <- struct{}{}
 	}
-	require.True(t, c.full(), "without a place, what waits in the queue is closed too")
-	require.False(t, newTestCallerConns(10, 0).shouldClose(true), "the power of the host is not known")
+	require.True(t, c.full(), "without a free slot, queued connections are closed too")
+	require.False(t, newTestCallerConns(10, 0).shouldClose(true), "the number of cores is unknown")
 }
 
-// TestNewCallerReplacesLongestStalled has callers that stopped in their bodies hold all connections: where a new
-// one comes, the one that stopped longest ago is closed, and none that has gone on lately.
+// TestNewCallerReplacesLongestStalled lets callers that stopped in their bodies hold all
+// slots: a new connection closes the one that stopped longest ago, and none that has sent
+// data recently.
 func TestNewCallerReplacesLongestStalled(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -166,8 +165,8 @@
 		held[i].bodyReadAt.Store(int64(c.queues.Now() - ago))
 	}
 	require.False(t, c.full())
-	require.Equal(t, socket.Ended, socket.Look(held[1].Conn), "it stopped longest ago")
+	require.Equal(t, socket.Ended, socket.Look(held[1].Conn), "it has stalled longest")
 	require.Equal(t, socket.Nothing, socket.Look(held[0].Conn))
-	require.False(t, c.full(), "there is a place")
+	require.False(t, c.full(), "a slot is free")
 	require.Len(t, c.slots, 2)
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -12,8 +12,8 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// core owns the decisions: one lock around the machine, and a channel to the
-// goroutine of each request.
+// core guards the machine, which decides where requests go, with a lock, and passes its
+// commands to the goroutine of each request.
 type core struct {
 	mu             sync.Mutex
 	machine        *direct.Machine
@@ -22,9 +22,9 @@
 	clock          *hostclock.Clock
 	log            *eventlog.Log
 	probe          func(direct.ProbeCmd) // must not block
-	reportNow      func()                // tells the other routers at once; must not block
+	reportNow      func()                // sends a report to the other routers at once; must not block
 	notifyRollouts func(rollout.Msg)     // must not block
-	// pressure tells how late this process runs.
+	// pressure measures how late this process runs.
 	pressure pressure.Gauge
 	disabled direct.DisabledMechanisms // mechanisms that are switched off
 }
@@ -43,23 +43,25 @@
 	}
 }
 
-// Now is the time since the start, the time included in which the host was suspended.
+// Now returns the time since the start, including the time for which the host was
+// suspended.
 func (c *core) Now() time.Duration { return c.clock.Now() }
 
-// checkSuspension finds out whether the host was suspended, so that Now counts it.
+// checkSuspension detects whether the host was suspended, so that Now includes that time.
 func (c *core) checkSuspension() {
 	if suspended := c.clock.Look(); suspended > 0 {
 		c.log.Event("host_suspended").Dur("for", suspended).Msg("")
 	}
 }
 
-// Update tells the machine something and hands its commands out.
+// Update passes a message to the machine and carries out its commands.
 func (c *core) Update(msg direct.Msg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.updateLocked(msg)
 }
 
+// updateLocked is Update for callers that hold the lock.
 func (c *core) updateLocked(msg direct.Msg) {
 	for _, cmd := range c.machine.Update(msg) {
 		switch cmd := cmd.(type) {
@@ -91,15 +93,16 @@
 	}
 }
 
+// deliver passes a command to the goroutine of a request. The lock must be held.
 func (c *core) deliver(id direct.RequestID, cmd direct.Cmd) {
 	if w := c.waiters[id]; w != nil {
-		// A move that came until now was of an attempt that has ended.
+		// A pending move belongs to an attempt that has ended.
 		w.movePending = false
 		w.commands <- cmd
 	}
 }
 
-// submit takes a request in. Its commands come on the channel.
+// submit passes a new request to the machine. Its commands arrive on the returned channel.
 func (c *core) submit(r direct.Request) (direct.RequestID, <-chan direct.Cmd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,7 +114,8 @@
 	return r.ID, w.commands
 }
 
-// checkAdmission asks whether a request would be refused as soon as it came.
+// checkAdmission reports whether the machine would refuse a request on arrival, and returns
+// that refusal.
 func (c *core) checkAdmission(r direct.Request) (direct.RefuseCmd, bool) {
 	if !c.disabled.Enabled(direct.EarlyRefusal) {
 		return direct.RefuseCmd{}, false
@@ -128,22 +132,22 @@
 	return direct.RefuseCmd{}, false
 }
 
-// shouldWithhold tells whether a request that was placed must not be sent any more.
+// shouldWithhold reports whether a request that was placed must no longer be sent.
 func (c *core) shouldWithhold(id direct.RequestID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.ShouldWithhold(c.Now(), id)
 }
 
-// removeWaiter ends the channel of a request.
+// removeWaiter unregisters the goroutine of a request.
 func (c *core) removeWaiter(id direct.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiters, id)
 }
 
-// cancel takes a waiting request out. Where it has just been sent, the attempt
-// ends unused.
+// cancel removes a waiting request. If the request has just been placed, its attempt ends
+// unused.
 func (c *core) cancel(id direct.RequestID, commands <-chan direct.Cmd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,7 +160,7 @@
 	}
 }
 
-// runTicks lets time pass until ctx ends.
+// runTicks sends ticks to the machine until ctx ends.
 func (c *core) runTicks(ctx context.Context) error {
 	ticker := time.NewTicker(direct.TickInterval)
 	defer ticker.Stop()
@@ -171,7 +175,8 @@
 			now := c.Now()
 			lag := now - last - direct.TickInterval
 			last = now
-			// A timer's goroutine runs before most others; requests wait longer.
+			// The goroutine of a timer runs before most others. Requests wait longer, as
+			// the probe does.
 			c.pressure.Observe(now, max(lag, probe.Lag()))
 			c.Update(direct.TickMsg{Now: c.Now()})
 		}
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -6,80 +6,83 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// What the decisions tell of themselves: to other routers, to roll-outs, to the store and to dumps.
+// Accessors to the state of the machine for other routers, rollouts, the store and dumps.
 
-// Report returns what this router does at the moment, for one heartbeat.
+// Report returns the report of this router for one heartbeat.
 func (c *core) Report() direct.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Report(c.Now())
 }
 
-// Loads returns what this router has at the servers.
+// Loads returns the load that this router has on each server.
 func (c *core) Loads() []loads.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Loads()
 }
 
-// TakeCopies returns the copies of prompts' parts made through this router since the last
-// call.
+// TakeCopies returns the copies of prompt parts that were created through this router since
+// the previous call.
 func (c *core) TakeCopies() []loads.Copy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.TakeCopies()
 }
 
-// Teams returns what this router sees of teams.
+// Teams returns the use of each team as this router observes it.
 func (c *core) Teams() []loads.TeamUse {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Teams(c.Now())
 }
 
-// teamWeight returns how much of this router's work a team asks for.
+// teamWeight returns the share of this router's work that a team requests.
 func (c *core) teamWeight(team string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.TeamWeight(c.Now(), team)
 }
 
-// pendingRecords returns which records of barred contents the store should get, and which it should lose.
+// pendingRecords returns the quarantine records that the store should add and those that it
+// should remove.
 func (c *core) pendingRecords() (add, remove []quarantine.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.PendingRecords()
 }
 
-// quarantineStates returns what is known of contents under which servers crashed.
+// quarantineStates returns the states of at most limit request fingerprints under which
+// servers crashed.
 func (c *core) quarantineStates(limit int) []quarantine.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.QuarantineStates(c.Now(), limit)
 }
 
-// shares returns what the machine takes the teams' shares to be.
+// shares returns the machine's estimate of the shares of at most n teams.
 func (c *core) shares(n int) direct.Shares {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Shares(c.Now(), n)
 }
 
-// AllOldRunning counts the requests at servers of old versions, by service.
+// AllOldRunning returns the number of requests on servers of old versions, by service.
 func (c *core) AllOldRunning() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.AllOldRunning()
 }
 
-// AllAsked counts the requests that came since services began to move, by service.
+// AllAsked returns the number of requests that arrived since the rollout of each service
+// began, by service.
 func (c *core) AllAsked() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.RequestCounts()
 }
 
-// serverStates returns what the machine takes the servers to be.
+// serverStates returns the state of each server as the machine sees it.
 func (c *core) serverStates() []direct.ServerState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -7,49 +7,51 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// RequestInfo is what a caller says of its request.
+// RequestInfo holds what the headers of a caller's request contain.
 type RequestInfo struct {
-	ID           string        // the caller's name for this attempt
-	TimeLeft     time.Duration // how long the caller waits; 0: it does not say
+	ID           string        // chosen by the caller for this attempt
+	TimeLeft     time.Duration // how long the caller waits; 0: not given
 	TeamKey      string
 	PromptTokens int
 	OutputTokens int
 	Parts        []direct.PromptPart
-	AfterEvent   string // the last event that the caller has of a stream
+	AfterEvent   string // id of the last event of a stream that the caller has received
 }
 
-// CallInfo is what a router says of a request to a server.
+// CallInfo holds what a router sends to a server in the headers of a request.
 type CallInfo struct {
 	TimeLeft   time.Duration
-	Server     string // the name of the server that is meant
-	Team       string // empty: the request has none
-	AfterEvent string // the stream goes on after this event
+	Server     string // name of the intended server
+	Team       string // empty: the request has no team
+	AfterEvent string // the stream continues after the event with this id
 }
 
-// ResponseInfo is what the head of an answer says of it.
+// ResponseInfo holds what the header of a response contains.
 type ResponseInfo struct {
-	RequestID   string        // of the request that is answered
-	NotRun      bool          // the server says that it did not run the request
+	RequestID   string        // id of the request that the response belongs to
+	NotRun      bool          // the server reports that it did not run the request
 	WrongServer bool          // the address belongs to another server
-	Signed      bool          // the server vouches for the answer
-	Notice      direct.Notice // what the server says of itself
-	// NoticeErr says which part of the notice could not be read; it counts as not said.
+	Signed      bool          // the response carries the server's stamp
+	Notice      direct.Notice // the server's notice about its own state
+	// NoticeErr is set if a part of the notice could not be read; that part is ignored.
 	NoticeErr error
 }
 
 // Dialect translates the headers of a deployment.
 type Dialect interface {
-	// RequestID returns the caller's name for its attempt.
+	// RequestID returns the id that the caller chose for its attempt.
 	RequestID(h http.Header) string
-	// ParseRequest reads a caller's headers. An error is the caller's fault.
+	// ParseRequest reads the headers of a request. An error means that the caller sent an
+	// invalid header.
 	ParseRequest(h http.Header) (RequestInfo, error)
-	// OutboundHeader returns the headers to send to a server, without those of the
-	// caller's connection.
+	// OutboundHeader returns the headers to send to a server, without those that belong to
+	// the caller's connection.
 	OutboundHeader(h http.Header, c CallInfo) http.Header
-	// ParseResponse reads the head of an answer.
+	// ParseResponse reads the status and the headers of a response.
 	ParseResponse(status int, h http.Header) ResponseInfo
-	// SetRetryAfter tells a refused caller when to come back.
+	// SetRetryAfter sets the header with the time after which a refused caller should
+	// retry.
 	SetRetryAfter(h http.Header, after time.Duration)
-	// ReadyPath is the path on which the balancer asks.
+	// ReadyPath returns the path of the balancer's readiness check.
 	ReadyPath() string
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,11 +1,12 @@
-// Package gateway is the router that calls backend servers itself, without an
-// agent beside each: it takes callers' requests on an entry host to their answers.
+// Package gateway implements a router that calls backend servers directly, without an agent
+// beside each server. It serves callers' requests on an entry host until their final
+// responses.
 //
-// It decides nothing about requests: package direct does. What all routers agree on
-// comes through package feed, what they tell each other through package cluster, and
-// package pressure is how the router behaves without processor time. What it knows of a
-// deployment's names (headers, objects, settings) stands behind Source and
-// Dialect, which a translating package brings.
+// It makes no decisions about requests: package direct does. Package feed distributes the
+// state that all routers share, package cluster exchanges messages between routers, and
+// package pressure controls the router when it lacks processor time. Everything specific to
+// a deployment (headers, objects, settings) is behind the interfaces Source and Dialect,
+// which a translating package implements.
 //
 //	g, err := gateway.New(settings, source, dialect, out)
 //	err = g.Run(ctx)
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	drainAcceptTime   = 2500 * time.Millisecond
-	shutdownReserve   = 300 * time.Millisecond // before the end of the grace
+	drainAcceptTime   = 2500 * time.Millisecond // for new connections, after the router becomes unready
+	shutdownReserve   = 300 * time.Millisecond  // before the end of the grace period
 	drainPollInterval = 50 * time.Millisecond
-	drainQuietPolls   = 8 // polls without a request, before the end
-	// drainIdleTimeout is how long a connection must have been at rest to be closed
-	// once the balancer sends no more: its caller then asks another router.
+	drainQuietPolls   = 8 // consecutive polls without a request before the router ends
+	// drainIdleTimeout is how long a connection must have been idle to be closed once the
+	// balancer sends no more: its caller then uses another router.
 	drainIdleTimeout = 200 * time.Millisecond
 	defaultGrace     = 8 * time.Second
 )
 
-// ready tells why the router takes no callers, or nil.
+// ready returns why the router accepts no callers, or nil.
 func (g *Gateway) ready() error {
 	switch {
 	case g.front.draining.Load():
@@ -40,9 +40,9 @@
 	}
 }
 
-// drain ends the router so that callers lose nothing: not ready at once, new
-// connections served until the balancer has stopped sending them, requests
-// under way to their end within the grace.
+// drain shuts the router down without losing requests. It becomes unready at once, accepts
+// new connections until the balancer has stopped sending them, and completes the requests
+// in progress within the grace period.
 func (g *Gateway) drain() {
 	start := time.Now()
 	g.front.draining.Store(true)
@@ -53,8 +53,8 @@
 	}
 	time.Sleep(min(drainAcceptTime, grace/3))
 	g.front.refusing.Store(true)
-	// Requests may still lie unread where the router is late: it ends only
-	// after nothing has come for a while.
+	// A late router may still have unread requests, so it ends only after several polls
+	// without any request.
 	for quiet := 0; quiet < drainQuietPolls && time.Since(start) < grace-shutdownReserve; {
 		time.Sleep(drainPollInterval)
 		g.front.conns.closeIdle(drainIdleTimeout)
@@ -65,5 +65,5 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve/3)
 	defer cancel()
-	_ = g.server.Shutdown(ctx) // it fails where callers still hold connections; the process ends with them
+	_ = g.server.Shutdown(ctx) // it fails if callers still hold connections; the process ends with them
 }
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -12,29 +12,29 @@
 // maxDumpedTeams bounds the teams in a dump.
 const maxDumpedTeams = 50
 
-// maxDumpedSuspects bounds the contents in a dump under which servers crashed.
+// maxDumpedSuspects bounds the request fingerprints in a dump under which servers crashed.
 const maxDumpedSuspects = 50
 
-// State is what a router shows of itself.
+// State is the state of a router as dumps show it.
 type State struct {
 	Name      string
 	Config    uint64
 	ConfigAge time.Duration
 	Servers   uint64
-	// Evacuations is the revision of EvacuatedHalls, 0 where halls are never evacuated.
+	// Evacuations is the revision of EvacuatedHalls, 0 if evacuation is disabled.
 	Evacuations    uint64
 	EvacuatedHalls []string
 	Active         int64
 	Peers          []string
 	Shares         direct.Shares
 	Engines        []direct.ServerState
-	Dropped        uint64 // log lines
+	Dropped        uint64 // log lines that were dropped
 	Suspects       []quarantine.State
-	// Orders and Versions are the revisions of what Rollouts stand on; nil and 0 where
-	// roll-outs are not on.
+	// Orders and Versions are the revisions that Rollouts is based on. All three are zero
+	// if rollouts are disabled.
 	Orders, Versions uint64
 	Rollouts         []RolloutState
-	// Traffic is the bytes sent and read since the start, by kind.
+	// Traffic is the bytes sent and received since the start, by kind.
 	Traffic map[string]traffic.Sum
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -11,20 +11,20 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// How a request ended, as logs and metrics name it.
+// Results of a request, as logs and metrics name them.
 const (
 	resultServed     = "served"
 	resultRefused    = "refused" // has not run
 	resultFailed     = "failed"
-	resultCut        = "cut" // broken off after its head was sent
+	resultCut        = "cut" // aborted after its header was sent
 	resultCallerLeft = "caller_left"
 )
 
-// firstTryShare is the part of its share that a team gets at the most for its requests to
-// be taken for first tries: such teams are hardly ever refused.
+// firstTryShare is the fraction of its share up to which a team's requests are assumed to
+// be first tries: such teams are hardly ever refused.
 const firstTryShare = 0.8
 
-// exchange is one request of a caller on its way to its final answer.
+// exchange is a caller's request until its final response.
 type exchange struct {
 	front       *front
 	w           http.ResponseWriter
@@ -34,28 +34,28 @@
 	route       *direct.Route
 	service     string
 	team        string
-	regions     direct.Regions // that the route and the team allow
+	regions     direct.Regions // allowed by the route and the team
 	priority    int
 	body        []byte
-	memory      memory.Account         // of the body, and of an answer that is read before it is forwarded
+	memory      memory.Account         // for the body, and for a response that is buffered before it is forwarded
 	fingerprint quarantine.Fingerprint // 0 until the body has been read
 	start       time.Duration
-	age         time.Duration // since its caller first asked, as far as is known
+	age         time.Duration // estimated time since the caller's first try
 	deadline    time.Duration
 
 	id            direct.RequestID
 	attempts      int
 	headSent      bool
-	lastEventID   int64 // of the last event that was forwarded
-	respondedAt   time.Duration
+	lastEventID   int64             // id of the last event that was forwarded
+	respondedAt   time.Duration     // when the first response or event arrived; 0: not yet
 	forwardedAt   time.Duration     // when events were last forwarded
-	serverFailure *bufferedResponse // a server's own failure, kept while another is tried
+	serverFailure *bufferedResponse // a server's own failure, kept while another server is tried
 	lastSend      direct.SendCmd
-	notice        direct.Notice // what the last server that answered said of itself
-	callerGone    bool          // its caller has left; nothing may be written any more
+	notice        direct.Notice // sent by the last server that responded
+	callerGone    bool          // the caller has left; nothing may be written any more
 }
 
-// request is what the decisions need to know.
+// request returns the request in the form that the machine needs.
 func (x *exchange) request() direct.Request {
 	return direct.Request{
 		Team:         x.team,
@@ -76,7 +76,7 @@
 	}
 }
 
-// run takes the request to its final answer.
+// run serves the request until its final response.
 func (x *exchange) run() {
 	core := x.front.core
 	id, commands := core.submit(x.request())
@@ -102,7 +102,7 @@
 	}
 }
 
-// execute carries out one command and tells whether the request has ended.
+// execute carries out one command and reports whether the request has ended.
 func (x *exchange) execute(cmd direct.Cmd) bool {
 	switch cmd := cmd.(type) {
 	case direct.SendCmd:
@@ -139,8 +139,8 @@
 	x.finish(resultRefused, http.StatusServiceUnavailable, reason)
 }
 
-// fail ends a request that may have run: with the server's own failure where
-// there is one.
+// fail ends a request that may have run. It forwards the server's own failure if there is
+// one.
 func (x *exchange) fail(reason string) {
 	switch {
 	case x.headSent:
@@ -154,7 +154,7 @@
 	}
 }
 
-// timedOut ends a request whose time is over.
+// timedOut ends a request whose deadline has passed.
 func (x *exchange) timedOut() {
 	switch {
 	case x.headSent:
@@ -170,21 +170,20 @@
 	}
 }
 
-// abort breaks the caller's connection off, since an answer that ends early
-// must not look whole.
+// abort closes the caller's connection, since a truncated response must not look complete.
 func (x *exchange) abort(reason string) {
 	x.finish(resultCut, http.StatusOK, reason)
 	panic(http.ErrAbortHandler)
 }
 
-// callerLeft ends a request whose caller has left; status is what it was told, 0 for
-// nothing.
+// callerLeft ends a request whose caller has left. The status is the one that was sent, or
+// 0 if none was.
 func (x *exchange) callerLeft(status int) {
 	x.callerGone = true
 	x.finish(resultCallerLeft, status, "")
 }
 
-// finish logs and counts how the request ended.
+// finish logs and counts the result of the request.
 func (x *exchange) finish(result string, status int, reason string) {
 	x.recordMetrics(result, reason)
 	if result == resultServed && x.lastSend.PlacementBasis.Share < firstTryShare {
@@ -194,7 +193,7 @@
 	x.log(result, status, reason)
 }
 
-// recordMetrics counts how the request ended.
+// recordMetrics records the metrics of a request that has ended.
 func (x *exchange) recordMetrics(result, reason string) {
 	stats := x.front.stats
 	stats.Request(result, reason)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -15,29 +15,30 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// reasonPressure says that the router had no processor time for a request.
+// reasonPressure is the reason of refusals by a router that lacks processor time.
 const reasonPressure = "pressure"
 
 const (
-	// noConfigRetryAfter is when callers come back to a router that knows no
-	// configuration yet.
+	// noConfigRetryAfter is when callers should retry if the router has no configuration
+	// yet.
 	noConfigRetryAfter = 300 * time.Millisecond
-	// drainRetryAfter is when callers of a router that ends come back; another
-	// router serves them.
+	// drainRetryAfter is when callers of a draining router should retry; another router
+	// serves them.
 	drainRetryAfter = 50 * time.Millisecond
-	// defaultTimeout bounds a request whose route and caller set no time.
+	// defaultTimeout bounds a request if neither its route nor its caller sets a limit.
 	defaultTimeout = 60 * time.Second
-	// shedRetryAfter is when callers that were refused at the door come back: soon,
-	// since they reach another router.
+	// shedRetryAfter is when callers should retry whose requests were shed: soon, since
+	// they reach another router.
 	shedRetryAfter = 20 * time.Millisecond
-	// writeGrace is how long a caller may take for what is written last.
+	// writeGrace is how long after the deadline the caller may still read the end of the
+	// response.
 	writeGrace = 2 * time.Second
-	// memoryRetryAfter is when callers come back whose body can't be held: answers that others read
-	// slowly take seconds, and another router has memory.
+	// memoryRetryAfter is when callers should retry whose bodies do not fit into memory:
+	// responses that are read slowly take seconds, and another router has memory.
 	memoryRetryAfter = 300 * time.Millisecond
 )
 
-// front serves callers.
+// front serves the requests of callers.
 type front struct {
 	core       *core
 	feeds      *feed.Set
@@ -45,21 +46,21 @@
 	dialect    Dialect
 	log        *eventlog.Log
 	stats      *stats.Stats
-	sendQueues *sendqueue.Queues // what is held for callers
-	draining   atomic.Bool       // answers close their connections
+	sendQueues *sendqueue.Queues // responses held for callers
+	draining   atomic.Bool       // responses close their connections
 	refusing   atomic.Bool       // new requests are refused
 	active     atomic.Int64
 	conns      *callerConns
 	ages       ageEstimator
 	outcomes   outcomeCounters
-	hall       string         // of this router
+	hall       string         // data hall of this router
 	movable    bool           // requests may move to servers of another version while they run
-	traffic    *traffic.Meter // of requests
-	// maxEventDelay is the most that an event may take to reach its caller.
+	traffic    *traffic.Meter // bytes of requests
+	// maxEventDelay is the longest time that an event may take to reach its caller.
 	maxEventDelay time.Duration
 }
 
-// ServeHTTP takes one request to its final answer.
+// ServeHTTP serves a request until its final response.
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	f.active.Add(1)
 	defer f.active.Add(-1)
@@ -95,27 +96,27 @@
 		return
 	}
 	if f.core.pressure.Shedding() && f.conns.closedByCaller(x.ctx) {
-		// A late router reads what its caller may have given up. To send it on would
-		// use up its team's allowance for nobody.
+		// A late router may read requests that their callers have already given up.
+		// Forwarding them would spend the tokens of their teams on nobody.
 		x.callerLeft(0)
 		panic(http.ErrAbortHandler)
 	}
 	x.run()
 	if x.callerGone {
-		// net/http would answer with an empty success, which a caller that has closed
-		// only its side of the connection would read.
+		// net/http would send an empty success, which a caller that has closed only its
+		// side of the connection would read.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// refusal is an answer of the router's own to a request that was not admitted.
+// refusal is a response of the router itself to a request that was not admitted.
 type refusal struct {
 	status     int
 	reason     string
-	retryAfter time.Duration // when to come back; it counts with 503 only
+	retryAfter time.Duration // when the caller should retry; used only with status 503
 }
 
-// admit finds the route and the team of a request.
+// admit finds the route and the team of a request, or returns a refusal.
 func (f *front) admit(w http.ResponseWriter, r *http.Request, table *direct.Table, start time.Duration) (*exchange, *refusal) {
 	route := table.Route(r.Host, pathOf(r.RequestURI))
 	if route == nil {
@@ -146,7 +147,7 @@
 	return x, nil
 }
 
-// shed refuses a request for which a late router has no processor time.
+// shed refuses a request for which a late router lacks processor time.
 func (f *front) shed(x *exchange) *refusal {
 	if !f.core.pressure.Shedding() || !f.core.pressure.Sheds(x.info.ID, f.core.teamWeight(x.team)) {
 		return nil
@@ -157,8 +158,9 @@
 	return &refusal{http.StatusServiceUnavailable, reasonPressure, shedRetryAfter}
 }
 
-// refuseUnknown refuses what the configuration does not hold. A router that is late may
-// not have come to read a newer one: its caller asks another.
+// refuseUnknown refuses a request for a route or a key that is not configured. A late
+// router may not have read the newest configuration yet, so it sends the caller to another
+// router.
 func (f *front) refuseUnknown(status int, reason string) *refusal {
 	if f.core.pressure.TooLateToRead() {
 		return &refusal{http.StatusServiceUnavailable, reasonPressure, shedRetryAfter}
@@ -174,7 +176,7 @@
 	}
 }
 
-// setDeadline bounds the request by what the caller and the route allow.
+// setDeadline sets the deadline from the limits of the caller and the route.
 func (x *exchange) setDeadline() {
 	timeout := defaultTimeout
 	if x.route.Timeout > 0 {
@@ -184,11 +186,11 @@
 		timeout = min(timeout, x.info.TimeLeft)
 	}
 	x.deadline = x.start + timeout
-	// Test writers have no deadlines.
+	// Writers of tests do not support deadlines.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
 
-// reject answers a request that was not admitted.
+// reject answers a request that was not admitted, and counts and logs it.
 func (f *front) reject(w http.ResponseWriter, r *http.Request, refused refusal) {
 	retryAfter := refused.retryAfter
 	if refused.status != http.StatusServiceUnavailable {
@@ -199,7 +201,7 @@
 	f.logRejected(r, refused)
 }
 
-// refuse writes an answer of the router's own.
+// refuse writes a response of the router itself.
 func (f *front) refuse(w http.ResponseWriter, status int, reason string, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		f.dialect.SetRetryAfter(w.Header(), retryAfter)
@@ -208,13 +210,14 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(reason)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(reason + "\n")) // a caller that has left needs no answer
+	_, _ = w.Write([]byte(reason + "\n")) // a caller that has left needs no response
 }
 
-// setConnectionClose asks callers to open new connections elsewhere while this router ends, or
-// holds too many of them. A few are kept also where the router runs late: its callers
-// use each again when it has answered, so they ask no faster than it answers, and a
-// new connection costs it twice what a request on an old one does.
+// setConnectionClose makes the response close its connection if this router is draining or
+// holds too many connections, so that callers reconnect to other routers. Even a late
+// router keeps a few: callers reuse a connection only after a response, so they send no
+// faster than the router responds, and a request on a new connection costs twice as much as
+// one on an existing connection.
 func (f *front) setConnectionClose(w http.ResponseWriter) {
 	if f.draining.Load() || f.conns.shouldClose(f.core.pressure.TooLateToAccept()) {
 		w.Header().Set("Connection", "close")
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -16,9 +16,9 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestLateRouterDisownsNothing has a router that is too late to have read the
-// newest configuration send callers on, where it would say that there is no such
-// route or key. Found on a grown site as CONFIG.
+// TestLateRouterDisownsNothing checks that a router that is too late to have read the
+// newest configuration sends callers to another router, instead of reporting that a route
+// or a key does not exist.
 func TestLateRouterDisownsNothing(t *testing.T) {
 	f := &front{core: &core{}}
 	refused := f.refuseUnknown(http.StatusNotFound, "no_route")
@@ -35,7 +35,7 @@
 type mustNotReadBody struct{ t *testing.T }
 
 func (b mustNotReadBody) Read([]byte) (int, error) {
-	b.t.Error("the body of a request that is refused at the door was read")
+	b.t.Error("the body of a request that is refused early was read")
 	return 0, io.EOF
 }
 
@@ -54,8 +54,8 @@
 	h.Set("Come-Back", after.String())
 }
 
-// floodedFront returns a front whose only team has used its allowance up, so that
-// all requests are refused at the door.
+// floodedFront returns a front whose only team has used up its tokens, so that all requests
+// are refused early.
 func floodedFront(tb testing.TB) *front {
 	log := eventlog.New(io.Discard, "bench")
 	tb.Cleanup(log.Close)
@@ -82,8 +82,8 @@
 	return f
 }
 
-// TestFloodIsRefusedUnread has a team ask for far more than its share: its
-// requests are refused with a time to come back, and their bodies are not read.
+// TestFloodIsRefusedUnread has a team request far more than its share: its requests are
+// refused with a time to retry, and their bodies are not read.
 func TestFloodIsRefusedUnread(t *testing.T) {
 	f := floodedFront(t)
 	w := httptest.NewRecorder()
@@ -93,12 +93,12 @@
 	require.NotEmpty(t, w.Header().Get("Come-Back"))
 }
 
-// TestHalfClosedCallerGetsNoSuccess has a caller close its side of the connection
-// while its request waits: the router takes it for gone, and must not answer with the
-// empty success that net/http writes for a handler which wrote nothing.
+// TestHalfClosedCallerGetsNoSuccess has a caller close its side of the connection while its
+// request waits. The router treats the caller as gone, and must not send the empty success
+// that net/http writes for a handler that wrote nothing.
 func TestHalfClosedCallerGetsNoSuccess(t *testing.T) {
 	f := floodedFront(t)
-	// Without a configured total there are no shares; the only place is taken.
+	// Without a configured total there are no shares; the only slot is taken.
 	f.feeds.Config.Offer(&direct.Config{
 		Version:  2,
 		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.WeightedService{{Service: "llm", Weight: 1}}, Objective: time.Hour}},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,13 +33,14 @@
 	maxHeaderBytes     = 32 << 10
 	headerTimeout      = 5 * time.Second
 	defaultIdleTimeout = 120 * time.Second
-	// heldMemoryDivisor is the part of the memory for callers' bodies and unread answers; with copies
-	// that are made as they grow, and the garbage of those, they take up to thrice that.
+	// heldMemoryDivisor is the part of the memory, one eighth, for callers' bodies and
+	// unread responses. With the copies that are made as buffers grow, and their garbage,
+	// they take up to three times that.
 	heldMemoryDivisor   = 8
-	memoryLimitFraction = 0.6 // of the memory, from which the collector works harder
+	memoryLimitFraction = 0.6 // of the memory, above which the garbage collector works harder
 )
 
-// Gateway is one router.
+// Gateway is a router.
 type Gateway struct {
 	settings Settings
 	source   Source
@@ -47,7 +48,7 @@
 	log      *eventlog.Log
 	core     *core
 	feeds    *feed.Set
-	rollouts *rollouts.Runner // nil: they are not on
+	rollouts *rollouts.Runner // nil: rollouts are disabled
 	front    *front
 	stats    *stats.Stats
 	traffic  *traffic.Counter
@@ -55,7 +56,7 @@
 	puller   *feed.Puller
 	admin    *admin.Server
 	server   *http.Server
-	grace    atomic.Int64 // nanoseconds; changes with the settings
+	grace    atomic.Int64 // nanoseconds; changes on reload
 }
 
 // New returns a gateway that logs to out.
@@ -88,7 +89,7 @@
 	return g, nil
 }
 
-// setUpCluster sets up what the router shares with the others.
+// setUpCluster creates what the router shares with other routers.
 func (g *Gateway) setUpCluster() error {
 	s := g.settings
 	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.MaxEvacuationTime}
@@ -116,7 +117,7 @@
 	return err
 }
 
-// Run serves until ctx ends, and then for the grace that callers are given.
+// Run serves until ctx ends, and then drains for at most the grace period.
 func (g *Gateway) Run(ctx context.Context) error {
 	defer g.log.Close()
 	g.log.Event("start").Str("zone", g.settings.Zone).Str("address", g.settings.Address).Msg("")
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// startTasks starts what goes on beside the requests.
+// startTasks starts the background tasks.
 func (g *Gateway) startTasks(ctx context.Context) {
 	tasks := append(g.cluster.Tasks(), g.core.runTicks, g.puller.Run, g.runSweeps, g.logVitals)
 	for _, f := range g.feeds.Followed() {
@@ -158,7 +159,7 @@
 	}
 }
 
-// runSweeps closes connections that are of no more use.
+// runSweeps closes connections and drops state that are no longer needed.
 func (g *Gateway) runSweeps(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, sweepInterval)
@@ -177,8 +178,9 @@
 	return nil
 }
 
-// callerIdleTimeout is how long a caller's connection may be at rest: somewhat longer
-// than callers are told, since they may resume one until then.
+// callerIdleTimeout returns how long a caller's connection may be idle. It is somewhat
+// longer than the timeout that callers are given, since they may reuse a connection until
+// then.
 func (g *Gateway) callerIdleTimeout() time.Duration {
 	t := g.feeds.Config.Table()
 	if t == nil {
@@ -187,7 +189,7 @@
 	return t.Config.Limits.IdleTimeout * 5 / 4
 }
 
-// logVitals logs how the process itself does, every few seconds.
+// logVitals logs the state of the process every few seconds.
 func (g *Gateway) logVitals(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, vitalsInterval)
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// spareDescriptors are left for files, peers and the source.
+	// spareDescriptors are reserved for files, peers and the source.
 	spareDescriptors  = 400
 	defaultMaxCallers = 1000
 )
 
-// listen opens the addresses that others call.
+// listen opens the addresses that the router serves.
 func (g *Gateway) listen(ctx context.Context, failed chan<- error) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+g.dialect.ReadyPath(), g.serveReady)
@@ -59,24 +59,24 @@
 	return nil
 }
 
-// listenTCP opens an address for short calls. Probes for dead peers are off: they
-// cost four system calls a connection, and what is at rest is swept anyway.
+// listenTCP opens an address for short calls. TCP keep-alive probes are off: they cost four
+// system calls per connection, and idle connections are closed anyway.
 func listenTCP(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: false}, KeepAlive: -1}
 	return config.Listen(ctx, "tcp", address)
 }
 
 const (
-	// acceptQueuePerCore is how many new connections a core can take in, and refuse, in
-	// about 50 ms; see pressure.NewFresh. queueLeast is enough for callers that come back
-	// together to a small host.
+	// acceptQueuePerCore is how many new connections a core can accept and refuse in about
+	// 50 ms; see pressure.NewUnreadConns. minAcceptQueue is enough for callers that
+	// reconnect to a small host all at once.
 	acceptQueuePerCore = 340
 	minAcceptQueue     = 64
 )
 
-// limitAcceptQueue shortens the queue of new connections of a socket, so that none waits
-// there for much longer than its caller does. It is a matter of degree: a socket
-// that does not allow it keeps its queue.
+// limitAcceptQueue shortens the accept queue of a socket, so that no connection waits there
+// much longer than its caller does. It is best effort: a socket that does not support it
+// keeps its queue.
 func limitAcceptQueue(ln net.Listener, cores float64) {
 	socket, ok := ln.(syscall.Conn)
 	if !ok || cores <= 0 {
@@ -86,12 +86,12 @@
 	if err != nil {
 		return
 	}
-	// Where it fails, the system's own bound of the queue holds.
+	// If this fails, the system's own limit on the queue applies.
 	_ = raw.Control(func(fd uintptr) { _ = unix.Listen(int(fd), max(int(acceptQueuePerCore*cores), minAcceptQueue)) })
 }
 
-// maxCallers is how many connections of callers are held at once: two thirds
-// of the descriptors, since those that wait for a server need one more.
+// maxCallers returns how many connections of callers are held at once: two thirds of the
+// descriptors, since a caller that waits for a server needs one more.
 func maxCallers(descriptors int) int {
 	if descriptors <= 0 {
 		return defaultMaxCallers
--- a/gateway/moving.go
+++ b/gateway/moving.go
@@ -1,7 +1,7 @@
 package gateway
 
-// allowMove lets a MoveCmd break the attempt off, by closing its connection, so that the
-// request goes on at a server of another version.
+// allowMove lets a MoveCmd abort the attempt by closing its connection, so that the request
+// continues on a server of another version.
 func (a *attempt) allowMove() {
 	if !a.x.front.movable || !a.x.route.MayRepeat() {
 		return
@@ -9,11 +9,12 @@
 	a.movable = true
 	a.x.front.core.setAbort(a.x.id, func() {
 		a.moved.Store(true)
-		_ = a.conn.Close() // whoever reads from it finds it closed
+		_ = a.conn.Close() // the reader of the connection gets an error
 	})
 }
 
-// forbidMove ends that. It must be called before the connection serves another request.
+// forbidMove reverts allowMove. It must be called before the connection serves another
+// request.
 func (a *attempt) forbidMove() {
 	if a.movable {
 		a.movable = false
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -7,31 +7,30 @@
 	"github.com/croftvale/croftvale/gateway/eventlog"
 )
 
-// OutcomeCounts counts what callers got, as callers value it: whether the first try was
-// answered in time, how long they were held for nothing, and how often they came back in
-// vain.
+// OutcomeCounts counts requests by outcome, as seen by callers: whether they were served,
+// on the first try or on a retry, within the objective or late.
 type OutcomeCounts struct {
-	FirstOnTime     int64 `json:"first_in_time"` // answered within the objective at the first try
-	RetriesServed   int64 `json:"later_tries"`   // answered, to a caller that had asked before
-	FirstLate       int64 `json:"late"`          // answered at the first try, past the objective
-	FirstUnserved   int64 `json:"refused"`       // unserved at the first try
-	RetriesUnserved int64 `json:"again"`         // unserved, to a caller that had asked before
-	UnservedMS      int64 `json:"held_ms"`       // milliseconds that unserved requests were held
+	FirstOnTime     int64 `json:"first_in_time"` // first tries answered within the objective
+	RetriesServed   int64 `json:"later_tries"`   // retries answered
+	FirstLate       int64 `json:"late"`          // first tries answered after the objective
+	FirstUnserved   int64 `json:"refused"`       // first tries not served
+	RetriesUnserved int64 `json:"again"`         // retries not served
+	UnservedMS      int64 `json:"held_ms"`       // total time for which unserved requests were held, in milliseconds
 }
 
-// OutcomeCountsEvent is the event of the log lines that tell accounts, with the fields of
-// AccountsLine.
+// OutcomeCountsEvent is the event of log lines with outcome counts. Their fields are those
+// of OutcomeCountsLine.
 const OutcomeCountsEvent = "accounts"
 
-// OutcomeCountsLine is what a router's log says of its accounts: what was counted since its
-// last such line.
+// OutcomeCountsLine is a log line with the outcomes counted since the router's previous
+// line of this kind.
 type OutcomeCountsLine struct {
 	Event  string                   `json:"event"`
 	Teams  map[string]OutcomeCounts `json:"teams"`
 	Routes map[string]OutcomeCounts `json:"routes"`
 }
 
-// Add adds up two accounts.
+// Add adds b to a.
 func (a *OutcomeCounts) Add(b OutcomeCounts) {
 	a.FirstOnTime += b.FirstOnTime
 	a.RetriesServed += b.RetriesServed
@@ -41,15 +40,16 @@
 	a.UnservedMS += b.UnservedMS
 }
 
-// outcomeCounters are those of a router, by team and by route. The zero value is ready.
+// outcomeCounters holds the outcome counts of a router, by team and by route. The zero
+// value is ready to use.
 type outcomeCounters struct {
 	mu     sync.Mutex
 	teams  map[string]OutcomeCounts
 	routes map[string]OutcomeCounts
 }
 
-// record counts how a request ended. Requests whose caller left are not counted: nobody
-// knows what it would have got.
+// record counts the result of a request. Requests whose caller left are not counted, since
+// their outcome is unknown.
 func (a *outcomeCounters) record(x *exchange, result string, now time.Duration) {
 	if result == resultCallerLeft {
 		return
@@ -67,6 +67,7 @@
 	}
 }
 
+// countsOf returns the counts for a single request.
 func countsOf(x *exchange, result string, now time.Duration) OutcomeCounts {
 	isRetry := x.age > 0
 	if result == resultServed {
@@ -91,7 +92,7 @@
 	return counts
 }
 
-// take returns what was counted since the last call.
+// take returns the counts since the previous call and resets them.
 func (a *outcomeCounters) take() (teams, routes map[string]OutcomeCounts) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +101,7 @@
 	return teams, routes
 }
 
-// log logs what was counted since the last such line.
+// log logs the counts since the previous line.
 func (a *outcomeCounters) log(l *eventlog.Log) {
 	if teams, routes := a.take(); len(teams) > 0 {
 		l.Event(OutcomeCountsEvent).Any("teams", teams).Any("routes", routes).Msg("")
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOutcomeCounts counts a request of each end.
+// TestOutcomeCounts counts requests of each result, by team and by route.
 func TestOutcomeCounts(t *testing.T) {
 	route := &direct.Route{Name: "r", Objective: 300 * time.Millisecond}
 	at := func(ms int) time.Duration { return time.Second + time.Duration(ms)*time.Millisecond }
@@ -20,7 +20,7 @@
 		}
 		a.record(x, result, at(end))
 	}
-	record(resultServed, 0, 200, 2000) // in time: its first event was
+	record(resultServed, 0, 200, 2000) // in time, since its first event was
 	record(resultServed, 0, 0, 200)
 	record(resultServed, 0, 400, 2000)
 	record(resultServed, 900, 100, 2000)
@@ -32,5 +32,5 @@
 	require.Equal(t, map[string]OutcomeCounts{"red": want}, teams)
 	require.Equal(t, map[string]OutcomeCounts{"r": want}, routes)
 	teams, _ = a.take()
-	require.Empty(t, teams, "each is told once")
+	require.Empty(t, teams, "counts are returned once")
 }
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -9,13 +9,13 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// prober finds out for the decisions whether a server can be reached.
+// prober checks whether servers can be reached.
 type prober struct {
 	core *core
 	pool *backend.Pool
 }
 
-// probe begins one probe and returns at once.
+// probe starts one probe and returns at once.
 func (p *prober) probe(cmd direct.ProbeCmd) {
 	go func() {
 		conn, err := p.pool.Dial(context.Background(), cmd.Server.Address)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// recordInterval is the time between two looks for records that the store should get or lose:
-	// routers that lose power sooner after a crash have few more.
+	// recordInterval is the time between checks for records that the store should add or
+	// remove. If the routers lose power within this time after a crash, only a few more
+	// servers crash.
 	recordInterval = 250 * time.Millisecond
-	// recordRetryDelay is the time after a call that failed.
+	// recordRetryDelay is the delay after a failed call.
 	recordRetryDelay = time.Second
-	// recordRepeatDelay is the time after which a call is made again whose change the feed hasn't brought,
-	// which may take it as long as one call of its own.
+	// recordRepeatDelay is the time after which a call is repeated if the feed has not
+	// delivered its change. The feed may take as long as one of its own calls to do so.
 	recordRepeatDelay = 35 * time.Second
 	// recordTimeout bounds one call.
 	recordTimeout = 1500 * time.Millisecond
 )
 
-// QuarantineStore is where records of barred contents are written.
+// QuarantineStore stores the records of barred request fingerprints.
 type QuarantineStore interface {
-	// AddQuarantine records that a content is barred; RemoveQuarantine deletes its record. Both
-	// may be repeated.
+	// AddQuarantine records that a fingerprint is barred; RemoveQuarantine deletes its
+	// record. Both may be repeated.
 	AddQuarantine(ctx context.Context, c quarantine.Fingerprint) error
 	RemoveQuarantine(ctx context.Context, c quarantine.Fingerprint) error
 }
 
-// quarantineRecorder writes the records of barred contents, as long as its router leads.
+// quarantineRecorder writes the records of barred fingerprints while its router is the
+// leader.
 type quarantineRecorder struct {
 	core        *core
 	leads       func() bool
@@ -46,7 +48,7 @@
 	}
 }
 
-// run keeps the records until ctx ends.
+// run writes the records until ctx ends.
 func (k *quarantineRecorder) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, recordInterval)
@@ -61,8 +63,8 @@
 	return nil
 }
 
-// write makes one call for each content that none was made for lately, and tells whether all
-// were done.
+// write makes one call for each fingerprint without a recent call, and reports whether all
+// calls succeeded.
 func (k *quarantineRecorder) write(ctx context.Context, w *recordWriter, fingerprints []quarantine.Fingerprint) bool {
 	now := k.core.Now()
 	w.expire(now)
@@ -79,18 +81,18 @@
 	return true
 }
 
-// recordWriter makes one kind of call for contents, and remembers for which it was made.
+// recordWriter makes one kind of call for fingerprints and remembers its recent calls.
 type recordWriter struct {
-	what      string // as logs name it
+	what      string // name of the call in logs
 	call      func(ctx context.Context, c quarantine.Fingerprint) error
-	writtenAt map[quarantine.Fingerprint]time.Duration // when a call was done
+	writtenAt map[quarantine.Fingerprint]time.Duration // time of the last successful call
 }
 
 func newRecordWriter(what string, call func(context.Context, quarantine.Fingerprint) error) *recordWriter {
 	return &recordWriter{what: what, call: call, writtenAt: make(map[quarantine.Fingerprint]time.Duration)}
 }
 
-// expire drops the calls of which the feed should long have brought what they changed.
+// expire drops the calls whose changes the feed should have delivered by now.
 func (w *recordWriter) expire(now time.Duration) {
 	maps.DeleteFunc(w.writtenAt, func(_ quarantine.Fingerprint, at time.Duration) bool { return now-at > recordRepeatDelay })
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordStore keeps records of barred contents, or fails.
+// recordStore stores records of barred fingerprints, or fails.
 type recordStore struct {
 	mu      sync.Mutex
 	down    bool
@@ -42,16 +42,16 @@
 	return s.write(c, false)
 }
 
-// has tells whether a record is there.
+// has reports whether a record exists.
 func (s *recordStore) has(c quarantine.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.records[c]
 }
 
-// TestQuarantineRecorder has contents be barred and released while the store is down and a router
-// leads, or doesn't: what is barred is recorded once the store is back, by the one that leads, and
-// each record costs one call where the store answers.
+// TestQuarantineRecorder bars and releases a fingerprint while the store is down and while
+// another router leads. The leader writes the record once the store is back, with one call
+// for each record while the store responds.
 func TestQuarantineRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
--- a/gateway/refusal_bench_test.go
+++ b/gateway/refusal_bench_test.go
@@ -13,16 +13,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cpuTime is the processor time of this process so far.
+// cpuTime returns the processor time used so far by the process or thread, as who selects.
 func cpuTime(who int) time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(who, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRefusal refuses requests with a body of 6 KB over TCP, on connections
-// that are kept and on new ones. server-us/op is the processor time of the router's
-// end alone.
+// BenchmarkRefusal refuses requests with a body of 6 KB over TCP, on kept and on new
+// connections. server-us/op is the processor time of the router's side alone.
 func BenchmarkRefusal(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		b.Run(fmt.Sprintf("kept=%v", kept), func(b *testing.B) {
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -7,9 +7,10 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// Reload puts changed settings in force. What a process has opened stays open
-// until its end; a changed address of its own is logged. Bounds of roll-outs are taken at
-// the start alone: what is under way was begun with them.
+// Reload applies changed settings. Listeners stay open until the process ends; if one of
+// the router's own addresses has changed, the log line says that a restart is needed. The
+// bounds of rollouts are read only at the start, since the rollouts in progress began with
+// them.
 func (g *Gateway) Reload(s Settings) {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryBytes)))
 	g.grace.Store(int64(s.Grace))
@@ -25,14 +26,13 @@
 	g.log.Event("reload").Bool("restart_needed", moved).Msg("")
 }
 
-// ReloadFailed logs settings that cannot be read; the last good ones stay in
-// force.
+// ReloadFailed logs that the settings cannot be read. The last valid ones remain in effect.
 func (g *Gateway) ReloadFailed(err error) {
 	g.log.Event("reload_failed").Err(err).Msg("")
 }
 
-// Unreadable logs an object of the source that cannot be read; what was known
-// before stays in force.
+// Unreadable logs that an object of the source cannot be read. Its previous state remains
+// in effect.
 func (g *Gateway) Unreadable(kind, name string, revision uint64, err error) {
 	g.log.Event("object_unreadable").Str("kind", kind).Str("name", name).Uint64("revision", revision).Err(err).Msg("")
 }
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -8,8 +8,8 @@
 	"github.com/phuslu/log"
 )
 
-// log logs how a request ended: failures and refusals up to a rate, ordinary successes
-// by a sample of ids.
+// log logs the result of a request. Failures and refusals are rate-limited, and successes
+// are sampled by id.
 func (x *exchange) log(result string, status int, reason string) {
 	if result == resultServed {
 		if !eventlog.Sampled(x.info.ID) {
@@ -25,15 +25,15 @@
 	e.Msg("")
 }
 
-// logRetry logs an attempt that led to another decision.
+// logRetry logs an attempt that did not end its request.
 func (x *exchange) logRetry(o direct.Outcome) {
 	if x.front.log.AllowFailure() {
 		x.describe(x.front.log.Event("attempt_ended")).Str("outcome", o.String()).Dur("after", x.front.core.Now()-x.start).Msg("")
 	}
 }
 
-// describe adds what every line on a request has: who, where, and what decided
-// it, with ages and versions.
+// describe adds the fields common to all log lines on a request: its origin, its target,
+// and the basis of its placement, with ages and revisions.
 func (x *exchange) describe(e *log.Entry) *log.Entry {
 	feeds := x.front.feeds
 	e.Str("request", x.info.ID).Str("team", x.team).Str("route", x.route.Name).Str("service", x.service).
@@ -62,7 +62,7 @@
 
 // logRejected logs a request that was not admitted.
 func (f *front) logRejected(r *http.Request, refused refusal) {
-	// Under pressure there are too many to be told one by one.
+	// Under pressure there are too many rejections to log each of them.
 	if refused.reason == reasonPressure && !eventlog.Sampled(f.dialect.RequestID(r.Header)) {
 		f.log.Drop()
 		return
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -8,23 +8,23 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// maxBufferedBytes bounds an answer that is read before it is forwarded.
+// maxBufferedBytes bounds a response that is buffered before it is forwarded.
 const maxBufferedBytes = 4 << 20
 
-// bufferedResponse is an answer that was read to its end.
+// bufferedResponse is a response that was read to its end.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// bufferResponse reads an answer that is no stream, and forwards it where it is sound.
+// bufferResponse reads a response that is not a stream, and forwards it if it is valid.
 func (a *attempt) bufferResponse(resp *http.Response, info ResponseInfo) (direct.Outcome, bool) {
 	body, err := readBuffered(resp.Body, bufferedSize(resp), maxBufferedBytes, a.x.grow)
 	a.countBytes(len(body))
 	if errors.Is(err, errNoMemory) {
-		// The request has run, and nobody can hold its answer: neither its server is to blame nor
-		// would another one help.
+		// The request has run, but its response does not fit into memory. The server is
+		// not at fault, and another server would not help.
 		a.conn.Close()
 		a.x.fail("memory")
 		return direct.GivenUp, true
@@ -40,7 +40,7 @@
 		return a.keepFailure(response)
 	}
 	if a.x.headSent {
-		// A stream that was to go on got an answer of another kind.
+		// The response of a stream that was to continue is not a stream.
 		return a.endWithoutResponse(direct.Failed)
 	}
 	if claimsNotRun(resp.StatusCode) {
@@ -51,7 +51,8 @@
 	return direct.Done, true
 }
 
-// bufferedSize is the length of an answer's body, or negative where reading has to find that.
+// bufferedSize returns the length of a response's body. It is negative if the length is
+// unknown or above the limit.
 func bufferedSize(resp *http.Response) int64 {
 	if resp.ContentLength > maxBufferedBytes {
 		return -1
@@ -67,7 +68,7 @@
 	return a.endWithoutResponse(direct.Failed)
 }
 
-// reportResponse tells the machine that the server has answered.
+// reportResponse reports to the machine that the server has responded.
 func (a *attempt) reportResponse() {
 	now := a.x.front.core.Now()
 	if a.x.respondedAt == 0 {
@@ -76,8 +77,8 @@
 	a.x.front.core.Update(direct.FirstEventMsg{Now: now, ID: a.x.id})
 }
 
-// isForwardable tells whether an answer may be forwarded: a success must be vouched
-// for, and callers ask for plain bodies.
+// isForwardable reports whether a response may be forwarded: a success must carry the
+// server's stamp, and the body must not be encoded, since callers request plain bodies.
 func isForwardable(resp *http.Response, info ResponseInfo) bool {
 	if resp.StatusCode/100 == 2 && !info.Signed {
 		return false
@@ -85,8 +86,8 @@
 	return resp.Header.Get("Content-Encoding") == ""
 }
 
-// claimsNotRun tells whether a status says that the request did not run, which a
-// server's status without its word for it does not.
+// claimsNotRun reports whether a status means that the request did not run. The status
+// alone does not prove that: the server must also say so in a header.
 func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -95,7 +96,7 @@
 	return false
 }
 
-// write passes the answer on.
+// write forwards the response to the caller.
 func (b *bufferedResponse) write(x *exchange) {
 	copyHeader(x.w.Header(), b.header)
 	if x.r.Method != http.MethodHead && bodyAllowed(b.status) {
@@ -103,7 +104,7 @@
 	}
 	x.front.setConnectionClose(x.w)
 	x.w.WriteHeader(b.status)
-	_, _ = x.w.Write(b.body) // what a caller does not read is told by its send queue
+	_, _ = x.w.Write(b.body) // the send queue reports what a caller does not read
 }
 
 func bodyAllowed(status int) bool {
--- a/gateway/rolloutstate.go
+++ b/gateway/rolloutstate.go
@@ -2,8 +2,8 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// RolloutState is what a router shows of the versions of one service and of its roll-out,
-// with words in place of numbers.
+// RolloutState is the state of the versions of one service and of its rollout, with names
+// in place of enum values.
 type RolloutState struct {
 	rollout.Snapshot
 	Stage, Verdict, WaitsFor string
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -9,42 +9,42 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// Settings are what a router is started with.
+// Settings holds the settings of a router.
 type Settings struct {
 	Name    string
 	Zone    string
 	Region  string  // empty: unknown
-	Cores   float64 // cores that the process may use
+	Cores   float64 // processor cores that the process may use
 	Address string  // of this host, without a port
 
-	FrontAddress   string // callers
-	ReadyAddress   string // the balancer's question
-	ControlAddress string // other routers' pulls
-	PeersAddress   string // other routers' heartbeats, as datagrams
-	LoadsAddress   string // other routers' loads, as datagrams
-	MetricsAddress string // empty: not served
+	FrontAddress   string // for callers
+	ReadyAddress   string // for readiness checks of the balancer
+	ControlAddress string // for pulls of other routers
+	PeersAddress   string // for heartbeats of other routers, as datagrams
+	LoadsAddress   string // for loads of other routers, as datagrams
+	MetricsAddress string // empty: metrics are not served
 
 	Seeds         []string // control addresses of some routers
 	FirstStart    bool     // the whole fleet starts for the first time
 	MemoryBytes   int64
 	Descriptors   int
-	Grace         time.Duration // from the request to end until the end
-	MaxDrainTime  time.Duration // most that a server that leaves may get requests after its word; 0: unknown
-	MaxEventDelay time.Duration // most that a stream's event may take to reach its caller; 0: unknown
-	// MaxEvacuationTime is the most that may pass between the word that a data hall is
-	// evacuated and the last request to its servers; 0: no hall is ever evacuated.
+	Grace         time.Duration // from the shutdown request to the end of the process
+	MaxDrainTime  time.Duration // longest time that a leaving server gets requests after its notice; 0: unknown
+	MaxEventDelay time.Duration // longest time that an event of a stream may take to reach its caller; 0: unknown
+	// MaxEvacuationTime is the longest time between the notice that a data hall is
+	// evacuated and the last request to its servers; 0: evacuation is disabled.
 	MaxEvacuationTime time.Duration
-	// HallRegions is the region of each data hall that is known.
+	// HallRegions maps data halls to their regions, as far as these are known.
 	HallRegions        map[string]string
 	RetryBudget        direct.RetryBudgetOptions
-	RolloutBounds      rollout.Bounds            // of roll-outs, which are on where there are any
+	RolloutBounds      rollout.Bounds            // rollouts are enabled if there are any
 	DisabledMechanisms direct.DisabledMechanisms // mechanisms that are switched off in experiments
 }
 
-// ownRegion returns the region of this router, or an empty one where it is not known.
+// ownRegion returns the region of this router, or an empty string if it is unknown.
 func (s Settings) ownRegion() string { return cmp.Or(s.Region, s.HallRegions[s.Zone]) }
 
-// cluster returns what the router takes part in the fleet with.
+// cluster returns the settings of the router as a member of the cluster.
 func (s Settings) cluster() cluster.Settings {
 	return cluster.Settings{
 		Self: cluster.Member{Name: s.Name, Address: s.Address}, Hall: s.Zone, Region: s.ownRegion(), Power: s.Cores,
--- a/gateway/source.go
+++ b/gateway/source.go
@@ -6,7 +6,8 @@
 	"github.com/croftvale/croftvale/gateway/rollouts"
 )
 
-// Source is where a router finds what all routers agree on, and the other routers.
+// Source provides the state that all routers share and the list of other routers, and
+// stores records of rollouts and quarantine.
 type Source interface {
 	feed.Source
 	cluster.Registry
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -17,14 +17,14 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// isStream tells whether an answer is a series of events.
+// isStream reports whether a response is a stream of events.
 func (a *attempt) isStream(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusOK && a.x.route.Kind == direct.Stream &&
 		strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// stream passes whole events on as they come. Where the server breaks off, the
-// stream may go on at another server after the last event that was forwarded.
+// stream forwards whole events as they arrive. If the server breaks off, the stream may
+// continue on another server after the last event that was forwarded.
 func (a *attempt) stream(resp *http.Response, info ResponseInfo) (direct.Outcome, bool) {
 	if !isForwardable(resp, info) {
 		a.conn.Close()
@@ -35,7 +35,7 @@
 		a.setStallDeadline()
 		event, err := events.next()
 		if err == io.EOF && resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 {
-			// Without a frame nobody can tell this end from a break.
+			// Without framing, this end cannot be told from a broken connection.
 			err = io.ErrUnexpectedEOF
 		}
 		if err == io.EOF {
@@ -61,10 +61,10 @@
 	}
 }
 
-// eventBufferBytes is the buffer over a stream's body.
+// eventBufferBytes is the size of the read buffer for a stream.
 const eventBufferBytes = 1 << 10
 
-// setStallDeadline sets how long the server may say nothing.
+// setStallDeadline sets how long the server may stay silent.
 func (a *attempt) setStallDeadline() {
 	timeLeft := a.x.deadline - a.x.front.core.Now()
 	if a.mayRetry() && a.x.headSent {
@@ -72,15 +72,15 @@
 	} else if timeout, bounded := a.stallTimeout(timeLeft); bounded && !a.x.headSent {
 		timeLeft = timeout
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(timeLeft)) // a closed connection shows when it is read
+	_ = a.conn.SetReadDeadline(time.Now().Add(timeLeft)) // reading from a closed connection returns the error
 }
 
-// mayRetry tells whether the route allows another attempt after this one.
+// mayRetry reports whether the route allows another attempt after this one.
 func (a *attempt) mayRetry() bool {
 	return a.x.route.MayRepeat() && a.cmd.Attempt < a.x.route.Attempts
 }
 
-// isNext checks that an event is the next of the stream.
+// isNext reports whether an event is the next one of the stream, and records its id.
 func (a *attempt) isNext(event event) bool {
 	if !event.hasID {
 		return true
@@ -92,8 +92,8 @@
 	return true
 }
 
-// forward writes one event, with the head before the first. Events that came
-// together leave together: only the last is flushed.
+// forward writes one event, after the response header if it is the first event. Events that
+// arrive together are sent together: only the last is flushed.
 func (a *attempt) forward(resp *http.Response, event event, flush bool) error {
 	if !a.x.headSent {
 		copyHeader(a.x.w.Header(), resp.Header)
@@ -120,7 +120,7 @@
 	return a.x.front.flush(a.x.w)
 }
 
-// endStream ends a stream whose last event has come.
+// endStream ends a stream whose last event has arrived.
 func (a *attempt) endStream() (direct.Outcome, bool) {
 	a.release()
 	if !a.x.headSent {
@@ -130,8 +130,8 @@
 	return direct.Done, true
 }
 
-// endBrokenStream ends an attempt whose stream broke off. Where it cannot go on
-// elsewhere, the caller's connection is broken off too.
+// endBrokenStream ends an attempt whose stream broke off. If the stream cannot continue on
+// another server, the caller's connection is closed too.
 func (a *attempt) endBrokenStream(o direct.Outcome) (direct.Outcome, bool) {
 	o, ended := a.endWithoutResponse(o)
 	if ended {
@@ -162,14 +162,14 @@
 	eventEnd = []byte("\n\n")
 )
 
-// hasNext tells whether one more whole event can be read without waiting.
+// hasNext reports whether another whole event can be read without waiting.
 func (e *eventReader) hasNext() bool {
 	buffered, err := e.reader.Peek(e.reader.Buffered())
 	return err == nil && bytes.Contains(buffered, eventEnd)
 }
 
-// next returns the next whole event, valid until the next call. io.EOF says
-// that the stream ended between two events.
+// next returns the next whole event, valid until the next call. It returns io.EOF if the
+// stream ends between two events.
 func (e *eventReader) next() (event, error) {
 	e.buffer = e.buffer[:0]
 	var out event
--- a/gateway/waiter.go
+++ b/gateway/waiter.go
@@ -2,17 +2,17 @@
 
 import "github.com/croftvale/croftvale/direct"
 
-// waiter is what the core knows of the goroutine of a request. The core's lock guards it.
+// waiter is the state of a request's goroutine in the core, guarded by the core's lock.
 type waiter struct {
 	commands chan direct.Cmd
-	// abort breaks the running attempt off, so that its stream goes on elsewhere; nil: no
-	// attempt that may be broken off is running. It must not block.
+	// abort aborts the running attempt, so that its stream continues on another server. It
+	// is nil if no attempt is running that may be aborted. It must not block.
 	abort       func()
-	movePending bool // a move came before there was anything to break off
+	movePending bool // a move arrived before an attempt could be aborted
 }
 
-// move breaks off the attempt that runs. One that is just beginning is broken off as soon
-// as it can be; one that has just ended is left as it is.
+// move aborts the running attempt. An attempt that is just starting is aborted as soon as
+// possible; one that has just ended is not affected.
 func (w *waiter) move() {
 	switch {
 	case w == nil:
@@ -23,7 +23,7 @@
 	}
 }
 
-// setAbort sets what breaks the running attempt of a request off when it is to move.
+// setAbort sets the function that aborts the running attempt of a request for a move.
 func (c *core) setAbort(id direct.RequestID, abort func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// clearAbort undoes setBreakOff: once it returns, breakOff is not called any more.
+// clearAbort reverts setAbort. Once it returns, abort is not called any more.
 func (c *core) clearAbort(id direct.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/waiter_test.go
+++ b/gateway/waiter_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMoveEndsWithItsAttempt shows that a move which came while an attempt could not be
-// broken off yet, and never could, does not break off the next one.
+// TestMoveEndsWithItsAttempt checks that a move for an attempt that ends before it could be
+// aborted does not abort the next attempt.
 func TestMoveEndsWithItsAttempt(t *testing.T) {
 	c := newCore(direct.Options{}, nil)
 	c.waiters[1] = &waiter{commands: make(chan direct.Cmd, 2)}
@@ -23,5 +23,5 @@
 	c.clearAbort(1)
 	c.waiters[1].move()
 	startAttempt()
-	require.Equal(t, 1, aborted, "one that is just beginning is broken off")
+	require.Equal(t, 1, aborted, "an attempt that is just starting is aborted")
 }
