--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAges checks that retries are told from first tries by their remaining time,
+// TestAges checks that retries are distinguished from first tries by their remaining time,
 // separately for each route.
 func TestAges(t *testing.T) {
 	var a ageEstimator
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -80,7 +80,7 @@
 	a.allowMove()
 	defer a.forbidMove()
 	timeLeft = a.x.deadline - a.x.front.core.Now()
-	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: using a closed connection returns the error
+	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: it fails on a closed connection, whose next use returns the error
 	a.path = a.x.front.pathTo(a.cmd)
 	a.countBytes(len(a.x.body))
 	err = conn.Send(&backend.Request{
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -59,7 +59,7 @@
 // abortBodyRead stops reading a body whose memory is reclaimed. The caller receives a
 // response at once that the request has not run.
 func (x *exchange) abortBodyRead() {
-	// Writers of tests do not support deadlines.
+	// The response writers of tests do not support deadlines.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Unix(1, 0))
 }
 
@@ -80,7 +80,7 @@
 
 // bufferBody reads the body and marks its memory as not reclaimable.
 func (x *exchange) bufferBody(maxSize int64) error {
-	// Writers of tests do not support deadlines.
+	// The response writers of tests do not support deadlines.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
 	body, err := x.receiveBody(maxSize)
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	_ = control.SetReadDeadline(time.Time{}) // not supported by writers of tests
+	_ = control.SetReadDeadline(time.Time{}) // not supported in tests, as above
 	x.body = body
 	return nil
 }
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -57,7 +57,7 @@
 }
 
 // TestLateRouterTakesInNoMore checks that a late router closes queued connections unread
-// after a moment, and accepts again when it keeps up. Otherwise a flood of 2,500 new
+// after a moment, and accepts again once it has caught up. Otherwise a flood of 2,500 new
 // connections a second through one host of 0.144 cores is read half a second late, and with
 // it all that the host serves.
 func TestLateRouterTakesInNoMore(t *testing.T) {
@@ -142,9 +142,9 @@
 	require.False(t, newTestCallerConns(10, 0).shouldClose(true), "the number of cores is unknown")
 }
 
-// TestNewCallerReplacesLongestStalled lets callers that stopped in their bodies hold all
-// slots: a new connection closes the one that stopped longest ago, and none that has sent
-// data recently.
+// TestNewCallerReplacesLongestStalled fills all slots with callers that stopped while
+// sending their bodies. A new connection closes the one that stopped longest ago, and none
+// that has sent data recently.
 func TestNewCallerReplacesLongestStalled(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -175,8 +175,8 @@
 			now := c.Now()
 			lag := now - last - direct.TickInterval
 			last = now
-			// The goroutine of a timer runs before most others. Requests wait longer, as
-			// the probe does.
+			// The goroutine of a timer runs before most others. Requests wait longer, and
+			// the probe measures that.
 			c.pressure.Observe(now, max(lag, probe.Lag()))
 			c.Update(direct.TickMsg{Now: c.Now()})
 		}
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -37,7 +37,7 @@
 	NoticeErr error
 }
 
-// Dialect translates the headers of a deployment.
+// Dialect reads and writes the headers that a deployment uses.
 type Dialect interface {
 	// RequestID returns the id that the caller chose for its attempt.
 	RequestID(h http.Header) string
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -24,7 +24,7 @@
 // be first tries: such teams are hardly ever refused.
 const firstTryShare = 0.8
 
-// exchange is a caller's request until its final response.
+// exchange tracks a caller's request until its final response.
 type exchange struct {
 	front       *front
 	w           http.ResponseWriter
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -46,7 +46,7 @@
 	dialect    Dialect
 	log        *eventlog.Log
 	stats      *stats.Stats
-	sendQueues *sendqueue.Queues // responses held for callers
+	sendQueues *sendqueue.Queues // unread responses, and the memory for bodies
 	draining   atomic.Bool       // responses close their connections
 	refusing   atomic.Bool       // new requests are refused
 	active     atomic.Int64
@@ -97,7 +97,7 @@
 	}
 	if f.core.pressure.Shedding() && f.conns.closedByCaller(x.ctx) {
 		// A late router may read requests that their callers have already given up.
-		// Forwarding them would spend the tokens of their teams on nobody.
+		// Forwarding them would waste the tokens of their teams.
 		x.callerLeft(0)
 		panic(http.ErrAbortHandler)
 	}
@@ -186,7 +186,7 @@
 		timeout = min(timeout, x.info.TimeLeft)
 	}
 	x.deadline = x.start + timeout
-	// Writers of tests do not support deadlines.
+	// The response writers of tests do not support deadlines.
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
 
@@ -216,8 +216,8 @@
 // setConnectionClose makes the response close its connection if this router is draining or
 // holds too many connections, so that callers reconnect to other routers. Even a late
 // router keeps a few: callers reuse a connection only after a response, so they send no
-// faster than the router responds, and a request on a new connection costs twice as much as
-// one on an existing connection.
+// faster than the router responds, and a new connection costs the router twice as much as a
+// request on an existing one.
 func (f *front) setConnectionClose(w http.ResponseWriter) {
 	if f.draining.Load() || f.conns.shouldClose(f.core.pressure.TooLateToAccept()) {
 		w.Header().Set("Connection", "close")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,9 +33,9 @@
 	maxHeaderBytes     = 32 << 10
 	headerTimeout      = 5 * time.Second
 	defaultIdleTimeout = 120 * time.Second
-	// heldMemoryDivisor is the part of the memory, one eighth, for callers' bodies and
-	// unread responses. With the copies that are made as buffers grow, and their garbage,
-	// they take up to three times that.
+	// heldMemoryDivisor bounds callers' bodies and unread responses to one eighth of the
+	// memory. With the copies that are made as buffers grow, and their garbage, they take
+	// up to three times that.
 	heldMemoryDivisor   = 8
 	memoryLimitFraction = 0.6 // of the memory, above which the garbage collector works harder
 )
@@ -89,7 +89,8 @@
 	return g, nil
 }
 
-// setUpCluster creates what the router shares with other routers.
+// setUpCluster creates the feeds, the cluster member and the rollouts, which the router
+// shares with other routers.
 func (g *Gateway) setUpCluster() error {
 	s := g.settings
 	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.MaxEvacuationTime}
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -14,7 +14,7 @@
 const (
 	// spareDescriptors are reserved for files, peers and the source.
 	spareDescriptors  = 400
-	defaultMaxCallers = 1000
+	defaultMaxCallers = 1000 // if the number of descriptors is unknown
 )
 
 // listen opens the addresses that the router serves.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,8 +12,8 @@
 
 const (
 	// recordInterval is the time between checks for records that the store should add or
-	// remove. If the routers lose power within this time after a crash, only a few more
-	// servers crash.
+	// remove. It is short, so that few more crashes follow if the routers lose power
+	// before a crash is recorded.
 	recordInterval = 250 * time.Millisecond
 	// recordRetryDelay is the delay after a failed call.
 	recordRetryDelay = time.Second
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -40,7 +40,7 @@
 		return a.keepFailure(response)
 	}
 	if a.x.headSent {
-		// The response of a stream that was to continue is not a stream.
+		// The stream was to continue, but the response is not a stream.
 		return a.endWithoutResponse(direct.Failed)
 	}
 	if claimsNotRun(resp.StatusCode) {
@@ -87,7 +87,7 @@
 }
 
 // claimsNotRun reports whether a status means that the request did not run. The status
-// alone does not prove that: the server must also say so in a header.
+// alone does not prove that: the server must also report it in a header.
 func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -118,8 +118,7 @@
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Expect": true,
 }
 
-// copyHeader forwards the headers that do not belong to the server's
-// connection.
+// copyHeader copies the headers that do not belong to the server's connection.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !connectionHeaders[name] {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -37,7 +37,7 @@
 	// HallRegions maps data halls to their regions, as far as these are known.
 	HallRegions        map[string]string
 	RetryBudget        direct.RetryBudgetOptions
-	RolloutBounds      rollout.Bounds            // rollouts are enabled if there are any
+	RolloutBounds      rollout.Bounds            // rollouts are enabled if Share is above 0
 	DisabledMechanisms direct.DisabledMechanisms // mechanisms that are switched off in experiments
 }
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -23,8 +23,8 @@
 		strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// stream forwards whole events as they arrive. If the server breaks off, the stream may
-// continue on another server after the last event that was forwarded.
+// stream forwards whole events as they arrive. If the server fails, the stream may continue
+// on another server after the last event that was forwarded.
 func (a *attempt) stream(resp *http.Response, info ResponseInfo) (direct.Outcome, bool) {
 	if !isForwardable(resp, info) {
 		a.conn.Close()
@@ -35,7 +35,7 @@
 		a.setStallDeadline()
 		event, err := events.next()
 		if err == io.EOF && resp.ContentLength < 0 && resp.Close && len(resp.TransferEncoding) == 0 {
-			// Without framing, this end cannot be told from a broken connection.
+			// Without framing, this end looks the same as a broken connection.
 			err = io.ErrUnexpectedEOF
 		}
 		if err == io.EOF {
@@ -72,7 +72,7 @@
 	} else if timeout, bounded := a.stallTimeout(timeLeft); bounded && !a.x.headSent {
 		timeLeft = timeout
 	}
-	_ = a.conn.SetReadDeadline(time.Now().Add(timeLeft)) // reading from a closed connection returns the error
+	_ = a.conn.SetReadDeadline(time.Now().Add(timeLeft)) // it fails on a closed connection, which the next read reports
 }
 
 // mayRetry reports whether the route allows another attempt after this one.
@@ -130,8 +130,8 @@
 	return direct.Done, true
 }
 
-// endBrokenStream ends an attempt whose stream broke off. If the stream cannot continue on
-// another server, the caller's connection is closed too.
+// endBrokenStream ends an attempt whose stream ended early. If the stream cannot continue
+// on another server, the caller's connection is closed too.
 func (a *attempt) endBrokenStream(o direct.Outcome) (direct.Outcome, bool) {
 	o, ended := a.endWithoutResponse(o)
 	if ended {
