--- a/gateway/age.go
+++ b/gateway/age.go
@@ -42,21 +42,21 @@
 
 // estimate returns the age of a request that arrives with timeLeft. It returns 0 if the
 // request may be a first try or its caller sent no time limit.
-func (a *ageEstimator) estimate(now time.Duration, route string, timeLeft time.Duration) time.Duration {
+func (e *ageEstimator) estimate(now time.Duration, route string, timeLeft time.Duration) time.Duration {
 	if timeLeft <= 0 {
 		return 0
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.maxTimeLeft == nil {
-		a.maxTimeLeft = make(map[string]timeLeftRecord)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.maxTimeLeft == nil {
+		e.maxTimeLeft = make(map[string]timeLeftRecord)
 	}
-	longest := a.maxTimeLeft[route]
+	longest := e.maxTimeLeft[route]
 	if timeLeft >= longest.timeLeft || now-longest.at > maxTimeLeftTTL {
-		a.maxTimeLeft[route] = timeLeftRecord{timeLeft: timeLeft, at: now}
+		e.maxTimeLeft[route] = timeLeftRecord{timeLeft: timeLeft, at: now}
 		return 0
 	}
-	minNewTimeLeft := (1 - a.spread) * float64(longest.timeLeft)
+	minNewTimeLeft := (1 - e.spread) * float64(longest.timeLeft)
 	if float64(timeLeft) > minNewTimeLeft-transitFraction*float64(longest.timeLeft) {
 		return 0
 	}
@@ -65,30 +65,30 @@
 
 // observeFirstTry updates the spread with a request of a team within its share. Nearly all
 // such requests are first tries.
-func (a *ageEstimator) observeFirstTry(route string, timeLeft time.Duration) {
+func (e *ageEstimator) observeFirstTry(route string, timeLeft time.Duration) {
 	if timeLeft <= 0 {
 		return
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	longest := a.maxTimeLeft[route]
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	longest := e.maxTimeLeft[route]
 	if longest.timeLeft <= 0 {
 		return
 	}
-	if float64(timeLeft) < (1-a.spread)*float64(longest.timeLeft) {
-		a.spread = min(a.spread+spreadStep*(1-misjudgedFraction), maxSpread)
+	if float64(timeLeft) < (1-e.spread)*float64(longest.timeLeft) {
+		e.spread = min(e.spread+spreadStep*(1-misjudgedFraction), maxSpread)
 		return
 	}
-	a.spread = max(a.spread-spreadStep*misjudgedFraction, 0)
+	e.spread = max(e.spread-spreadStep*misjudgedFraction, 0)
 }
 
 // retainRoutes drops the routes that are no longer configured.
-func (a *ageEstimator) retainRoutes(configured func(route string) bool) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for route := range a.maxTimeLeft {
+func (e *ageEstimator) retainRoutes(configured func(route string) bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for route := range e.maxTimeLeft {
 		if !configured(route) {
-			delete(a.maxTimeLeft, route)
+			delete(e.maxTimeLeft, route)
 		}
 	}
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -50,17 +50,17 @@
 
 // record counts the result of a request. Requests whose caller left are not counted, since
 // their outcome is unknown.
-func (a *outcomeCounters) record(x *exchange, result string, now time.Duration) {
+func (c *outcomeCounters) record(x *exchange, result string, now time.Duration) {
 	if result == resultCallerLeft {
 		return
 	}
 	counts := countsOf(x, result, now)
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.teams == nil {
-		a.teams, a.routes = make(map[string]OutcomeCounts), make(map[string]OutcomeCounts)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.teams == nil {
+		c.teams, c.routes = make(map[string]OutcomeCounts), make(map[string]OutcomeCounts)
 	}
-	for name, all := range map[string]map[string]OutcomeCounts{x.team: a.teams, x.route.Name: a.routes} {
+	for name, all := range map[string]map[string]OutcomeCounts{x.team: c.teams, x.route.Name: c.routes} {
 		sum := all[name]
 		sum.Add(counts)
 		all[name] = sum
@@ -93,17 +93,17 @@
 }
 
 // take returns the counts since the previous call and resets them.
-func (a *outcomeCounters) take() (teams, routes map[string]OutcomeCounts) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	teams, routes = a.teams, a.routes
-	a.teams, a.routes = nil, nil
+func (c *outcomeCounters) take() (teams, routes map[string]OutcomeCounts) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	teams, routes = c.teams, c.routes
+	c.teams, c.routes = nil, nil
 	return teams, routes
 }
 
 // log logs the counts since the previous line.
-func (a *outcomeCounters) log(l *eventlog.Log) {
-	if teams, routes := a.take(); len(teams) > 0 {
+func (c *outcomeCounters) log(l *eventlog.Log) {
+	if teams, routes := c.take(); len(teams) > 0 {
 		l.Event(OutcomeCountsEvent).Any("teams", teams).Any("routes", routes).Msg("")
 	}
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -49,14 +49,14 @@
 }
 
 // run writes the records until ctx ends.
-func (k *quarantineRecorder) run(ctx context.Context) error {
+func (r *quarantineRecorder) run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, recordInterval)
-		if !k.leads() {
+		if !r.leads() {
 			continue
 		}
-		add, remove := k.core.pendingRecords()
-		if !k.write(ctx, k.add, add) || !k.write(ctx, k.remove, remove) {
+		add, remove := r.core.pendingRecords()
+		if !r.write(ctx, r.add, add) || !r.write(ctx, r.remove, remove) {
 			wait.Sleep(ctx, recordRetryDelay)
 		}
 	}
@@ -65,15 +65,15 @@
 
 // write makes one call for each fingerprint without a recent call, and reports whether all
 // calls succeeded.
-func (k *quarantineRecorder) write(ctx context.Context, w *recordWriter, fingerprints []quarantine.Fingerprint) bool {
-	now := k.core.Now()
+func (r *quarantineRecorder) write(ctx context.Context, w *recordWriter, fingerprints []quarantine.Fingerprint) bool {
+	now := r.core.Now()
 	w.expire(now)
 	for _, c := range fingerprints {
 		if _, recent := w.writtenAt[c]; recent {
 			continue
 		}
 		err := w.write(ctx, now, c)
-		k.log.Event("quarantine_write").Str("content", c.String()).Str("what", w.what).Err(err).Msg("")
+		r.log.Event("quarantine_write").Str("content", c.String()).Str("what", w.what).Err(err).Msg("")
 		if err != nil {
 			return false
 		}
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -34,10 +34,10 @@
 		return a.endWithoutResponse(direct.Broken)
 	}
 	a.release()
-	response := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
+	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	a.reportResponse()
 	if resp.StatusCode/100 == 5 {
-		return a.keepFailure(response)
+		return a.keepFailure(buffered)
 	}
 	if a.x.headSent {
 		// The stream was to continue, but the response is not a stream.
@@ -46,8 +46,8 @@
 	if claimsNotRun(resp.StatusCode) {
 		return direct.Failed, false
 	}
-	response.write(a.x)
-	a.x.finish(resultServed, response.status, "")
+	buffered.write(a.x)
+	a.x.finish(resultServed, buffered.status, "")
 	return direct.Done, true
 }
 
