--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,171 +16,174 @@
 )
 
 const (
-	// streamSilence is the least pause within a stream after which it goes on
-	// elsewhere, where it may; pauseSilence the same in longest pauses.
-	streamSilence = 800 * time.Millisecond
-	pauseSilence  = 4
-	// firstPatience is the part of the objective after which a request that may
-	// be repeated is tried elsewhere; streams get streamPatience.
-	firstPatience  = 0.6
-	streamPatience = 3.0
-	// estimateTimes is the least patience in expected times to a first event.
-	estimateTimes = 3
-	// leastLeft is the shortest time that is worth sending a request for.
-	leastLeft = 2 * time.Millisecond
+	// minStreamStall is the shortest pause within a stream after which the stream
+	// continues on another server, if it may. streamStallPauses is the same limit as a
+	// multiple of the route's longest pause.
+	minStreamStall    = 800 * time.Millisecond
+	streamStallPauses = 4
+	// stallObjectives is the fraction of the objective after which a repeatable request is
+	// tried on another server. Streams use streamStallObjectives.
+	stallObjectives       = 0.6
+	streamStallObjectives = 3.0
+	// stallEstimates is the shortest stall timeout, as a multiple of the estimated time to
+	// the first event.
+	stallEstimates = 3
+	// minTimeLeft is the shortest remaining time for which a request is still sent.
+	minTimeLeft = 2 * time.Millisecond
 )
 
-// errSpoiled says that an answer is not one that a server may give.
-var errSpoiled = errors.New("the answer is spoiled")
+// errTooLarge is returned for a body or a stream event that exceeds its size limit.
+var errTooLarge = errors.New("the body or event exceeds its size limit")
 
-// attempt is one request to one server.
+// attempt is one try of a request on one server.
 type attempt struct {
-	x    *exchange
-	cmd  direct.SendCmd
-	conn *backend.Conn
-	stop func() bool // ends the watch on the caller
-	// begun says that the first event of a stream has been forwarded.
-	begun bool
-	path  traffic.Path
-	// moved says that the attempt was broken off to go on at another version's server.
-	moved   atomic.Bool
-	movable bool // a move may break it off; see allowMove
-	refused bool // the server's host refused a connection
-	overdue bool // this process ran too late to connect
+	x         *exchange
+	cmd       direct.SendCmd
+	conn      *backend.Conn
+	stopWatch func() bool // stops watching whether the caller leaves
+	// forwarding is set once the first event of a stream has been forwarded.
+	forwarding bool
+	path       traffic.Path
+	// moved is set when the attempt is aborted to continue on a server of another version.
+	moved       atomic.Bool
+	movable     bool // a move may abort the attempt; see allowMove
+	connRefused bool // the server's host refused the connection
+	dialOverdue bool // this process ran too late to connect
 }
 
-// count counts bytes that go to the server or come from it.
-func (a *attempt) count(n int) { a.x.front.traffic.Add(a.path, n) }
+// countBytes counts bytes sent to the server or received from it.
+func (a *attempt) countBytes(n int) { a.x.front.traffic.Add(a.path, n) }
 
-// run sends the request and passes the answer on. It returns how the attempt
-// ended and whether the caller's request has ended with it.
+// run sends the request and forwards the response. It returns the outcome of the attempt
+// and whether the caller's request has ended.
 func (a *attempt) run() (direct.Outcome, bool) {
-	// The caller's time goes on while the host is suspended.
-	a.x.front.core.wake()
-	left := a.x.deadline - a.x.front.core.Now()
-	if left < leastLeft {
-		a.endLate(direct.GivenUp)
+	// The caller's deadline also passes while the host is suspended.
+	a.x.front.core.checkSuspension()
+	timeLeft := a.x.deadline - a.x.front.core.Now()
+	if timeLeft < minTimeLeft {
+		a.endExpired(direct.GivenUp)
 		return direct.GivenUp, true
 	}
 	conn, err := a.x.front.pool.Get(a.x.ctx, a.cmd.Server.Address)
 	if err != nil {
-		a.refused = errors.Is(err, syscall.ECONNREFUSED)
-		a.overdue = errors.Is(err, backend.ErrOverdue)
-		return a.lost(direct.Unsent)
+		a.connRefused = errors.Is(err, syscall.ECONNREFUSED)
+		a.dialOverdue = errors.Is(err, backend.ErrOverdue)
+		return a.endWithoutResponse(direct.Unsent)
 	}
-	if a.x.front.core.withheld(a.x.id) {
+	if a.x.front.core.shouldWithhold(a.x.id) {
 		conn.Close()
-		return a.lost(direct.Withheld)
+		return a.endWithoutResponse(direct.Withheld)
 	}
 	a.conn = conn
-	a.stop = context.AfterFunc(a.x.ctx, func() { conn.Close() })
-	defer a.stop()
+	a.stopWatch = context.AfterFunc(a.x.ctx, func() { conn.Close() })
+	defer a.stopWatch()
 	a.allowMove()
 	defer a.forbidMove()
-	left = a.x.deadline - a.x.front.core.Now()
-	_ = conn.SetDeadline(time.Now().Add(left)) // here and below: a closed connection shows when it is used
+	timeLeft = a.x.deadline - a.x.front.core.Now()
+	_ = conn.SetDeadline(time.Now().Add(timeLeft)) // here and below: it fails on a closed connection, whose next use returns the error
 	a.path = a.x.front.pathTo(a.cmd)
-	a.count(len(a.x.body))
+	a.countBytes(len(a.x.body))
 	err = conn.Send(&backend.Request{
 		Method: a.x.r.Method,
 		Target: a.x.r.RequestURI,
 		Host:   a.x.r.Host,
-		Header: a.x.front.dialect.Outbound(a.x.r.Header, a.call(left)),
+		Header: a.x.front.dialect.OutboundHeader(a.x.r.Header, a.callInfo(timeLeft)),
 		Body:   a.x.body,
 	})
 	if err != nil {
 		conn.Close()
 		if errors.Is(err, backend.ErrUnsent) {
-			return a.lost(direct.Unsent)
+			return a.endWithoutResponse(direct.Unsent)
 		}
-		return a.lost(direct.Broken)
+		return a.endWithoutResponse(direct.Broken)
 	}
-	return a.receive(left)
+	return a.receive(timeLeft)
 }
 
-// call is what the server is told.
-func (a *attempt) call(left time.Duration) Call {
-	c := Call{Left: left, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.envelope.AfterEvent}
+// callInfo returns what is sent to the server along with the request.
+func (a *attempt) callInfo(timeLeft time.Duration) CallInfo {
+	info := CallInfo{TimeLeft: timeLeft, Server: a.cmd.Server.Name(), Team: a.x.team, AfterEvent: a.x.info.AfterEvent}
 	if a.x.headSent {
-		c.AfterEvent = formatID(a.x.lastID)
+		info.AfterEvent = formatID(a.x.lastEventID)
 	}
-	return c
+	return info
 }
 
-// receive reads the head of the answer, and hands over to what reads the rest.
-func (a *attempt) receive(left time.Duration) (direct.Outcome, bool) {
-	patience, bounded := a.patience(left)
+// receive reads the header of the response and passes the response to the reader of its
+// body.
+func (a *attempt) receive(timeLeft time.Duration) (direct.Outcome, bool) {
+	timeout, bounded := a.stallTimeout(timeLeft)
 	if bounded {
-		_ = a.conn.SetReadDeadline(time.Now().Add(patience))
+		_ = a.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
-	answer, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
-		verdict := a.x.front.dialect.Verdict(h.StatusCode, h.Header)
-		a.noticed(verdict)
-		return verdict.ID == a.x.envelope.ID
+	resp, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
+		info := a.x.front.dialect.ParseResponse(h.StatusCode, h.Header)
+		a.applyNotice(info)
+		return info.RequestID == a.x.info.ID
 	})
 	if err != nil {
 		a.conn.Close()
-		return a.lost(a.silence(err, bounded))
+		return a.endWithoutResponse(a.readOutcome(err, bounded))
 	}
-	verdict := a.x.front.dialect.Verdict(answer.StatusCode, answer.Header)
+	info := a.x.front.dialect.ParseResponse(resp.StatusCode, resp.Header)
 	switch {
-	case verdict.Elsewhere:
-		a.discard(answer)
+	case info.WrongServer:
+		a.discard(resp)
 		return direct.Elsewhere, false
-	case verdict.NotRun && answer.StatusCode != http.StatusBadRequest:
-		a.discard(answer)
+	case info.NotRun && resp.StatusCode != http.StatusBadRequest:
+		a.discard(resp)
 		return direct.NotRun, false
-	case a.isStream(answer):
-		return a.stream(answer, verdict)
+	case a.isStream(resp):
+		return a.stream(resp, info)
 	}
 	_ = a.conn.SetReadDeadline(time.Now().Add(a.x.deadline - a.x.front.core.Now()))
-	return a.whole(answer, verdict)
+	return a.bufferResponse(resp, info)
 }
 
-// noticed takes in what the server says of itself with an answer, also one that comes late
-// and answers an earlier request.
-func (a *attempt) noticed(v Verdict) {
-	if v.Elsewhere {
-		return // it is another server's word
+// applyNotice processes the server's notice in a response header, including that of a late
+// response to an earlier request.
+func (a *attempt) applyNotice(info ResponseInfo) {
+	if info.WrongServer {
+		return // the response comes from another server
 	}
-	if v.Unreadable != nil {
-		a.x.front.log.Unreadable(a.cmd.Server, v.Unreadable)
+	if info.NoticeErr != nil {
+		a.x.front.log.Unreadable(a.cmd.Server, info.NoticeErr)
 	}
-	if v.Notice.IsZero() {
+	if info.Notice.IsZero() {
 		return
 	}
-	a.x.notice = v.Notice
-	a.x.front.stats.Notice(v.Notice)
-	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: v.Notice})
+	a.x.notice = info.Notice
+	a.x.front.stats.Notice(info.Notice)
+	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: info.Notice})
 }
 
-// patience is how long the server may say nothing, where the request could be
-// tried elsewhere.
-func (a *attempt) patience(left time.Duration) (time.Duration, bool) {
+// stallTimeout returns how long the server may stay silent before the request is tried on
+// another server, and whether that limit applies.
+func (a *attempt) stallTimeout(timeLeft time.Duration) (time.Duration, bool) {
 	route := a.x.route
-	if !a.mayGoOn() || !a.x.front.core.without.Enabled(direct.StallTimeout) {
+	if !a.mayRetry() || !a.x.front.core.disabled.Enabled(direct.StallTimeout) {
 		return 0, false
 	}
-	part := firstPatience
+	objectives := stallObjectives
 	if route.Kind == direct.Stream {
-		part = streamPatience
+		objectives = streamStallObjectives
 	}
-	patience := max(time.Duration(part*float64(route.Objective)), estimateTimes*a.cmd.PlacementBasis.Estimate)
-	return patience, patience < left
+	timeout := max(time.Duration(objectives*float64(route.Objective)), stallEstimates*a.cmd.PlacementBasis.Estimate)
+	return timeout, timeout < timeLeft
 }
 
-// silence tells a server that said nothing in good time from one that broke
-// off.
-func (a *attempt) silence(err error, bounded bool) direct.Outcome {
+// readOutcome returns Hung if the server sent nothing before the stall timeout, and Broken
+// if its connection failed.
+func (a *attempt) readOutcome(err error, bounded bool) direct.Outcome {
 	if bounded && errors.Is(err, os.ErrDeadlineExceeded) {
 		return direct.Hung
 	}
 	return direct.Broken
 }
 
-// lost ends an attempt without an answer. The request has ended too where the
-// caller left or its time is over.
-func (a *attempt) lost(o direct.Outcome) (direct.Outcome, bool) {
+// endWithoutResponse ends an attempt without a usable response. It also ends the request if
+// its caller has left or its deadline has passed.
+func (a *attempt) endWithoutResponse(o direct.Outcome) (direct.Outcome, bool) {
 	if a.moved.Load() && (o == direct.Broken || o == direct.Hung) {
 		o = direct.Moved
 	}
@@ -188,49 +191,49 @@
 	case a.x.ctx.Err() != nil:
 		a.x.callerLeft(0)
 		return direct.GivenUp, true
-	case a.x.front.core.Now()+leastLeft >= a.x.deadline:
+	case a.x.front.core.Now()+minTimeLeft >= a.x.deadline:
 		if o != direct.Unsent && o != direct.Withheld {
 			o = direct.GivenUp
 		}
-		a.endLate(o)
+		a.endExpired(o)
 		return o, true
 	}
 	return o, false
 }
 
-// endLate gives the answer of a request whose time is over. It may panic to
-// break a stream off, so the machine is told first.
-func (a *attempt) endLate(o direct.Outcome) {
+// endExpired ends a request whose deadline has passed. It may panic to abort a stream, so
+// it reports the outcome to the machine first.
+func (a *attempt) endExpired(o direct.Outcome) {
 	if a.x.headSent {
-		a.closeRun(o)
+		a.reportEnd(o)
 	}
 	a.x.timedOut()
 }
 
-// closeRun tells the machine that the attempt ended, before a panic.
-func (a *attempt) closeRun(o direct.Outcome) {
+// reportEnd reports the outcome of the attempt to the machine, before a panic.
+func (a *attempt) reportEnd(o direct.Outcome) {
 	a.x.front.core.Update(direct.AttemptEndMsg{Now: a.x.front.core.Now(), ID: a.x.id, Outcome: o})
 }
 
-// discard drops an answer of which only the head counts.
-func (a *attempt) discard(answer *http.Response) {
-	if n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, discardMost)); err != nil || n == discardMost {
+// discard drops a response of which only the header matters.
+func (a *attempt) discard(resp *http.Response) {
+	if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes)); err != nil || n == maxDiscardBytes {
 		a.conn.Close()
 		return
 	}
 	a.release()
 }
 
-// release keeps the connection for other requests. Once the caller's leaving
-// may close it, it is this request's alone.
+// release returns the connection to the pool. It closes the connection instead if the
+// caller has left, since that may close the connection at any time.
 func (a *attempt) release() {
 	a.forbidMove()
-	if !a.stop() {
+	if !a.stopWatch() {
 		a.conn.Close()
 		return
 	}
 	a.conn.Release()
 }
 
-// discardMost bounds a body that is read only to keep its connection.
-const discardMost = 64 << 10
+// maxDiscardBytes bounds a body that is read only to reuse its connection.
+const maxDiscardBytes = 64 << 10
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -10,25 +10,26 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// firstPiece is what is allocated at first for a body or an answer. Most fit; of a larger one
-// the router holds about what has come and not what was announced, so that a caller can't
-// take its memory by a header.
-const firstPiece = 32 << 10
+// initialAllocation is the size in bytes of the first buffer for a body or a response. Most
+// fit into it. Beyond it, the router allocates memory for the bytes that have arrived, not
+// for the announced length, so that a caller cannot claim memory with a header alone.
+const initialAllocation = 32 << 10
 
-// errNoMemory says that what came can't be held beside what the router holds already.
-var errNoMemory = errors.New("the memory for bodies and unread answers is used up")
+// errNoMemory is returned when a body or a response does not fit into the memory budget.
+var errNoMemory = errors.New("the memory budget for request bodies and unread responses is exhausted")
 
-// readHeld reads size bytes, or where size is negative to the end, of at most most bytes. grow is
-// asked before more is allocated.
-func readHeld(r io.Reader, size, most int64, grow func(n int) bool) ([]byte, error) {
-	limit := most + 1
+// readBuffered reads size bytes. If size is negative, it reads to the end, but at most
+// maxSize bytes. It calls grow before each allocation and fails with errNoMemory if grow
+// returns false.
+func readBuffered(r io.Reader, size, maxSize int64, grow func(n int) bool) ([]byte, error) {
+	limit := maxSize + 1
 	if size >= 0 {
 		limit = size
 	}
 	var body []byte
 	for int64(len(body)) < limit {
 		if len(body) == cap(body) {
-			next := int(min(max(2*int64(cap(body)), firstPiece), limit))
+			next := int(min(max(2*int64(cap(body)), initialAllocation), limit))
 			if !grow(next - cap(body)) {
 				return nil, errNoMemory
 			}
@@ -46,75 +47,78 @@
 		}
 	}
 	if size < 0 {
-		return nil, errSpoiled
+		return nil, errTooLarge
 	}
 	return body, nil
 }
 
-// grow asks for memory for n bytes more of the request's body or its answer.
-func (x *exchange) grow(n int) bool { return x.front.queues.Grow(&x.memory, n, x.dropBody) }
+// grow reserves memory for n more bytes of the request's body or its response, and reports
+// whether that succeeded.
+func (x *exchange) grow(n int) bool { return x.front.sendQueues.Grow(&x.memory, n, x.abortBodyRead) }
 
-// dropBody ends the reading of a body that must give way: its caller is told at once that the
-// request has not run.
-func (x *exchange) dropBody() {
-	// Test writers have no deadlines.
+// abortBodyRead stops reading a body whose memory is reclaimed. The caller receives a
+// response at once that the request has not run.
+func (x *exchange) abortBodyRead() {
+	// The response writers of tests do not support deadlines.
 	_ = http.NewResponseController(x.w).SetReadDeadline(time.Unix(1, 0))
 }
 
-// readBody reads the caller's body, of at most most bytes, within the request's time.
-func (x *exchange) readBody(most int) *refusal {
+// readBody reads the caller's body, of at most maxSize bytes, before the request's
+// deadline.
+func (x *exchange) readBody(maxSize int) *refusal {
 	if x.r.ContentLength == 0 {
 		x.memory.Kept = true
-	} else if err := x.takeBody(int64(most)); err != nil {
-		// What is left of the body, or a late dropBody, would meet the next request.
+	} else if err := x.bufferBody(int64(maxSize)); err != nil {
+		// The rest of the body, or a late abortBodyRead, would affect the next request on
+		// the connection.
 		x.w.Header().Set("Connection", "close")
 		return bodyRefusal(err)
 	}
-	x.content = quarantine.FingerprintOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
+	x.fingerprint = quarantine.FingerprintOf(x.team, x.r.Method, x.r.Host, x.r.RequestURI, x.body)
 	return nil
 }
 
-// takeBody reads the body, and has it give no way any more.
-func (x *exchange) takeBody(most int64) error {
-	// Test writers have no deadlines.
+// bufferBody reads the body and marks its memory as not reclaimable.
+func (x *exchange) bufferBody(maxSize int64) error {
+	// The response writers of tests do not support deadlines.
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
-	body, err := x.receive(most)
-	if !x.front.queues.Keep(&x.memory) {
+	body, err := x.receiveBody(maxSize)
+	if !x.front.sendQueues.Keep(&x.memory) {
 		return errNoMemory
 	}
 	if err != nil {
 		return err
 	}
-	_ = control.SetReadDeadline(time.Time{}) // as above
+	_ = control.SetReadDeadline(time.Time{}) // not supported in tests, as above
 	x.body = body
 	return nil
 }
 
-// receive reads the body as it comes.
-func (x *exchange) receive(most int64) ([]byte, error) {
-	var source io.Reader = http.MaxBytesReader(x.w, x.r.Body, most)
-	if caller := callerOf(x.ctx); caller != nil {
+// receiveBody reads the body as it arrives.
+func (x *exchange) receiveBody(maxSize int64) ([]byte, error) {
+	var source io.Reader = http.MaxBytesReader(x.w, x.r.Body, maxSize)
+	if caller := callerConnOf(x.ctx); caller != nil {
 		source = &watchedBody{source, caller}
-		defer caller.bodyAt.Store(0)
+		defer caller.bodyReadAt.Store(0)
 	}
 	size := x.r.ContentLength
-	if size > most {
-		_, err := io.Copy(io.Discard, source) // the caller may only read its answer after that
+	if size > maxSize {
+		_, err := io.Copy(io.Discard, source) // the caller may read its response only after it has sent the body
 		return nil, err
 	}
-	body, err := readHeld(source, size, most, x.grow)
+	body, err := readBuffered(source, size, maxSize, x.grow)
 	if err != nil || size < 0 {
 		return body, err
 	}
-	// Reading to the end lets the server notice when the caller leaves.
+	// Reading to the end lets net/http detect that the caller leaves.
 	if _, err = source.Read(make([]byte, 1)); err != io.EOF {
 		return body, err
 	}
 	return body, nil
 }
 
-// watchedBody notes when a caller sends more of its body.
+// watchedBody records when a caller's body was last read.
 type watchedBody struct {
 	io.Reader
 	caller *callerConn
@@ -122,18 +126,18 @@
 
 // Read implements io.Reader.
 func (b *watchedBody) Read(p []byte) (int, error) {
-	b.caller.bodyAt.Store(int64(b.caller.callers.queues.Now()))
+	b.caller.bodyReadAt.Store(int64(b.caller.conns.queues.Now()))
 	return b.Reader.Read(p)
 }
 
-// bodyRefusal is how a request ends whose body could not be read.
+// bodyRefusal returns the refusal for a body that could not be read.
 func bodyRefusal(err error) *refusal {
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &tooLarge), errors.Is(err, errSpoiled):
+	case errors.As(err, &tooLarge), errors.Is(err, errTooLarge):
 		return &refusal{http.StatusRequestEntityTooLarge, "body", 0}
 	case errors.Is(err, errNoMemory):
-		return &refusal{http.StatusServiceUnavailable, "memory", memoryAfter}
+		return &refusal{http.StatusServiceUnavailable, "memory", memoryRetryAfter}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &refusal{http.StatusRequestTimeout, "body_late", 0}
 	}
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -12,55 +12,57 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// core owns the decisions: one lock around the machine, and a channel to the
-// goroutine of each request.
+// core guards the machine, which decides where requests go, with a lock, and passes its
+// commands to the goroutine of each request.
 type core struct {
-	mu      sync.Mutex
-	machine *direct.Machine
-	waiters map[direct.RequestID]*waiter
-	next    direct.RequestID
-	clock   *hostclock.Clock
-	log     *eventlog.Log
-	probe   func(direct.ProbeCmd) // must not block
-	report  func()                // tells the other routers at once; must not block
-	answers func(rollout.Msg)     // must not block
-	// pressure tells how late this process runs.
+	mu             sync.Mutex
+	machine        *direct.Machine
+	waiters        map[direct.RequestID]*waiter
+	nextID         direct.RequestID
+	clock          *hostclock.Clock
+	log            *eventlog.Log
+	probe          func(direct.ProbeCmd) // must not block
+	reportNow      func()                // sends a report to the other routers at once; must not block
+	notifyRollouts func(rollout.Msg)     // must not block
+	// pressure measures how late this process runs.
 	pressure pressure.Gauge
-	without  direct.DisabledMechanisms // mechanisms that are switched off
+	disabled direct.DisabledMechanisms // mechanisms that are switched off
 }
 
 func newCore(o direct.Options, l *eventlog.Log) *core {
 	return &core{
-		machine:  direct.NewMachine(o),
-		waiters:  make(map[direct.RequestID]*waiter),
-		clock:    hostclock.New(),
-		log:      l,
-		probe:    func(direct.ProbeCmd) {},
-		report:   func() {},
-		answers:  func(rollout.Msg) {},
-		without:  o.DisabledMechanisms,
-		pressure: pressure.Gauge{Without: o.DisabledMechanisms},
+		machine:        direct.NewMachine(o),
+		waiters:        make(map[direct.RequestID]*waiter),
+		clock:          hostclock.New(),
+		log:            l,
+		probe:          func(direct.ProbeCmd) {},
+		reportNow:      func() {},
+		notifyRollouts: func(rollout.Msg) {},
+		disabled:       o.DisabledMechanisms,
+		pressure:       pressure.Gauge{Without: o.DisabledMechanisms},
 	}
 }
 
-// Now is the time since the start, the time included in which the host was suspended.
+// Now returns the time since the start, including the time for which the host was
+// suspended.
 func (c *core) Now() time.Duration { return c.clock.Now() }
 
-// wake finds out whether the host was suspended, so that Now counts it.
-func (c *core) wake() {
-	if away := c.clock.Look(); away > 0 {
-		c.log.Event("host_suspended").Dur("for", away).Msg("")
+// checkSuspension detects whether the host was suspended, so that Now includes that time.
+func (c *core) checkSuspension() {
+	if suspended := c.clock.Look(); suspended > 0 {
+		c.log.Event("host_suspended").Dur("for", suspended).Msg("")
 	}
 }
 
-// Update tells the machine something and hands its commands out.
+// Update passes a message to the machine and carries out its commands.
 func (c *core) Update(msg direct.Msg) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.locked(msg)
+	c.updateLocked(msg)
 }
 
-func (c *core) locked(msg direct.Msg) {
+// updateLocked is Update for callers that hold the lock.
+func (c *core) updateLocked(msg direct.Msg) {
 	for _, cmd := range c.machine.Update(msg) {
 		switch cmd := cmd.(type) {
 		case direct.SendCmd:
@@ -80,99 +82,102 @@
 		case direct.QuarantineCmd:
 			c.log.Quarantine(cmd.Change)
 		case direct.ReportCmd:
-			c.report()
+			c.reportNow()
 		case direct.ProbeCmd:
 			c.probe(cmd)
 		case direct.ResponseCmd:
-			c.answers(cmd.Response)
+			c.notifyRollouts(cmd.Response)
 		case direct.MoveCmd:
 			c.waiters[cmd.ID].move()
 		}
 	}
 }
 
+// deliver passes a command to the goroutine of a request. The lock must be held.
 func (c *core) deliver(id direct.RequestID, cmd direct.Cmd) {
 	if w := c.waiters[id]; w != nil {
-		// A move that came until now was of an attempt that has ended.
-		w.moves = false
+		// A pending move belongs to an attempt that has ended.
+		w.movePending = false
 		w.commands <- cmd
 	}
 }
 
-// arrive takes a request in. Its commands come on the channel.
-func (c *core) arrive(r direct.Request) (direct.RequestID, <-chan direct.Cmd) {
+// submit passes a new request to the machine. Its commands arrive on the returned channel.
+func (c *core) submit(r direct.Request) (direct.RequestID, <-chan direct.Cmd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	r.ID = c.next
+	c.nextID++
+	r.ID = c.nextID
 	w := &waiter{commands: make(chan direct.Cmd, 2)}
 	c.waiters[r.ID] = w
-	c.locked(direct.RequestMsg{Now: c.Now(), Request: r})
+	c.updateLocked(direct.RequestMsg{Now: c.Now(), Request: r})
 	return r.ID, w.commands
 }
 
-// door asks whether a request would be refused as soon as it came.
-func (c *core) door(r direct.Request) (direct.RefuseCmd, bool) {
-	if !c.without.Enabled(direct.EarlyRefusal) {
+// checkAdmission reports whether the machine would refuse a request on arrival, and returns
+// that refusal.
+func (c *core) checkAdmission(r direct.Request) (direct.RefuseCmd, bool) {
+	if !c.disabled.Enabled(direct.EarlyRefusal) {
 		return direct.RefuseCmd{}, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	r.ID = c.next
+	c.nextID++
+	r.ID = c.nextID
 	for _, cmd := range c.machine.Update(direct.AdmissionCheckMsg{Now: c.Now(), Request: r}) {
-		if refuse, ok := cmd.(direct.RefuseCmd); ok {
-			return refuse, true
+		if refused, ok := cmd.(direct.RefuseCmd); ok {
+			return refused, true
 		}
 	}
 	return direct.RefuseCmd{}, false
 }
 
-// withheld tells whether a request that was placed must not be sent any more.
-func (c *core) withheld(id direct.RequestID) bool {
+// shouldWithhold reports whether a request that was placed must no longer be sent.
+func (c *core) shouldWithhold(id direct.RequestID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.ShouldWithhold(c.Now(), id)
 }
 
-// done ends the channel of a request.
-func (c *core) done(id direct.RequestID) {
+// removeWaiter unregisters the goroutine of a request.
+func (c *core) removeWaiter(id direct.RequestID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiters, id)
 }
 
-// leave takes a waiting request out. Where it has just been sent, the attempt
-// ends unused.
-func (c *core) leave(id direct.RequestID, commands <-chan direct.Cmd) {
+// cancel removes a waiting request. If the request has just been placed, its attempt ends
+// unused.
+func (c *core) cancel(id direct.RequestID, commands <-chan direct.Cmd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
-	c.locked(direct.CancelMsg{Now: now, ID: id})
+	c.updateLocked(direct.CancelMsg{Now: now, ID: id})
 	select {
 	case <-commands:
-		c.locked(direct.AttemptEndMsg{Now: now, ID: id, Outcome: direct.GivenUp})
+		c.updateLocked(direct.AttemptEndMsg{Now: now, ID: id, Outcome: direct.GivenUp})
 	default:
 	}
 }
 
-// tick lets time pass until ctx ends.
-func (c *core) tick(ctx context.Context) error {
+// runTicks sends ticks to the machine until ctx ends.
+func (c *core) runTicks(ctx context.Context) error {
 	ticker := time.NewTicker(direct.TickInterval)
 	defer ticker.Stop()
 	last := c.Now()
-	waits := pressure.NewProbe(c.Now)
+	probe := pressure.NewProbe(c.Now)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			c.wake()
+			c.checkSuspension()
 			now := c.Now()
-			late := now - last - direct.TickInterval
+			lag := now - last - direct.TickInterval
 			last = now
-			// A timer's goroutine runs before most others; requests wait longer.
-			c.pressure.Observe(now, max(late, waits.Lag()))
+			// The goroutine of a timer runs before most others. Requests wait longer, and
+			// the probe measures that.
+			c.pressure.Observe(now, max(lag, probe.Lag()))
 			c.Update(direct.TickMsg{Now: c.Now()})
 		}
 	}
--- a/gateway/dump.go
+++ b/gateway/dump.go
@@ -9,32 +9,32 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// teamsDumped bounds the teams in a dump.
-const teamsDumped = 50
+// maxDumpedTeams bounds the teams in a dump.
+const maxDumpedTeams = 50
 
-// suspectsDumped bounds the contents in a dump under which servers crashed.
-const suspectsDumped = 50
+// maxDumpedSuspects bounds the request fingerprints in a dump under which servers crashed.
+const maxDumpedSuspects = 50
 
-// State is what a router shows of itself.
+// State is the state of a router as dumps show it.
 type State struct {
 	Name      string
 	Config    uint64
 	ConfigAge time.Duration
 	Servers   uint64
-	// Evacuations is the revision of EvacuatedHalls, 0 where halls are never evacuated.
+	// Evacuations is the revision of EvacuatedHalls, 0 if evacuation is disabled.
 	Evacuations    uint64
 	EvacuatedHalls []string
 	Active         int64
 	Peers          []string
 	Shares         direct.Shares
 	Engines        []direct.ServerState
-	Dropped        uint64 // log lines
+	Dropped        uint64 // log lines that were dropped
 	Suspects       []quarantine.State
-	// Orders and Versions are the revisions of what Rollouts stand on; nil and 0 where
-	// roll-outs are not on.
+	// Orders and Versions are the revisions that Rollouts is based on. All three are zero
+	// if rollouts are disabled.
 	Orders, Versions uint64
 	Rollouts         []RolloutState
-	// Traffic is the bytes sent and read since the start, by kind.
+	// Traffic is the bytes sent and received since the start, by kind.
 	Traffic map[string]traffic.Sum
 }
 
@@ -45,8 +45,8 @@
 		Name: g.settings.Name, Config: feeds.Config.Revision(), ConfigAge: feeds.Config.Age(),
 		Servers: feeds.Servers.Revision(), Evacuations: feeds.Evacuations.Revision(),
 		Active: g.front.active.Load(), Dropped: g.log.Dropped(), Peers: g.cluster.Peers.Live(),
-		Suspects: g.core.suspects(suspectsDumped),
-		Shares:   g.core.shares(teamsDumped), Engines: g.core.servers(), Traffic: g.traffic.Sums(),
+		Suspects: g.core.quarantineStates(maxDumpedSuspects),
+		Shares:   g.core.shares(maxDumpedTeams), Engines: g.core.serverStates(), Traffic: g.traffic.Sums(),
 	}
 	if e := feeds.Evacuations.Newest(); e != nil {
 		s.EvacuatedHalls = e.Halls
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -16,53 +16,55 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestLateRouterDisownsNothing has a router that is too late to have read the
-// newest configuration send callers on, where it would say that there is no such
-// route or key. Found on a grown site as CONFIG.
+// TestLateRouterDisownsNothing checks that a router that is too late to have read the
+// newest configuration sends callers to another router, instead of reporting that a route
+// or a key does not exist.
 func TestLateRouterDisownsNothing(t *testing.T) {
 	f := &front{core: &core{}}
-	refused := f.unknown(http.StatusNotFound, "no_route")
+	refused := f.refuseUnknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusNotFound, refused.status)
 	require.Equal(t, "no_route", refused.reason)
 	f.core.pressure.Observe(0, time.Second)
-	refused = f.unknown(http.StatusNotFound, "no_route")
+	refused = f.refuseUnknown(http.StatusNotFound, "no_route")
 	require.Equal(t, http.StatusServiceUnavailable, refused.status)
 	require.Equal(t, reasonPressure, refused.reason)
-	require.Positive(t, refused.after)
+	require.Positive(t, refused.retryAfter)
 }
 
-// unreadBody fails the test when it is read.
-type unreadBody struct{ t *testing.T }
+// mustNotReadBody fails the test when it is read.
+type mustNotReadBody struct{ t *testing.T }
 
-func (b unreadBody) Read([]byte) (int, error) {
-	b.t.Error("the body of a request that is refused at the door was read")
+func (b mustNotReadBody) Read([]byte) (int, error) {
+	b.t.Error("the body of a request that is refused early was read")
 	return 0, io.EOF
 }
 
-func (unreadBody) Close() error { return nil }
+func (mustNotReadBody) Close() error { return nil }
 
 // plainDialect is a dialect without any headers.
 type plainDialect struct{ Dialect }
 
-func (plainDialect) Envelope(http.Header) (Envelope, error) {
-	return Envelope{ID: "a", Left: time.Minute, Key: "key", PromptTokens: 5000, OutputTokens: 100}, nil
+func (plainDialect) ParseRequest(http.Header) (RequestInfo, error) {
+	return RequestInfo{ID: "a", TimeLeft: time.Minute, TeamKey: "key", PromptTokens: 5000, OutputTokens: 100}, nil
 }
 
-func (plainDialect) ID(http.Header) string { return "a" }
+func (plainDialect) RequestID(http.Header) string { return "a" }
 
-func (plainDialect) ComeBack(h http.Header, after time.Duration) { h.Set("Come-Back", after.String()) }
+func (plainDialect) SetRetryAfter(h http.Header, after time.Duration) {
+	h.Set("Come-Back", after.String())
+}
 
-// floodedFront returns a front whose only team has used its allowance up, so that
-// all requests are refused at the door.
+// floodedFront returns a front whose only team has used up its tokens, so that all requests
+// are refused early.
 func floodedFront(tb testing.TB) *front {
-	j := eventlog.New(io.Discard, "bench")
-	tb.Cleanup(j.Close)
-	c := newCore(direct.Options{}, j)
+	log := eventlog.New(io.Discard, "bench")
+	tb.Cleanup(log.Close)
+	c := newCore(direct.Options{}, log)
 	counts := stats.New(tally.NoopScope)
-	feeds := feed.NewSet(feed.Options{Decisions: c, Log: j, Stats: counts})
+	feeds := feed.NewSet(feed.Options{Decisions: c, Log: log, Stats: counts})
 	f := &front{
-		core: c, feeds: feeds, log: j, stats: counts, dialect: plainDialect{},
-		queues: newTestQueues(1 << 20), callers: newTestCallers(1000, 0),
+		core: c, feeds: feeds, log: log, stats: counts, dialect: plainDialect{},
+		sendQueues: newTestQueues(1 << 20), conns: newTestCallerConns(1000, 0),
 	}
 	feeds.Config.Offer(&direct.Config{
 		Version:  1,
@@ -73,30 +75,30 @@
 	}, "bench")
 	feeds.Servers.OfferAll(&direct.Directory{Servers: []direct.Server{{ID: "i-1", Service: "llm", Slots: 8}}}, "bench")
 	request := direct.Request{Team: "flood", Service: "llm", Objective: time.Second, PromptTokens: 5000}
-	first, _ := c.arrive(request)
+	first, _ := c.submit(request)
 	c.Update(direct.FirstEventMsg{Now: c.Now(), ID: first})
 	c.Update(direct.TickMsg{Now: 150 * time.Millisecond})
-	c.arrive(request)
+	c.submit(request)
 	return f
 }
 
-// TestFloodIsRefusedUnread has a team ask for far more than its share: its
-// requests are refused with a time to come back, and their bodies are not read.
+// TestFloodIsRefusedUnread has a team request far more than its share: its requests are
+// refused with a time to retry, and their bodies are not read.
 func TestFloodIsRefusedUnread(t *testing.T) {
 	f := floodedFront(t)
 	w := httptest.NewRecorder()
-	f.ServeHTTP(w, &http.Request{Method: http.MethodPost, Host: "h", RequestURI: "/x", Header: http.Header{}, Body: unreadBody{t}, ContentLength: 5000})
+	f.ServeHTTP(w, &http.Request{Method: http.MethodPost, Host: "h", RequestURI: "/x", Header: http.Header{}, Body: mustNotReadBody{t}, ContentLength: 5000})
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.Equal(t, "over_share\n", w.Body.String())
 	require.NotEmpty(t, w.Header().Get("Come-Back"))
 }
 
-// TestHalfClosedCallerGetsNoSuccess has a caller close its side of the connection
-// while its request waits: the router takes it for gone, and must not answer with the
-// empty success that net/http writes for a handler which wrote nothing.
+// TestHalfClosedCallerGetsNoSuccess has a caller close its side of the connection while its
+// request waits. The router treats the caller as gone, and must not send the empty success
+// that net/http writes for a handler that wrote nothing.
 func TestHalfClosedCallerGetsNoSuccess(t *testing.T) {
 	f := floodedFront(t)
-	// Without a configured total there are no shares; the only place is taken.
+	// Without a configured total there are no shares; the only slot is taken.
 	f.feeds.Config.Offer(&direct.Config{
 		Version:  2,
 		Routes:   []direct.Route{{Name: "r", Host: "h", Prefix: "/", Kind: direct.Stream, Split: []direct.WeightedService{{Service: "llm", Weight: 1}}, Objective: time.Hour}},
@@ -113,6 +115,6 @@
 	_, err = conn.Write([]byte("POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab"))
 	require.NoError(t, err)
 	require.NoError(t, conn.(*net.TCPConn).CloseWrite())
-	answer, _ := io.ReadAll(conn)
-	require.Empty(t, string(answer))
+	resp, _ := io.ReadAll(conn)
+	require.Empty(t, string(resp))
 }
--- /dev/null
+++ b/gateway/response.go
@@ -0,0 +1,134 @@
+package gateway
+
+import (
+	"net/http"
+	"strconv"
+
+	"github.com/cockroachdb/errors"
+	"github.com/croftvale/croftvale/direct"
+)
+
+// maxBufferedBytes bounds a response that is buffered before it is forwarded.
+const maxBufferedBytes = 4 << 20
+
+// bufferedResponse is a response that was read to its end.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// bufferResponse reads a response that is not a stream, and forwards it if it is valid.
+func (a *attempt) bufferResponse(resp *http.Response, info ResponseInfo) (direct.Outcome, bool) {
+	body, err := readBuffered(resp.Body, bufferedSize(resp), maxBufferedBytes, a.x.grow)
+	a.countBytes(len(body))
+	if errors.Is(err, errNoMemory) {
+		// The request has run, but its response does not fit into memory. The server is
+		// not at fault, and another server would not help.
+		a.conn.Close()
+		a.x.fail("memory")
+		return direct.GivenUp, true
+	}
+	if err != nil || !isForwardable(resp, info) {
+		a.conn.Close()
+		return a.endWithoutResponse(direct.Broken)
+	}
+	a.release()
+	buffered := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
+	a.reportResponse()
+	if resp.StatusCode/100 == 5 {
+		return a.keepFailure(buffered)
+	}
+	if a.x.headSent {
+		// The stream was to continue, but the response is not a stream.
+		return a.endWithoutResponse(direct.Failed)
+	}
+	if claimsNotRun(resp.StatusCode) {
+		return direct.Failed, false
+	}
+	buffered.write(a.x)
+	a.x.finish(resultServed, buffered.status, "")
+	return direct.Done, true
+}
+
+// bufferedSize returns the length of a response's body. It is negative if the length is
+// unknown or above the limit.
+func bufferedSize(resp *http.Response) int64 {
+	if resp.ContentLength > maxBufferedBytes {
+		return -1
+	}
+	return resp.ContentLength
+}
+
+// keepFailure keeps a server's own failure while another server is tried.
+func (a *attempt) keepFailure(failure *bufferedResponse) (direct.Outcome, bool) {
+	if !a.x.headSent && !claimsNotRun(failure.status) {
+		a.x.serverFailure = failure
+	}
+	return a.endWithoutResponse(direct.Failed)
+}
+
+// reportResponse reports to the machine that the server has responded.
+func (a *attempt) reportResponse() {
+	now := a.x.front.core.Now()
+	if a.x.respondedAt == 0 {
+		a.x.respondedAt = now
+	}
+	a.x.front.core.Update(direct.FirstEventMsg{Now: now, ID: a.x.id})
+}
+
+// isForwardable reports whether a response may be forwarded: a success must carry the
+// server's stamp, and the body must not be encoded, since callers request plain bodies.
+func isForwardable(resp *http.Response, info ResponseInfo) bool {
+	if resp.StatusCode/100 == 2 && !info.Signed {
+		return false
+	}
+	return resp.Header.Get("Content-Encoding") == ""
+}
+
+// claimsNotRun reports whether a status means that the request did not run. The status
+// alone does not prove that: the server must also report it in a header.
+func claimsNotRun(status int) bool {
+	switch status {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+// write forwards the response to the caller.
+func (b *bufferedResponse) write(x *exchange) {
+	copyHeader(x.w.Header(), b.header)
+	if x.r.Method != http.MethodHead && bodyAllowed(b.status) {
+		x.w.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
+	}
+	x.front.setConnectionClose(x.w)
+	x.w.WriteHeader(b.status)
+	_, _ = x.w.Write(b.body) // the send queue reports what a caller does not read
+}
+
+func bodyAllowed(status int) bool {
+	return status != http.StatusNoContent && status != http.StatusNotModified
+}
+
+// connectionHeaders belong to one connection only.
+var connectionHeaders = map[string]bool{
+	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
+	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
+	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Expect": true,
+}
+
+// copyHeader copies the headers that do not belong to the server's connection.
+func copyHeader(to, from http.Header) {
+	for name, values := range from {
+		if !connectionHeaders[name] {
+			to[name] = values
+		}
+	}
+	if from["Content-Type"] == nil {
+		to["Content-Type"] = nil
+	}
+	if from["Date"] == nil {
+		to["Date"] = nil
+	}
+}
--- a/gateway/waiter_test.go
+++ b/gateway/waiter_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMoveEndsWithItsAttempt shows that a move which came while an attempt could not be
-// broken off yet, and never could, does not break off the next one.
+// TestMoveEndsWithItsAttempt checks that a move for an attempt that ends before it could be
+// aborted does not abort the next attempt.
 func TestMoveEndsWithItsAttempt(t *testing.T) {
 	c := newCore(direct.Options{}, nil)
 	c.waiters[1] = &waiter{commands: make(chan direct.Cmd, 2)}
-	broken := 0
-	attempt := func() { c.setBreakOff(1, func() { broken++ }) }
+	aborted := 0
+	startAttempt := func() { c.setAbort(1, func() { aborted++ }) }
 	c.deliver(1, direct.SendCmd{ID: 1})
 	c.waiters[1].move() // no connection was opened
 	c.deliver(1, direct.SendCmd{ID: 1})
-	attempt()
-	require.Zero(t, broken)
+	startAttempt()
+	require.Zero(t, aborted)
 
-	c.clearBreakOff(1)
+	c.clearAbort(1)
 	c.waiters[1].move()
-	attempt()
-	require.Equal(t, 1, broken, "one that is just beginning is broken off")
+	startAttempt()
+	require.Equal(t, 1, aborted, "an attempt that is just starting is aborted")
 }
