--- a/gateway/cluster/ahead.go
+++ b/gateway/cluster/ahead.go
@@ -3,11 +3,11 @@
 import "github.com/croftvale/croftvale/gateway/feed"
 
 // Ahead tells which live routers know something newer.
-func (p *Peers) Ahead() feed.AheadByFeed {
+func (p *Peers) Ahead() feed.PeersAheadByFeed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	own := p.parts.Feeds.Revisions()
-	out := feed.NewAheadByFeed(own)
+	out := feed.NewPeersAheadByFeed(own)
 	now := p.parts.Decisions.Now()
 	lasts := p.lasts()
 	for address, peer := range p.known {
--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -69,7 +69,7 @@
 			source := &configSource{}
 			p := startConfig(t, source, self)
 			time.Sleep(settleTime + othersPatience())
-			require.Equal(t, self == "a", p.First())
+			require.Equal(t, self == "a", p.IsPrimary())
 			source.watches.Store(0)
 			time.Sleep(20 * time.Second)
 			require.LessOrEqual(t, source.watches.Load(), atMost)
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -49,9 +49,9 @@
 	c.heartbeats = newHeartbeats(s, beats, c.Peers, parts)
 	c.members = members{
 		registry: parts.Registry, self: s.Self, found: func(m Member) { c.Peers.Add(m.Address) },
-		heard: c.Peers.HeardAny, firstStart: s.FirstStart, era: parts.Feeds.Era, called: parts.Stats.CountSourceCall,
+		heard: c.Peers.HasLivePeers, firstStart: s.FirstStart, era: parts.Feeds.Era, called: parts.Stats.CountSourceCall,
 	}
-	parts.Feeds.Changed = c.heartbeats.changed
+	parts.Feeds.OnChange = c.heartbeats.changed
 	return c, nil
 }
 
--- a/gateway/cluster/decisions.go
+++ b/gateway/cluster/decisions.go
@@ -9,7 +9,7 @@
 // Decisions is the state machine that is told of the other routers, and tells them what
 // this one does.
 type Decisions interface {
-	feed.Decisions
+	feed.StateMachine
 	// Report returns what heartbeats say of this router's work; each call is for one
 	// heartbeat.
 	Report() direct.Report
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -205,4 +205,4 @@
 	return false
 }
 
-var _ feed.Decisions = (*memoryMachine)(nil)
+var _ feed.StateMachine = (*memoryMachine)(nil)
--- a/gateway/cluster/followevacuations_test.go
+++ b/gateway/cluster/followevacuations_test.go
@@ -94,7 +94,7 @@
 		source.fail(true)
 		time.Sleep(3 * time.Second)
 		require.Equal(t, []string{"b"}, halls.Newest().Halls, "what was known holds while the source is away")
-		source.set(8, feed.Change[string]{Object: "b", Gone: true})
+		source.set(8, feed.Change[string]{Object: "b", Deleted: true})
 		source.fail(false)
 		time.Sleep(2 * time.Second)
 		require.Empty(t, halls.Newest().Halls)
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -31,13 +31,13 @@
 	p := newTestPeers("a2", &peer{address: "a1", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	p.place.Hall = "a"
 	require.False(t, p.FirstOfHall())
-	require.Equal(t, make(feed.AheadByFeed, 4), p.Ahead())
+	require.Equal(t, make(feed.PeersAheadByFeed, 4), p.Ahead())
 	p.known["b1"].knows = feed.Revisions{3}
-	require.Equal(t, feed.AheadByFeed{{OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
-	require.True(t, p.Ahead()[0].Elsewhere())
+	require.Equal(t, feed.PeersAheadByFeed{{OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
+	require.True(t, p.Ahead()[0].OnlyInOtherHalls())
 	p.known["a1"].knows = feed.Revisions{3}
-	require.Equal(t, feed.AheadByFeed{{OwnHall: []string{"a1"}, OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
-	require.False(t, p.Ahead()[0].Elsewhere())
+	require.Equal(t, feed.PeersAheadByFeed{{OwnHall: []string{"a1"}, OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
+	require.False(t, p.Ahead()[0].OnlyInOtherHalls())
 	require.Equal(t, []string{"a1", "b1"}, p.Ahead()[0].All())
 	p.known["a1"].live = false
 	require.True(t, p.FirstOfHall(), "the first is away")
@@ -57,6 +57,6 @@
 	require.Equal(t, traffic.BetweenHalls, p.PathTo("never heard"))
 	p = newTestPeers("n1", at("m1", "e", ""))
 	p.place = traffic.Place{Hall: "a", Region: "north"}
-	require.True(t, p.Ahead()[0].Elsewhere())
+	require.True(t, p.Ahead()[0].OnlyInOtherHalls())
 	require.Equal(t, traffic.BetweenRegions, p.PathTo("m1"))
 }
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -66,7 +66,7 @@
 	b := heartbeat{
 		Address: h.peers.self, Hall: h.peers.place.Hall, Region: h.peers.place.Region, Power: h.power,
 		Shed: h.parts.Pressure.ShedFraction(), Yields: h.parts.Pressure.Yields(),
-		SourceLost: h.parts.Feeds.SourceFails(), Life: h.life,
+		SourceLost: h.parts.Feeds.SourceFailing(), Life: h.life,
 		Headroom: float32(said.Headroom), SuspectsDigest: said.SuspectsDigest.Barred,
 		Extension: heartbeatExtension{Answers: true, NearlyBarred: said.SuspectsDigest.NearlyBarred},
 	}
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -163,7 +163,7 @@
 	}
 	p.mu.Unlock()
 	p.parts.Decisions.Update(direct.PeerReportMsg{Now: now, Peer: b.Address, Report: b.report()})
-	if !p.parts.Feeds.Revisions().Reaches(b.Knows) {
+	if !p.parts.Feeds.Revisions().AtLeast(b.Knows) {
 		notify(p.behind)
 	}
 	return cmds
--- a/gateway/cluster/peers_test.go
+++ b/gateway/cluster/peers_test.go
@@ -53,7 +53,7 @@
 // newTestFeeds returns the feeds of a fleet whose halls may be evacuated.
 func newTestFeeds(source feed.Source, d Decisions) *feed.Set {
 	return feed.NewSet(feed.Options{
-		Source: source, Decisions: d, Log: quietLog, Stats: stats.New(tally.NoopScope), Evacuate: 5 * time.Second,
+		Source: source, StateMachine: d, Log: quietLog, Stats: stats.New(tally.NoopScope), EvacuationDeadline: 5 * time.Second,
 	})
 }
 
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -31,25 +31,25 @@
 	firstStartPatience = 400 * time.Millisecond
 )
 
-// Patience is how long this router waits, as it starts, for others to bring what it would
+// StartupWait is how long this router waits, as it starts, for others to bring what it would
 // read from the source. Seeds read themselves, so that those that start together read a
 // few times and not once each.
-func (p *Peers) Patience() time.Duration {
+func (p *Peers) StartupWait() time.Duration {
 	if p.isSeed || !p.without.Enabled(direct.StoreFollowers) {
 		return 0
 	}
 	return p.patience
 }
 
-// First tells whether this router is the first of those that follow the source.
-func (p *Peers) First() bool {
+// IsPrimary tells whether this router is the first of those that follow the source.
+func (p *Peers) IsPrimary() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.followersBefore() == 0
 }
 
-// HeardAny tells whether another router has been heard of.
-func (p *Peers) HeardAny() bool {
+// HasLivePeers tells whether another router has been heard of.
+func (p *Peers) HasLivePeers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range p.known {
@@ -117,11 +117,11 @@
 	knows := p.parts.Feeds.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if knows.Reaches(p.wanted) {
+	if knows.AtLeast(p.wanted) {
 		p.wanted = p.newest(now)
 		p.behindSince = now
 	}
-	return !knows.Reaches(p.wanted) && now-p.behindSince > stuckAfter
+	return !knows.AtLeast(p.wanted) && now-p.behindSince > stuckAfter
 }
 
 // newest returns the newest revisions that live routers know.
@@ -130,7 +130,7 @@
 	lasts := p.lasts()
 	for _, peer := range p.known {
 		if p.there(peer, now, lasts) {
-			newest = newest.Newest(peer.knows)
+			newest = newest.Max(peer.knows)
 		}
 	}
 	return newest
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -15,7 +15,7 @@
 // just started has not heard enough of the others to know.
 func (p *Peers) Leads() bool {
 	now := p.parts.Decisions.Now()
-	if now < settleTime || p.parts.Feeds.SourceFails() {
+	if now < settleTime || p.parts.Feeds.SourceFailing() {
 		return false
 	}
 	p.mu.Lock()
--- a/gateway/feed/ahead.go
+++ b/gateway/feed/ahead.go
@@ -6,29 +6,29 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Ahead are the addresses of the routers that know something newer of one feed.
-type Ahead struct {
+// PeersAhead are the addresses of the routers that know something newer of one feed.
+type PeersAhead struct {
 	OwnHall      []string
 	OtherHalls   []string // of this router's region
 	OtherRegions []string
 }
 
 // All returns all of them, the nearest first.
-func (a Ahead) All() []string { return slices.Concat(a.OwnHall, a.OtherHalls, a.OtherRegions) }
+func (a PeersAhead) All() []string { return slices.Concat(a.OwnHall, a.OtherHalls, a.OtherRegions) }
 
-// Elsewhere tells whether only routers of other halls know it.
-func (a Ahead) Elsewhere() bool {
+// OnlyInOtherHalls tells whether only routers of other halls know it.
+func (a PeersAhead) OnlyInOtherHalls() bool {
 	return len(a.OwnHall) == 0 && len(a.OtherHalls)+len(a.OtherRegions) > 0
 }
 
-// AheadByFeed are, for each feed, the routers that know something newer.
-type AheadByFeed []Ahead
+// PeersAheadByFeed are, for each feed, the routers that know something newer.
+type PeersAheadByFeed []PeersAhead
 
-// NewAheadByFeed returns empty lists for the feeds of a router that knows some revisions.
-func NewAheadByFeed(own Revisions) AheadByFeed { return make(AheadByFeed, len(own)) }
+// NewPeersAheadByFeed returns empty lists for the feeds of a router that knows some revisions.
+func NewPeersAheadByFeed(own Revisions) PeersAheadByFeed { return make(PeersAheadByFeed, len(own)) }
 
 // Add takes in what another router knows, which is reached over a path.
-func (l AheadByFeed) Add(own Revisions, address string, path traffic.Path, knows Revisions) {
+func (l PeersAheadByFeed) Add(own Revisions, address string, path traffic.Path, knows Revisions) {
 	for i := range l {
 		if knows.of(i) <= own.of(i) {
 			continue
--- a/gateway/feed/config.go
+++ b/gateway/feed/config.go
@@ -36,17 +36,17 @@
 	return c
 }
 
-// About returns what is particular to the configuration: it has some 200 kB with 1,400
+// Spec returns what is particular to the configuration: it has some 200 kB with 1,400
 // routes.
-func (c *Config) About() About {
-	return About{Name: "config", SourceName: "source of configuration", On: true, Brought: true, Large: true}
+func (c *Config) Spec() Spec {
+	return Spec{Name: "config", SourceName: "source of configuration", Enabled: true, PeersFirst: true, Large: true}
 }
 
 // Table returns the configuration in force as requests look it up, nil where there is none.
 func (c *Config) Table() *direct.Table { return c.table.Load() }
 
 // Age is how long the configuration has been in force.
-func (c *Config) Age() time.Duration { return c.o.Decisions.Now() - time.Duration(c.at.Load()) }
+func (c *Config) Age() time.Duration { return c.o.StateMachine.Now() - time.Duration(c.at.Load()) }
 
 // Read reads the configuration.
 func (c *Config) Read(ctx context.Context) (uint64, error) {
@@ -67,8 +67,8 @@
 }
 
 func (c *Config) accept(config *direct.Config) {
-	now := c.o.Decisions.Now()
-	c.o.Decisions.Update(direct.ConfigMsg{Now: now, Config: *config})
+	now := c.o.StateMachine.Now()
+	c.o.StateMachine.Update(direct.ConfigMsg{Now: now, Config: *config})
 	c.at.Store(int64(now))
 	c.table.Store(direct.NewTable(*config))
 }
--- a/gateway/feed/content.go
+++ b/gateway/feed/content.go
@@ -36,8 +36,8 @@
 // Newest returns the newest content, nil where there is none.
 func (c *Content[T]) Newest() *T { return c.newest.Load() }
 
-// Known tells whether any content has come.
-func (c *Content[T]) Known() bool { return c.newest.Load() != nil }
+// HasContent tells whether any content has come.
+func (c *Content[T]) HasContent() bool { return c.newest.Load() != nil }
 
 // Revision tells how new the content is; 0 where there is none.
 func (c *Content[T]) Revision() uint64 {
@@ -77,17 +77,17 @@
 // Await waits until the first content has come, for some time at most, and tells whether
 // it has.
 func (c *Content[T]) Await(ctx context.Context, most time.Duration) bool {
-	if !c.Known() {
+	if !c.HasContent() {
 		wait.Until(ctx, c.first, most)
 	}
-	return c.Known()
+	return c.HasContent()
 }
 
-// Tell returns all content.
-func (c *Content[T]) Tell(uint64) any { return c.newest.Load() }
+// ContentSince returns all content.
+func (c *Content[T]) ContentSince(uint64) any { return c.newest.Load() }
 
-// Take offers content that another router told.
-func (c *Content[T]) Take(body []byte, from string) error {
+// ApplyPulled offers content that another router told.
+func (c *Content[T]) ApplyPulled(body []byte, from string) error {
 	var told T
 	if err := msgpack.Unmarshal(body, &told); err != nil {
 		return err
--- a/gateway/feed/decisions.go
+++ b/gateway/feed/decisions.go
@@ -6,8 +6,8 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// Decisions is the state machine that is told of newer content.
-type Decisions interface {
+// StateMachine is the state machine that is told of newer content.
+type StateMachine interface {
 	// Now is the time since the router's start.
 	Now() time.Duration
 	// Update tells the machine something.
--- a/gateway/feed/era.go
+++ b/gateway/feed/era.go
@@ -13,8 +13,8 @@
 	counterMask = 1<<eraShift - 1
 )
 
-// RevisionIn returns how new something is: a source's revision in one of its eras.
-func RevisionIn(era, counter uint64) uint64 { return era<<eraShift | counter&counterMask }
+// NewRevision returns how new something is: a source's revision in one of its eras.
+func NewRevision(era, counter uint64) uint64 { return era<<eraShift | counter&counterMask }
 
 // EraOf returns the era of a revision.
 func EraOf(revision uint64) uint64 { return revision >> eraShift }
--- a/gateway/feed/era_test.go
+++ b/gateway/feed/era_test.go
@@ -27,7 +27,7 @@
 	return &copiedSource{revision: 10, servers: make(map[string]direct.Server), history: true}
 }
 
-func (s *copiedSource) at() uint64 { return RevisionIn(s.era, s.revision) }
+func (s *copiedSource) at() uint64 { return NewRevision(s.era, s.revision) }
 
 func (s *copiedSource) put(server direct.Server) {
 	s.revision++
@@ -37,7 +37,7 @@
 
 func (s *copiedSource) remove(name string) {
 	s.revision++
-	s.changed = append(s.changed, Change[direct.Server]{Object: direct.Server{ID: name}, Gone: true})
+	s.changed = append(s.changed, Change[direct.Server]{Object: direct.Server{ID: name}, Deleted: true})
 	delete(s.servers, name)
 }
 
@@ -86,13 +86,13 @@
 // TestEraComesBeforeRevision has a later era win over any revision, and an answer from before it
 // never.
 func TestEraComesBeforeRevision(t *testing.T) {
-	require.Greater(t, RevisionIn(1, 5), RevisionIn(0, 1<<40))
-	require.Greater(t, RevisionIn(3, 0), RevisionIn(2, 1<<40))
-	require.EqualValues(t, 7, RevisionIn(0, 7), "a source that never came back from a copy counts as before")
-	require.EqualValues(t, 3, EraOf(RevisionIn(3, 9)))
-	require.EqualValues(t, 9, CounterOf(RevisionIn(3, 9)))
+	require.Greater(t, NewRevision(1, 5), NewRevision(0, 1<<40))
+	require.Greater(t, NewRevision(3, 0), NewRevision(2, 1<<40))
+	require.EqualValues(t, 7, NewRevision(0, 7), "a source that never came back from a copy counts as before")
+	require.EqualValues(t, 3, EraOf(NewRevision(3, 9)))
+	require.EqualValues(t, 9, CounterOf(NewRevision(3, 9)))
 	s := newTestSet().Servers
-	s.OfferAll(&direct.Directory{Revision: RevisionIn(1, 5)}, "a")
+	s.OfferAll(&direct.Directory{Revision: NewRevision(1, 5)}, "a")
 	s.OfferAll(&direct.Directory{Revision: 1 << 40, Servers: []direct.Server{{ID: "old"}}}, "b")
 	require.Empty(t, names(s))
 }
--- a/gateway/feed/evacuations.go
+++ b/gateway/feed/evacuations.go
@@ -39,7 +39,7 @@
 	e.init(kind[direct.Evacuations]{
 		revision: func(set *direct.Evacuations) uint64 { return set.Revision },
 		accept: func(set *direct.Evacuations) {
-			o.Decisions.Update(direct.EvacuationsMsg{Now: o.Decisions.Now(), Evacuations: *set})
+			o.StateMachine.Update(direct.EvacuationsMsg{Now: o.StateMachine.Now(), Evacuations: *set})
 		},
 		log: func(set *direct.Evacuations, from string) {
 			o.Log.Event("evacuations_listed").Uint64("revision", set.Revision).Str("from", from).Strs("halls", set.Halls).Msg("")
@@ -48,12 +48,12 @@
 	return e
 }
 
-// About returns what is particular to the evacuated data halls, which must be out of use
+// Spec returns what is particular to the evacuated data halls, which must be out of use
 // within a time.
-func (e *Evacuations) About() About {
-	return About{
-		Name: "evacuations", SourceName: "source of evacuations", On: e.o.Evacuate > 0, Brought: true,
-		Wait: min(evacuationsWait, time.Duration(evacuationsPart*float64(e.o.Evacuate))),
+func (e *Evacuations) Spec() Spec {
+	return Spec{
+		Name: "evacuations", SourceName: "source of evacuations", Enabled: e.o.EvacuationDeadline > 0, PeersFirst: true,
+		MaxWait: min(evacuationsWait, time.Duration(evacuationsPart*float64(e.o.EvacuationDeadline))),
 	}
 }
 
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -40,7 +40,7 @@
 // follower keeps one feed up to date from the source.
 type follower struct {
 	feed  Feed
-	about About
+	about Spec
 	log   *eventlog.Log
 	stats *stats.Stats
 	lost  bool
@@ -66,7 +66,7 @@
 		at, err := f.call(ctx, since, known, r)
 		f.note(err)
 		if err == nil {
-			if known && at != since && !r.First() {
+			if known && at != since && !r.IsPrimary() {
 				wait.Sleep(ctx, standbyPause)
 			}
 			since, known = at, true
@@ -85,17 +85,17 @@
 // brought waits a moment, as the router starts, for others to bring what it would read
 // from the source, and tells whether they have.
 func (f *follower) brought(ctx context.Context, r Role) bool {
-	if !f.about.Brought {
+	if !f.about.PeersFirst {
 		return false
 	}
-	patience := r.Patience()
+	patience := r.StartupWait()
 	if f.about.Optional && patience > 0 {
 		patience = optionalPatience
 	}
 	if patience == 0 {
 		return false
 	}
-	return f.feed.Await(ctx, patience) || r.HeardAny() && f.feed.Await(ctx, othersPatience)
+	return f.feed.Await(ctx, patience) || r.HasLivePeers() && f.feed.Await(ctx, othersPatience)
 }
 
 // follows tells whether this router follows the source: one whose last call failed goes on
@@ -114,8 +114,8 @@
 	if !known {
 		return f.bounded(ctx, readTimeout, f.feed.Read)
 	}
-	most := cmp.Or(f.about.Wait, watchWait)
-	if !r.First() {
+	most := cmp.Or(f.about.MaxWait, watchWait)
+	if !r.IsPrimary() {
 		most *= standbyWaits
 	}
 	return f.bounded(ctx, most+watchSlack, func(c context.Context) (uint64, error) { return f.feed.Watch(c, since, most) })
--- a/gateway/feed/incarnation_test.go
+++ b/gateway/feed/incarnation_test.go
@@ -19,9 +19,9 @@
 		last := make(map[string]string)
 		for revision := range uint64(rapid.IntRange(1, 40).Draw(t, "changes")) {
 			name := fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "name"))
-			change := Change[direct.Server]{Object: direct.Server{ID: name}, Gone: rapid.IntRange(0, 3).Draw(t, "gone") == 0}
+			change := Change[direct.Server]{Object: direct.Server{ID: name}, Deleted: rapid.IntRange(0, 3).Draw(t, "gone") == 0}
 			delete(last, name)
-			if !change.Gone {
+			if !change.Deleted {
 				change.Object.ID = fmt.Sprint(name, "@", rapid.IntRange(1, 3).Draw(t, "start"))
 				change.Object.Draining = rapid.Bool().Draw(t, "drains")
 				last[name] = change.Object.ID
--- a/gateway/feed/listing.go
+++ b/gateway/feed/listing.go
@@ -14,7 +14,7 @@
 // byName is a feed of objects of one kind, each with a name of its own.
 type byName[T any] struct {
 	Content[Listing[T]]
-	about  About
+	about  Spec
 	source sourceOf[T]
 	listed objects[T]
 	read   reading
@@ -32,7 +32,7 @@
 	same func(a, b []T) bool
 }
 
-func newByName[T any](o Options, about About, source sourceOf[T], take func(Listing[T]), changed func()) *byName[T] {
+func newByName[T any](o Options, about Spec, source sourceOf[T], take func(Listing[T]), changed func()) *byName[T] {
 	b := &byName[T]{about: about, source: source, listed: newObjects(source.name)}
 	b.init(kind[Listing[T]]{
 		revision: func(l *Listing[T]) uint64 { return l.Revision },
@@ -44,8 +44,8 @@
 	return b
 }
 
-// About returns what is particular to the kind.
-func (b *byName[T]) About() About { return b.about }
+// Spec returns what is particular to the kind.
+func (b *byName[T]) Spec() Spec { return b.about }
 
 // Read reads all objects.
 func (b *byName[T]) Read(ctx context.Context) (uint64, error) {
--- a/gateway/feed/listing_test.go
+++ b/gateway/feed/listing_test.go
@@ -20,9 +20,9 @@
 	versions map[string][]string
 }
 
-func (r *toldRollouts) TakeOrders(l Listing[rollout.Order])   { r.orders = l }
-func (r *toldRollouts) TakeRecords(l Listing[rollout.Record]) { r.records = l }
-func (r *toldRollouts) TakeVersions(told map[string][]string) { r.versions = told }
+func (r *toldRollouts) SetOrders(l Listing[rollout.Order])   { r.orders = l }
+func (r *toldRollouts) SetRecords(l Listing[rollout.Record]) { r.records = l }
+func (r *toldRollouts) SetVersions(told map[string][]string) { r.versions = told }
 
 // orderSource has two orders, of which one goes and one changes.
 type orderSource struct{ Source }
@@ -34,7 +34,7 @@
 func (orderSource) WatchOrders(_ context.Context, since uint64, _ time.Duration) ([]Change[rollout.Order], uint64, error) {
 	if since == 7 {
 		return []Change[rollout.Order]{
-			{Object: rollout.Order{Service: "app"}, Gone: true},
+			{Object: rollout.Order{Service: "app"}, Deleted: true},
 			{Object: rollout.Order{Service: "llm", Target: "v3", Revision: 9}},
 		}, 9, nil
 	}
@@ -93,7 +93,7 @@
 	require.NoError(t, err)
 	for i, f := range pulls.feeds[3:5] {
 		require.NoError(t, p.pull(t.Context(), 3+i, server.Listener.Addr().String()))
-		require.Positive(t, counter.Sums()[f.About().Name].BetweenHalls)
+		require.Positive(t, counter.Sums()[f.Spec().Name].BetweenHalls)
 	}
 	require.Equal(t, Revisions{0, 0, 0, 7, 8, 0}, pulls.Revisions())
 	require.Equal(t, order, told.orders.All[0])
--- a/gateway/feed/objects.go
+++ b/gateway/feed/objects.go
@@ -35,7 +35,7 @@
 // apply takes changes in.
 func (o *objects[T]) apply(changes []Change[T]) {
 	for _, c := range changes {
-		if c.Gone {
+		if c.Deleted {
 			delete(o.known, o.name(c.Object))
 		} else {
 			o.known[o.name(c.Object)] = c.Object
--- a/gateway/feed/orders.go
+++ b/gateway/feed/orders.go
@@ -24,9 +24,9 @@
 type Orders struct{ *byName[rollout.Order] }
 
 func newOrders(o Options, changed func()) *Orders {
-	about := About{Name: "orders", SourceName: "source of orders", On: true, Brought: true, Wait: ordersWait}
+	about := Spec{Name: "orders", SourceName: "source of orders", Enabled: true, PeersFirst: true, MaxWait: ordersWait}
 	return &Orders{newByName(o, about, sourceOf[rollout.Order]{
 		read: o.Source.ReadOrders, watch: o.Source.WatchOrders, plural: "services",
 		name: func(order rollout.Order) string { return order.Service },
-	}, o.Rollouts.TakeOrders, changed)}
+	}, o.Rollouts.SetOrders, changed)}
 }
--- a/gateway/feed/peers.go
+++ b/gateway/feed/peers.go
@@ -9,7 +9,7 @@
 	// Behind is sent on when another router knows something newer.
 	Behind() <-chan struct{}
 	// Ahead tells which routers know something newer.
-	Ahead() AheadByFeed
+	Ahead() PeersAheadByFeed
 	// FirstOfHall tells whether this router is the first of its hall, among those that
 	// are there.
 	FirstOfHall() bool
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -64,7 +64,7 @@
 	}
 	p := &Puller{o: o, client: &http.Client{Transport: transport}, port: port, set: set}
 	for _, f := range set.feeds {
-		p.meters = append(p.meters, o.Traffic.Of(f.About().trafficKind()))
+		p.meters = append(p.meters, o.Traffic.Of(f.Spec().trafficKind()))
 	}
 	return p, nil
 }
@@ -106,9 +106,9 @@
 }
 
 // largeElsewhere tells whether only other halls know the newest content of a large feed.
-func (p *Puller) largeElsewhere(ahead AheadByFeed) bool {
+func (p *Puller) largeElsewhere(ahead PeersAheadByFeed) bool {
 	for i, f := range p.set.feeds {
-		if f.About().Large && ahead[i].Elsewhere() {
+		if f.Spec().Large && ahead[i].OnlyInOtherHalls() {
 			return true
 		}
 	}
@@ -168,7 +168,7 @@
 // missing asks a seed for the feeds without content that are awaited, or are not.
 func (p *Puller) missing(ctx context.Context, seed string, awaited bool) {
 	for i, f := range p.set.feeds {
-		if about := f.About(); about.On && about.Awaited == awaited && !f.Known() {
+		if about := f.Spec(); about.Enabled && about.Blocking == awaited && !f.HasContent() {
 			p.note(p.pull(ctx, i, seed), seed)
 		}
 	}
@@ -185,16 +185,16 @@
 // pull brings the content of a feed from another router.
 func (p *Puller) pull(ctx context.Context, feed int, address string) error {
 	one := p.set.feeds[feed]
-	about := one.About()
+	about := one.Spec()
 	target := about.path()
-	if about.Partial {
+	if about.Incremental {
 		target += "?" + querySince + "=" + strconv.FormatUint(one.Revision(), 10)
 	}
 	body, err := p.get(ctx, p.meters[feed], address, target)
 	if err != nil {
 		return err
 	}
-	return one.Take(body, address)
+	return one.ApplyPulled(body, address)
 }
 
 func (p *Puller) get(ctx context.Context, meter *traffic.Meter, address, target string) ([]byte, error) {
--- a/gateway/feed/pull_test.go
+++ b/gateway/feed/pull_test.go
@@ -31,9 +31,9 @@
 	p, err := NewPuller(pulls, PullOptions{Control: "127.0.0.1:1", Peers: farPeers{}, Traffic: counter})
 	require.NoError(t, err)
 	for i, f := range pulls.feeds {
-		require.Equal(t, f.About().Optional, pulls.Complete(), "complete without "+f.About().Name)
-		require.NoError(t, p.pull(t.Context(), i, server.Listener.Addr().String()), f.About().Name)
-		require.Positive(t, counter.Sums()[f.About().Name].BetweenHalls, f.About().Name)
+		require.Equal(t, f.Spec().Optional, pulls.Complete(), "complete without "+f.Spec().Name)
+		require.NoError(t, p.pull(t.Context(), i, server.Listener.Addr().String()), f.Spec().Name)
+		require.Positive(t, counter.Sums()[f.Spec().Name].BetweenHalls, f.Spec().Name)
 	}
 	require.Equal(t, Revisions{3, 9, 11, 13}, pulls.Revisions())
 	require.True(t, pulls.Complete())
@@ -67,13 +67,13 @@
 func TestWhatIsFollowed(t *testing.T) {
 	names := func(s *Set) (out []string) {
 		for _, f := range s.Followed() {
-			out = append(out, f.About().Name)
+			out = append(out, f.Spec().Name)
 		}
 		return out
 	}
 	set := newTestSet()
 	require.Equal(t, []string{"config", "servers", "evacuations", "quarantine"}, names(set))
-	set = NewSet(Options{Decisions: set.Config.o.Decisions, Log: quietLog})
+	set = NewSet(Options{StateMachine: set.Config.o.StateMachine, Log: quietLog})
 	require.Equal(t, []string{"config", "servers", "quarantine"}, names(set))
 	set.Servers.OfferAll(&direct.Directory{Revision: 9}, fromSource)
 	require.False(t, set.Complete())
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -30,9 +30,9 @@
 }
 
 func newQuarantine(o Options, changed func()) *Quarantine {
-	about := About{Name: "quarantine", SourceName: "source of quarantine", On: true, Brought: true, Optional: true, Wait: quarantineWait}
+	about := Spec{Name: "quarantine", SourceName: "source of quarantine", Enabled: true, PeersFirst: true, Optional: true, MaxWait: quarantineWait}
 	take := func(l Listing[quarantine.Fingerprint]) {
-		o.Decisions.Update(direct.QuarantineMsg{Now: o.Decisions.Now(), Fingerprints: l.All})
+		o.StateMachine.Update(direct.QuarantineMsg{Now: o.StateMachine.Now(), Fingerprints: l.All})
 	}
 	return &Quarantine{newByName(o, about, sourceOf[quarantine.Fingerprint]{
 		read: func(ctx context.Context) ([]quarantine.Fingerprint, uint64, error) {
--- a/gateway/feed/records.go
+++ b/gateway/feed/records.go
@@ -25,9 +25,9 @@
 type Records struct{ *byName[rollout.Record] }
 
 func newRecords(o Options, changed func()) *Records {
-	about := About{Name: "versions", SourceName: "source of versions", On: true, Brought: true, Wait: recordsWait}
+	about := Spec{Name: "versions", SourceName: "source of versions", Enabled: true, PeersFirst: true, MaxWait: recordsWait}
 	return &Records{newByName(o, about, sourceOf[rollout.Record]{
 		read: o.Source.ReadRecords, watch: o.Source.WatchRecords, plural: "services",
 		name: func(record rollout.Record) string { return record.Service },
-	}, o.Rollouts.TakeRecords, changed)}
+	}, o.Rollouts.SetRecords, changed)}
 }
--- a/gateway/feed/revisions.go
+++ b/gateway/feed/revisions.go
@@ -12,8 +12,8 @@
 	return 0
 }
 
-// Reaches tells whether nothing in r is older than in other, of the feeds that r has.
-func (r Revisions) Reaches(other Revisions) bool {
+// AtLeast tells whether nothing in r is older than in other, of the feeds that r has.
+func (r Revisions) AtLeast(other Revisions) bool {
 	for i, revision := range r {
 		if revision < other.of(i) {
 			return false
@@ -22,8 +22,8 @@
 	return true
 }
 
-// Newest returns the newer of each of two revisions.
-func (r Revisions) Newest(other Revisions) Revisions {
+// Max returns the newer of each of two revisions.
+func (r Revisions) Max(other Revisions) Revisions {
 	out := make(Revisions, max(len(r), len(other)))
 	for i := range out {
 		out[i] = max(r.of(i), other.of(i))
--- a/gateway/feed/role.go
+++ b/gateway/feed/role.go
@@ -6,11 +6,11 @@
 type Role interface {
 	// Follows tells whether this router is one of the few that follow the source.
 	Follows() bool
-	// First tells whether it is the first of them; the others stand by for it.
-	First() bool
-	// HeardAny tells whether another router has been heard of.
-	HeardAny() bool
-	// Patience is how long this router waits, as it starts, for others to bring what
+	// IsPrimary tells whether it is the first of them; the others stand by for it.
+	IsPrimary() bool
+	// HasLivePeers tells whether another router has been heard of.
+	HasLivePeers() bool
+	// StartupWait is how long this router waits, as it starts, for others to bring what
 	// it would read from the source; 0: it reads at once.
-	Patience() time.Duration
+	StartupWait() time.Duration
 }
--- a/gateway/feed/rollouts.go
+++ b/gateway/feed/rollouts.go
@@ -9,11 +9,11 @@
 
 // Rollouts takes in what roll-outs are decided on. Its methods must not block.
 type Rollouts interface {
-	// TakeOrders brings newer orders, TakeRecords newer records.
-	TakeOrders(Listing[rollout.Order])
-	TakeRecords(Listing[rollout.Record])
-	// TakeVersions tells which versions the listed servers of each service have, sorted.
-	TakeVersions(map[string][]string)
+	// SetOrders brings newer orders, SetRecords newer records.
+	SetOrders(Listing[rollout.Order])
+	SetRecords(Listing[rollout.Record])
+	// SetVersions tells which versions the listed servers of each service have, sorted.
+	SetVersions(map[string][]string)
 }
 
 // versionsOf returns, for each service, the sorted versions of its servers.
--- a/gateway/feed/serve.go
+++ b/gateway/feed/serve.go
@@ -14,23 +14,23 @@
 func (s *Set) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, f := range s.feeds {
-		mux.HandleFunc("GET "+f.About().path(), func(w http.ResponseWriter, r *http.Request) { serve(f, w, r) })
+		mux.HandleFunc("GET "+f.Spec().path(), func(w http.ResponseWriter, r *http.Request) { serve(f, w, r) })
 	}
 	return mux
 }
 
 func serve(f Feed, w http.ResponseWriter, r *http.Request) {
-	known := f.Known()
-	if f.About().Awaited {
+	known := f.HasContent()
+	if f.Spec().Blocking {
 		known = f.Await(r.Context(), pullTimeout/2)
 	}
 	if !known {
-		http.Error(w, "no "+f.About().Name+" yet", http.StatusServiceUnavailable)
+		http.Error(w, "no "+f.Spec().Name+" yet", http.StatusServiceUnavailable)
 		return
 	}
 	// Without a revision, or with one that is no number, everything is told.
 	since, _ := strconv.ParseUint(r.URL.Query().Get(querySince), 10, 64)
-	body, err := msgpack.Marshal(f.Tell(since))
+	body, err := msgpack.Marshal(f.ContentSince(since))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/gateway/feed/serve_test.go
+++ b/gateway/feed/serve_test.go
@@ -38,7 +38,7 @@
 		}}, "source")
 		time.Sleep(2 * time.Second)
 		answer := httptest.NewRecorder()
-		s.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, s.Servers.About().path(), strings.NewReader("")))
+		s.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, s.Servers.Spec().path(), strings.NewReader("")))
 		var pulled serverlist.Update
 		require.NoError(t, msgpack.Unmarshal(answer.Body.Bytes(), &pulled))
 		require.Equal(t, time.Second, pulled.Servers[0].ColdFor)
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -43,9 +43,9 @@
 	return s
 }
 
-// About returns what is particular to the list of servers.
-func (s *Servers) About() About {
-	return About{Name: "servers", SourceName: "source of servers", On: true, Brought: true, Awaited: true, Partial: true}
+// Spec returns what is particular to the list of servers.
+func (s *Servers) Spec() Spec {
+	return Spec{Name: "servers", SourceName: "source of servers", Enabled: true, PeersFirst: true, Blocking: true, Incremental: true}
 }
 
 // Read reads all servers.
@@ -109,7 +109,7 @@
 
 // offerUpdate takes what has changed in the list, where that leads to a newer one.
 func (s *Servers) offerUpdate(u *serverlist.Update, from string) {
-	d := u.Apply(s.Newest(), s.o.Decisions.Now())
+	d := u.Apply(s.Newest(), s.o.StateMachine.Now())
 	switch {
 	case d == nil:
 	case u.From == 0:
@@ -124,18 +124,18 @@
 func (s *Servers) since(revision uint64) serverlist.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d := s.Newest().Aged(s.o.Decisions.Now())
+	d := s.Newest().Aged(s.o.StateMachine.Now())
 	if u, known := s.history.Since(revision, &d); known {
 		return u
 	}
 	return serverlist.Update{Revision: d.Revision, Servers: d.Servers}
 }
 
-// Tell returns what has changed since a revision.
-func (s *Servers) Tell(revision uint64) any { return s.since(revision) }
+// ContentSince returns what has changed since a revision.
+func (s *Servers) ContentSince(revision uint64) any { return s.since(revision) }
 
-// Take takes in what another router told to have changed.
-func (s *Servers) Take(body []byte, from string) error {
+// ApplyPulled takes in what another router told to have changed.
+func (s *Servers) ApplyPulled(body []byte, from string) error {
 	var u serverlist.Update
 	if err := msgpack.Unmarshal(body, &u); err != nil {
 		return err
@@ -145,13 +145,13 @@
 }
 
 func (s *Servers) list(d *direct.Directory) *serverlist.List {
-	return &serverlist.List{Directory: *d, At: s.o.Decisions.Now()}
+	return &serverlist.List{Directory: *d, At: s.o.StateMachine.Now()}
 }
 
 func (s *Servers) accept(list *serverlist.List) {
-	s.o.Decisions.Update(direct.ServersMsg{Now: list.At, Directory: list.Directory})
+	s.o.StateMachine.Update(direct.ServersMsg{Now: list.At, Directory: list.Directory})
 	if s.o.Rollouts != nil {
-		s.o.Rollouts.TakeVersions(versionsOf(list))
+		s.o.Rollouts.SetVersions(versionsOf(list))
 	}
 }
 
--- a/gateway/feed/servers_test.go
+++ b/gateway/feed/servers_test.go
@@ -77,7 +77,7 @@
 				watched[i] = 0
 			case 3:
 				other := rapid.SampledFrom(routers).Draw(t, "other")
-				if !other.Known() {
+				if !other.HasContent() {
 					continue
 				}
 				u := other.since(one.Revision())
@@ -125,7 +125,7 @@
 		encoder := msgpack.NewEncoder(&body)
 		encoder.UseArrayEncodedStructs(true)
 		encoder.UseCompactInts(true)
-		require.NoError(t, encoder.Encode(s.Tell(since)))
+		require.NoError(t, encoder.Encode(s.ContentSince(since)))
 		return body.Len()
 	}
 	require.Less(t, size(1), 100)
--- a/gateway/feed/set.go
+++ b/gateway/feed/set.go
@@ -14,13 +14,13 @@
 
 // Options are what feeds stand on.
 type Options struct {
-	Source    Source
-	Decisions Decisions
-	Log       *eventlog.Log
-	Stats     *stats.Stats
-	// Evacuate is the most that may pass between the word that a data hall is
+	Source       Source
+	StateMachine StateMachine
+	Log          *eventlog.Log
+	Stats        *stats.Stats
+	// EvacuationDeadline is the most that may pass between the word that a data hall is
 	// evacuated and the last request to its servers; 0: no hall is ever evacuated.
-	Evacuate time.Duration
+	EvacuationDeadline time.Duration
 	// Rollouts decides on roll-outs; nil: they are not on, and their feeds don't exist.
 	Rollouts Rollouts
 }
@@ -34,8 +34,8 @@
 	Orders     *Orders
 	Records    *Records
 	Quarantine *Quarantine
-	// Changed is called when newer content is in force; set it before the feeds are used.
-	Changed   func()
+	// OnChange is called when newer content is in force; set it before the feeds are used.
+	OnChange  func()
 	log       *eventlog.Log
 	feeds     []Feed // in the order of Revisions: new ones come last
 	followers []*follower
@@ -43,8 +43,8 @@
 
 // NewSet returns feeds without content.
 func NewSet(o Options) *Set {
-	s := &Set{log: o.Log, Changed: func() {}}
-	changed := func() { s.Changed() }
+	s := &Set{log: o.Log, OnChange: func() {}}
+	changed := func() { s.OnChange() }
 	s.Config = newConfig(o, changed)
 	s.Servers = newServers(o, changed)
 	s.Evacuations = newEvacuations(o, changed)
@@ -56,7 +56,7 @@
 	s.Quarantine = newQuarantine(o, changed)
 	s.feeds = append(s.feeds, s.Quarantine)
 	for _, f := range s.feeds {
-		s.followers = append(s.followers, &follower{feed: f, about: f.About(), log: o.Log, stats: o.Stats})
+		s.followers = append(s.followers, &follower{feed: f, about: f.Spec(), log: o.Log, stats: o.Stats})
 	}
 	return s
 }
@@ -85,21 +85,21 @@
 // Complete tells whether enough is known to serve requests at all.
 func (s *Set) Complete() bool {
 	for _, f := range s.followers {
-		if f.about.On && !f.about.Optional && !f.feed.Known() {
+		if f.about.Enabled && !f.about.Optional && !f.feed.HasContent() {
 			return false
 		}
 	}
 	return true
 }
 
-// SourceFails tells whether the last call to the source for any feed failed.
-func (s *Set) SourceFails() bool {
+// SourceFailing tells whether the last call to the source for any feed failed.
+func (s *Set) SourceFailing() bool {
 	return slices.ContainsFunc(s.followers, func(f *follower) bool { return f.fails.Load() })
 }
 
 // Followed returns the feeds that are kept up to date from the source.
 func (s *Set) Followed() []Feed {
-	return slices.DeleteFunc(slices.Clone(s.feeds), func(f Feed) bool { return !f.About().On })
+	return slices.DeleteFunc(slices.Clone(s.feeds), func(f Feed) bool { return !f.Spec().Enabled })
 }
 
 // Follow keeps one feed of the set up to date from the source until ctx ends.
--- a/gateway/feed/set_test.go
+++ b/gateway/feed/set_test.go
@@ -32,7 +32,7 @@
 // newTestSet returns feeds without a source, of a fleet whose halls may be evacuated.
 func newTestSet() *Set {
 	return NewSet(Options{
-		Decisions: &lockedMachine{machine: direct.NewMachine(direct.Options{}), start: time.Now()},
-		Log:       quietLog, Stats: stats.New(tally.NoopScope), Evacuate: 5 * time.Second,
+		StateMachine: &lockedMachine{machine: direct.NewMachine(direct.Options{}), start: time.Now()},
+		Log:          quietLog, Stats: stats.New(tally.NoopScope), EvacuationDeadline: 5 * time.Second,
 	})
 }
--- a/gateway/feed/sourcelist.go
+++ b/gateway/feed/sourcelist.go
@@ -92,7 +92,7 @@
 			ids = append(ids, old.ID)
 		}
 		delete(l.lost, c.Object.Name())
-		if c.Gone {
+		if c.Deleted {
 			l.went(l.servers[c.Object.Name()].ID)
 			delete(l.servers, c.Object.Name())
 			continue
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -59,7 +59,7 @@
 	tb.Cleanup(j.Close)
 	c := newCore(direct.Options{}, j)
 	counts := stats.New(tally.NoopScope)
-	feeds := feed.NewSet(feed.Options{Decisions: c, Log: j, Stats: counts})
+	feeds := feed.NewSet(feed.Options{StateMachine: c, Log: j, Stats: counts})
 	f := &front{
 		core: c, feeds: feeds, log: j, stats: counts, dialect: plainDialect{},
 		queues: newTestQueues(1 << 20), callers: newTestCallers(1000, 0),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -91,7 +91,7 @@
 // join sets up what the router shares with the others.
 func (g *Gateway) join() error {
 	s := g.settings
-	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.Evacuate}
+	feeds := feed.Options{Source: g.source, StateMachine: g.core, Log: g.log, Stats: g.stats, EvacuationDeadline: s.Evacuate}
 	parts := cluster.Dependencies{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -84,22 +84,22 @@
 // Tell tells the machine something. It never waits.
 func (r *Runner) Tell(msg rollout.Msg) { r.queue.put(msg) }
 
-// TakeOrders takes newer orders in.
-func (r *Runner) TakeOrders(l feed.Listing[rollout.Order]) {
+// SetOrders takes newer orders in.
+func (r *Runner) SetOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queue.put(rollout.OrdersMsg{Now: r.o.Core.Now(), Orders: r.orders.list(l)})
 }
 
-// TakeRecords takes newer records in.
-func (r *Runner) TakeRecords(l feed.Listing[rollout.Record]) {
+// SetRecords takes newer records in.
+func (r *Runner) SetRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queue.put(rollout.RecordsMsg{Now: r.o.Core.Now(), Wall: time.Now(), Records: r.records.list(l)})
 }
 
-// TakeVersions takes in which versions the listed servers have.
-func (r *Runner) TakeVersions(services map[string][]string) {
+// SetVersions takes in which versions the listed servers have.
+func (r *Runner) SetVersions(services map[string][]string) {
 	r.queue.put(rollout.VersionsMsg{Now: r.o.Core.Now(), Services: services})
 }
 
