--- a/gateway/feed/config.go
+++ b/gateway/feed/config.go
@@ -21,18 +21,18 @@
 // Config is the feed of the configuration. Its revision is the configuration's version.
 type Config struct {
 	Content[direct.Config]
-	o     Options
-	table atomic.Pointer[direct.Table]
-	at    atomic.Int64 // when the configuration came into force, on the router's clock
+	o         Options
+	table     atomic.Pointer[direct.Table]
+	appliedAt atomic.Int64 // when the configuration came into force, on the router's clock
 }
 
-func newConfig(o Options, changed func()) *Config {
+func newConfig(o Options, onChange func()) *Config {
 	c := &Config{o: o}
-	c.init(kind[direct.Config]{
+	c.init(contentHooks[direct.Config]{
 		revision: func(config *direct.Config) uint64 { return config.Version },
-		accept:   c.accept,
+		apply:    c.apply,
 		log:      c.log,
-	}, changed)
+	}, onChange)
 	return c
 }
 
@@ -46,30 +46,32 @@
 func (c *Config) Table() *direct.Table { return c.table.Load() }
 
 // Age is how long the configuration has been in force.
-func (c *Config) Age() time.Duration { return c.o.StateMachine.Now() - time.Duration(c.at.Load()) }
+func (c *Config) Age() time.Duration {
+	return c.o.StateMachine.Now() - time.Duration(c.appliedAt.Load())
+}
 
 // Read reads the configuration.
 func (c *Config) Read(ctx context.Context) (uint64, error) {
-	config, at, err := c.o.Source.ReadConfig(ctx)
+	config, revision, err := c.o.Source.ReadConfig(ctx)
 	if err == nil {
 		c.Offer(config, fromSource)
 	}
-	return at, err
+	return revision, err
 }
 
 // Watch waits for another configuration.
 func (c *Config) Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
-	config, at, err := c.o.Source.WatchConfig(ctx, since, wait)
+	config, revision, err := c.o.Source.WatchConfig(ctx, since, wait)
 	if err == nil {
 		c.Offer(config, fromSource)
 	}
-	return at, err
+	return revision, err
 }
 
-func (c *Config) accept(config *direct.Config) {
+func (c *Config) apply(config *direct.Config) {
 	now := c.o.StateMachine.Now()
 	c.o.StateMachine.Update(direct.ConfigMsg{Now: now, Config: *config})
-	c.at.Store(int64(now))
+	c.appliedAt.Store(int64(now))
 	c.table.Store(direct.NewTable(*config))
 }
 
--- a/gateway/feed/content.go
+++ b/gateway/feed/content.go
@@ -12,25 +12,25 @@
 
 // Content is the newest content of one feed that this router knows, from whomever it came.
 type Content[T any] struct {
-	kind    kind[T]
-	changed func() // newer content is in force
-	mu      sync.Mutex
-	newest  atomic.Pointer[T]
-	first   chan struct{} // closed when the first content has come
+	hooks    contentHooks[T]
+	onChange func() // newer content is in force
+	mu       sync.Mutex
+	newest   atomic.Pointer[T]
+	loaded   chan struct{} // closed when the first content has come
 }
 
 // kind is how content of one type is handled.
-type kind[T any] struct {
+type contentHooks[T any] struct {
 	// revision tells how new content is.
 	revision func(*T) uint64
 	// accept tells the decisions of newer content, before anybody else sees it.
-	accept func(*T)
+	apply func(*T)
 	// log writes that newer content is in force, and who told it.
 	log func(newest *T, from string)
 }
 
-func (c *Content[T]) init(k kind[T], changed func()) {
-	c.kind, c.changed, c.first = k, changed, make(chan struct{})
+func (c *Content[T]) init(hooks contentHooks[T], onChange func()) {
+	c.hooks, c.onChange, c.loaded = hooks, onChange, make(chan struct{})
 }
 
 // Newest returns the newest content, nil where there is none.
@@ -42,7 +42,7 @@
 // Revision tells how new the content is; 0 where there is none.
 func (c *Content[T]) Revision() uint64 {
 	if newest := c.newest.Load(); newest != nil {
-		return c.kind.revision(newest)
+		return c.hooks.revision(newest)
 	}
 	return 0
 }
@@ -56,29 +56,29 @@
 }
 
 // offer offers content, and calls taken with what was known before where it is newer.
-func (c *Content[T]) offer(newer *T, from string, taken func(old *T)) bool {
+func (c *Content[T]) offer(newer *T, from string, onApplied func(old *T)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.newest.Load()
-	if newer == nil || (old != nil && c.kind.revision(newer) <= c.kind.revision(old)) {
+	if newer == nil || (old != nil && c.hooks.revision(newer) <= c.hooks.revision(old)) {
 		return false
 	}
-	c.kind.accept(newer)
+	c.hooks.apply(newer)
 	c.newest.Store(newer)
 	if old == nil {
-		close(c.first)
+		close(c.loaded)
 	}
-	c.kind.log(newer, from)
-	taken(old)
-	c.changed()
+	c.hooks.log(newer, from)
+	onApplied(old)
+	c.onChange()
 	return true
 }
 
 // Await waits until the first content has come, for some time at most, and tells whether
 // it has.
-func (c *Content[T]) Await(ctx context.Context, most time.Duration) bool {
+func (c *Content[T]) Await(ctx context.Context, timeout time.Duration) bool {
 	if !c.HasContent() {
-		wait.Until(ctx, c.first, most)
+		wait.Until(ctx, c.loaded, timeout)
 	}
 	return c.HasContent()
 }
@@ -88,10 +88,10 @@
 
 // ApplyPulled offers content that another router told.
 func (c *Content[T]) ApplyPulled(body []byte, from string) error {
-	var told T
-	if err := msgpack.Unmarshal(body, &told); err != nil {
+	var pulled T
+	if err := msgpack.Unmarshal(body, &pulled); err != nil {
 		return err
 	}
-	c.Offer(&told, from)
+	c.Offer(&pulled, from)
 	return nil
 }
--- a/gateway/feed/era.go
+++ b/gateway/feed/era.go
@@ -23,13 +23,13 @@
 func CounterOf(revision uint64) uint64 { return revision & counterMask }
 
 // reading is the revision at which a source was last read; 0: it has not been.
-type reading uint64
+type readRevision uint64
 
 // next takes in that the source was read again, beside content that is in force (0: none is), and tells
 // whether the source has come back from a copy of itself since: what it lacks, and of what it has an
 // earlier state, was lost and not taken back.
-func (r *reading) next(at, inForce uint64) (restored bool) {
-	last := cmp.Or(uint64(*r), inForce)
-	*r = reading(at)
-	return last != 0 && EraOf(last) < EraOf(at)
+func (r *readRevision) advance(revision, applied uint64) (restored bool) {
+	last := cmp.Or(uint64(*r), applied)
+	*r = readRevision(revision)
+	return last != 0 && EraOf(last) < EraOf(revision)
 }
--- a/gateway/feed/era_test.go
+++ b/gateway/feed/era_test.go
@@ -13,71 +13,71 @@
 	"pgregory.net/rapid"
 )
 
-// copiedSource has servers and evacuated halls, and comes back from copies of itself.
-type copiedSource struct {
+// restorableSource has servers and evacuated halls, and comes back from copies of itself.
+type restorableSource struct {
 	Source
 	era, revision uint64
 	servers       map[string]direct.Server
 	halls         []string
-	changed       []Change[direct.Server] // since the last watch
-	history       bool                    // it has what a watch asks for
+	changes       []Change[direct.Server] // since the last watch
+	hasHistory    bool                    // it has what a watch asks for
 }
 
-func newCopiedSource() *copiedSource {
-	return &copiedSource{revision: 10, servers: make(map[string]direct.Server), history: true}
+func newRestorableSource() *restorableSource {
+	return &restorableSource{revision: 10, servers: make(map[string]direct.Server), hasHistory: true}
 }
 
-func (s *copiedSource) at() uint64 { return NewRevision(s.era, s.revision) }
+func (s *restorableSource) currentRevision() uint64 { return NewRevision(s.era, s.revision) }
 
-func (s *copiedSource) put(server direct.Server) {
+func (s *restorableSource) put(server direct.Server) {
 	s.revision++
 	s.servers[server.Name()] = server
-	s.changed = append(s.changed, Change[direct.Server]{Object: server})
+	s.changes = append(s.changes, Change[direct.Server]{Object: server})
 }
 
-func (s *copiedSource) remove(name string) {
+func (s *restorableSource) remove(name string) {
 	s.revision++
-	s.changed = append(s.changed, Change[direct.Server]{Object: direct.Server{ID: name}, Deleted: true})
+	s.changes = append(s.changes, Change[direct.Server]{Object: direct.Server{ID: name}, Deleted: true})
 	delete(s.servers, name)
 }
 
 // restore goes back to an earlier state.
-func (s *copiedSource) restore(revision uint64, servers ...direct.Server) {
+func (s *restorableSource) restore(revision uint64, servers ...direct.Server) {
 	s.era++
-	s.revision, s.changed, s.history = revision, nil, false
+	s.revision, s.changes, s.hasHistory = revision, nil, false
 	clear(s.servers)
-	for _, one := range servers {
-		s.servers[one.Name()] = one
+	for _, server := range servers {
+		s.servers[server.Name()] = server
 	}
 }
 
-func (s *copiedSource) ReadServers(context.Context) ([]direct.Server, uint64, error) {
-	s.changed, s.history = nil, true
+func (s *restorableSource) ReadServers(context.Context) ([]direct.Server, uint64, error) {
+	s.changes, s.hasHistory = nil, true
 	var all []direct.Server
-	for _, one := range s.servers {
-		all = append(all, one)
+	for _, server := range s.servers {
+		all = append(all, server)
 	}
-	return all, s.at(), nil
+	return all, s.currentRevision(), nil
 }
 
-func (s *copiedSource) WatchServers(context.Context, uint64, time.Duration) ([]Change[direct.Server], uint64, error) {
-	if !s.history {
+func (s *restorableSource) WatchServers(context.Context, uint64, time.Duration) ([]Change[direct.Server], uint64, error) {
+	if !s.hasHistory {
 		return nil, 0, ErrHistoryGone
 	}
-	changes := s.changed
-	s.changed = nil
-	return changes, s.at(), nil
+	changes := s.changes
+	s.changes = nil
+	return changes, s.currentRevision(), nil
 }
 
-func (s *copiedSource) ReadEvacuations(context.Context) ([]string, uint64, error) {
-	return s.halls, s.at(), nil
+func (s *restorableSource) ReadEvacuations(context.Context) ([]string, uint64, error) {
+	return s.halls, s.currentRevision(), nil
 }
 
 // names returns the servers that are listed, by id.
-func names(s *Servers) []string {
+func serverIDs(s *Servers) []string {
 	var out []string
-	for _, one := range s.Newest().Servers {
-		out = append(out, one.ID)
+	for _, server := range s.Newest().Servers {
+		out = append(out, server.ID)
 	}
 	slices.Sort(out)
 	return out
@@ -94,56 +94,56 @@
 	s := newTestSet().Servers
 	s.OfferAll(&direct.Directory{Revision: NewRevision(1, 5)}, "a")
 	s.OfferAll(&direct.Directory{Revision: 1 << 40, Servers: []direct.Server{{ID: "old"}}}, "b")
-	require.Empty(t, names(s))
+	require.Empty(t, serverIDs(s))
 }
 
-// TestServersOfACopy has the source come back from a copy: a server that it lacks stays for a moment
+// TestServersAfterRestore has the source come back from a copy: a server that it lacks stays for a moment
 // and is then taken as gone unless it has entered itself again; one that drains still drains; and one
 // that went since the copy stays away.
-func TestServersOfACopy(t *testing.T) {
-	source := newCopiedSource()
+func TestServersAfterRestore(t *testing.T) {
+	source := newRestorableSource()
 	set := newTestSet()
 	set.Servers.o.Source = source
 	s := set.Servers
 	earlier := []direct.Server{{ID: "stays"}, {ID: "drains"}, {ID: "went"}}
-	for _, one := range earlier {
-		source.put(one)
+	for _, server := range earlier {
+		source.put(server)
 	}
-	at, err := s.Read(t.Context())
+	revision, err := s.Read(t.Context())
 	require.NoError(t, err)
 	source.remove("went")
 	source.put(direct.Server{ID: "drains", Draining: true})
 	source.put(direct.Server{ID: "new"})
 	source.put(direct.Server{ID: "lost"})
-	at, err = s.Watch(t.Context(), at, time.Second)
+	revision, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
 	before := s.Revision()
 
 	source.restore(3, earlier...)
-	_, err = s.Watch(t.Context(), at, time.Second)
+	_, err = s.Watch(t.Context(), revision, time.Second)
 	require.ErrorIs(t, err, ErrHistoryGone)
-	at, err = s.Read(t.Context())
+	revision, err = s.Read(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, []string{"drains", "lost", "new", "stays"}, names(s))
+	require.Equal(t, []string{"drains", "lost", "new", "stays"}, serverIDs(s))
 	require.True(t, s.Newest().Servers[0].Draining)
 	require.Greater(t, s.Revision(), before, "others take it, though the source's revision is lower")
 
 	source.put(direct.Server{ID: "new"})
-	at, err = s.Watch(t.Context(), at, time.Second)
+	revision, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, []string{"drains", "lost", "new", "stays"}, names(s))
-	s.listed.lostUntil = time.Now()
+	require.Equal(t, []string{"drains", "lost", "new", "stays"}, serverIDs(s))
+	s.listed.missingUntil = time.Now()
 	held := s.Revision()
-	_, err = s.Watch(t.Context(), at, time.Second)
+	_, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, []string{"drains", "new", "stays"}, names(s), "what has not come back is gone")
+	require.Equal(t, []string{"drains", "new", "stays"}, serverIDs(s), "what has not come back is gone")
 	require.Greater(t, s.Revision(), held, "others take that too")
 }
 
-// TestEvacuationsOfACopy has a copy of the source lack an evacuation: it stays in force until the
+// TestEvacuationsAfterRestore has a copy of the source lack an evacuation: it stays in force until the
 // source tells of a change.
-func TestEvacuationsOfACopy(t *testing.T) {
-	source := newCopiedSource()
+func TestEvacuationsAfterRestore(t *testing.T) {
+	source := newRestorableSource()
 	set := newTestSet()
 	set.Evacuations.o.Source = source
 	e := set.Evacuations
@@ -161,29 +161,29 @@
 	require.Empty(t, e.Newest().Halls, "a later state of the same era is the source's word")
 }
 
-// TestRoutersFollowErasOfTheSource plays histories of servers that come and go while the source comes
+// TestServersAcrossRestores plays histories of servers that come and go while the source comes
 // back from earlier copies of itself, and one router that follows it. What its list holds beside the
 // source's is only ever what a copy lacked, and once the time for that is over nothing.
-func TestRoutersFollowErasOfTheSource(t *testing.T) {
+func TestServersAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		source := newCopiedSource()
+		source := newRestorableSource()
 		set := newTestSet()
 		set.Servers.o.Source = source
 		s := set.Servers
-		at, err := s.Read(context.Background())
+		revision, err := s.Read(context.Background())
 		require.NoError(t, err)
 		type state struct {
 			revision uint64
 			servers  []direct.Server
 		}
-		var copies []state
+		var backups []state
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				copies = append(copies, state{source.revision, slices.Collect(maps.Values(source.servers))})
+				backups = append(backups, state{source.revision, slices.Collect(maps.Values(source.servers))})
 			case 1:
-				if len(copies) > 0 {
-					c := rapid.SampledFrom(copies).Draw(t, "copy")
+				if len(backups) > 0 {
+					c := rapid.SampledFrom(backups).Draw(t, "copy")
 					source.restore(c.revision, c.servers...)
 				}
 			case 2:
@@ -192,38 +192,38 @@
 				source.put(direct.Server{ID: fmt.Sprintf("i-%d@%d", rapid.IntRange(0, 4).Draw(t, "name"), step)})
 			}
 			if rapid.Bool().Draw(t, "look") {
-				at = followOnce(t, s, at)
+				revision = followOnce(t, s, revision)
 				for id := range source.ids() {
-					require.True(t, slices.Contains(names(s), id) || s.listed.gone[id] != time.Time{}, "the source has %s", id)
+					require.True(t, slices.Contains(serverIDs(s), id) || s.listed.removed[id] != time.Time{}, "the source has %s", id)
 				}
 			}
 		}
-		s.listed.lostUntil = time.Now()
-		at = followOnce(t, s, at)
-		s.listed.lostUntil = time.Now()
-		followOnce(t, s, at)
-		for _, id := range names(s) {
+		s.listed.missingUntil = time.Now()
+		revision = followOnce(t, s, revision)
+		s.listed.missingUntil = time.Now()
+		followOnce(t, s, revision)
+		for _, id := range serverIDs(s) {
 			require.True(t, source.ids()[id], "%s is not in the source", id)
 		}
 	})
 }
 
 // ids returns the servers that the source has.
-func (s *copiedSource) ids() map[string]bool {
+func (s *restorableSource) ids() map[string]bool {
 	out := make(map[string]bool)
-	for _, one := range s.servers {
-		out[one.ID] = true
+	for _, server := range s.servers {
+		out[server.ID] = true
 	}
 	return out
 }
 
 // followOnce watches the source, or reads it where its history is gone, as a follower does.
-func followOnce(t *rapid.T, s *Servers, at uint64) uint64 {
-	ended, cancel := context.WithCancel(context.Background())
+func followOnce(t *rapid.T, s *Servers, revision uint64) uint64 {
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel() // so that nothing pauses
-	next, err := s.Watch(ended, at, time.Second)
+	next, err := s.Watch(canceled, revision, time.Second)
 	if err != nil {
-		next, err = s.Read(ended)
+		next, err = s.Read(canceled)
 	}
 	require.NoError(t, err)
 	return next
--- a/gateway/feed/evacuations.go
+++ b/gateway/feed/evacuations.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// evacuationsWait is the most that one call waits for a change of the evacuated
+	// maxEvacuationsWait is the most that one call waits for a change of the evacuated
 	// data halls: halls are evacuated seldom, and each call costs the source the same.
-	evacuationsWait = 2 * time.Second
-	// evacuationsPart is the part of the time until an evacuation must be in force that
+	maxEvacuationsWait = 2 * time.Second
+	// evacuationsWaitFraction is the part of the time until an evacuation must be in force that
 	// one call may take, so that one which goes unanswered leaves time for another.
-	evacuationsPart = 0.4
+	evacuationsWaitFraction = 0.4
 )
 
 // EvacuationSource is where the evacuated data halls are found.
@@ -29,22 +29,22 @@
 // send requests into one.
 type Evacuations struct {
 	Content[direct.Evacuations]
-	o     Options
-	halls objects[string]
-	read  reading
+	o        Options
+	halls    objectSet[string]
+	lastRead readRevision
 }
 
-func newEvacuations(o Options, changed func()) *Evacuations {
-	e := &Evacuations{o: o, halls: newObjects(func(hall string) string { return hall })}
-	e.init(kind[direct.Evacuations]{
+func newEvacuations(o Options, onChange func()) *Evacuations {
+	e := &Evacuations{o: o, halls: newObjectSet(func(hall string) string { return hall })}
+	e.init(contentHooks[direct.Evacuations]{
 		revision: func(set *direct.Evacuations) uint64 { return set.Revision },
-		accept: func(set *direct.Evacuations) {
+		apply: func(set *direct.Evacuations) {
 			o.StateMachine.Update(direct.EvacuationsMsg{Now: o.StateMachine.Now(), Evacuations: *set})
 		},
 		log: func(set *direct.Evacuations, from string) {
 			o.Log.Event("evacuations_listed").Uint64("revision", set.Revision).Str("from", from).Strs("halls", set.Halls).Msg("")
 		},
-	}, changed)
+	}, onChange)
 	return e
 }
 
@@ -53,37 +53,37 @@
 func (e *Evacuations) Spec() Spec {
 	return Spec{
 		Name: "evacuations", SourceName: "source of evacuations", Enabled: e.o.EvacuationDeadline > 0, PeersFirst: true,
-		MaxWait: min(evacuationsWait, time.Duration(evacuationsPart*float64(e.o.EvacuationDeadline))),
+		MaxWait: min(maxEvacuationsWait, time.Duration(evacuationsWaitFraction*float64(e.o.EvacuationDeadline))),
 	}
 }
 
 // Read reads which halls are evacuated.
 func (e *Evacuations) Read(ctx context.Context) (uint64, error) {
-	listed, at, err := e.o.Source.ReadEvacuations(ctx)
+	listed, revision, err := e.o.Source.ReadEvacuations(ctx)
 	if err != nil {
 		return 0, err
 	}
 	e.halls.reset(listed)
-	if e.read.next(at, e.Revision()) {
-		e.halls.keep(e.Newest().Halls)
+	if e.lastRead.advance(revision, e.Revision()) {
+		e.halls.retain(e.Newest().Halls)
 	}
-	e.offerHalls(at)
-	return at, nil
+	e.offerHalls(revision)
+	return revision, nil
 }
 
 // Watch waits for a hall that is evacuated, or no longer.
 func (e *Evacuations) Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
-	changes, at, err := e.o.Source.WatchEvacuations(ctx, since, wait)
+	changes, revision, err := e.o.Source.WatchEvacuations(ctx, since, wait)
 	if err != nil {
 		return 0, err
 	}
 	e.halls.apply(changes)
 	if len(changes) > 0 {
-		e.offerHalls(at)
+		e.offerHalls(revision)
 	}
-	return at, nil
+	return revision, nil
 }
 
-func (e *Evacuations) offerHalls(at uint64) {
-	e.Offer(&direct.Evacuations{Revision: at, Halls: e.halls.all()}, fromSource)
+func (e *Evacuations) offerHalls(revision uint64) {
+	e.Offer(&direct.Evacuations{Revision: revision, Halls: e.halls.all()}, fromSource)
 }
--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -38,13 +38,13 @@
 	// Enabled says that the feed is followed, and that a router serves nobody before it knows
 	// any content. What others know of a feed that is not on is pulled all the same.
 	Enabled bool
-	// MaxWait is the most that one call waits for a change; 0: watchWait.
+	// MaxWait is the most that one call waits for a change; 0: defaultWatchWait.
 	MaxWait time.Duration
 	// PeersFirst says that a router which starts waits a moment for others to bring the
 	// content, before it reads it from the source.
 	PeersFirst bool
 	// Optional says that a router serves callers before it knows any content. Where others bring the
-	// content, it waits for optionalPatience before it reads it itself.
+	// content, it waits for optionalStartupWait before it reads it itself.
 	Optional bool
 	// Blocking says that a pull is answered when the first content has come, for some time
 	// at most: routers that start together wait for the first to have read it.
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -14,134 +14,134 @@
 )
 
 const (
-	watchWait = time.Second
-	// roleEvery is how often a router that does not follow the source looks
+	defaultWatchWait = time.Second
+	// roleCheckInterval is how often a router that does not follow the source looks
 	// whether it should.
-	roleEvery   = 100 * time.Millisecond
-	watchSlack  = 700 * time.Millisecond // over watchWait, then the call is given up
-	readTimeout = 1500 * time.Millisecond
-	// optionalPatience is time for a router that has just started to hear the others and to
+	roleCheckInterval  = 100 * time.Millisecond
+	watchTimeoutMargin = 700 * time.Millisecond // over defaultWatchWait, then the call is given up
+	readTimeout        = 1500 * time.Millisecond
+	// optionalStartupWait is time for a router that has just started to hear the others and to
 	// pull what they know.
-	optionalPatience = 2 * time.Second
-	// othersPatience is how long a router that has heard of others, and has no content yet, leaves
+	optionalStartupWait = 2 * time.Second
+	// peerReadWait is how long a router that has heard of others, and has no content yet, leaves
 	// it to them to read the source: those that follow it have read it by then, and tell what they
 	// know. Without it each router of a fleet that starts together reads what the first few don't
 	// bring in time.
-	othersPatience = 2 * time.Second
+	peerReadWait = 2 * time.Second
 	// Routers that stand by for the first of those that follow ask less often: a change still
 	// ends their calls at once. Only a call that goes unanswered, or changes that come all the
 	// time, keep them behind, for some seconds and half a second.
-	standbyWaits = 4
-	standbyPause = 500 * time.Millisecond
-	retryFirst   = 100 * time.Millisecond
-	retryMost    = time.Second
+	standbyWaitFactor = 4
+	standbyPause      = 500 * time.Millisecond
+	minRetryInterval  = 100 * time.Millisecond
+	maxRetryInterval  = time.Second
 )
 
 // follower keeps one feed up to date from the source.
 type follower struct {
-	feed  Feed
-	about Spec
-	log   *eventlog.Log
-	stats *stats.Stats
-	lost  bool
-	fails atomic.Bool // the last call to the source failed
+	feed       Feed
+	spec       Spec
+	log        *eventlog.Log
+	stats      *stats.Stats
+	sourceLost bool
+	failing    atomic.Bool // the last call to the source failed
 }
 
 // run reads, then watches, until ctx ends. Every failure leads back to reading. A
 // router that does not follow the source reads at most once, and again after a
 // failure; when it comes to follow, it goes on from what it read.
 func (f *follower) run(ctx context.Context, r Role) error {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = retryFirst
-	pause.MaxInterval = retryMost
-	since, known := uint64(0), false
-	if f.brought(ctx, r) {
-		f.rest(ctx, r)
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = minRetryInterval
+	retryBackoff.MaxInterval = maxRetryInterval
+	since, hasRevision := uint64(0), false
+	if f.awaitPeers(ctx, r) {
+		f.waitUntilFollowing(ctx, r)
 	}
 	for ctx.Err() == nil {
-		if known && !f.follows(r) {
-			f.rest(ctx, r)
+		if hasRevision && !f.shouldFollow(r) {
+			f.waitUntilFollowing(ctx, r)
 			continue
 		}
-		at, err := f.call(ctx, since, known, r)
-		f.note(err)
+		revision, err := f.readOrWatch(ctx, since, hasRevision, r)
+		f.logSourceState(err)
 		if err == nil {
-			if known && at != since && !r.IsPrimary() {
+			if hasRevision && revision != since && !r.IsPrimary() {
 				wait.Sleep(ctx, standbyPause)
 			}
-			since, known = at, true
-			pause.Reset()
+			since, hasRevision = revision, true
+			retryBackoff.Reset()
 			continue
 		}
-		known = false
+		hasRevision = false
 		if errors.Is(err, ErrHistoryGone) {
 			continue
 		}
-		wait.Sleep(ctx, pause.NextBackOff())
+		wait.Sleep(ctx, retryBackoff.NextBackOff())
 	}
 	return nil
 }
 
 // brought waits a moment, as the router starts, for others to bring what it would read
 // from the source, and tells whether they have.
-func (f *follower) brought(ctx context.Context, r Role) bool {
-	if !f.about.PeersFirst {
+func (f *follower) awaitPeers(ctx context.Context, r Role) bool {
+	if !f.spec.PeersFirst {
 		return false
 	}
-	patience := r.StartupWait()
-	if f.about.Optional && patience > 0 {
-		patience = optionalPatience
+	startupWait := r.StartupWait()
+	if f.spec.Optional && startupWait > 0 {
+		startupWait = optionalStartupWait
 	}
-	if patience == 0 {
+	if startupWait == 0 {
 		return false
 	}
-	return f.feed.Await(ctx, patience) || r.HasLivePeers() && f.feed.Await(ctx, othersPatience)
+	return f.feed.Await(ctx, startupWait) || r.HasLivePeers() && f.feed.Await(ctx, peerReadWait)
 }
 
 // follows tells whether this router follows the source: one whose last call failed goes on
 // until one succeeds.
-func (f *follower) follows(r Role) bool { return f.fails.Load() || r.Follows() }
+func (f *follower) shouldFollow(r Role) bool { return f.failing.Load() || r.Follows() }
 
 // rest waits until this router follows the source, or ctx ends.
-func (f *follower) rest(ctx context.Context, r Role) {
-	for ctx.Err() == nil && !f.follows(r) {
-		wait.Sleep(ctx, roleEvery)
+func (f *follower) waitUntilFollowing(ctx context.Context, r Role) {
+	for ctx.Err() == nil && !f.shouldFollow(r) {
+		wait.Sleep(ctx, roleCheckInterval)
 	}
 }
 
 // call watches the source where its revision is known, and else reads everything.
-func (f *follower) call(ctx context.Context, since uint64, known bool, r Role) (uint64, error) {
-	if !known {
-		return f.bounded(ctx, readTimeout, f.feed.Read)
+func (f *follower) readOrWatch(ctx context.Context, since uint64, hasRevision bool, r Role) (uint64, error) {
+	if !hasRevision {
+		return f.callWithTimeout(ctx, readTimeout, f.feed.Read)
 	}
-	most := cmp.Or(f.about.MaxWait, watchWait)
+	maxWait := cmp.Or(f.spec.MaxWait, defaultWatchWait)
 	if !r.IsPrimary() {
-		most *= standbyWaits
+		maxWait *= standbyWaitFactor
 	}
-	return f.bounded(ctx, most+watchSlack, func(c context.Context) (uint64, error) { return f.feed.Watch(c, since, most) })
+	return f.callWithTimeout(ctx, maxWait+watchTimeoutMargin, func(c context.Context) (uint64, error) { return f.feed.Watch(c, since, maxWait) })
 }
 
-func (f *follower) bounded(ctx context.Context, limit time.Duration, call func(context.Context) (uint64, error)) (uint64, error) {
-	c, cancel := context.WithTimeout(ctx, limit)
+func (f *follower) callWithTimeout(ctx context.Context, timeout time.Duration, call func(context.Context) (uint64, error)) (uint64, error) {
+	c, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	began := time.Now()
-	at, err := call(c)
-	f.stats.SourceCall(f.about.SourceName, time.Since(began), err)
-	return at, err
+	start := time.Now()
+	revision, err := call(c)
+	f.stats.SourceCall(f.spec.SourceName, time.Since(start), err)
+	return revision, err
 }
 
 // note logs a lost or regained source.
-func (f *follower) note(err error) {
-	f.fails.Store(err != nil && !errors.Is(err, ErrHistoryGone))
+func (f *follower) logSourceState(err error) {
+	f.failing.Store(err != nil && !errors.Is(err, ErrHistoryGone))
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
-		if !f.lost {
-			f.log.Dependency(f.about.SourceName, "lost", err)
+		if !f.sourceLost {
+			f.log.Dependency(f.spec.SourceName, "lost", err)
 		}
-		f.lost = true
+		f.sourceLost = true
 		return
 	}
-	if f.lost {
-		f.log.Dependency(f.about.SourceName, "regained", nil)
+	if f.sourceLost {
+		f.log.Dependency(f.spec.SourceName, "regained", nil)
 	}
-	f.lost = false
+	f.sourceLost = false
 }
--- a/gateway/feed/incarnation_test.go
+++ b/gateway/feed/incarnation_test.go
@@ -14,8 +14,8 @@
 // list: of each name the incarnation that was entered last, and no earlier one.
 func TestListsFollowIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		knows, pulls := newTestSet().Servers, newTestSet().Servers
-		knows.listed.reset(nil)
+		sender, receiver := newTestSet().Servers, newTestSet().Servers
+		sender.listed.reset(nil)
 		last := make(map[string]string)
 		for revision := range uint64(rapid.IntRange(1, 40).Draw(t, "changes")) {
 			name := fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "name"))
@@ -26,16 +26,16 @@
 				change.Object.Draining = rapid.Bool().Draw(t, "drains")
 				last[name] = change.Object.ID
 			}
-			ids := knows.listed.apply([]Change[direct.Server]{change})
-			knows.OfferChanged(knows.listed.directory(revision+1), ids, fromSource)
+			ids := sender.listed.apply([]Change[direct.Server]{change})
+			sender.OfferChanged(sender.listed.directory(revision+1), ids, fromSource)
 			if rapid.Bool().Draw(t, "pulls") {
-				u := knows.since(pulls.Revision())
-				pulls.offerUpdate(&u, "a")
-				require.ElementsMatch(t, knows.Newest().Servers, pulls.Newest().Servers)
+				u := sender.since(receiver.Revision())
+				receiver.offerUpdate(&u, "a")
+				require.ElementsMatch(t, sender.Newest().Servers, receiver.Newest().Servers)
 			}
 		}
-		require.Len(t, knows.Newest().Servers, len(last))
-		for _, s := range knows.Newest().Servers {
+		require.Len(t, sender.Newest().Servers, len(last))
+		for _, s := range sender.Newest().Servers {
 			require.Equal(t, last[s.Name()], s.ID)
 		}
 	})
--- a/gateway/feed/listing_test.go
+++ b/gateway/feed/objectfeed_test.go
@@ -13,16 +13,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// toldRollouts keeps what feeds tell last.
-type toldRollouts struct {
+// recordedRollouts keeps what feeds tell last.
+type recordedRollouts struct {
 	orders   Listing[rollout.Order]
 	records  Listing[rollout.Record]
 	versions map[string][]string
 }
 
-func (r *toldRollouts) SetOrders(l Listing[rollout.Order])   { r.orders = l }
-func (r *toldRollouts) SetRecords(l Listing[rollout.Record]) { r.records = l }
-func (r *toldRollouts) SetVersions(told map[string][]string) { r.versions = told }
+func (r *recordedRollouts) SetOrders(l Listing[rollout.Order])       { r.orders = l }
+func (r *recordedRollouts) SetRecords(l Listing[rollout.Record])     { r.records = l }
+func (r *recordedRollouts) SetVersions(versions map[string][]string) { r.versions = versions }
 
 // orderSource has two orders, of which one goes and one changes.
 type orderSource struct{ Source }
@@ -45,34 +45,34 @@
 	return []rollout.Record{{Service: "llm", InUse: []string{"v1"}, Revision: 2}}, 7, nil
 }
 
-func newRolloutSet(source Source) (*Set, *toldRollouts) {
-	told := &toldRollouts{}
+func newRolloutSet(source Source) (*Set, *recordedRollouts) {
+	recorded := &recordedRollouts{}
 	o := newTestSet().Config.o
-	o.Source, o.Rollouts = source, told
-	return NewSet(o), told
+	o.Source, o.Rollouts = source, recorded
+	return NewSet(o), recorded
 }
 
 // TestRolloutFeeds has orders and records read and watched where roll-outs are on: changes
 // are told as the whole that they lead to, and a router knows both before it serves.
 func TestRolloutFeeds(t *testing.T) {
-	s, told := newRolloutSet(orderSource{})
+	s, recorded := newRolloutSet(orderSource{})
 	s.Config.Offer(&direct.Config{Version: 1}, fromSource)
 	s.Evacuations.Offer(&direct.Evacuations{Revision: 1}, fromSource)
 	s.Servers.OfferAll(&direct.Directory{Revision: 1, Servers: []direct.Server{
 		{ID: "i-1", Service: "llm", Version: "v2"}, {ID: "i-2", Service: "llm", Version: "v1"}, {ID: "i-3", Service: "llm", Version: "v2"}, {ID: "i-4", Service: "app"},
 	}}, fromSource)
-	require.Equal(t, map[string][]string{"llm": {"v1", "v2"}, "app": {""}}, told.versions)
-	at, err := s.Orders.Read(t.Context())
+	require.Equal(t, map[string][]string{"llm": {"v1", "v2"}, "app": {""}}, recorded.versions)
+	revision, err := s.Orders.Read(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, []rollout.Order{{Service: "app", Target: "v5", Revision: 3}, {Service: "llm", Target: "v2", Revision: 4}}, told.orders.All)
+	require.Equal(t, []rollout.Order{{Service: "app", Target: "v5", Revision: 3}, {Service: "llm", Target: "v2", Revision: 4}}, recorded.orders.All)
 	require.False(t, s.Complete(), "the records are not known")
 	_, err = s.Records.Read(t.Context())
 	require.NoError(t, err)
 	require.True(t, s.Complete())
-	at, err = s.Orders.Watch(t.Context(), at, time.Second)
+	revision, err = s.Orders.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, Listing[rollout.Order]{Revision: 9, All: []rollout.Order{{Service: "llm", Target: "v3", Revision: 9}}}, told.orders)
-	_, err = s.Orders.Watch(t.Context(), at, time.Second)
+	require.Equal(t, Listing[rollout.Order]{Revision: 9, All: []rollout.Order{{Service: "llm", Target: "v3", Revision: 9}}}, recorded.orders)
+	_, err = s.Orders.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
 	require.EqualValues(t, 9, s.Orders.Revision(), "nothing has changed")
 }
@@ -80,24 +80,24 @@
 // TestRolloutFeedsArePulled has a router bring orders and records from another one, which
 // counts as traffic of their own.
 func TestRolloutFeedsArePulled(t *testing.T) {
-	knows, _ := newRolloutSet(orderSource{})
+	sender, _ := newRolloutSet(orderSource{})
 	order := rollout.Order{Service: "llm", Target: "v2", Within: time.Minute, Made: "3", Revision: 4, State: rollout.Completed, StateTarget: "v2"}
-	knows.Orders.Offer(&Listing[rollout.Order]{Revision: 7, All: []rollout.Order{order}}, fromSource)
+	sender.Orders.Offer(&Listing[rollout.Order]{Revision: 7, All: []rollout.Order{order}}, fromSource)
 	record := rollout.Record{Service: "llm", Revision: 2, InUse: []string{"v1"}, Stage: rollout.Half, Age: time.Second, Wall: time.UnixMilli(5)}
-	knows.Records.Offer(&Listing[rollout.Record]{Revision: 8, All: []rollout.Record{record}}, fromSource)
-	server := httptest.NewServer(knows.Handler())
+	sender.Records.Offer(&Listing[rollout.Record]{Revision: 8, All: []rollout.Record{record}}, fromSource)
+	server := httptest.NewServer(sender.Handler())
 	defer server.Close()
-	pulls, told := newRolloutSet(orderSource{})
+	receiver, recorded := newRolloutSet(orderSource{})
 	counter := traffic.NewCounter(tally.NoopScope)
-	p, err := NewPuller(pulls, PullOptions{Control: "127.0.0.1:1", Peers: farPeers{}, Traffic: counter})
+	p, err := NewPuller(receiver, PullOptions{Control: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: counter})
 	require.NoError(t, err)
-	for i, f := range pulls.feeds[3:5] {
+	for i, f := range receiver.feeds[3:5] {
 		require.NoError(t, p.pull(t.Context(), 3+i, server.Listener.Addr().String()))
 		require.Positive(t, counter.Sums()[f.Spec().Name].BetweenHalls)
 	}
-	require.Equal(t, Revisions{0, 0, 0, 7, 8, 0}, pulls.Revisions())
-	require.Equal(t, order, told.orders.All[0])
-	require.True(t, record.Wall.Equal(told.records.All[0].Wall))
-	told.records.All[0].Wall = record.Wall
-	require.Equal(t, record, told.records.All[0])
+	require.Equal(t, Revisions{0, 0, 0, 7, 8, 0}, receiver.Revisions())
+	require.Equal(t, order, recorded.orders.All[0])
+	require.True(t, record.Wall.Equal(recorded.records.All[0].Wall))
+	recorded.records.All[0].Wall = record.Wall
+	require.Equal(t, record, recorded.records.All[0])
 }
--- a/gateway/feed/orders.go
+++ b/gateway/feed/orders.go
@@ -7,9 +7,9 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// ordersWait is the most that one call waits for a change of the orders. A change ends the
+// maxOrdersWait is the most that one call waits for a change of the orders. A change ends the
 // wait at once; but a call that goes unanswered must not take long out of an order's time.
-const ordersWait = 2 * time.Second
+const maxOrdersWait = 2 * time.Second
 
 // OrderSource is where the orders of roll-outs are found.
 type OrderSource interface {
@@ -21,12 +21,12 @@
 
 // Orders is the feed of the orders of roll-outs, with what has become of them: without
 // knowing them, a router could send requests to a version that was rolled back.
-type Orders struct{ *byName[rollout.Order] }
+type Orders struct{ *objectFeed[rollout.Order] }
 
-func newOrders(o Options, changed func()) *Orders {
-	about := Spec{Name: "orders", SourceName: "source of orders", Enabled: true, PeersFirst: true, MaxWait: ordersWait}
-	return &Orders{newByName(o, about, sourceOf[rollout.Order]{
+func newOrders(o Options, onChange func()) *Orders {
+	spec := Spec{Name: "orders", SourceName: "source of orders", Enabled: true, PeersFirst: true, MaxWait: maxOrdersWait}
+	return &Orders{newObjectFeed(o, spec, objectSource[rollout.Order]{
 		read: o.Source.ReadOrders, watch: o.Source.WatchOrders, plural: "services",
 		name: func(order rollout.Order) string { return order.Service },
-	}, o.Rollouts.SetOrders, changed)}
+	}, o.Rollouts.SetOrders, onChange)}
 }
--- a/gateway/feed/ahead.go
+++ b/gateway/feed/peersahead.go
@@ -28,9 +28,9 @@
 func NewPeersAheadByFeed(own Revisions) PeersAheadByFeed { return make(PeersAheadByFeed, len(own)) }
 
 // Add takes in what another router knows, which is reached over a path.
-func (l PeersAheadByFeed) Add(own Revisions, address string, path traffic.Path, knows Revisions) {
+func (l PeersAheadByFeed) Add(own Revisions, address string, path traffic.Path, revisions Revisions) {
 	for i := range l {
-		if knows.of(i) <= own.of(i) {
+		if revisions.get(i) <= own.get(i) {
 			continue
 		}
 		switch path {
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// pullPatience is how long the source may bring a change by itself before
+	// pullDelay is how long the source may bring a change by itself before
 	// it is pulled from a peer.
-	pullPatience = 100 * time.Millisecond
-	pullTimeout  = 500 * time.Millisecond
-	// hallPatience is how long a router leaves it to the first of its hall to pull what
+	pullDelay   = 100 * time.Millisecond
+	pullTimeout = 500 * time.Millisecond
+	// hallPullDelay is how long a router leaves it to the first of its hall to pull what
 	// only other halls know: a pull from another hall and two heartbeats. Bytes between
 	// halls are priced.
-	hallPatience = 200 * time.Millisecond
-	// pullDial bounds opening a connection: a host without power says nothing, and
+	hallPullDelay = 200 * time.Millisecond
+	// pullDialTimeout bounds opening a connection: a host without power says nothing, and
 	// between regions a connection takes some 40 ms.
-	pullDial = 100 * time.Millisecond
-	pullMost = 32 << 20
+	pullDialTimeout = 100 * time.Millisecond
+	maxPullBytes    = 32 << 20
 )
 
 // PullOptions are what a Puller is started with.
@@ -48,7 +48,7 @@
 	set    *Set
 	meters []*traffic.Meter // by feed
 	// failing says that the last pull from a seed failed.
-	failing bool
+	seedFailing bool
 }
 
 // NewPuller returns what brings newer content to a set.
@@ -58,7 +58,7 @@
 		return nil, errors.Wrapf(err, "settings: the control address %q: give host:port", o.Control)
 	}
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: pullDial}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: pullDialTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     5 * time.Second,
 	}
@@ -74,11 +74,11 @@
 func (p *Puller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !p.set.Complete() {
-			p.fromSeeds(ctx)
+			p.pullFromSeeds(ctx)
 			if !p.set.Complete() {
-				p.fromPeers(ctx) // the seeds may all be away
+				p.pullFromPeers(ctx) // the seeds may all be away
 			}
-			wait.Sleep(ctx, pullPatience)
+			wait.Sleep(ctx, pullDelay)
 			continue
 		}
 		select {
@@ -86,27 +86,27 @@
 			return nil
 		case <-p.o.Peers.Behind():
 		}
-		wait.Sleep(ctx, pullPatience)
-		p.fromPeers(ctx)
+		wait.Sleep(ctx, pullDelay)
+		p.pullFromPeers(ctx)
 	}
 	return nil
 }
 
-// fromPeers pulls what other routers know newer.
-func (p *Puller) fromPeers(ctx context.Context) {
+// pullFromPeers pulls what other routers know newer.
+func (p *Puller) pullFromPeers(ctx context.Context) {
 	ahead := p.o.Peers.Ahead()
-	if p.largeElsewhere(ahead) && !p.o.Peers.FirstOfHall() {
+	if p.largeOnlyInOtherHalls(ahead) && !p.o.Peers.FirstOfHall() {
 		// Another router of the hall brings it over, and this one pulls it there.
-		wait.Sleep(ctx, hallPatience)
+		wait.Sleep(ctx, hallPullDelay)
 		ahead = p.o.Peers.Ahead()
 	}
 	for i := range p.set.feeds {
-		p.first(ctx, i, ahead[i].All())
+		p.pullFromFirst(ctx, i, ahead[i].All())
 	}
 }
 
-// largeElsewhere tells whether only other halls know the newest content of a large feed.
-func (p *Puller) largeElsewhere(ahead PeersAheadByFeed) bool {
+// largeOnlyInOtherHalls tells whether only other halls know the newest content of a large feed.
+func (p *Puller) largeOnlyInOtherHalls(ahead PeersAheadByFeed) bool {
 	for i, f := range p.set.feeds {
 		if f.Spec().Large && ahead[i].OnlyInOtherHalls() {
 			return true
@@ -116,22 +116,22 @@
 }
 
 // first asks routers in turn for a feed until one has answered.
-func (p *Puller) first(ctx context.Context, feed int, addresses []string) {
+func (p *Puller) pullFromFirst(ctx context.Context, feedIndex int, addresses []string) {
 	for _, address := range addresses {
-		if p.pull(ctx, feed, net.JoinHostPort(address, p.port)) == nil {
+		if p.pull(ctx, feedIndex, net.JoinHostPort(address, p.port)) == nil {
 			return
 		}
 	}
 }
 
-// fromSeeds asks the seeds for what is missing.
-func (p *Puller) fromSeeds(ctx context.Context) {
+// pullFromSeeds asks the seeds for what is missing.
+func (p *Puller) pullFromSeeds(ctx context.Context) {
 	for _, seed := range p.seedOrder() {
 		p.o.Peers.Add(hostOf(seed))
 		// A seed that has just started answers for an awaited feed when it has read that;
 		// by then it mostly has the others too.
-		p.missing(ctx, seed, true)
-		p.missing(ctx, seed, false)
+		p.pullMissing(ctx, seed, true)
+		p.pullMissing(ctx, seed, false)
 		if p.set.Complete() {
 			return
 		}
@@ -166,35 +166,35 @@
 }
 
 // missing asks a seed for the feeds without content that are awaited, or are not.
-func (p *Puller) missing(ctx context.Context, seed string, awaited bool) {
+func (p *Puller) pullMissing(ctx context.Context, seed string, blocking bool) {
 	for i, f := range p.set.feeds {
-		if about := f.Spec(); about.Enabled && about.Blocking == awaited && !f.HasContent() {
-			p.note(p.pull(ctx, i, seed), seed)
+		if spec := f.Spec(); spec.Enabled && spec.Blocking == blocking && !f.HasContent() {
+			p.logSeedResult(p.pull(ctx, i, seed), seed)
 		}
 	}
 }
 
 // note logs that a seed had nothing to give, once until one has.
-func (p *Puller) note(err error, seed string) {
-	if err != nil && !p.failing {
+func (p *Puller) logSeedResult(err error, seed string) {
+	if err != nil && !p.seedFailing {
 		p.set.log.Event("pull_failed").Str("from", seed).Err(err).Msg("")
 	}
-	p.failing = err != nil
+	p.seedFailing = err != nil
 }
 
 // pull brings the content of a feed from another router.
-func (p *Puller) pull(ctx context.Context, feed int, address string) error {
-	one := p.set.feeds[feed]
-	about := one.Spec()
-	target := about.path()
-	if about.Incremental {
-		target += "?" + querySince + "=" + strconv.FormatUint(one.Revision(), 10)
-	}
-	body, err := p.get(ctx, p.meters[feed], address, target)
+func (p *Puller) pull(ctx context.Context, feedIndex int, address string) error {
+	f := p.set.feeds[feedIndex]
+	spec := f.Spec()
+	target := spec.path()
+	if spec.Incremental {
+		target += "?" + sinceParam + "=" + strconv.FormatUint(f.Revision(), 10)
+	}
+	body, err := p.get(ctx, p.meters[feedIndex], address, target)
 	if err != nil {
 		return err
 	}
-	return one.ApplyPulled(body, address)
+	return f.ApplyPulled(body, address)
 }
 
 func (p *Puller) get(ctx context.Context, meter *traffic.Meter, address, target string) ([]byte, error) {
@@ -204,15 +204,15 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := p.client.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return nil, errors.Newf("%s%s: %s", address, target, answer.Status)
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return nil, errors.Newf("%s%s: %s", address, target, resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, pullMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxPullBytes))
 	meter.Add(p.o.Peers.PathTo(hostOf(address)), len(body))
 	return body, err
 }
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -9,10 +9,10 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// quarantineWait is the most that one call waits for a change of the quarantine. Routers tell one
+// maxQuarantineWait is the most that one call waits for a change of the quarantine. Routers tell one
 // another what is barred; the source only tells those that all start anew, and operators'
 // releases, which a waiting call brings at once. Each call costs the source the same.
-const quarantineWait = 30 * time.Second
+const maxQuarantineWait = 30 * time.Second
 
 // QuarantineSource is where the contents are found that are barred.
 type QuarantineSource interface {
@@ -26,21 +26,21 @@
 // Quarantine is the feed of the contents that are barred: without knowing them, routers that have
 // lost what they knew would have servers crash anew.
 type Quarantine struct {
-	*byName[quarantine.Fingerprint]
+	*objectFeed[quarantine.Fingerprint]
 }
 
-func newQuarantine(o Options, changed func()) *Quarantine {
-	about := Spec{Name: "quarantine", SourceName: "source of quarantine", Enabled: true, PeersFirst: true, Optional: true, MaxWait: quarantineWait}
-	take := func(l Listing[quarantine.Fingerprint]) {
+func newQuarantine(o Options, onChange func()) *Quarantine {
+	spec := Spec{Name: "quarantine", SourceName: "source of quarantine", Enabled: true, PeersFirst: true, Optional: true, MaxWait: maxQuarantineWait}
+	apply := func(l Listing[quarantine.Fingerprint]) {
 		o.StateMachine.Update(direct.QuarantineMsg{Now: o.StateMachine.Now(), Fingerprints: l.All})
 	}
-	return &Quarantine{newByName(o, about, sourceOf[quarantine.Fingerprint]{
+	return &Quarantine{newObjectFeed(o, spec, objectSource[quarantine.Fingerprint]{
 		read: func(ctx context.Context) ([]quarantine.Fingerprint, uint64, error) {
 			return o.Source.ReadQuarantine(ctx)
 		},
 		watch: func(ctx context.Context, since uint64, wait time.Duration) ([]Change[quarantine.Fingerprint], uint64, error) {
 			return o.Source.WatchQuarantine(ctx, since, wait)
 		},
-		name: quarantine.Fingerprint.String, plural: "contents", same: slices.Equal[[]quarantine.Fingerprint],
-	}, take, changed)}
+		name: quarantine.Fingerprint.String, plural: "contents", equal: slices.Equal[[]quarantine.Fingerprint],
+	}, apply, onChange)}
 }
--- a/gateway/feed/revisions.go
+++ b/gateway/feed/revisions.go
@@ -5,7 +5,7 @@
 type Revisions []uint64
 
 // of returns the revision of one feed.
-func (r Revisions) of(i int) uint64 {
+func (r Revisions) get(i int) uint64 {
 	if i < len(r) {
 		return r[i]
 	}
@@ -15,7 +15,7 @@
 // AtLeast tells whether nothing in r is older than in other, of the feeds that r has.
 func (r Revisions) AtLeast(other Revisions) bool {
 	for i, revision := range r {
-		if revision < other.of(i) {
+		if revision < other.get(i) {
 			return false
 		}
 	}
@@ -26,7 +26,7 @@
 func (r Revisions) Max(other Revisions) Revisions {
 	out := make(Revisions, max(len(r), len(other)))
 	for i := range out {
-		out[i] = max(r.of(i), other.of(i))
+		out[i] = max(r.get(i), other.get(i))
 	}
 	return out
 }
--- a/gateway/feed/revisions_test.go
+++ b/gateway/feed/revisions_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOtherReleases has routers of releases with more and with fewer feeds compare what
+// TestRevisionsAcrossReleases has routers of releases with more and with fewer feeds compare what
 // they know: only of feeds that both have can one be behind.
-func TestOtherReleases(t *testing.T) {
+func TestRevisionsAcrossReleases(t *testing.T) {
 	older, newer := Revisions{3, 9}, Revisions{3, 9, 4}
 	require.True(t, older.AtLeast(newer), "it can't take in what it does not know")
 	require.True(t, newer.AtLeast(older))
--- a/gateway/feed/rollouts.go
+++ b/gateway/feed/rollouts.go
@@ -16,20 +16,20 @@
 	SetVersions(map[string][]string)
 }
 
-// versionsOf returns, for each service, the sorted versions of its servers.
-func versionsOf(list *serverlist.List) map[string][]string {
+// versionsByService returns, for each service, the sorted versions of its servers.
+func versionsByService(list *serverlist.List) map[string][]string {
 	out := make(map[string][]string)
 	for _, s := range list.Servers {
-		out[s.Service] = insert(out[s.Service], s.Version)
+		out[s.Service] = insertVersion(out[s.Service], s.Version)
 	}
 	return out
 }
 
 // insert adds a version to sorted ones, once.
-func insert(versions []string, version string) []string {
-	at, found := slices.BinarySearch(versions, version)
+func insertVersion(versions []string, version string) []string {
+	i, found := slices.BinarySearch(versions, version)
 	if found {
 		return versions
 	}
-	return slices.Insert(versions, at, version)
+	return slices.Insert(versions, i, version)
 }
--- a/gateway/feed/serve.go
+++ b/gateway/feed/serve.go
@@ -7,8 +7,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// querySince is the revision that the caller knows of a feed which tells what has changed.
-const querySince = "since"
+// sinceParam is the revision that the caller knows of a feed which tells what has changed.
+const sinceParam = "since"
 
 // Handler answers the pulls of other routers.
 func (s *Set) Handler() http.Handler {
@@ -29,7 +29,7 @@
 		return
 	}
 	// Without a revision, or with one that is no number, everything is told.
-	since, _ := strconv.ParseUint(r.URL.Query().Get(querySince), 10, 64)
+	since, _ := strconv.ParseUint(r.URL.Query().Get(sinceParam), 10, 64)
 	body, err := msgpack.Marshal(f.ContentSince(since))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/gateway/feed/serve_test.go
+++ b/gateway/feed/serve_test.go
@@ -37,10 +37,10 @@
 			{ID: "i-1", ColdFor: 3 * time.Second}, {ID: "i-2", ColdFor: time.Second}, {ID: "i-3"},
 		}}, "source")
 		time.Sleep(2 * time.Second)
-		answer := httptest.NewRecorder()
-		s.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, s.Servers.Spec().path(), strings.NewReader("")))
+		response := httptest.NewRecorder()
+		s.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, s.Servers.Spec().path(), strings.NewReader("")))
 		var pulled serverlist.Update
-		require.NoError(t, msgpack.Unmarshal(answer.Body.Bytes(), &pulled))
+		require.NoError(t, msgpack.Unmarshal(response.Body.Bytes(), &pulled))
 		require.Equal(t, time.Second, pulled.Servers[0].ColdFor)
 		require.Zero(t, pulled.Servers[1].ColdFor)
 		require.Zero(t, pulled.Servers[2].ColdFor)
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -10,10 +10,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// changesPause is the time between two calls for changes of servers: they come
+// serverChangesPause is the time between two calls for changes of servers: they come
 // in groups, and each call costs the source the same. It is small beside the
 // seconds within which a change must be in force.
-const changesPause = 100 * time.Millisecond
+const serverChangesPause = 100 * time.Millisecond
 
 // ServerSource is where the servers are found.
 type ServerSource interface {
@@ -27,19 +27,19 @@
 // it, where they can.
 type Servers struct {
 	Content[serverlist.List]
-	o       Options
-	listed  sourceList
-	history serverlist.History // of the content
-	read    reading
+	o        Options
+	listed   sourceList
+	history  serverlist.History // of the content
+	lastRead readRevision
 }
 
-func newServers(o Options, changed func()) *Servers {
+func newServers(o Options, onChange func()) *Servers {
 	s := &Servers{o: o}
-	s.init(kind[serverlist.List]{
+	s.init(contentHooks[serverlist.List]{
 		revision: func(list *serverlist.List) uint64 { return list.Revision },
-		accept:   s.accept,
+		apply:    s.apply,
 		log:      s.log,
-	}, changed)
+	}, onChange)
 	return s
 }
 
@@ -50,57 +50,57 @@
 
 // Read reads all servers.
 func (s *Servers) Read(ctx context.Context) (uint64, error) {
-	servers, at, err := s.o.Source.ReadServers(ctx)
+	servers, revision, err := s.o.Source.ReadServers(ctx)
 	if err != nil {
 		return 0, err
 	}
-	if s.read.next(at, s.Revision()) {
+	if s.lastRead.advance(revision, s.Revision()) {
 		s.listed.restore(servers, s.Newest().Servers, time.Now())
-		s.o.Log.Event("source_restored").Uint64("era", EraOf(at)).Int("servers_missing", len(s.listed.lost)).Msg("")
+		s.o.Log.Event("source_restored").Uint64("era", EraOf(revision)).Int("servers_missing", len(s.listed.missing)).Msg("")
 	} else {
 		s.listed.reset(servers)
 	}
-	s.OfferAll(s.listed.directory(s.told(at)), fromSource)
-	return at, nil
+	s.OfferAll(s.listed.directory(s.publishedRevision(revision)), fromSource)
+	return revision, nil
 }
 
 // told is the revision under which the list is told to others. While it holds servers that the source
 // lacks, it is one less than the source's: the list without them is newer, though nothing changed in
 // the source.
-func (s *Servers) told(at uint64) uint64 {
-	if s.listed.restoring() && CounterOf(at) > 0 {
-		return at - 1
+func (s *Servers) publishedRevision(revision uint64) uint64 {
+	if s.listed.restoring() && CounterOf(revision) > 0 {
+		return revision - 1
 	}
-	return at
+	return revision
 }
 
 // Watch waits for changes in the list.
-func (s *Servers) Watch(ctx context.Context, since uint64, most time.Duration) (uint64, error) {
+func (s *Servers) Watch(ctx context.Context, since uint64, maxWait time.Duration) (uint64, error) {
 	if s.listed.restoring() {
-		most = min(most, lostFor)
+		maxWait = min(maxWait, missingTTL)
 	}
-	changes, at, err := s.o.Source.WatchServers(ctx, since, most)
+	changes, revision, err := s.o.Source.WatchServers(ctx, since, maxWait)
 	if err != nil {
 		return 0, err
 	}
 	ids := s.listed.apply(changes)
-	ids = append(ids, s.listed.dropLost(time.Now())...)
+	ids = append(ids, s.listed.dropMissing(time.Now())...)
 	if len(ids) > 0 {
-		s.OfferChanged(s.listed.directory(s.told(at)), ids, fromSource)
-		wait.Sleep(ctx, changesPause)
+		s.OfferChanged(s.listed.directory(s.publishedRevision(revision)), ids, fromSource)
+		wait.Sleep(ctx, serverChangesPause)
 	}
-	return at, nil
+	return revision, nil
 }
 
 // OfferAll takes a whole list where it is newer.
 func (s *Servers) OfferAll(d *direct.Directory, from string) {
-	s.offer(s.list(d), from, func(*serverlist.List) { s.history.Forget() })
+	s.offer(s.newList(d), from, func(*serverlist.List) { s.history.Forget() })
 }
 
 // OfferChanged takes a list where it is newer. All servers that were touched since the
 // list that is known are among ids.
 func (s *Servers) OfferChanged(d *direct.Directory, ids []string, from string) {
-	s.offer(s.list(d), from, func(old *serverlist.List) {
+	s.offer(s.newList(d), from, func(old *serverlist.List) {
 		if old != nil {
 			s.history.Note(old.Revision, ids)
 		}
@@ -144,14 +144,14 @@
 	return nil
 }
 
-func (s *Servers) list(d *direct.Directory) *serverlist.List {
+func (s *Servers) newList(d *direct.Directory) *serverlist.List {
 	return &serverlist.List{Directory: *d, At: s.o.StateMachine.Now()}
 }
 
-func (s *Servers) accept(list *serverlist.List) {
+func (s *Servers) apply(list *serverlist.List) {
 	s.o.StateMachine.Update(direct.ServersMsg{Now: list.At, Directory: list.Directory})
 	if s.o.Rollouts != nil {
-		s.o.Rollouts.SetVersions(versionsOf(list))
+		s.o.Rollouts.SetVersions(versionsByService(list))
 	}
 }
 
--- a/gateway/feed/servers_test.go
+++ b/gateway/feed/servers_test.go
@@ -13,13 +13,13 @@
 	"pgregory.net/rapid"
 )
 
-// storeOfServers is the list of servers at each revision of its source.
-type storeOfServers struct {
-	lists   []direct.Directory
-	touched []string // by the step to each list
+// versionedServers is the list of servers at each revision of its source.
+type versionedServers struct {
+	lists      []direct.Directory
+	changedIDs []string // by the step to each list
 }
 
-func (s *storeOfServers) change(t *rapid.T) {
+func (s *versionedServers) change(t *rapid.T) {
 	next := direct.Directory{Revision: 1}
 	if n := len(s.lists); n > 0 {
 		next.Revision = s.lists[n-1].Revision + rapid.Uint64Range(1, 3).Draw(t, "step")
@@ -43,7 +43,7 @@
 		next.Servers[at].Draining = !next.Servers[at].Draining
 	}
 	s.lists = append(s.lists, next)
-	s.touched = append(s.touched, id)
+	s.changedIDs = append(s.changedIDs, id)
 }
 
 // TestUpdatesLeadToTheList plays routers that take lists from the source now and then, each
@@ -51,26 +51,26 @@
 // is always the source's list at the revision that it names.
 func TestUpdatesLeadToTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var source storeOfServers
+		var source versionedServers
 		source.change(t)
 		routers := make([]*Servers, 3)
 		for i := range routers {
 			routers[i] = newTestSet().Servers
 		}
 		watched := make([]int, len(routers)) // how many lists each has seen by watching; 0: it reads
-		var late []serverlist.Update
+		var updates []serverlist.Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
-			one := routers[i]
+			router := routers[i]
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				source.change(t)
 			case 2:
 				d := source.lists[len(source.lists)-1]
 				if watched[i] == 0 {
-					one.OfferAll(&d, "source")
+					router.OfferAll(&d, "source")
 				} else {
-					one.OfferChanged(&d, source.touched[watched[i]:], "source")
+					router.OfferChanged(&d, source.changedIDs[watched[i]:], "source")
 				}
 				watched[i] = len(source.lists)
 			case 5:
@@ -80,26 +80,26 @@
 				if !other.HasContent() {
 					continue
 				}
-				u := other.since(one.Revision())
-				late = append(late, u)
+				u := other.since(router.Revision())
+				updates = append(updates, u)
 				if rapid.Bool().Draw(t, "arrives") {
-					one.offerUpdate(&u, "other")
+					router.offerUpdate(&u, "other")
 				}
 			case 4:
-				if len(late) > 0 {
-					u := rapid.SampledFrom(late).Draw(t, "late")
-					one.offerUpdate(&u, "other")
+				if len(updates) > 0 {
+					u := rapid.SampledFrom(updates).Draw(t, "late")
+					router.offerUpdate(&u, "other")
 				}
 			}
 			for _, r := range routers {
-				source.holds(t, r)
+				source.requireConsistent(t, r)
 			}
 		}
 	})
 }
 
 // holds requires that a router's list is the source's at its revision.
-func (s *storeOfServers) holds(t *rapid.T, r *Servers) {
+func (s *versionedServers) requireConsistent(t *rapid.T, r *Servers) {
 	known := r.Newest()
 	if known == nil {
 		return
--- a/gateway/feed/set.go
+++ b/gateway/feed/set.go
@@ -44,19 +44,19 @@
 // NewSet returns feeds without content.
 func NewSet(o Options) *Set {
 	s := &Set{log: o.Log, OnChange: func() {}}
-	changed := func() { s.OnChange() }
-	s.Config = newConfig(o, changed)
-	s.Servers = newServers(o, changed)
-	s.Evacuations = newEvacuations(o, changed)
+	onChange := func() { s.OnChange() }
+	s.Config = newConfig(o, onChange)
+	s.Servers = newServers(o, onChange)
+	s.Evacuations = newEvacuations(o, onChange)
 	s.feeds = []Feed{s.Config, s.Servers, s.Evacuations}
 	if o.Rollouts != nil {
-		s.Orders, s.Records = newOrders(o, changed), newRecords(o, changed)
+		s.Orders, s.Records = newOrders(o, onChange), newRecords(o, onChange)
 		s.feeds = append(s.feeds, s.Orders, s.Records)
 	}
-	s.Quarantine = newQuarantine(o, changed)
+	s.Quarantine = newQuarantine(o, onChange)
 	s.feeds = append(s.feeds, s.Quarantine)
 	for _, f := range s.feeds {
-		s.followers = append(s.followers, &follower{feed: f, about: f.Spec(), log: o.Log, stats: o.Stats})
+		s.followers = append(s.followers, &follower{feed: f, spec: f.Spec(), log: o.Log, stats: o.Stats})
 	}
 	return s
 }
@@ -85,7 +85,7 @@
 // Complete tells whether enough is known to serve requests at all.
 func (s *Set) Complete() bool {
 	for _, f := range s.followers {
-		if f.about.Enabled && !f.about.Optional && !f.feed.HasContent() {
+		if f.spec.Enabled && !f.spec.Optional && !f.feed.HasContent() {
 			return false
 		}
 	}
@@ -94,7 +94,7 @@
 
 // SourceFailing tells whether the last call to the source for any feed failed.
 func (s *Set) SourceFailing() bool {
-	return slices.ContainsFunc(s.followers, func(f *follower) bool { return f.fails.Load() })
+	return slices.ContainsFunc(s.followers, func(f *follower) bool { return f.failing.Load() })
 }
 
 // Followed returns the feeds that are kept up to date from the source.
@@ -103,6 +103,6 @@
 }
 
 // Follow keeps one feed of the set up to date from the source until ctx ends.
-func (s *Set) Follow(ctx context.Context, one Feed, r Role) error {
-	return s.followers[slices.Index(s.feeds, one)].run(ctx, r)
+func (s *Set) Follow(ctx context.Context, f Feed, r Role) error {
+	return s.followers[slices.Index(s.feeds, f)].run(ctx, r)
 }
--- a/gateway/feed/set_test.go
+++ b/gateway/feed/set_test.go
@@ -11,8 +11,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// quietLog is for tests that make many sets; it is never closed.
-var quietLog = eventlog.New(io.Discard, "test")
+// discardLog is for tests that make many sets; it is never closed.
+var discardLog = eventlog.New(io.Discard, "test")
 
 // lockedMachine is decisions that tests tell of newer content.
 type lockedMachine struct {
@@ -33,6 +33,6 @@
 func newTestSet() *Set {
 	return NewSet(Options{
 		StateMachine: &lockedMachine{machine: direct.NewMachine(direct.Options{}), start: time.Now()},
-		Log:          quietLog, Stats: stats.New(tally.NoopScope), EvacuationDeadline: 5 * time.Second,
+		Log:          discardLog, Stats: stats.New(tally.NoopScope), EvacuationDeadline: 5 * time.Second,
 	})
 }
--- a/gateway/feed/sourcelist.go
+++ b/gateway/feed/sourcelist.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// lostFor is how long a server stays listed whose entry is missing since the source came
+	// missingTTL is how long a server stays listed whose entry is missing since the source came
 	// back from a copy: servers that live write their entries again within about two seconds.
-	lostFor = 3 * time.Second
-	// goneFor is how long it is remembered that a server has gone: a copy is seconds old, and
+	missingTTL = 3 * time.Second
+	// removalTTL is how long it is remembered that a server has gone: a copy is seconds old, and
 	// may list it again.
-	goneFor = 2 * time.Minute
+	removalTTL = 2 * time.Minute
 )
 
 // sourceList is the list of servers as the source alone tells it.
 type sourceList struct {
 	servers map[string]listedServer // by name
-	gone    map[string]time.Time    // when servers went, by id
+	removed map[string]time.Time    // when servers went, by id
 	// lost are the names of servers that a copy of the source lacks and that are still listed,
-	// until lostUntil.
-	lost      map[string]bool
-	lostUntil time.Time
+	// until missingUntil.
+	missing      map[string]bool
+	missingUntil time.Time
 }
 
 // listedServer is a server and when it ceases to be cold. Its entry counts from its
@@ -45,20 +45,20 @@
 // restore begins anew with what a copy of the source holds. Servers that it lacks stay for a
 // moment, since those that live enter themselves again; what drained still drains; and what has gone
 // since does not come back by the copy, but by an entry that is written after it.
-func (l *sourceList) restore(copied, known []direct.Server, now time.Time) {
-	l.servers = make(map[string]listedServer, len(copied))
-	for _, s := range copied {
-		if went, ok := l.gone[s.ID]; !ok || now.Sub(went) > goneFor {
+func (l *sourceList) restore(restored, previous []direct.Server, now time.Time) {
+	l.servers = make(map[string]listedServer, len(restored))
+	for _, s := range restored {
+		if removedAt, ok := l.removed[s.ID]; !ok || now.Sub(removedAt) > removalTTL {
 			l.set(s)
 		}
 	}
-	l.lost, l.lostUntil = make(map[string]bool), now.Add(lostFor)
-	for _, s := range known {
+	l.missing, l.missingUntil = make(map[string]bool), now.Add(missingTTL)
+	for _, s := range previous {
 		entry, listed := l.servers[s.Name()]
 		switch {
 		case !listed:
 			l.set(s)
-			l.lost[s.Name()] = true
+			l.missing[s.Name()] = true
 		case entry.ID == s.ID && s.Draining:
 			entry.Draining = true
 			l.servers[s.Name()] = entry
@@ -67,19 +67,19 @@
 }
 
 // restoring tells whether servers are listed that a copy of the source lacks.
-func (l *sourceList) restoring() bool { return len(l.lost) > 0 }
+func (l *sourceList) restoring() bool { return len(l.missing) > 0 }
 
-// dropLost takes out what the source still lacks once it has had the time, and returns the ids.
-func (l *sourceList) dropLost(now time.Time) []string {
-	if now.Before(l.lostUntil) {
+// dropMissing takes out what the source still lacks once it has had the time, and returns the ids.
+func (l *sourceList) dropMissing(now time.Time) []string {
+	if now.Before(l.missingUntil) {
 		return nil
 	}
 	var ids []string
-	for name := range l.lost {
+	for name := range l.missing {
 		ids = append(ids, l.servers[name].ID)
 		delete(l.servers, name)
 	}
-	l.lost = nil
+	l.missing = nil
 	return ids
 }
 
@@ -91,9 +91,9 @@
 		if old, listed := l.servers[c.Object.Name()]; listed {
 			ids = append(ids, old.ID)
 		}
-		delete(l.lost, c.Object.Name())
+		delete(l.missing, c.Object.Name())
 		if c.Deleted {
-			l.went(l.servers[c.Object.Name()].ID)
+			l.recordRemoval(l.servers[c.Object.Name()].ID)
 			delete(l.servers, c.Object.Name())
 			continue
 		}
@@ -104,13 +104,13 @@
 }
 
 // went remembers that a server has gone, and forgets those that went long ago.
-func (l *sourceList) went(id string) {
+func (l *sourceList) recordRemoval(id string) {
 	now := time.Now()
-	if l.gone == nil {
-		l.gone = make(map[string]time.Time)
+	if l.removed == nil {
+		l.removed = make(map[string]time.Time)
 	}
-	maps.DeleteFunc(l.gone, func(_ string, at time.Time) bool { return now.Sub(at) > goneFor })
-	l.gone[id] = now
+	maps.DeleteFunc(l.removed, func(_ string, removedAt time.Time) bool { return now.Sub(removedAt) > removalTTL })
+	l.removed[id] = now
 }
 
 // set takes in a server's entry that has just been read.
@@ -119,8 +119,8 @@
 }
 
 // directory returns the list as it is now, by name.
-func (l *sourceList) directory(at uint64) *direct.Directory {
-	d := &direct.Directory{Revision: at, Servers: make([]direct.Server, 0, len(l.servers))}
+func (l *sourceList) directory(revision uint64) *direct.Directory {
+	d := &direct.Directory{Revision: revision, Servers: make([]direct.Server, 0, len(l.servers))}
 	for _, name := range slices.Sorted(maps.Keys(l.servers)) {
 		entry := l.servers[name]
 		entry.Server.ColdFor = max(time.Until(entry.coldUntil), 0)
