--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -61,7 +61,7 @@
 	tb.Cleanup(log.Close)
 	c := newCore(direct.Options{}, log)
 	counts := stats.New(tally.NoopScope)
-	feeds := feed.NewSet(feed.Options{Decisions: c, Log: log, Stats: counts})
+	feeds := feed.NewSet(feed.Options{StateMachine: c, Log: log, Stats: counts})
 	f := &front{
 		core: c, feeds: feeds, log: log, stats: counts, dialect: plainDialect{},
 		sendQueues: newTestQueues(1 << 20), conns: newTestCallerConns(1000, 0),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,7 +93,7 @@
 // shares with other routers.
 func (g *Gateway) setUpCluster() error {
 	s := g.settings
-	feeds := feed.Options{Source: g.source, Decisions: g.core, Log: g.log, Stats: g.stats, Evacuate: s.MaxEvacuationTime}
+	feeds := feed.Options{Source: g.source, StateMachine: g.core, Log: g.log, Stats: g.stats, EvacuationDeadline: s.MaxEvacuationTime}
 	deps := cluster.Dependencies{
 		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
