--- a/gateway/cluster/ahead.go
+++ b/gateway/cluster/ahead.go
@@ -6,13 +6,13 @@
 func (p *Peers) Ahead() feed.AheadByFeed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own := p.parts.Feeds.Revisions()
+	own := p.deps.Feeds.Revisions()
 	out := feed.NewAheadByFeed(own)
-	now := p.parts.Decisions.Now()
-	lasts := p.lasts()
+	now := p.deps.Decisions.Now()
+	timeout := p.peerTimeoutLocked()
 	for address, peer := range p.known {
-		if p.there(peer, now, lasts) {
-			out.Add(own, address, p.place.PathTo(peer.place), peer.knows)
+		if p.isAlive(peer, now, timeout) {
+			out.Add(own, address, p.place.PathTo(peer.place), peer.revisions)
 		}
 	}
 	return out
--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -39,36 +39,36 @@
 		others = append(others, &peer{address: fmt.Sprint("c", i)})
 	}
 	p := newTestPeers(self, others...)
-	p.parts.Decisions = newTestMachine()
-	p.patience = bringPatience
-	p.parts.Feeds = newTestFeeds(source, p.parts.Decisions)
-	follow(t, p, p.parts.Feeds.Config)
+	p.deps.Decisions = newTestMachine()
+	p.startupWait = startupWait
+	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	follow(t, p, p.deps.Feeds.Config)
 	return p
 }
 
-// TestConfigIsBrought has a router start beside others, whose followers have read the configuration a
+// TestConfigComesFromPeers has a router start beside others, whose followers have read the configuration a
 // second later: it takes it from them. Each router of a fleet that starts would ask the source
 // otherwise.
-func TestConfigIsBrought(t *testing.T) {
+func TestConfigComesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &configSource{}
 		p := startConfig(t, source, "d")
 		time.Sleep(time.Second)
-		p.parts.Feeds.Config.Offer(&direct.Config{Version: 5}, "c0")
+		p.deps.Feeds.Config.Offer(&direct.Config{Version: 5}, "c0")
 		time.Sleep(20 * time.Second)
 		require.Zero(t, source.reads.Load())
 		require.Zero(t, source.watches.Load())
 	})
 }
 
-// TestStandbyAsksLessOften has routers follow the source while nothing changes: the first of them asks
+// TestStandbyPollsLessOften has routers follow the source while nothing changes: the first of them asks
 // once a second, those that stand by for it a quarter as often.
-func TestStandbyAsksLessOften(t *testing.T) {
+func TestStandbyPollsLessOften(t *testing.T) {
 	for self, atMost := range map[string]int64{"a": 21, "c0b": 7} {
 		synctest.Test(t, func(t *testing.T) {
 			source := &configSource{}
 			p := startConfig(t, source, self)
-			time.Sleep(settleTime + othersPatience())
+			time.Sleep(settleTime + maxPeerWaitAtStart())
 			require.Equal(t, self == "a", p.First())
 			source.watches.Store(0)
 			time.Sleep(20 * time.Second)
@@ -78,5 +78,5 @@
 	}
 }
 
-// othersPatience is longer than a router that starts waits for others to bring what it lacks.
-func othersPatience() time.Duration { return 3 * time.Second }
+// maxPeerWaitAtStart is longer than a router that starts waits for others to bring what it lacks.
+func maxPeerWaitAtStart() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -25,44 +25,44 @@
 
 // Cluster is a router's part in the fleet.
 type Cluster struct {
-	Peers      *Peers
-	beats      *transport
-	heartbeats *heartbeats
-	loads      *loadExchange
-	members    members
+	Peers         *Peers
+	heartbeatConn *transport
+	heartbeats    *heartbeats
+	loads         *loadExchange
+	discovery     discovery
 }
 
 // New opens the sockets for what other routers tell. Newer content of the feeds is told to
 // others from now on.
-func New(s Settings, parts Dependencies) (*Cluster, error) {
-	beats, err := openTransport(s.Peers, traffic.Heartbeats, parts)
+func New(s Settings, deps Dependencies) (*Cluster, error) {
+	heartbeatConn, err := openTransport(s.Peers, traffic.Heartbeats, deps)
 	if err != nil {
 		return nil, err
 	}
-	lists, err := openTransport(s.Loads, traffic.Loads, parts)
+	loadConn, err := openTransport(s.Loads, traffic.Loads, deps)
 	if err != nil {
 		return nil, err
 	}
-	s.life = time.Now().UnixNano()
-	c := &Cluster{beats: beats, Peers: newPeers(s, parts), loads: newLoadExchange(s, lists, parts)}
-	c.Peers.heard = c.loads.routers
-	c.heartbeats = newHeartbeats(s, beats, c.Peers, parts)
-	c.members = members{
-		registry: parts.Registry, self: s.Self, found: func(m Member) { c.Peers.Add(m.Address) },
-		heard: c.Peers.HeardAny, firstStart: s.FirstStart, era: parts.Feeds.Era, called: parts.Stats.CountSourceCall,
+	s.startNanos = time.Now().UnixNano()
+	c := &Cluster{heartbeatConn: heartbeatConn, Peers: newPeers(s, deps), loads: newLoadExchange(s, loadConn, deps)}
+	c.Peers.onLive = c.loads.setRouters
+	c.heartbeats = newHeartbeats(s, heartbeatConn, c.Peers, deps)
+	c.discovery = discovery{
+		registry: deps.Registry, self: s.Self, onMember: func(m Member) { c.Peers.Add(m.Address) },
+		heardAny: c.Peers.HeardAny, firstStart: s.FirstStart, era: deps.Feeds.Era, countCall: deps.Stats.CountSourceCall,
 	}
-	parts.Feeds.Changed = c.heartbeats.changed
+	deps.Feeds.Changed = c.heartbeats.sendNow
 	return c, nil
 }
 
 // ReportNow tells some other routers at once what this one has to report, in place of the next
 // heartbeat.
-func (c *Cluster) ReportNow() { c.heartbeats.changed() }
+func (c *Cluster) ReportNow() { c.heartbeats.sendNow() }
 
 // Tasks returns what goes on until a context ends.
 func (c *Cluster) Tasks() []func(context.Context) error {
-	hear := func(ctx context.Context) error { return c.beats.receive(ctx, c.heartbeats.take) }
+	receive := func(ctx context.Context) error { return c.heartbeatConn.receive(ctx, c.heartbeats.receive) }
 	return []func(context.Context) error{
-		c.members.follow, c.heartbeats.send, hear, c.heartbeats.detect, c.loads.send, c.loads.receive,
+		c.discovery.run, c.heartbeats.send, receive, c.heartbeats.runDetector, c.loads.send, c.loads.receive,
 	}
 }
--- a/gateway/cluster/compatibility_test.go
+++ b/gateway/cluster/compatibility_test.go
@@ -133,13 +133,13 @@
 		if err != nil {
 			return
 		}
-		news := unpackNews(b.Extension.News)
-		require.Equal(t, news, unpackNews(packNews(news)))
+		news := unpackGossip(b.Extension.News)
+		require.Equal(t, news, unpackGossip(packGossip(news)))
 	})
 }
 
-// TestUnreadableIsToldOnce sends what is no heartbeat: each datagram counts, and the sender is logged once.
-func TestUnreadableIsToldOnce(t *testing.T) {
+// TestUnreadableSenderIsLoggedOnce sends what is no heartbeat: each datagram counts, and the sender is logged once.
+func TestUnreadableSenderIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New(&out, "test")
 	parts := Dependencies{Log: l, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
--- a/gateway/cluster/datagram.go
+++ b/gateway/cluster/datagram.go
@@ -6,8 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// datagram bounds what routers send each other at once.
-const datagram = 60 << 10
+// maxDatagramSize bounds what routers send each other at once.
+const maxDatagramSize = 60 << 10
 
 // encode writes a message as a datagram: structs as arrays, since routers of one
 // fleet know the order of their fields, and names would be most of it. A message that is
@@ -21,8 +21,8 @@
 	return out.Bytes(), err
 }
 
-// encodeWith writes a message and, after it, what routers of the first builds don't read.
-func encodeWith(message, extension any) ([]byte, error) {
+// encodeExtended writes a message and, after it, what routers of the first builds don't read.
+func encodeExtended(message, extension any) ([]byte, error) {
 	body, err := encode(message)
 	if err != nil {
 		return nil, err
@@ -35,8 +35,8 @@
 // decode reads a datagram into a message.
 func decode(body []byte, message any) error { return msgpack.Unmarshal(body, message) }
 
-// decodeWith reads a datagram into a message and, where it has one, its second value.
-func decodeWith(body []byte, message, extension any) error {
+// decodeExtended reads a datagram into a message and, where it has one, its second value.
+func decodeExtended(body []byte, message, extension any) error {
 	in := bytes.NewReader(body)
 	decoder := msgpack.NewDecoder(in)
 	if err := decoder.Decode(message); err != nil {
--- a/gateway/cluster/members_test.go
+++ b/gateway/cluster/discovery_test.go
@@ -58,16 +58,16 @@
 		source := &memberSource{}
 		source.down.Store(true)
 		found := 0
-		m := members{registry: source, self: Member{Name: "self"}, heard: func() bool { return false }, era: func() uint64 { return 0 }, called: func(string) {}}
-		m.found = func(one Member) {
+		m := discovery{registry: source, self: Member{Name: "self"}, heardAny: func() bool { return false }, era: func() uint64 { return 0 }, countCall: func(string) {}}
+		m.onMember = func(one Member) {
 			if one.Name == "other" {
 				found++
 			}
 		}
-		go func() { _ = m.follow(ctx) }()
-		time.Sleep(registryRetry + registryRetry/2 + membersWait + membersPatience)
+		go func() { _ = m.run(ctx) }()
+		time.Sleep(registryRetryDelay + registryRetryDelay/2 + firstListDelay + maxPeerWait)
 		source.down.Store(false)
-		time.Sleep(3 * membersFirst)
+		time.Sleep(3 * earlyListInterval)
 		cancel()
 		synctest.Wait()
 		require.Equal(t, []bool{false, false, false, true, true}, source.stale)
@@ -82,12 +82,12 @@
 		source := &memberSource{}
 		start := func(address string, firstStart bool) {
 			ctx, cancel := context.WithCancel(t.Context())
-			m := members{
-				registry: source, self: Member{Name: "self", Address: address}, found: func(Member) {},
-				heard: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, called: func(string) {},
+			m := discovery{
+				registry: source, self: Member{Name: "self", Address: address}, onMember: func(Member) {},
+				heardAny: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, countCall: func(string) {},
 			}
-			go func() { _ = m.follow(ctx) }()
-			time.Sleep(membersFirst)
+			go func() { _ = m.run(ctx) }()
+			time.Sleep(earlyListInterval)
 			cancel()
 			synctest.Wait()
 		}
@@ -105,16 +105,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		source, era := &memberSource{}, atomic.Uint64{}
 		ctx, cancel := context.WithCancel(t.Context())
-		m := members{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, found: func(Member) {},
-			heard: func() bool { return true }, firstStart: true, era: era.Load, called: func(string) {},
+		m := discovery{
+			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.follow(ctx) }()
+		go func() { _ = m.run(ctx) }()
 		time.Sleep(2 * time.Minute)
 		registered, _ := source.taken()
 		require.Len(t, registered, 1)
 		era.Store(1)
-		time.Sleep(eraPoll + registerOver)
+		time.Sleep(eraPollInterval + reregisterSpread)
 		registered, stale := source.taken()
 		require.Len(t, registered, 1)
 		require.Equal(t, []bool{false}, stale)
@@ -136,12 +136,12 @@
 		source, era := &memberSource{}, atomic.Uint64{}
 		source.during = func() { era.Store(1) }
 		ctx, cancel := context.WithCancel(t.Context())
-		m := members{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, found: func(Member) {},
-			heard: func() bool { return true }, firstStart: true, era: era.Load, called: func(string) {},
+		m := discovery{
+			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.follow(ctx) }()
-		time.Sleep(membersWait + eraPoll + registerOver)
+		go func() { _ = m.run(ctx) }()
+		time.Sleep(firstListDelay + eraPollInterval + reregisterSpread)
 		cancel()
 		synctest.Wait()
 		_, stale := source.taken()
--- a/gateway/cluster/extension.go
+++ b/gateway/cluster/extension.go
@@ -25,22 +25,22 @@
 }
 
 const (
-	// newsRow is the length of one piece of news: an IPv4 address, an incarnation, and an age
+	// gossipRowSize is the length of one piece of news: an IPv4 address, an incarnation, and an age
 	// in milliseconds doubled, to which one is added where the router is alive.
-	newsRow = 4 + 4 + 4
-	// newsMost is how many pieces of news one heartbeat tells: some 1 kB, which only fleets
+	gossipRowSize = 4 + 4 + 4
+	// maxGossipRows is how many pieces of news one heartbeat tells: some 1 kB, which only fleets
 	// that lose many hosts at once have.
-	newsMost = 80
+	maxGossipRows = 80
 )
 
 // incarnationOf is the short form of a life by which news names it: starts of one host differ in
 // their milliseconds.
-func incarnationOf(life int64) uint32 { return uint32(life / int64(time.Millisecond)) }
+func incarnationOf(startNanos int64) uint32 { return uint32(startNanos / int64(time.Millisecond)) }
 
-// packNews writes news as rows. What has no IPv4 address is left out: no router has another.
-func packNews(news []detector.PeerUpdate) []byte {
+// packGossip writes news as rows. What has no IPv4 address is left out: no router has another.
+func packGossip(updates []detector.PeerUpdate) []byte {
 	var rows []byte
-	for _, n := range news {
+	for _, n := range updates {
 		address, err := netip.ParseAddr(n.Address)
 		if err != nil || !address.Is4() {
 			continue
@@ -57,17 +57,17 @@
 	return rows
 }
 
-// unpackNews reads the rows of news.
-func unpackNews(rows []byte) []detector.PeerUpdate {
-	var news []detector.PeerUpdate
-	for ; len(rows) >= newsRow; rows = rows[newsRow:] {
+// unpackGossip reads the rows of news.
+func unpackGossip(rows []byte) []detector.PeerUpdate {
+	var updates []detector.PeerUpdate
+	for ; len(rows) >= gossipRowSize; rows = rows[gossipRowSize:] {
 		age := binary.BigEndian.Uint32(rows[8:])
-		news = append(news, detector.PeerUpdate{
+		updates = append(updates, detector.PeerUpdate{
 			Address:     netip.AddrFrom4([4]byte(rows[:4])).String(),
 			Incarnation: binary.BigEndian.Uint32(rows[4:]),
 			Alive:       age&1 == 1,
 			Age:         time.Duration(age>>1) * time.Millisecond,
 		})
 	}
-	return news
+	return updates
 }
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -19,20 +19,20 @@
 // memoryFleet is routers in memory on a fake clock: their peers, heartbeats and detectors are real,
 // and datagrams are bytes that pass from one to another at once.
 type memoryFleet struct {
-	now     time.Duration
-	random  *rand.Rand
-	routers []*memoryRouter
-	byName  map[string]*memoryRouter
-	lost    float64 // part of the datagrams
+	now      time.Duration
+	random   *rand.Rand
+	routers  []*memoryRouter
+	byName   map[string]*memoryRouter
+	lossRate float64 // part of the datagrams
 }
 
 type memoryRouter struct {
-	fleet     *memoryFleet
-	peers     *Peers
-	beats     *heartbeats
-	dead      bool
-	nextBeat  time.Duration
-	nextCheck time.Duration
+	fleet         *memoryFleet
+	peers         *Peers
+	heartbeats    *heartbeats
+	dead          bool
+	nextHeartbeat time.Duration
+	nextTick      time.Duration
 }
 
 const memoryStep = 10 * time.Millisecond
@@ -49,10 +49,10 @@
 // send brings a datagram to another router.
 func (r *memoryRouter) send(address string, _ traffic.Path, body []byte) {
 	to := r.fleet.byName[address]
-	if r.dead || to == nil || to.dead || r.fleet.random.Float64() < r.fleet.lost {
+	if r.dead || to == nil || to.dead || r.fleet.random.Float64() < r.fleet.lossRate {
 		return
 	}
-	_ = to.beats.take(body) // it can be read, as tests of messages show
+	_ = to.heartbeats.receive(body) // it can be read, as tests of messages show
 }
 
 // newMemoryFleet returns routers in five halls that have heard of one another, a seventh of them
@@ -65,47 +65,47 @@
 		parts := Dependencies{Decisions: m, Pressure: &pressure.Gauge{}, Log: quietLog, Stats: counts, Traffic: traffic.NewCounter(tally.NoopScope)}
 		parts.Feeds = newTestFeeds(nil, m)
 		s := Settings{
-			Self: Member{Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250+1)}, Hall: fmt.Sprint("hall-", i%5), Power: 0.144, life: int64(i+1) * int64(time.Second),
+			Self: Member{Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250+1)}, Hall: fmt.Sprint("hall-", i%5), Power: 0.144, startNanos: int64(i+1) * int64(time.Second),
 		}
 		if i%7 == 0 {
 			s.Power = 1.6
 		}
 		r := &memoryRouter{fleet: f, peers: newPeers(s, parts)}
-		r.peers.heard = func([]loads.Router) {}
-		r.beats = newHeartbeats(s, r, r.peers, parts)
+		r.peers.onLive = func([]loads.Router) {}
+		r.heartbeats = newHeartbeats(s, r, r.peers, parts)
 		f.routers = append(f.routers, r)
 		f.byName[s.Self.Address] = r
 	}
 	for _, r := range f.routers {
-		r.nextBeat = f.now + time.Duration(f.random.Int64N(int64(250*time.Millisecond)))
-		r.nextCheck = f.now + time.Duration(f.random.Int64N(int64(100*time.Millisecond)))
+		r.nextHeartbeat = f.now + time.Duration(f.random.Int64N(int64(250*time.Millisecond)))
+		r.nextTick = f.now + time.Duration(f.random.Int64N(int64(100*time.Millisecond)))
 		for _, other := range f.routers {
 			if other != r {
-				r.peers.hear(heartbeat{
-					Address: other.peers.self, Hall: other.peers.place.Hall, Power: other.peers.power, Life: other.beats.life, Seq: 1,
+				r.peers.onHeartbeat(heartbeat{
+					Address: other.peers.self, Hall: other.peers.place.Hall, Power: other.peers.power, Life: other.heartbeats.startNanos, Seq: 1,
 					Extension: heartbeatExtension{Answers: true},
 				})
 			}
 		}
-		r.beats.seq.Store(1)
+		r.heartbeats.seq.Store(1)
 	}
 	return f
 }
 
-// play goes on for some time.
-func (f *memoryFleet) play(d time.Duration) {
+// advance goes on for some time.
+func (f *memoryFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += memoryStep {
 		for _, r := range f.routers {
 			if r.dead {
 				continue
 			}
-			if f.now >= r.nextCheck {
-				r.nextCheck += 100 * time.Millisecond
-				r.beats.follow(r.peers.tick())
+			if f.now >= r.nextTick {
+				r.nextTick += 100 * time.Millisecond
+				r.heartbeats.execute(r.peers.tick())
 			}
-			if f.now >= r.nextBeat {
-				r.beats.beat()
-				r.nextBeat = f.now + r.peers.every()
+			if f.now >= r.nextHeartbeat {
+				r.heartbeats.sendRound()
+				r.nextHeartbeat = f.now + r.peers.heartbeatInterval()
 			}
 		}
 	}
@@ -122,11 +122,11 @@
 	return out
 }
 
-// TestChangeInForceAfterALoss loses the routers that follow the source, the first hall, and half of all
+// TestChangeSpreadsAfterLoss loses the routers that follow the source, the first hall, and half of all
 // hosts. Then a change comes to the source: within three seconds of the loss each router that is left
 // knows of it. Its way: a router that follows the source offers it, and heartbeats tell the others that
 // there is something newer, which they pull.
-func TestChangeInForceAfterALoss(t *testing.T) {
+func TestChangeSpreadsAfterLoss(t *testing.T) {
 	losses := map[string]func(f *memoryFleet) func(i int, r *memoryRouter) bool{
 		"the followers": func(f *memoryFleet) func(int, *memoryRouter) bool {
 			lost := make(map[*memoryRouter]bool)
@@ -147,20 +147,20 @@
 			t.Run(fmt.Sprintf("%s of %d", name, size), func(t *testing.T) {
 				t.Parallel()
 				f := newMemoryFleet(size)
-				f.lost = 0.01
-				f.play(2 * time.Second)
+				f.lossRate = 0.01
+				f.advance(2 * time.Second)
 				followers := f.followers()
-				require.Len(t, followers, watchersLeast+1)
+				require.Len(t, followers, minFollowers+1)
 				halls := make(map[string]bool)
 				for _, r := range followers {
 					halls[r.peers.place.Hall] = true
 				}
-				require.Len(t, halls, watchersLeast+1, "followers share no hall")
-				dies := loss(f)
+				require.Len(t, halls, minFollowers+1, "followers share no hall")
+				isLost := loss(f)
 				for i, r := range f.routers {
-					r.dead = dies(i, r)
+					r.dead = isLost(i, r)
 				}
-				took := f.untilAllKnow(t)
+				took := f.timeToConverge(t)
 				t.Logf("in force everywhere after %v", took)
 				require.LessOrEqual(t, took, 3*time.Second)
 			})
@@ -168,21 +168,21 @@
 	}
 }
 
-// untilAllKnow has each router that comes to follow the source know of a change, and the others
+// timeToConverge has each router that comes to follow the source know of a change, and the others
 // take it from whoever their heartbeats say has it, and returns when all know.
-func (f *memoryFleet) untilAllKnow(t *testing.T) time.Duration {
+func (f *memoryFleet) timeToConverge(t *testing.T) time.Duration {
 	began := f.now
 	for f.now-began < 30*time.Second {
-		f.play(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		all := true
 		for _, r := range f.routers {
 			if r.dead {
 				continue
 			}
-			feeds := r.peers.parts.Feeds
-			if feeds.Evacuations.Revision() == 0 && (r.peers.Follows() || f.told(r)) {
+			feeds := r.peers.deps.Feeds
+			if feeds.Evacuations.Revision() == 0 && (r.peers.Follows() || f.peerHasChange(r)) {
 				feeds.Evacuations.Offer(&direct.Evacuations{Revision: 1}, "test")
-				r.beats.beat()
+				r.heartbeats.sendRound()
 			}
 			all = all && feeds.Evacuations.Revision() == 1
 		}
@@ -193,8 +193,8 @@
 	return f.now - began
 }
 
-// told tells whether a router knows of one that has the change and answers.
-func (f *memoryFleet) told(r *memoryRouter) bool {
+// peerHasChange tells whether a router knows of one that has the change and answers.
+func (f *memoryFleet) peerHasChange(r *memoryRouter) bool {
 	for _, ahead := range r.peers.Ahead() {
 		for _, address := range ahead.All() {
 			if !f.byName[address].dead {
--- a/gateway/cluster/followevacuations_test.go
+++ b/gateway/cluster/followevacuations_test.go
@@ -63,20 +63,20 @@
 	s.changes = append(s.changes, change)
 }
 
-func (s *hallSource) fail(down bool) {
+func (s *hallSource) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// startHalls starts the follower of evacuations of a router that has no others.
-func startHalls(t *testing.T, source feed.Source) *feed.Evacuations {
+// startEvacuations starts the follower of evacuations of a router that has no others.
+func startEvacuations(t *testing.T, source feed.Source) *feed.Evacuations {
 	p := newTestPeers("d")
 	p.isSeed = true
-	p.parts.Decisions = newTestMachine()
-	p.parts.Feeds = newTestFeeds(source, p.parts.Decisions)
-	follow(t, p, p.parts.Feeds.Evacuations)
-	return p.parts.Feeds.Evacuations
+	p.deps.Decisions = newTestMachine()
+	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	follow(t, p, p.deps.Feeds.Evacuations)
+	return p.deps.Feeds.Evacuations
 }
 
 // TestEvacuationsAreFollowed evacuates a hall, takes it back while the source is away, and
@@ -84,18 +84,18 @@
 func TestEvacuationsAreFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &hallSource{revision: 3}
-		halls := startHalls(t, source)
+		halls := startEvacuations(t, source)
 		time.Sleep(time.Second)
 		require.EqualValues(t, 3, halls.Newest().Revision)
 		require.Empty(t, halls.Newest().Halls)
 		source.set(5, feed.Change[string]{Object: "b"}, "b")
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, []string{"b"}, halls.Newest().Halls)
-		source.fail(true)
+		source.setDown(true)
 		time.Sleep(3 * time.Second)
 		require.Equal(t, []string{"b"}, halls.Newest().Halls, "what was known holds while the source is away")
 		source.set(8, feed.Change[string]{Object: "b", Gone: true})
-		source.fail(false)
+		source.setDown(false)
 		time.Sleep(2 * time.Second)
 		require.Empty(t, halls.Newest().Halls)
 		require.EqualValues(t, 8, halls.Revision())
@@ -107,7 +107,7 @@
 func TestEvacuationsCostFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &hallSource{revision: 3}
-		startHalls(t, source)
+		startEvacuations(t, source)
 		time.Sleep(time.Minute)
 		source.mu.Lock()
 		defer source.mu.Unlock()
--- a/gateway/cluster/followservers_test.go
+++ b/gateway/cluster/followservers_test.go
@@ -34,11 +34,11 @@
 // knows three others.
 func startServers(t *testing.T, source feed.Source) (*feed.Servers, *Peers) {
 	p := newTestPeers("d", &peer{address: "a"}, &peer{address: "b"}, &peer{address: "c"})
-	p.parts.Decisions = newTestMachine()
-	p.patience = bringPatience
-	p.parts.Feeds = newTestFeeds(source, p.parts.Decisions)
-	follow(t, p, p.parts.Feeds.Servers)
-	return p.parts.Feeds.Servers, p
+	p.deps.Decisions = newTestMachine()
+	p.startupWait = startupWait
+	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	follow(t, p, p.deps.Feeds.Servers)
+	return p.deps.Feeds.Servers, p
 }
 
 // TestServersAreBrought has a router start beside others: it takes the list of
@@ -48,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &serverSource{}
 		servers, _ := startServers(t, source)
-		time.Sleep(bringPatience / 2)
+		time.Sleep(startupWait / 2)
 		servers.OfferAll(&direct.Directory{Revision: 7}, "a")
 		time.Sleep(20 * settleTime)
 		require.Zero(t, source.reads.Load())
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := &serverSource{}
 		_, peers := startServers(t, source)
-		time.Sleep(bringPatience - time.Millisecond)
+		time.Sleep(startupWait - time.Millisecond)
 		synctest.Wait()
 		require.Zero(t, source.reads.Load(), "it waits for another router")
 		time.Sleep(2 * settleTime)
--- a/gateway/cluster/frozen_test.go
+++ b/gateway/cluster/frozen_test.go
@@ -106,7 +106,7 @@
 		SuspectsDigest: 1 << 61,
 		Extension: heartbeatExtension{
 			Answers: true, Ask: true, AnswerTo: "10.3.0.1", AskOf: "10.4.0.1", NearlyBarred: 1 << 59,
-			News: packNews([]detector.PeerUpdate{{Address: "10.5.0.1", Incarnation: 1 << 31, Alive: true, Age: time.Second}}),
+			News: packGossip([]detector.PeerUpdate{{Address: "10.5.0.1", Incarnation: 1 << 31, Alive: true, Age: time.Second}}),
 		},
 	}
 }
--- a/gateway/cluster/halls.go
+++ b/gateway/cluster/halls.go
@@ -13,7 +13,7 @@
 func (p *Peers) PathTo(address string) traffic.Path {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if peer := p.known[address]; peer != nil && peer.heard > 0 {
+	if peer := p.known[address]; peer != nil && peer.lastHeard > 0 {
 		return p.place.PathTo(peer.place)
 	}
 	return traffic.BetweenHalls
@@ -32,8 +32,8 @@
 	return true
 }
 
-// addTo counts another router of the hall.
-func addTo(h *pressure.Hall, p *peer) {
+// countPeer counts another router of the hall.
+func countPeer(h *pressure.Hall, p *peer) {
 	h.Routers++
 	switch {
 	case p.yields:
@@ -43,27 +43,27 @@
 	}
 }
 
-// quietAfter is how long no router of a data hall is heard before the hall counts as
+// silentAfter is how long no router of a data hall is heard before the hall counts as
 // quiet: at the least two heartbeats of the only router of a hall, in a small fleet.
-const quietAfter = 450 * time.Millisecond
+const silentAfter = 450 * time.Millisecond
 
-// quietHalls returns the data halls of which routers were heard lately and none any
+// silentHalls returns the data halls of which routers were heard lately and none any
 // more, while others are. A late router has not read what it was told.
-func (p *Peers) quietHalls(now time.Duration) []string {
-	if p.parts.Pressure.Slow() {
+func (p *Peers) silentHalls(now time.Duration) []string {
+	if p.deps.Pressure.Slow() {
 		return nil
 	}
 	last := make(map[string]time.Duration)
 	newest := time.Duration(0)
 	for _, peer := range p.known {
-		if peer.heard > 0 && peer.live {
-			last[peer.place.Hall] = max(last[peer.place.Hall], peer.heard)
-			newest = max(newest, peer.heard)
+		if peer.lastHeard > 0 && peer.live {
+			last[peer.place.Hall] = max(last[peer.place.Hall], peer.lastHeard)
+			newest = max(newest, peer.lastHeard)
 		}
 	}
 	var out []string
 	for hall, heard := range last {
-		if now-heard > quietAfter && newest-heard > quietAfter/2 {
+		if now-heard > silentAfter && newest-heard > silentAfter/2 {
 			out = append(out, hall)
 		}
 	}
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -11,31 +11,31 @@
 // TestQuietHalls has the routers of one hall fall silent, those of all halls, and none.
 func TestQuietHalls(t *testing.T) {
 	p := newTestPeers("a1", &peer{address: "a2", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "b2", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
-	now := p.parts.Decisions.Now()
-	require.Empty(t, p.quietHalls(now))
-	p.known["b1"].heard = now - 2*quietAfter
-	require.Empty(t, p.quietHalls(now), "another router of the hall is heard")
-	p.known["b2"].heard = now - 2*quietAfter
-	require.Equal(t, []string{"b"}, p.quietHalls(now))
+	now := p.deps.Decisions.Now()
+	require.Empty(t, p.silentHalls(now))
+	p.known["b1"].lastHeard = now - 2*silentAfter
+	require.Empty(t, p.silentHalls(now), "another router of the hall is heard")
+	p.known["b2"].lastHeard = now - 2*silentAfter
+	require.Equal(t, []string{"b"}, p.silentHalls(now))
 	for _, one := range p.known {
-		one.heard = now - 2*quietAfter
+		one.lastHeard = now - 2*silentAfter
 	}
-	require.Empty(t, p.quietHalls(now), "this router hears nobody: that says nothing of one hall")
+	require.Empty(t, p.silentHalls(now), "this router hears nobody: that says nothing of one hall")
 	p.known["b1"].live, p.known["b2"].live = false, false
-	p.known["c1"].heard = now
-	require.NotContains(t, p.quietHalls(now), "b", "routers that are long gone are not quiet")
+	p.known["c1"].lastHeard = now
+	require.NotContains(t, p.silentHalls(now), "b", "routers that are long gone are not quiet")
 }
 
-// TestOwnHallFirst has newer things known in this hall, in another one, and in both.
-func TestOwnHallFirst(t *testing.T) {
+// TestOwnHallIsAskedFirst has newer things known in this hall, in another one, and in both.
+func TestOwnHallIsAskedFirst(t *testing.T) {
 	p := newTestPeers("a2", &peer{address: "a1", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	p.place.Hall = "a"
 	require.False(t, p.FirstOfHall())
 	require.Equal(t, make(feed.AheadByFeed, 4), p.Ahead())
-	p.known["b1"].knows = feed.Revisions{3}
+	p.known["b1"].revisions = feed.Revisions{3}
 	require.Equal(t, feed.AheadByFeed{{OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
 	require.True(t, p.Ahead()[0].Elsewhere())
-	p.known["a1"].knows = feed.Revisions{3}
+	p.known["a1"].revisions = feed.Revisions{3}
 	require.Equal(t, feed.AheadByFeed{{OwnHall: []string{"a1"}, OtherHalls: []string{"b1"}}, {}, {}, {}}, p.Ahead())
 	require.False(t, p.Ahead()[0].Elsewhere())
 	require.Equal(t, []string{"a1", "b1"}, p.Ahead()[0].All())
@@ -47,7 +47,7 @@
 // first, and a hall whose region is not known counts as one of another.
 func TestOwnRegionBeforeOthers(t *testing.T) {
 	at := func(address, hall, region string) *peer {
-		return &peer{address: address, place: traffic.Place{Hall: hall, Region: region}, knows: feed.Revisions{3}}
+		return &peer{address: address, place: traffic.Place{Hall: hall, Region: region}, revisions: feed.Revisions{3}}
 	}
 	p := newTestPeers("n1", at("m1", "e", "south"), at("n2", "a", "north"), at("n3", "b", "north"))
 	p.place = traffic.Place{Hall: "a", Region: "north"}
--- a/gateway/cluster/heartbeat.go
+++ b/gateway/cluster/heartbeat.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	heartbeatEvery   = 100 * time.Millisecond // at the least
-	heartbeatsHeard  = 100                    // a second, that a router should hear
-	heartbeatFanout  = 24                     // peers that one heartbeat goes to
-	heartbeatMembers = 16                     // peers named in one heartbeat
-	membersIn        = 8                      // one heartbeat in so many names peers
-	// farMembersIn is the same for those to other regions, where bytes cost most: routers hear
+	minHeartbeatInterval = 100 * time.Millisecond // at the least
+	heartbeatsPerSecond  = 100                    // a second, that a router should hear
+	heartbeatFanout      = 24                     // peers that one heartbeat goes to
+	membersPerHeartbeat  = 16                     // peers named in one heartbeat
+	membersEveryRounds   = 8                      // one heartbeat in so many names peers
+	// farMembersEveryRounds is the same for those to other regions, where bytes cost most: routers hear
 	// of peers from their own region, and once in a quarter of a minute from others, in
 	// case they know nobody there.
-	farMembersIn = 8 * membersIn
+	farMembersEveryRounds = 8 * membersEveryRounds
 )
 
 // heartbeat is what a router tells the others, several times a second.
@@ -43,12 +43,12 @@
 }
 
 // encodeHeartbeat writes a heartbeat as a datagram.
-func encodeHeartbeat(b heartbeat) ([]byte, error) { return encodeWith(b, b.Extension) }
+func encodeHeartbeat(b heartbeat) ([]byte, error) { return encodeExtended(b, b.Extension) }
 
 // decodeHeartbeat reads a datagram as a heartbeat.
 func decodeHeartbeat(body []byte) (heartbeat, error) {
 	var b heartbeat
-	err := decodeWith(body, &b, &b.Extension)
+	err := decodeExtended(body, &b, &b.Extension)
 	return b, err
 }
 
--- a/gateway/cluster/heartbeat_test.go
+++ b/gateway/cluster/heartbeat_test.go
@@ -31,9 +31,9 @@
 func TestHeartbeatsAreFewBytes(t *testing.T) {
 	plain, err := encode(fullHeartbeat(0))
 	require.NoError(t, err)
-	named, err := encode(fullHeartbeat(heartbeatMembers))
+	named, err := encode(fullHeartbeat(membersPerHeartbeat))
 	require.NoError(t, err)
-	mean := (len(plain)*(membersIn-1) + len(named)) / membersIn
+	mean := (len(plain)*(membersEveryRounds-1) + len(named)) / membersEveryRounds
 	t.Logf("%d B, with members %d B, mean %d B", len(plain), len(named), mean)
 	require.LessOrEqual(t, len(plain), 120)
 	for _, known := range []int{23, 28, 299, 669} {
@@ -41,7 +41,7 @@
 		for i := range known {
 			p.known[fmt.Sprint(i)] = &peer{}
 		}
-		perSecond := float64(min(known, heartbeatFanout)) * float64(time.Second) / float64(p.every()) * float64(mean)
+		perSecond := float64(min(known, heartbeatFanout)) * float64(time.Second) / float64(p.heartbeatInterval()) * float64(mean)
 		t.Logf("%d routers: %.1f kB/s", known+1, perSecond/1e3)
 		require.LessOrEqual(t, perSecond, 15e3)
 	}
@@ -55,30 +55,30 @@
 	}
 	p := newTestPeers("127.0.0.1", at("127.0.0.2", "north"), at("127.0.0.3", "south"))
 	p.place = traffic.Place{Hall: "north", Region: "north"}
-	p.heard = func([]loads.Router) {}
+	p.onLive = func([]loads.Router) {}
 	p.Add("127.0.0.4")
-	p.parts.Log, p.parts.Stats, p.parts.Traffic = quietLog, stats.New(tally.NoopScope), traffic.NewCounter(tally.NoopScope)
-	over, err := openTransport("127.0.0.1:0", traffic.Heartbeats, p.parts)
+	p.deps.Log, p.deps.Stats, p.deps.Traffic = quietLog, stats.New(tally.NoopScope), traffic.NewCounter(tally.NoopScope)
+	over, err := openTransport("127.0.0.1:0", traffic.Heartbeats, p.deps)
 	require.NoError(t, err)
 	defer over.conn.Close()
-	h := newHeartbeats(Settings{}, over, p, p.parts)
-	h.rounds = membersIn
-	h.beat()
-	sent := p.parts.Traffic.Sums()["heartbeats"]
+	h := newHeartbeats(Settings{}, over, p, p.deps)
+	h.rounds = membersEveryRounds
+	h.sendRound()
+	sent := p.deps.Traffic.Sums()["heartbeats"]
 	require.Equal(t, sent.WithinHall, sent.BetweenHalls)
 	require.Positive(t, sent.BetweenRegions)
 	require.Equal(t, sent.BetweenRegions+int64(2*(1+len("127.0.0.2"))), sent.WithinHall)
-	h.rounds = farMembersIn
-	h.beat()
-	now := p.parts.Traffic.Sums()["heartbeats"]
+	h.rounds = farMembersEveryRounds
+	h.sendRound()
+	now := p.deps.Traffic.Sums()["heartbeats"]
 	require.Equal(t, now.WithinHall-sent.WithinHall, now.BetweenRegions-sent.BetweenRegions)
 }
 
-// TestOtherRegionsHearOfGraveSuspects has a router tell of a content under which one server crashed
+// TestOtherRegionsReceiveGraveSuspects has a router tell of a content under which one server crashed
 // and of one under which two did: other regions are told of the second.
-func TestOtherRegionsHearOfGraveSuspects(t *testing.T) {
+func TestOtherRegionsReceiveGraveSuspects(t *testing.T) {
 	all := []quarantine.Report{{Content: 1}, {Content: 2, Grave: true}, {Content: 3}}
-	require.Equal(t, []quarantine.Report{{Content: 2, Grave: true}}, graveOf(all))
+	require.Equal(t, []quarantine.Report{{Content: 2, Grave: true}}, graveReports(all))
 	require.Len(t, all, 3)
 	require.EqualValues(t, 1, all[0].Content, "the others of this region are told of all")
 }
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -14,23 +14,23 @@
 
 // heartbeats are sent to the other routers and taken from them.
 type heartbeats struct {
-	peers  *Peers
-	parts  Dependencies
-	over   sender
-	power  float64
-	life   int64
-	seq    atomic.Uint64
-	rounds uint64                    // of heartbeats to some others
-	last   atomic.Pointer[heartbeat] // of the last round, without what only rounds tell
-	poke   chan struct{}             // this router has something newer
+	peers      *Peers
+	deps       Dependencies
+	conn       sender
+	power      float64
+	startNanos int64
+	seq        atomic.Uint64
+	rounds     uint64                    // of heartbeats to some others
+	lastSent   atomic.Pointer[heartbeat] // of the last round, without what only rounds tell
+	wake       chan struct{}             // this router has something newer
 }
 
-func newHeartbeats(s Settings, over sender, p *Peers, parts Dependencies) *heartbeats {
-	return &heartbeats{peers: p, parts: parts, over: over, power: s.Power, life: s.life, poke: make(chan struct{}, 1)}
+func newHeartbeats(s Settings, conn sender, p *Peers, deps Dependencies) *heartbeats {
+	return &heartbeats{peers: p, deps: deps, conn: conn, power: s.Power, startNanos: s.startNanos, wake: make(chan struct{}, 1)}
 }
 
-// changed tells the peers at once that this router has something newer.
-func (h *heartbeats) changed() { notify(h.poke) }
+// sendNow tells the peers at once that this router has something newer.
+func (h *heartbeats) sendNow() { notify(h.wake) }
 
 func notify(c chan struct{}) {
 	select {
@@ -41,51 +41,51 @@
 
 // send sends heartbeats until ctx ends.
 func (h *heartbeats) send(ctx context.Context) error {
-	ticker := time.NewTicker(heartbeatEvery)
+	ticker := time.NewTicker(minHeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-		case <-h.poke:
+		case <-h.wake:
 		}
-		h.beat()
-		ticker.Reset(h.peers.every())
+		h.sendRound()
+		ticker.Reset(h.peers.heartbeatInterval())
 	}
 }
 
-// beat sends one heartbeat to some others.
-func (h *heartbeats) beat() {
-	said := h.parts.Decisions.Report()
-	targets, members := h.peers.round()
+// sendRound sends one heartbeat to some others.
+func (h *heartbeats) sendRound() {
+	report := h.deps.Decisions.Report()
+	targets, members := h.peers.startRound()
 	h.rounds++
-	if h.rounds%membersIn != 1 {
+	if h.rounds%membersEveryRounds != 1 {
 		members = nil
 	}
 	b := heartbeat{
 		Address: h.peers.self, Hall: h.peers.place.Hall, Region: h.peers.place.Region, Power: h.power,
-		Shed: h.parts.Pressure.ShedFraction(), Yields: h.parts.Pressure.Yields(),
-		SourceLost: h.parts.Feeds.SourceFails(), Life: h.life,
-		Headroom: float32(said.Headroom), SuspectsDigest: said.SuspectsDigest.Barred,
-		Extension: heartbeatExtension{Answers: true, NearlyBarred: said.SuspectsDigest.NearlyBarred},
+		Shed: h.deps.Pressure.ShedFraction(), Yields: h.deps.Pressure.Yields(),
+		SourceLost: h.deps.Feeds.SourceFails(), Life: h.startNanos,
+		Headroom: float32(report.Headroom), SuspectsDigest: report.SuspectsDigest.Barred,
+		Extension: heartbeatExtension{Answers: true, NearlyBarred: report.SuspectsDigest.NearlyBarred},
 	}
 	last := b
-	h.last.Store(&last)
+	h.lastSent.Store(&last)
 	near, far := b, b
-	near.Members, near.Suspects = members, said.Suspects
-	far.Suspects = graveOf(said.Suspects)
-	if h.rounds%farMembersIn == 1 {
+	near.Members, near.Suspects = members, report.Suspects
+	far.Suspects = graveReports(report.Suspects)
+	if h.rounds%farMembersEveryRounds == 1 {
 		far = near
 	}
-	seq, knows := h.seq.Add(1), h.parts.Feeds.Revisions()
+	seq, knows := h.seq.Add(1), h.deps.Feeds.Revisions()
 	near.Seq, near.Knows = seq, knows
 	far.Seq, far.Knows = seq, knows
 	h.sendEach(targets, near, far)
 }
 
-// graveOf returns the reports that other regions are told.
-func graveOf(all []quarantine.Report) []quarantine.Report {
+// graveReports returns the reports that other regions are told.
+func graveReports(all []quarantine.Report) []quarantine.Report {
 	return slices.DeleteFunc(slices.Clone(all), func(r quarantine.Report) bool { return !r.Grave })
 }
 
@@ -98,10 +98,10 @@
 		if path == traffic.BetweenRegions {
 			b, body = far, farBody
 		}
-		if b.Extension.News = h.peers.news(address); b.Extension.News != nil {
+		if b.Extension.News = h.peers.gossip(address); b.Extension.News != nil {
 			body = h.encode(b)
 		}
-		h.over.send(address, path, body)
+		h.conn.send(address, path, body)
 	}
 }
 
@@ -109,44 +109,44 @@
 func (h *heartbeats) encode(b heartbeat) []byte {
 	body, err := encodeHeartbeat(b)
 	if err != nil {
-		h.parts.Stats.DatagramFailed()
+		h.deps.Stats.DatagramFailed()
 		return nil
 	}
 	return body
 }
 
-// ask sends a heartbeat beside the rounds, which asks for something.
-func (h *heartbeats) ask(address string, extension heartbeatExtension) {
-	last := h.last.Load()
+// sendExtra sends a heartbeat beside the rounds, which asks for something.
+func (h *heartbeats) sendExtra(address string, extension heartbeatExtension) {
+	last := h.lastSent.Load()
 	if last == nil || address == h.peers.self {
 		return // this router has told nobody that it answers
 	}
 	b := *last
-	b.Seq, b.Knows = h.seq.Add(1), h.parts.Feeds.Revisions()
+	b.Seq, b.Knows = h.seq.Add(1), h.deps.Feeds.Revisions()
 	b.Extension = extension
 	b.Extension.Answers, b.Extension.NearlyBarred = true, last.Extension.NearlyBarred
-	b.Extension.News = h.peers.news(address)
-	h.over.send(address, h.peers.PathTo(address), h.encode(b))
+	b.Extension.News = h.peers.gossip(address)
+	h.conn.send(address, h.peers.PathTo(address), h.encode(b))
 }
 
-// take takes one heartbeat, and answers where it asks for that.
-func (h *heartbeats) take(body []byte) error {
+// receive takes one heartbeat, and answers where it asks for that.
+func (h *heartbeats) receive(body []byte) error {
 	b, err := decodeHeartbeat(body)
 	if err != nil {
 		return err
 	}
-	h.follow(h.peers.hear(b))
+	h.execute(h.peers.onHeartbeat(b))
 	if b.Extension.Ask {
-		h.ask(cmp.Or(b.Extension.AnswerTo, b.Address), heartbeatExtension{})
+		h.sendExtra(cmp.Or(b.Extension.AnswerTo, b.Address), heartbeatExtension{})
 	}
 	if b.Extension.AskOf != "" {
-		h.ask(b.Extension.AskOf, heartbeatExtension{Ask: true, AnswerTo: b.Address})
+		h.sendExtra(b.Extension.AskOf, heartbeatExtension{Ask: true, AnswerTo: b.Address})
 	}
 	return nil
 }
 
-// detect finds out which routers are there until ctx ends.
-func (h *heartbeats) detect(ctx context.Context) error {
+// runDetector finds out which routers are there until ctx ends.
+func (h *heartbeats) runDetector(ctx context.Context) error {
 	ticker := time.NewTicker(detector.TickInterval)
 	defer ticker.Stop()
 	for {
@@ -154,21 +154,21 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			h.follow(h.peers.tick())
+			h.execute(h.peers.tick())
 		}
 	}
 }
 
-// follow does what the detector wants.
-func (h *heartbeats) follow(cmds []detector.Cmd) {
+// execute does what the detector wants.
+func (h *heartbeats) execute(cmds []detector.Cmd) {
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case detector.ProbeCmd:
-			h.ask(cmd.To, heartbeatExtension{Ask: true})
+			h.sendExtra(cmd.To, heartbeatExtension{Ask: true})
 		case detector.IndirectProbeCmd:
-			h.ask(cmd.Via, heartbeatExtension{AskOf: cmd.Target})
+			h.sendExtra(cmd.Via, heartbeatExtension{AskOf: cmd.Target})
 		case detector.RefuteCmd:
-			h.changed()
+			h.sendNow()
 		}
 	}
 }
--- a/gateway/cluster/loadlist.go
+++ b/gateway/cluster/loadlist.go
@@ -37,13 +37,13 @@
 	if len(l.Extension.Demands) == 0 {
 		return encode(l)
 	}
-	return encodeWith(l, l.Extension)
+	return encodeExtended(l, l.Extension)
 }
 
 // decodeLoadList reads a datagram as a list.
 func decodeLoadList(body []byte) (loadList, error) {
 	var l loadList
-	err := decodeWith(body, &l, &l.Extension)
+	err := decodeExtended(body, &l, &l.Extension)
 	return l, err
 }
 
--- a/gateway/cluster/loadlist_test.go
+++ b/gateway/cluster/loadlist_test.go
@@ -20,10 +20,10 @@
 	list.From, list.Hall, list.Number = "10.1.0.33", "a", 9
 	body, err := encode(&list)
 	require.NoError(t, err)
-	var came loadList
-	require.NoError(t, decode(body, &came))
+	var got loadList
+	require.NoError(t, decode(body, &got))
 	require.Equal(t, loads.ListMsg{
 		Now: time.Second, From: "10.1.0.33", Hall: "a", Number: 9, Kind: cmd.Kind, Region: cmd.Region, Base: cmd.Base, Loads: cmd.Loads,
 		HasTeams: true, Teams: cmd.Teams, Rollouts: cmd.Rollouts, Copies: cmd.Copies,
-	}, came.unpack(time.Second))
+	}, got.unpack(time.Second))
 }
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -13,35 +13,35 @@
 
 // loadExchange carries out what the exchange of loads decides.
 type loadExchange struct {
-	self     string
-	place    traffic.Place
-	paths    map[string]traffic.Path // to the routers that are there
-	over     *transport
-	parts    Dependencies
-	mu       sync.Mutex
-	exchange *loads.Exchange
-	heardAt  time.Duration // when the others' loads came last
-	number   uint64        // of the last list that was sent; begins with the time of the start
+	self         string
+	place        traffic.Place
+	paths        map[string]traffic.Path // to the routers that are there
+	conn         *transport
+	deps         Dependencies
+	mu           sync.Mutex
+	exchange     *loads.Exchange
+	lastReceived time.Duration // when the others' loads came last
+	number       uint64        // of the last list that was sent; begins with the time of the start
 }
 
-func newLoadExchange(s Settings, over *transport, parts Dependencies) *loadExchange {
+func newLoadExchange(s Settings, conn *transport, deps Dependencies) *loadExchange {
 	return &loadExchange{
-		self: s.Self.Address, number: uint64(time.Now().UnixNano()), parts: parts,
-		over: over, place: s.place(),
+		self: s.Self.Address, number: uint64(time.Now().UnixNano()), deps: deps,
+		conn: conn, place: s.place(),
 		exchange: loads.NewExchange(loads.Router{Address: s.Self.Address, Hall: s.Hall, Region: s.Region, Power: s.Power}),
 	}
 }
 
-// routers takes in which other routers are there.
-func (l *loadExchange) routers(there []loads.Router) {
-	paths := make(map[string]traffic.Path, len(there))
-	for _, r := range there {
+// setRouters takes in which other setRouters are there.
+func (l *loadExchange) setRouters(alive []loads.Router) {
+	paths := make(map[string]traffic.Path, len(alive))
+	for _, r := range alive {
 		paths[r.Address] = l.place.PathTo(traffic.Place{Hall: r.Hall, Region: r.Region})
 	}
 	l.mu.Lock()
 	l.paths = paths
 	l.mu.Unlock()
-	l.update(loads.RoutersMsg{Routers: there})
+	l.update(loads.RoutersMsg{Routers: alive})
 }
 
 // pathTo returns the path to another router; one that is not there any more counts as
@@ -57,18 +57,18 @@
 func (l *loadExchange) send(ctx context.Context) error {
 	ticker := time.NewTicker(loads.RoundInterval)
 	defer ticker.Stop()
-	var toldAt time.Duration
+	var teamsSentAt time.Duration
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			tick := loads.TickMsg{Now: l.parts.Decisions.Now(), Own: l.parts.Decisions.Loads(), Copies: l.parts.Decisions.TakeCopies()}
-			if tick.Now-toldAt >= loads.TeamsInterval-loads.RoundInterval/2 {
-				toldAt = tick.Now
-				tick.HasTeams, tick.Teams = true, l.parts.Decisions.Teams()
-				if l.parts.Rollouts != nil {
-					tick.Rollouts = l.parts.Rollouts.Reports()
+			tick := loads.TickMsg{Now: l.deps.Decisions.Now(), Own: l.deps.Decisions.Loads(), Copies: l.deps.Decisions.TakeCopies()}
+			if tick.Now-teamsSentAt >= loads.TeamsInterval-loads.RoundInterval/2 {
+				teamsSentAt = tick.Now
+				tick.HasTeams, tick.Teams = true, l.deps.Decisions.Teams()
+				if l.deps.Rollouts != nil {
+					tick.Rollouts = l.deps.Rollouts.Reports()
 				}
 			}
 			l.update(tick)
@@ -78,12 +78,12 @@
 
 // receive takes lists until ctx ends.
 func (l *loadExchange) receive(ctx context.Context) error {
-	return l.over.receive(ctx, func(body []byte) error {
+	return l.conn.receive(ctx, func(body []byte) error {
 		list, err := decodeLoadList(body)
 		if err != nil {
 			return err
 		}
-		l.update(list.unpack(l.parts.Decisions.Now()))
+		l.update(list.unpack(l.deps.Decisions.Now()))
 		return nil
 	})
 }
@@ -95,33 +95,33 @@
 	for _, cmd := range l.exchange.Update(msg) {
 		switch cmd := cmd.(type) {
 		case loads.SendCmd:
-			l.write(cmd)
+			l.sendList(cmd)
 		case loads.PeerTotalsCmd:
-			l.take(cmd)
+			l.deliver(cmd)
 		}
 	}
 }
 
-// take tells the machine what the others have.
-func (l *loadExchange) take(others loads.PeerTotalsCmd) {
-	now := l.parts.Decisions.Now()
-	if l.heardAt > 0 {
-		l.parts.Stats.LoadsAge.RecordDuration(now - l.heardAt)
+// deliver tells the machine what the others have.
+func (l *loadExchange) deliver(others loads.PeerTotalsCmd) {
+	now := l.deps.Decisions.Now()
+	if l.lastReceived > 0 {
+		l.deps.Stats.LoadsAge.RecordDuration(now - l.lastReceived)
 	}
-	l.heardAt = now
-	l.parts.Decisions.Update(direct.LoadsMsg{Now: now, Loads: others.Loads})
+	l.lastReceived = now
+	l.deps.Decisions.Update(direct.LoadsMsg{Now: now, Loads: others.Loads})
 	if len(others.Copies) > 0 {
-		l.parts.Decisions.Update(direct.CopiesMsg{Now: now, Copies: others.Copies})
+		l.deps.Decisions.Update(direct.CopiesMsg{Now: now, Copies: others.Copies})
 	}
 	if others.HasTeams {
-		l.parts.Decisions.Update(direct.TeamsMsg{Now: now, Teams: others.Teams})
-		if l.parts.Rollouts != nil {
-			l.parts.Rollouts.Tell(rollout.OthersMsg{Now: now, Reports: others.Rollouts})
+		l.deps.Decisions.Update(direct.TeamsMsg{Now: now, Teams: others.Teams})
+		if l.deps.Rollouts != nil {
+			l.deps.Rollouts.Tell(rollout.OthersMsg{Now: now, Reports: others.Rollouts})
 		}
 	}
 }
 
-func (l *loadExchange) write(cmd loads.SendCmd) {
+func (l *loadExchange) sendList(cmd loads.SendCmd) {
 	l.number++
 	list := packList(cmd)
 	list.From, list.Number = l.self, l.number
@@ -130,8 +130,8 @@
 	}
 	body, err := encodeLoadList(&list)
 	if err != nil {
-		l.parts.Stats.DatagramFailed()
+		l.deps.Stats.DatagramFailed()
 		return
 	}
-	l.over.send(cmd.To, l.pathTo(cmd.To), body)
+	l.conn.send(cmd.To, l.pathTo(cmd.To), body)
 }
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -11,13 +11,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// told keeps the copies that its router's decisions are told of.
-type told struct {
+// copyRecorder keeps the copies that its router's decisions are copyRecorder of.
+type copyRecorder struct {
 	*testMachine
 	copies []loads.Copy
 }
 
-func (d *told) Update(msg direct.Msg) {
+func (d *copyRecorder) Update(msg direct.Msg) {
 	if msg, ok := msg.(direct.CopiesMsg); ok {
 		d.copies = append(d.copies, msg.Copies...)
 	}
@@ -25,8 +25,8 @@
 }
 
 // newTestLoads returns the exchange of a router of which no datagram arrives.
-func newTestLoads(t *testing.T, s Settings) (*loadExchange, *told) {
-	d := &told{testMachine: newTestMachine()}
+func newTestLoads(t *testing.T, s Settings) (*loadExchange, *copyRecorder) {
+	d := &copyRecorder{testMachine: newTestMachine()}
 	parts := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
 	over, err := openTransport("127.0.0.1:0", traffic.Loads, parts)
 	require.NoError(t, err)
@@ -38,13 +38,13 @@
 // are in two, and be told of copies: bytes count by how far they go.
 func TestListsBetweenRegions(t *testing.T) {
 	l, d := newTestLoads(t, Settings{Self: Member{Address: "127.0.0.1"}, Hall: "a", Region: "north", Power: 9})
-	l.routers([]loads.Router{{Address: "127.0.0.2", Hall: "b", Region: "south"}, {Address: "127.0.0.3", Hall: "c", Region: "north"}})
+	l.setRouters([]loads.Router{{Address: "127.0.0.2", Hall: "b", Region: "south"}, {Address: "127.0.0.3", Hall: "c", Region: "north"}})
 	l.update(loads.TickMsg{Now: d.Now()})
-	sent := l.parts.Traffic.Sums()["loads"]
+	sent := l.deps.Traffic.Sums()["loads"]
 	require.Positive(t, sent.BetweenHalls)
 	require.Zero(t, sent.BetweenRegions, "other regions are told with the teams")
 	l.update(loads.TickMsg{Now: d.Now(), HasTeams: true})
-	sent = l.parts.Traffic.Sums()["loads"]
+	sent = l.deps.Traffic.Sums()["loads"]
 	require.Zero(t, sent.WithinHall)
 	require.Positive(t, sent.BetweenRegions)
 	one := loads.Copy{Part: 7, Server: 9}
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -13,37 +13,37 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// peerForget is how long a peer is remembered that is not heard of.
-const peerForget = 60 * time.Second
+// forgetPeerAfter is how long a peer is remembered that is not heard of.
+const forgetPeerAfter = 60 * time.Second
 
 // Peers is what a router knows of the other routers.
 type Peers struct {
-	self  string
-	place traffic.Place
-	parts Dependencies
-	seeds int
+	self      string
+	place     traffic.Place
+	deps      Dependencies
+	seedCount int
 	// isSeed says that routers which start ask this one, or that it has no others to ask.
 	isSeed bool
-	// patience is how long this router waits, as it starts, for others to bring what
+	// startupWait is how long this router waits, as it starts, for others to bring what
 	// it would read from the source.
-	patience    time.Duration
-	without     direct.Without // mechanisms that are switched off
-	mu          sync.Mutex
-	wanted      feed.Revisions // newest that others knew at behindSince
-	behindSince time.Duration  // when this router was last known to know no less
-	known       map[string]*peer
-	appeared    []string             // routers that were not there before, since the last round
-	heard       func([]loads.Router) // takes the routers that are there
-	power       float64
-	detector    *detector.Detector
-	behind      chan struct{} // a peer knows something newer
+	startupWait     time.Duration
+	without         direct.Without // mechanisms that are switched off
+	mu              sync.Mutex
+	targetRevisions feed.Revisions // newest that others knew at behindSince
+	behindSince     time.Duration  // when this router was last known to know no less
+	known           map[string]*peer
+	newlyLive       []string             // routers that were not there before, since the last round
+	onLive          func([]loads.Router) // takes the routers that are there
+	power           float64
+	detector        *detector.Detector
+	behind          chan struct{} // a peer knows something newer
 }
 
-func newPeers(s Settings, parts Dependencies) *Peers {
+func newPeers(s Settings, deps Dependencies) *Peers {
 	return &Peers{
-		self: s.Self.Address, power: s.Power, detector: detector.New(s.Self.Address, incarnationOf(s.life)),
-		place: s.place(), parts: parts, without: s.Without,
-		seeds: len(s.Seeds), isSeed: s.amongSeeds(), patience: s.patience(), known: make(map[string]*peer),
+		self: s.Self.Address, power: s.Power, detector: detector.New(s.Self.Address, incarnationOf(s.startNanos)),
+		place: s.place(), deps: deps, without: s.Without,
+		seedCount: len(s.Seeds), isSeed: s.isSeed(), startupWait: s.startupWait(), known: make(map[string]*peer),
 		behind: make(chan struct{}, 1),
 	}
 }
@@ -72,32 +72,32 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.known[address] == nil {
-		p.known[address] = &peer{address: address, added: p.parts.Decisions.Now()}
+		p.known[address] = &peer{address: address, added: p.deps.Decisions.Now()}
 	}
 }
 
-// round picks whom a heartbeat goes to, and tells the machine how many routers
+// startRound picks whom a heartbeat goes to, and tells the machine how many routers
 // there are.
-func (p *Peers) round() (targets, members []string) {
+func (p *Peers) startRound() (targets, members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.parts.Decisions.Now()
-	lasts := p.lasts()
+	now := p.deps.Decisions.Now()
+	timeout := p.peerTimeoutLocked()
 	var lost, away []string
-	var there []loads.Router
+	var alive []loads.Router
 	var hall pressure.Hall
 	for address, peer := range p.known {
-		age := now - max(peer.heard, peer.added)
-		if p.there(peer, now, lasts) {
-			there = append(there, loads.Router{Address: address, Hall: peer.place.Hall, Region: peer.place.Region, Power: peer.power})
+		age := now - max(peer.lastHeard, peer.added)
+		if p.isAlive(peer, now, timeout) {
+			alive = append(alive, loads.Router{Address: address, Hall: peer.place.Hall, Region: peer.place.Region, Power: peer.power})
 			if peer.place.Hall == p.place.Hall {
-				addTo(&hall, peer)
+				countPeer(&hall, peer)
 			}
 		} else if peer.live {
 			peer.live = false
 			lost = append(lost, address)
 		}
-		if age > peerForget {
+		if age > forgetPeerAfter {
 			delete(p.known, address)
 			p.detector.Update(detector.ForgetMsg{Address: address})
 			continue
@@ -107,78 +107,78 @@
 		} else {
 			away = append(away, address)
 		}
-		if peer.live && len(members) < heartbeatMembers {
+		if peer.live && len(members) < membersPerHeartbeat {
 			members = append(members, address)
 		}
 	}
-	p.parts.Log.Routers("routers_lost", lost)
-	p.parts.Log.Routers("routers_heard", p.appeared)
-	p.appeared = nil
-	targets = drawTargets(targets, away)
-	p.heard(there)
+	p.deps.Log.Routers("routers_lost", lost)
+	p.deps.Log.Routers("routers_heard", p.newlyLive)
+	p.newlyLive = nil
+	targets = pickTargets(targets, away)
+	p.onLive(alive)
 	// A late router has not read what the others said: it keeps what it knew.
-	if !p.parts.Pressure.Slow() {
-		p.parts.Pressure.SetHall(hall)
+	if !p.deps.Pressure.Slow() {
+		p.deps.Pressure.SetHall(hall)
 	}
-	p.parts.Decisions.Update(direct.PeersMsg{
-		Now: now, Routers: max(len(there)+1, p.seeds), Hold: lasts,
-		Known: len(p.known) + 1, Rank: p.rank(), Quiet: p.quietHalls(now),
+	p.deps.Decisions.Update(direct.PeersMsg{
+		Now: now, Routers: max(len(alive)+1, p.seedCount), Hold: timeout,
+		Known: len(p.known) + 1, Rank: p.rank(), Quiet: p.silentHalls(now),
 	})
 	return targets, members
 }
 
-// hear takes one heartbeat in, and returns what the detector wants.
-func (p *Peers) hear(b heartbeat) (cmds []detector.Cmd) {
+// onHeartbeat takes one heartbeat in, and returns what the detector wants.
+func (p *Peers) onHeartbeat(b heartbeat) (cmds []detector.Cmd) {
 	p.Add(b.Address)
 	for _, m := range b.Members {
 		p.Add(m)
 	}
 	p.mu.Lock()
 	peer := p.known[b.Address]
-	if peer == nil || b.Life < peer.life || (b.Life == peer.life && b.Seq <= peer.seq) {
+	if peer == nil || b.Life < peer.startNanos || (b.Life == peer.startNanos && b.Seq <= peer.seq) {
 		p.mu.Unlock()
 		return nil
 	}
-	now := p.parts.Decisions.Now()
-	if peer.heard > 0 {
-		p.parts.Stats.Silence.RecordDuration(now - peer.heard)
+	now := p.deps.Decisions.Now()
+	if peer.lastHeard > 0 {
+		p.deps.Stats.Silence.RecordDuration(now - peer.lastHeard)
 	}
-	if peer.life > 0 && b.Life > peer.life {
-		peer.restarted = now
+	if peer.startNanos > 0 && b.Life > peer.startNanos {
+		peer.restartedAt = now
 	}
-	peer.life, peer.seq, peer.heard = b.Life, b.Seq, now
-	peer.knows = b.Knows
+	peer.startNanos, peer.seq, peer.lastHeard = b.Life, b.Seq, now
+	peer.revisions = b.Knows
 	peer.sourceLost = b.SourceLost
 	peer.place = traffic.Place{Hall: b.Hall, Region: b.Region}
 	peer.power, peer.shed, peer.yields = b.Power, b.Shed, b.Yields
 	if !peer.live {
 		peer.live = true
-		p.appeared = append(p.appeared, b.Address)
+		p.newlyLive = append(p.newlyLive, b.Address)
 	}
 	cmds = p.detector.Update(detector.HeartbeatMsg{
 		Now: now, Address: b.Address, Incarnation: incarnationOf(b.Life), AnswersProbes: b.Extension.Answers,
 	})
-	if news := unpackNews(b.Extension.News); len(news) > 0 {
-		cmds = append(cmds, p.detector.Update(detector.GossipMsg{Now: now, Updates: news})...)
+	if updates := unpackGossip(b.Extension.News); len(updates) > 0 {
+		cmds = append(cmds, p.detector.Update(detector.GossipMsg{Now: now, Updates: updates})...)
 	}
 	p.mu.Unlock()
-	p.parts.Decisions.Update(direct.PeerMsg{Now: now, Peer: b.Address, Report: b.report()})
-	if !p.parts.Feeds.Revisions().Reaches(b.Knows) {
+	p.deps.Decisions.Update(direct.PeerMsg{Now: now, Peer: b.Address, Report: b.report()})
+	if !p.deps.Feeds.Revisions().Reaches(b.Knows) {
 		notify(p.behind)
 	}
 	return cmds
 }
 
-// drawTargets draws whom a heartbeat goes to, of the routers that are there and those that are away:
+// pickTargets draws whom a heartbeat goes to, of the routers that are there and those that are away:
 // one of the latter, so that a fleet finds together again whose parts were cut off from one another.
-func drawTargets(there, away []string) []string {
-	shuffle(there)
-	there = there[:min(len(there), heartbeatFanout)]
+func pickTargets(alive, away []string) []string {
+	shuffle(alive)
+	alive = alive[:min(len(alive), heartbeatFanout)]
 	if len(away) == 0 {
-		return there
+		return alive
 	}
-	there = there[:min(len(there), heartbeatFanout-1)]
-	return append(there, away[rand.IntN(len(away))])
+	alive = alive[:min(len(alive), heartbeatFanout-1)]
+	return append(alive, away[rand.IntN(len(away))])
 }
 
 func shuffle(addresses []string) {
@@ -189,19 +189,19 @@
 func (p *Peers) tick() []detector.Cmd {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.detector.Update(detector.TickMsg{Now: p.parts.Decisions.Now(), Late: p.parts.Pressure.Slow()})
+	return p.detector.Update(detector.TickMsg{Now: p.deps.Decisions.Now(), Late: p.deps.Pressure.Slow()})
 }
 
-// news returns what a heartbeat to another router tells of others.
-func (p *Peers) news(to string) []byte {
+// gossip returns what a heartbeat to another router tells of others.
+func (p *Peers) gossip(to string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return packNews(p.detector.NextUpdates(p.parts.Decisions.Now(), to, newsMost))
+	return packGossip(p.detector.NextUpdates(p.deps.Decisions.Now(), to, maxGossipRows))
 }
 
-// there tells whether a router counts as there; p.mu is held.
-func (p *Peers) there(peer *peer, now, lasts time.Duration) bool {
-	return peer.heardWithin(now, lasts) && p.detector.Alive(peer.address, now)
+// isAlive tells whether a router counts as isAlive; p.mu is held.
+func (p *Peers) isAlive(peer *peer, now, timeout time.Duration) bool {
+	return peer.heardWithin(now, timeout) && p.detector.Alive(peer.address, now)
 }
 
 // rank returns this router's place by address among all that it knows.
--- a/gateway/cluster/peers_test.go
+++ b/gateway/cluster/peers_test.go
@@ -63,10 +63,10 @@
 	m.start = m.start.Add(-time.Minute)
 	p := &Peers{
 		self: self, known: make(map[string]*peer), detector: detector.New(self, 1),
-		parts: Dependencies{Decisions: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
+		deps: Dependencies{Decisions: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
 	}
 	for _, o := range others {
-		o.live, o.heard = true, m.Now()
+		o.live, o.lastHeard = true, m.Now()
 		p.known[o.address] = o
 	}
 	return p
@@ -78,7 +78,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = p.parts.Feeds.Follow(ctx, one, p)
+		_ = p.deps.Feeds.Follow(ctx, one, p)
 	}()
 	t.Cleanup(func() {
 		cancel()
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// watchersLeast is how many routers follow the source, in fleets of more than
+	// minFollowers is how many routers follow the source, in fleets of more than
 	// smallFleet one more. The others learn of changes from them.
-	watchersLeast = 3
-	smallFleet    = 8
+	minFollowers = 3
+	smallFleet   = 8
 )
 
 // stuckAfter is how long a router may know less than another one before it asks
@@ -22,13 +22,13 @@
 	// settleTime is how long after its start a router leaves following to the
 	// seeds: until then it has not heard of enough others to know who is first.
 	settleTime = 1500 * time.Millisecond
-	// bringPatience is how long a router that starts waits for another to bring the
+	// startupWait is how long a router that starts waits for another to bring the
 	// list of servers, before it reads it from the source: some calls to a seed that
 	// is there. Its callers wait too.
-	bringPatience = 50 * time.Millisecond
-	// firstStartPatience is the same where the whole fleet starts for the first time: it
+	startupWait = 50 * time.Millisecond
+	// firstStartupWait is the same where the whole fleet starts for the first time: it
 	// has no callers yet, and hosts start within 0.3 s of one another.
-	firstStartPatience = 400 * time.Millisecond
+	firstStartupWait = 400 * time.Millisecond
 )
 
 // Patience is how long this router waits, as it starts, for others to bring what it would
@@ -38,7 +38,7 @@
 	if p.isSeed || !p.without.Uses(direct.Followers) {
 		return 0
 	}
-	return p.patience
+	return p.startupWait
 }
 
 // First tells whether this router is the first of those that follow the source.
@@ -66,7 +66,7 @@
 	if p.stuck() || !p.without.Uses(direct.Followers) {
 		return true
 	}
-	if p.parts.Decisions.Now() < settleTime {
+	if p.deps.Decisions.Now() < settleTime {
 		return p.isSeed
 	}
 	p.mu.Lock()
@@ -77,7 +77,7 @@
 			live++
 		}
 	}
-	followers := watchersLeast
+	followers := minFollowers
 	if live >= smallFleet {
 		followers++
 	}
@@ -113,24 +113,24 @@
 // what that one knew at the beginning, since where things change all the time
 // somebody always knows more.
 func (p *Peers) stuck() bool {
-	now := p.parts.Decisions.Now()
-	knows := p.parts.Feeds.Revisions()
+	now := p.deps.Decisions.Now()
+	knows := p.deps.Feeds.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if knows.Reaches(p.wanted) {
-		p.wanted = p.newest(now)
+	if knows.Reaches(p.targetRevisions) {
+		p.targetRevisions = p.newest(now)
 		p.behindSince = now
 	}
-	return !knows.Reaches(p.wanted) && now-p.behindSince > stuckAfter
+	return !knows.Reaches(p.targetRevisions) && now-p.behindSince > stuckAfter
 }
 
 // newest returns the newest revisions that live routers know.
 func (p *Peers) newest(now time.Duration) feed.Revisions {
 	var newest feed.Revisions
-	lasts := p.lasts()
+	timeout := p.peerTimeoutLocked()
 	for _, peer := range p.known {
-		if p.there(peer, now, lasts) {
-			newest = newest.Newest(peer.knows)
+		if p.isAlive(peer, now, timeout) {
+			newest = newest.Newest(peer.revisions)
 		}
 	}
 	return newest
--- a/gateway/cluster/role_test.go
+++ b/gateway/cluster/role_test.go
@@ -43,7 +43,7 @@
 	p.known["a"].live = false
 	require.True(t, p.Follows(), "one is away")
 	p = newTestPeers("d", before()...)
-	p.known["c"].knows = feed.Revisions{0, 9, 0}
+	p.known["c"].revisions = feed.Revisions{0, 9, 0}
 	require.False(t, p.Follows(), "it may still pull")
 	p.behindSince -= 2 * stuckAfter
 	require.True(t, p.Follows(), "it has known less for too long")
@@ -55,8 +55,8 @@
 func TestChangesAreNotStuck(t *testing.T) {
 	p := newTestPeers("d", &peer{address: "a"}, &peer{address: "b"}, &peer{address: "c"})
 	for revision := uint64(1); revision < 20; revision++ {
-		p.known["a"].knows = feed.Revisions{0, revision + 1, 0}
-		p.parts.Feeds.Servers.OfferAll(&direct.Directory{Revision: revision}, "a")
+		p.known["a"].revisions = feed.Revisions{0, revision + 1, 0}
+		p.deps.Feeds.Servers.OfferAll(&direct.Directory{Revision: revision}, "a")
 		require.False(t, p.Follows(), "at revision %d", revision)
 		p.behindSince -= stuckAfter / 3
 	}
--- a/gateway/cluster/rolloutrow_test.go
+++ b/gateway/cluster/rolloutrow_test.go
@@ -14,29 +14,29 @@
 // a hundred routes in three halls fit into a datagram several times. Places that name
 // nothing are passed over.
 func TestRolloutDatagram(t *testing.T) {
-	said := rollout.Report{
+	sent := rollout.Report{
 		Service: "llm", Order: 1 << 63, Routers: 12, Known: rollout.All, InForce: rollout.Half, Age: time.Minute, OldRunning: 3, Rejected: true,
 		Demand: rollout.Demand{Known: true, PerSecond: 1200.5, Watched: 2 * time.Second},
 	}
 	for route := range 100 {
 		for hall := range 3 {
 			for kind := range 4 {
-				said.Cells = append(said.Cells, rollout.Cell{
+				sent.Cells = append(sent.Cells, rollout.Cell{
 					Route: fmt.Sprint("team-of-long-name/route-", route), Cohort: fmt.Sprint("hall-", hall),
 					Target: kind < 2, Later: kind%2 == 0, Good: 60000, Bad: 200,
 				})
 			}
 		}
 	}
-	list := loadList{From: "10.1.0.33", Kind: loads.Report, HasTeams: true, Rollouts: packRollouts([]rollout.Report{said}), Extension: loadListExtension{Demands: packDemands([]rollout.Report{said})}}
+	list := loadList{From: "10.1.0.33", Kind: loads.Report, HasTeams: true, Rollouts: packRollouts([]rollout.Report{sent}), Extension: loadListExtension{Demands: packDemands([]rollout.Report{sent})}}
 	body, err := encodeLoadList(&list)
 	require.NoError(t, err)
-	require.Less(t, len(body), datagram/3)
-	heard, err := decodeLoadList(body)
+	require.Less(t, len(body), maxDatagramSize/3)
+	received, err := decodeLoadList(body)
 	require.NoError(t, err)
-	require.Equal(t, []rollout.Report{said}, unpackRollouts(heard.Rollouts, heard.Extension.Demands))
+	require.Equal(t, []rollout.Report{sent}, unpackRollouts(received.Rollouts, received.Extension.Demands))
 
-	heard.Rollouts[0].Cells[0].Route = len(heard.Rollouts[0].Routes)
-	heard.Rollouts[0].Cells[1].Cohort = -1
-	require.Len(t, unpackRollouts(heard.Rollouts, heard.Extension.Demands)[0].Cells, len(said.Cells)-2)
+	received.Rollouts[0].Cells[0].Route = len(received.Rollouts[0].Routes)
+	received.Rollouts[0].Cells[1].Cohort = -1
+	require.Len(t, unpackRollouts(received.Rollouts, received.Extension.Demands)[0].Cells, len(sent.Cells)-2)
 }
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -14,21 +14,21 @@
 // know to the source: the first by address of those that are there and reach it. A router that has
 // just started has not heard enough of the others to know.
 func (p *Peers) Leads() bool {
-	now := p.parts.Decisions.Now()
-	if now < settleTime || p.parts.Feeds.SourceFails() {
+	now := p.deps.Decisions.Now()
+	if now < settleTime || p.deps.Feeds.SourceFails() {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	live, heard := 1, 1
 	for address, peer := range p.known {
-		if peer.heard > 0 {
+		if peer.lastHeard > 0 {
 			heard++
 		}
 		if !peer.live {
 			continue
 		}
-		if address < p.self && !peer.sourceLost && !peer.settles(now) {
+		if address < p.self && !peer.sourceLost && !peer.settling(now) {
 			return false
 		}
 		live++
--- a/gateway/cluster/rollouts_test.go
+++ b/gateway/cluster/rollouts_test.go
@@ -20,7 +20,7 @@
 	require.False(t, p.Leads(), "b is there")
 	p.known["b"].sourceLost = true
 	require.True(t, p.Leads())
-	p.parts.Decisions = newTestMachine()
+	p.deps.Decisions = newTestMachine()
 	require.False(t, p.Leads(), "it has just started")
 	require.True(t, newTestPeers("a", &peer{address: "b"}).Leads())
 }
@@ -34,7 +34,7 @@
 	p.known["d"].live = false
 	require.False(t, p.Leads(), "one of four")
 	for _, one := range p.known {
-		one.heard = 0
+		one.lastHeard = 0
 	}
 	require.True(t, p.Leads(), "the others are only listed")
 }
@@ -42,12 +42,12 @@
 // TestRolloutLeaderRestarts has the next router go on leading where the first was started
 // again, until that one can lead.
 func TestRolloutLeaderRestarts(t *testing.T) {
-	p := newTestPeers("b", &peer{address: "a", life: 1})
-	p.parts.Stats = stats.New(tally.NoopScope)
+	p := newTestPeers("b", &peer{address: "a", startNanos: 1})
+	p.deps.Stats = stats.New(tally.NoopScope)
 	require.False(t, p.Leads())
-	p.hear(heartbeat{Address: "a", Life: 2, Seq: 1})
+	p.onHeartbeat(heartbeat{Address: "a", Life: 2, Seq: 1})
 	require.True(t, p.Leads())
-	p.known["a"].restarted -= settleTime
-	p.hear(heartbeat{Address: "a", Life: 2, Seq: 2})
+	p.known["a"].restartedAt -= settleTime
+	p.onHeartbeat(heartbeat{Address: "a", Life: 2, Seq: 2})
 	require.False(t, p.Leads())
 }
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -19,23 +19,23 @@
 	Seeds      []string // control addresses of some routers
 	FirstStart bool     // the whole fleet starts for the first time
 	Without    direct.Without
-	life       int64 // start of the router, in nanoseconds since 1970
+	startNanos int64 // start of the router, in nanoseconds since 1970
 }
 
 // place returns where the router is.
 func (s Settings) place() traffic.Place { return traffic.Place{Hall: s.Hall, Region: s.Region} }
 
-// patience returns how long a router that starts waits for others to bring what it would
+// startupWait returns how long a router that starts waits for others to bring what it would
 // read from the source.
-func (s Settings) patience() time.Duration {
+func (s Settings) startupWait() time.Duration {
 	if s.FirstStart {
-		return firstStartPatience
+		return firstStartupWait
 	}
-	return bringPatience
+	return startupWait
 }
 
-// amongSeeds tells whether a router is one of its own seeds, or has none.
-func (s Settings) amongSeeds() bool {
+// isSeed tells whether a router is one of its own seeds, or has none.
+func (s Settings) isSeed() bool {
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil && host == s.Self.Address {
 			return true
--- a/gateway/cluster/teamrow_test.go
+++ b/gateway/cluster/teamrow_test.go
@@ -13,24 +13,24 @@
 // a team costs some 15 bytes, and each rate comes back to within half a unit. Bytes
 // between halls are priced.
 func TestTeamsAreSmall(t *testing.T) {
-	var said []loads.TeamUse
+	var sent []loads.TeamUse
 	for i := range 60 {
 		rate := float32(i*i) * 10
-		said = append(said, loads.TeamUse{Team: fmt.Sprintf("team%03d", i), Offered: rate, Recent: 2 * rate, Served: rate / 2})
+		sent = append(sent, loads.TeamUse{Team: fmt.Sprintf("team%03d", i), Offered: rate, Recent: 2 * rate, Served: rate / 2})
 	}
-	said = append(said, loads.TeamUse{Team: "idle", Offered: 1})
-	body, err := encode(loadList{Teams: packTeams(said)})
+	sent = append(sent, loads.TeamUse{Team: "idle", Offered: 1})
+	body, err := encode(loadList{Teams: packTeams(sent)})
 	require.NoError(t, err)
 	require.Less(t, len(body), 60*16)
 
-	var heard loadList
-	require.NoError(t, decode(body, &heard))
+	var received loadList
+	require.NoError(t, decode(body, &received))
 	rates := make(map[string]loads.TeamUse)
-	for _, row := range unpackTeams(heard.Teams) {
+	for _, row := range unpackTeams(received.Teams) {
 		rates[row.Team] = row
 	}
 	require.NotContains(t, rates, "idle")
-	for _, want := range said {
+	for _, want := range sent {
 		got := rates[want.Team]
 		require.InDelta(t, want.Offered, got.Offered, rateUnit/2)
 		require.InDelta(t, want.Recent, got.Recent, rateUnit/2)
--- a/gateway/cluster/timing.go
+++ b/gateway/cluster/timing.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	peerLive         = time.Second // without a heartbeat a peer counts as away
-	heartbeatsMissed = 5           // heartbeats that may be missed, where they are rarer
+	minPeerTimeout      = time.Second // without a heartbeat a peer counts as away
+	maxMissedHeartbeats = 5           // heartbeats that may be missed, where they are rarer
 )
 
-// every is the time between two heartbeats: the more routers there are, the rarer.
-func (p *Peers) every() time.Duration {
+// heartbeatInterval is the time between two heartbeats: the more routers there are, the rarer.
+func (p *Peers) heartbeatInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.interval()
+	return p.heartbeatIntervalLocked()
 }
 
-// interval is the time between two heartbeats; p.mu is held.
-func (p *Peers) interval() time.Duration {
+// heartbeatIntervalLocked is the time between two heartbeats; p.mu is held.
+func (p *Peers) heartbeatIntervalLocked() time.Duration {
 	targets := min(len(p.known), heartbeatFanout)
-	return max(heartbeatEvery, time.Duration(targets)*time.Second/heartbeatsHeard)
+	return max(minHeartbeatInterval, time.Duration(targets)*time.Second/heartbeatsPerSecond)
 }
 
-// lasts is how long a peer counts as there after a heartbeat; p.mu is held.
-func (p *Peers) lasts() time.Duration {
+// peerTimeoutLocked is how long a peer counts as there after a heartbeat; p.mu is held.
+func (p *Peers) peerTimeoutLocked() time.Duration {
 	rounds := max((len(p.known)+heartbeatFanout-1)/heartbeatFanout, 1)
-	return max(peerLive, time.Duration(rounds*heartbeatsMissed)*p.interval())
+	return max(minPeerTimeout, time.Duration(rounds*maxMissedHeartbeats)*p.heartbeatIntervalLocked())
 }
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// receivePause is the time after a failed read.
-	receivePause = 100 * time.Millisecond
-	// unreadableNamed is how many senders of unreadable datagrams are logged: more than a fleet
+	// receiveRetryDelay is the time after a failed read.
+	receiveRetryDelay = 100 * time.Millisecond
+	// maxLoggedSenders is how many senders of unreadable datagrams are logged: more than a fleet
 	// has whose hosts are replaced one after the other, at any time.
-	unreadableNamed = 100
+	maxLoggedSenders = 100
 )
 
 // sender sends datagrams to other routers. Any may be lost.
@@ -30,17 +30,17 @@
 // transport is one kind of datagrams between routers, which all use the same port. Any of
 // them may be lost, so a failure is counted and nothing more.
 type transport struct {
-	conn       net.PacketConn
-	port       int
-	kind       traffic.Kind
-	stats      *stats.Stats
-	meter      *traffic.Meter
-	log        *eventlog.Log
-	unreadable map[string]bool // senders that were logged
+	conn          net.PacketConn
+	port          int
+	kind          traffic.Kind
+	stats         *stats.Stats
+	meter         *traffic.Meter
+	log           *eventlog.Log
+	loggedSenders map[string]bool // senders that were logged
 }
 
 // openTransport opens an address of this host for what other routers tell.
-func openTransport(address string, k traffic.Kind, parts Dependencies) (*transport, error) {
+func openTransport(address string, kind traffic.Kind, deps Dependencies) (*transport, error) {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "settings: the address %q for other routers: choose one of this host that is not in use", address)
@@ -51,7 +51,7 @@
 	}
 	port, err := strconv.Atoi(text)
 	return &transport{
-		conn: conn, port: port, kind: k, stats: parts.Stats, meter: parts.Traffic.Of(k), log: parts.Log, unreadable: make(map[string]bool),
+		conn: conn, port: port, kind: kind, stats: deps.Stats, meter: deps.Traffic.Of(kind), log: deps.Log, loggedSenders: make(map[string]bool),
 	}, err
 }
 
@@ -69,33 +69,33 @@
 
 // receive hands each datagram to take until ctx ends. What take gets is valid
 // until it returns; its error says that it can't be read.
-func (t *transport) receive(ctx context.Context, take func(body []byte) error) error {
+func (t *transport) receive(ctx context.Context, handle func(body []byte) error) error {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
-	buffer := make([]byte, datagram)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		n, from, err := t.conn.ReadFrom(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			wait.Sleep(ctx, receivePause)
+			wait.Sleep(ctx, receiveRetryDelay)
 			continue
 		}
-		if err := take(buffer[:n]); err != nil {
-			t.unread(from, err)
+		if err := handle(buffer[:n]); err != nil {
+			t.recordUnreadable(from, err)
 		}
 	}
 }
 
-// unread counts a datagram that can't be read, and logs the first of a sender: a router of another
+// recordUnreadable counts a datagram that can't be read, and logs the first of a sender: a router of another
 // build may be there that this one does not see.
-func (t *transport) unread(from net.Addr, err error) {
+func (t *transport) recordUnreadable(from net.Addr, err error) {
 	t.stats.DatagramUnreadable()
 	host, _, splitErr := net.SplitHostPort(from.String())
-	if splitErr != nil || t.unreadable[host] || len(t.unreadable) >= unreadableNamed {
+	if splitErr != nil || t.loggedSenders[host] || len(t.loggedSenders) >= maxLoggedSenders {
 		return
 	}
-	t.unreadable[host] = true
+	t.loggedSenders[host] = true
 	t.log.Event("datagram_unreadable").Str("from", host).Str("kind", string(t.kind)).Err(err).Msg("")
 }
--- a/gateway/detector/fleet_test.go
+++ b/gateway/detector/fleet_test.go
@@ -9,17 +9,17 @@
 
 // fleet is routers in memory on a fake clock, which tell one another as package cluster does.
 type fleet struct {
-	random *rand.Rand
-	nodes  []*node
-	byName map[string]*node
-	now    time.Duration
-	events events
-	order  uint64
-	lost   float64                    // part of the datagrams
-	cut    func(from, to int) bool    // one way
-	delay  func(to int) time.Duration // how late a router reads
-	rows   int                        // of news, told in all
-	grams  int                        // datagrams of the detector's own, in all
+	random    *rand.Rand
+	nodes     []*node
+	byName    map[string]*node
+	now       time.Duration
+	events    events
+	order     uint64
+	lossRate  float64                    // part of the datagrams
+	blocked   func(from, to int) bool    // one way
+	delay     func(to int) time.Duration // how late a router reads
+	updates   int                        // of news, told in all
+	datagrams int                        // datagrams of the detector's own, in all
 }
 
 type node struct {
@@ -31,16 +31,16 @@
 
 // Figures of package cluster, with those of a large fleet.
 const (
-	fanout   = 24
-	every    = 240 * time.Millisecond
-	newsMost = 80
-	transit  = 5 * time.Millisecond
+	fanout            = 24
+	heartbeatInterval = 240 * time.Millisecond
+	maxUpdates        = 80
+	latency           = 5 * time.Millisecond
 )
 
 type event struct {
 	at    time.Duration
 	order uint64
-	do    func()
+	run   func()
 }
 
 type events []event
@@ -61,10 +61,10 @@
 // newFleet returns routers that have all heard of one another.
 func newFleet(routers int, seed uint64) *fleet {
 	f := &fleet{
-		byName: make(map[string]*node),
-		random: rand.New(rand.NewPCG(seed, 1)),
-		cut:    func(int, int) bool { return false },
-		delay:  func(int) time.Duration { return 0 },
+		byName:  make(map[string]*node),
+		random:  rand.New(rand.NewPCG(seed, 1)),
+		blocked: func(int, int) bool { return false },
+		delay:   func(int) time.Duration { return 0 },
 	}
 	for i := range routers {
 		address := fmt.Sprintf("10.%d.%d.1", i/250, i%250)
@@ -78,13 +78,13 @@
 				n.detector.Update(HeartbeatMsg{Address: other.address, Incarnation: 1, AnswersProbes: true})
 			}
 		}
-		f.after(time.Duration(f.random.Int64N(int64(every))), func() { f.beat(n) })
-		f.after(time.Duration(f.random.Int64N(int64(TickInterval))), func() { f.tick(n, f.now) })
+		f.schedule(time.Duration(f.random.Int64N(int64(heartbeatInterval))), func() { f.sendHeartbeats(n) })
+		f.schedule(time.Duration(f.random.Int64N(int64(TickInterval))), func() { f.tick(n, f.now) })
 	}
 	return f
 }
 
-func (f *fleet) after(d time.Duration, do func()) {
+func (f *fleet) schedule(d time.Duration, do func()) {
 	f.order++
 	heap.Push(&f.events, event{f.now + d, f.order, do})
 }
@@ -94,14 +94,14 @@
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(event)
 		f.now = e.at
-		e.do()
+		e.run()
 	}
 	f.now = until
 }
 
-// beat sends a heartbeat to some others.
-func (f *fleet) beat(n *node) {
-	f.after(every, func() { f.beat(n) })
+// sendHeartbeats sends a heartbeat to some others.
+func (f *fleet) sendHeartbeats(n *node) {
+	f.schedule(heartbeatInterval, func() { f.sendHeartbeats(n) })
 	if n.dead {
 		return
 	}
@@ -117,9 +117,9 @@
 // tick ticks a router, which may be late by what it reads late.
 func (f *fleet) tick(n *node, due time.Duration) {
 	next := due + TickInterval
-	f.after(next-f.now+f.delay(n.id), func() { f.tick(n, next) })
+	f.schedule(next-f.now+f.delay(n.id), func() { f.tick(n, next) })
 	if !n.dead {
-		f.follow(n, n.detector.Update(TickMsg{Now: f.now, Late: f.now-due > 30*time.Millisecond}))
+		f.execute(n, n.detector.Update(TickMsg{Now: f.now, Late: f.now-due > 30*time.Millisecond}))
 	}
 }
 
@@ -128,18 +128,18 @@
 	if from == to {
 		return
 	}
-	news := from.detector.NextUpdates(f.now, to.address, newsMost)
-	f.rows += len(news)
-	if f.random.Float64() < f.lost || f.cut(from.id, to.id) {
+	updates := from.detector.NextUpdates(f.now, to.address, maxUpdates)
+	f.updates += len(updates)
+	if f.random.Float64() < f.lossRate || f.blocked(from.id, to.id) {
 		return
 	}
-	f.after(transit+f.delay(to.id), func() {
+	f.schedule(latency+f.delay(to.id), func() {
 		if to.dead {
 			return
 		}
-		f.follow(to, to.detector.Update(HeartbeatMsg{Now: f.now, Address: from.address, Incarnation: 1, AnswersProbes: true}))
-		if len(news) > 0 {
-			f.follow(to, to.detector.Update(GossipMsg{Now: f.now, Updates: news}))
+		f.execute(to, to.detector.Update(HeartbeatMsg{Now: f.now, Address: from.address, Incarnation: 1, AnswersProbes: true}))
+		if len(updates) > 0 {
+			f.execute(to, to.detector.Update(GossipMsg{Now: f.now, Updates: updates}))
 		}
 		if then != nil {
 			then()
@@ -147,19 +147,19 @@
 	})
 }
 
-// follow does what a detector says.
-func (f *fleet) follow(n *node, cmds []Cmd) {
+// execute does what a detector says.
+func (f *fleet) execute(n *node, cmds []Cmd) {
 	for _, cmd := range cmds {
-		f.grams++
+		f.datagrams++
 		switch cmd := cmd.(type) {
 		case ProbeCmd:
-			to := f.at(cmd.To)
-			f.send(n, to, func() { f.grams++; f.send(to, n, nil) })
+			to := f.node(cmd.To)
+			f.send(n, to, func() { f.datagrams++; f.send(to, n, nil) })
 		case IndirectProbeCmd:
-			through, of := f.at(cmd.Via), f.at(cmd.Target)
+			through, of := f.node(cmd.Via), f.node(cmd.Target)
 			f.send(n, through, func() {
-				f.grams++
-				f.send(through, of, func() { f.grams++; f.send(of, n, nil) })
+				f.datagrams++
+				f.send(through, of, func() { f.datagrams++; f.send(of, n, nil) })
 			})
 		case RefuteCmd:
 			for range fanout {
@@ -169,31 +169,31 @@
 	}
 }
 
-func (f *fleet) at(address string) *node { return f.byName[address] }
+func (f *fleet) node(address string) *node { return f.byName[address] }
 
-// known returns the part of pairs of a live router and a dead one in which the first knows, and
+// detected returns the part of pairs of a live router and a dead one in which the first knows, and
 // in how many pairs of live ones the first takes the second for gone.
-func (f *fleet) known() (part float64, falsely int) {
-	knows, pairs := 0, 0
+func (f *fleet) detected() (fraction float64, falsePositives int) {
+	detections, pairs := 0, 0
 	for _, n := range f.nodes {
 		if n.dead {
 			continue
 		}
 		for _, other := range f.nodes {
-			gone := n != other && !n.detector.Alive(other.address, f.now)
+			dead := n != other && !n.detector.Alive(other.address, f.now)
 			switch {
 			case other.dead:
 				pairs++
-				if gone {
-					knows++
+				if dead {
+					detections++
 				}
-			case gone:
-				falsely++
+			case dead:
+				falsePositives++
 			}
 		}
 	}
 	if pairs == 0 {
-		return 1, falsely
+		return 1, falsePositives
 	}
-	return float64(knows) / float64(pairs), falsely
+	return float64(detections) / float64(pairs), falsePositives
 }
--- a/gateway/detector/ring.go
+++ b/gateway/detector/ring.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// insert adds a router to the ring.
-func (d *Detector) insert(p *peer) {
-	i, _ := d.find(p)
+// insertIntoRing adds a router to the ring.
+func (d *Detector) insertIntoRing(p *peer) {
+	i, _ := d.ringIndex(p)
 	d.ring = slices.Insert(d.ring, i, p)
 }
 
-func (d *Detector) find(p *peer) (int, bool) {
+func (d *Detector) ringIndex(p *peer) (int, bool) {
 	return slices.BinarySearchFunc(d.ring, p, func(a, b *peer) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.address, b.address))
+		return cmp.Or(cmp.Compare(a.ringKey, b.ringKey), cmp.Compare(a.address, b.address))
 	})
 }
--- a/gateway/pressure/gauge_test.go
+++ b/gateway/pressure/gauge_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// shedOf counts the requests of a team that are refused at the door, of 1,000.
-func shedOf(p *Gauge, weight float64) int {
+// shedCount counts the requests of a team that are refused at the door, of 1,000.
+func shedCount(p *Gauge, weight float64) int {
 	n := 0
 	for i := range 1000 {
 		if p.Sheds(strconv.Itoa(i), weight) {
@@ -24,37 +24,37 @@
 // fills it: a small team whose callers all reach it is still served.
 func TestPressureSpares(t *testing.T) {
 	var p Gauge
-	require.Zero(t, shedOf(&p, 1), "a router that keeps up refuses nobody")
+	require.Zero(t, shedCount(&p, 1), "a router that keeps up refuses nobody")
 	for range 20 {
-		p.Observe(0, lagFull)
+		p.Observe(0, overloadLag)
 	}
-	require.Greater(t, shedOf(&p, 1.1), 700)
-	require.Less(t, shedOf(&p, 0.05), 60)
+	require.Greater(t, shedCount(&p, 1.1), 700)
+	require.Less(t, shedCount(&p, 0.05), 60)
 	for range 400 {
 		p.Observe(0, 0)
 	}
-	require.Less(t, shedOf(&p, 1), 5, "pressure passes")
+	require.Less(t, shedCount(&p, 1), 5, "pressure passes")
 	require.False(t, p.Slow())
-	require.Less(t, time.Duration(p.lag.Load()), lagKeeps)
+	require.Less(t, time.Duration(p.lag.Load()), keepsUpLag)
 }
 
 // TestShedSettles drives a router whose lateness follows from what it takes in:
 // the part that it sheds settles where it runs about as late as it may.
 func TestShedSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := rapid.Float64Range(0.2, 8).Draw(t, "asked") // of what the router can do
+		offered := rapid.Float64Range(0.2, 8).Draw(t, "asked") // of what the router can do
 		var s shedder
 		queue, sum, n := 0.0, 0.0, 0
 		for tick := range 2000 {
-			queue = max(queue+(asked*(1-s.part)-1)*0.025, 0)
-			s.note(time.Duration(queue * float64(time.Second)))
+			queue = max(queue+(offered*(1-s.fraction)-1)*0.025, 0)
+			s.update(time.Duration(queue * float64(time.Second)))
 			if tick >= 1000 {
 				sum, n = sum+queue, n+1
 			}
 		}
 		require.Less(t, sum/float64(n), 2*shedTarget.Seconds(), "late for good")
-		if asked < 0.9 {
-			require.Less(t, s.part, 0.01, "sheds while it keeps up")
+		if offered < 0.9 {
+			require.Less(t, s.fraction, 0.01, "sheds while it keeps up")
 		}
 	})
 }
--- a/gateway/pressure/fresh.go
+++ b/gateway/pressure/unreadconns.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// freshPerCore is how many new connections a core reads and refuses in some 50
+	// unreadConnsPerCore is how many new connections a core reads and refuses in some 50
 	// milliseconds (a refusal on a new connection takes 70 us of a core at
 	// BenchmarkRefusal, and about twice that under the users' accounting).
-	freshPerCore = 300
+	unreadConnsPerCore = 300
 	// MinUnreadConns is the least bound: callers that come together to a small host.
 	MinUnreadConns = 16
-	// freshLasts is how long a connection counts that is not read: by then its caller
+	// unreadConnTTL is how long a connection counts that is not read: by then its caller
 	// has not sent anything, and nothing waits.
-	freshLasts = 250 * time.Millisecond
+	unreadConnTTL = 250 * time.Millisecond
 )
 
 // AcceptedConn is a connection that was accepted.
@@ -23,7 +23,7 @@
 // UnreadConns counts the connections that were accepted and whose first request has not
 // been read: they wait for processor time. The zero value counts and is never full.
 type UnreadConns struct {
-	most  int // 0: without bounds
+	limit int // 0: without bounds
 	count int
 	queue []*AcceptedConn // in the order in which they were accepted
 }
@@ -33,7 +33,7 @@
 	if cores <= 0 {
 		return UnreadConns{}
 	}
-	return UnreadConns{most: max(int(freshPerCore*cores), MinUnreadConns)}
+	return UnreadConns{limit: max(int(unreadConnsPerCore*cores), MinUnreadConns)}
 }
 
 // Add begins to count a connection.
@@ -58,12 +58,12 @@
 func (f *UnreadConns) Full(now time.Time) bool {
 	for len(f.queue) > 0 {
 		oldest := f.queue[0]
-		if oldest.counted && now.Sub(oldest.At) < freshLasts {
+		if oldest.counted && now.Sub(oldest.At) < unreadConnTTL {
 			break
 		}
 		f.Remove(oldest)
 		f.queue[0] = nil
 		f.queue = f.queue[1:]
 	}
-	return f.most > 0 && f.count >= f.most
+	return f.limit > 0 && f.count >= f.limit
 }
--- a/gateway/pressure/fresh_test.go
+++ b/gateway/pressure/unreadconns_test.go
@@ -12,7 +12,7 @@
 func TestFreshCountsWhatWaits(t *testing.T) {
 	f := NewUnreadConns(0.144)
 	at := time.Now()
-	conns := make([]*AcceptedConn, f.most)
+	conns := make([]*AcceptedConn, f.limit)
 	for i := range conns {
 		require.False(t, f.Full(at))
 		conns[i] = &AcceptedConn{At: at}
@@ -23,14 +23,14 @@
 	f.Remove(conns[3])
 	require.False(t, f.Full(at))
 	require.Equal(t, len(conns)-1, f.count, "a connection counts once")
-	f.Add(&AcceptedConn{At: at.Add(freshLasts / 2)})
+	f.Add(&AcceptedConn{At: at.Add(unreadConnTTL / 2)})
 	require.True(t, f.Full(at))
-	require.False(t, f.Full(at.Add(freshLasts)), "quiet connections do not wait")
+	require.False(t, f.Full(at.Add(unreadConnTTL)), "quiet connections do not wait")
 	require.Equal(t, 1, f.count)
 }
 
-// TestFreshWithoutPower has no bound where the power of the host is not known.
-func TestFreshWithoutPower(t *testing.T) {
+// TestUnreadConnsWithUnknownCores has no bound where the power of the host is not known.
+func TestUnreadConnsWithUnknownCores(t *testing.T) {
 	var f UnreadConns
 	for range 10000 {
 		f.Add(&AcceptedConn{At: time.Now()})
--- a/gateway/pressure/yield.go
+++ b/gateway/pressure/yield.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// A router that sheds yieldFrom of its new requests or more for yieldAfter
+	// A router that sheds yieldShedFraction of its new requests or more for yieldAfter
 	// asks the balancer to send its callers elsewhere.
-	yieldFrom  = 0.2
-	yieldAfter = 500 * time.Millisecond
-	// yieldFirst is how long it does so at first. Where it happens again within
+	yieldShedFraction = 0.2
+	yieldAfter        = 500 * time.Millisecond
+	// minYieldTime is how long it does so at first. Where it happens again within
 	// yieldAgain of its end, it lasts twice as long, up to yieldLongest.
-	yieldFirst   = 12 * time.Second
-	yieldAgain   = 10 * time.Second
-	yieldLongest = 48 * time.Second
+	minYieldTime       = 12 * time.Second
+	yieldBackoffWindow = 10 * time.Second
+	maxYieldTime       = 48 * time.Second
 )
 
 // Hall is what a router knows of the others of its hall.
@@ -26,25 +26,25 @@
 // of the hall ready, since the balancer uses all of them where fewer are. The
 // zero value is ready.
 type yielder struct {
-	passingSince time.Duration // 0: it is not
-	until        time.Duration // of the time that it yields
-	lasts        time.Duration // of the last such time
+	sheddingSince time.Duration // 0: it is not
+	yieldUntil    time.Duration // of the time that it yields
+	yieldTime     time.Duration // of the last such time
 }
 
-// note takes in the part of the new requests that is shed, and tells
+// update takes in the part of the new requests that is shed, and tells
 // whether the router yields.
-func (y *yielder) note(now time.Duration, part float64, hall Hall) bool {
-	if now < y.until {
+func (y *yielder) update(now time.Duration, fraction float64, hall Hall) bool {
+	if now < y.yieldUntil {
 		return true
 	}
-	if part < yieldFrom {
-		y.passingSince = 0
+	if fraction < yieldShedFraction {
+		y.sheddingSince = 0
 		return false
 	}
-	if y.passingSince == 0 {
-		y.passingSince = now
+	if y.sheddingSince == 0 {
+		y.sheddingSince = now
 	}
-	if now-y.passingSince < yieldAfter || !hall.spares() {
+	if now-y.sheddingSince < yieldAfter || !hall.canSpareOne() {
 		return false
 	}
 	y.begin(now)
@@ -52,15 +52,15 @@
 }
 
 func (y *yielder) begin(now time.Duration) {
-	if y.lasts == 0 || now-y.until > yieldAgain {
-		y.lasts = yieldFirst / 2
+	if y.yieldTime == 0 || now-y.yieldUntil > yieldBackoffWindow {
+		y.yieldTime = minYieldTime / 2
 	}
-	y.lasts = min(2*y.lasts, yieldLongest)
-	y.until = now + y.lasts
-	y.passingSince = 0
+	y.yieldTime = min(2*y.yieldTime, maxYieldTime)
+	y.yieldUntil = now + y.yieldTime
+	y.sheddingSince = 0
 }
 
-// spares tells whether the hall can do with one ready router less.
-func (h Hall) spares() bool {
+// canSpareOne tells whether the hall can do with one ready router less.
+func (h Hall) canSpareOne() bool {
 	return h.Unloaded > 0 && 2*(h.Yielding+1) <= h.Routers+1
 }
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -15,21 +15,21 @@
 	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
 	var y yielder
-	pass := func(d time.Duration, part float64) (yielding time.Duration) {
+	shedFor := func(d time.Duration, fraction float64) (yielding time.Duration) {
 		for end := now + d; now < end; now += 25 * time.Millisecond {
-			if y.note(now, part, hall) {
+			if y.update(now, fraction, hall) {
 				yielding += 25 * time.Millisecond
 			}
 		}
 		return yielding
 	}
-	require.Zero(t, pass(time.Minute, yieldFrom/2))
-	require.Zero(t, pass(yieldAfter, 0.9), "a moment")
-	require.InDelta(t, yieldFirst.Seconds(), pass(yieldFirst, 0.9).Seconds(), 0.1)
-	pass(time.Second, 0.9)
-	require.InDelta(t, 2*yieldFirst.Seconds(), pass(40*time.Second, 0).Seconds(), 1.1)
-	pass(yieldAgain, 0)
-	require.InDelta(t, yieldFirst.Seconds(), pass(yieldFirst+time.Second, 0.9).Seconds(), 0.6)
+	require.Zero(t, shedFor(time.Minute, yieldShedFraction/2))
+	require.Zero(t, shedFor(yieldAfter, 0.9), "a moment")
+	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime, 0.9).Seconds(), 0.1)
+	shedFor(time.Second, 0.9)
+	require.InDelta(t, 2*minYieldTime.Seconds(), shedFor(40*time.Second, 0).Seconds(), 1.1)
+	shedFor(yieldBackoffWindow, 0)
+	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime+time.Second, 0.9).Seconds(), 0.6)
 }
 
 // TestHalfStaysReady has no hall end up with less than half of its routers ready,
@@ -48,7 +48,7 @@
 						hall.Yielding++
 					}
 				}
-				yields[i] = routers[i].note(now, 0.9, hall)
+				yields[i] = routers[i].update(now, 0.9, hall)
 			}
 			ready := 0
 			for _, y := range yields {
--- a/loads/bytes_test.go
+++ b/loads/bytes_test.go
@@ -59,9 +59,9 @@
 	return bytesOf(&list)
 }
 
-// fleetSize is a fleet whose bytes are counted. Each router has requests at some servers of
+// simulatedFleet is a fleet whose bytes are counted. Each router has requests at some servers of
 // its region, sees some teams, and makes some copies.
-type fleetSize struct {
+type simulatedFleet struct {
 	name                             string
 	routers, halls, regions, servers int
 }
@@ -73,7 +73,7 @@
 	sizeCopies  = 20 // that each router makes in a second
 )
 
-var fleetSizes = []fleetSize{
+var simulatedFleets = []simulatedFleet{
 	{"29 routers", 29, 3, 1, 60},
 	{"24 routers", 24, 6, 3, 60},
 	{"100 routers", 100, 6, 3, 1000},
@@ -93,15 +93,15 @@
 		t.mean/1e3, t.busiest/1e3, t.betweenHalls/1e3, t.betweenRegions/1e3, t.largest)
 }
 
-// play returns what a fleet sends. Without regions routers do not know of them, all digests
+// simulate returns what a fleet sends. Without regions routers do not know of them, all digests
 // are whole, and copies go with heartbeats.
-func (f fleetSize) play(regions bool) traffic {
+func (f simulatedFleet) simulate(regions bool) traffic {
 	s, region := f.build(regions)
 	perSecond := float64(time.Second / TeamsInterval)
 	var out traffic
 	sent := make(map[string]float64)
 	f.rounds(s, 12, regions)
-	s.sent = func(from string, fl flight) {
+	s.onSend = func(from string, fl packet) {
 		n := bytesOfList(from, fl.msg)
 		bytes := perSecond * float64(n)
 		sent[from] += bytes
@@ -130,11 +130,11 @@
 
 // addHeartbeats adds the copies in heartbeats: arithmetic, on 100 heartbeats a second at
 // most to 24 others at random, told for 700 ms, 64 in each at most.
-func (f fleetSize) addHeartbeats(out *traffic, sent map[string]float64) {
+func (f simulatedFleet) addHeartbeats(out *traffic, sent map[string]float64) {
 	targets := min(f.routers-1, 24)
 	beats := min(float64(targets)*10, 100)
 	row := float64(bytesOf(&Copy{Part: 1 << 63, Server: 1 << 31}))
-	each := beats * row * min(sizeCopies*copyFor.Seconds(), 64)
+	each := beats * row * min(sizeCopies*copyTTL.Seconds(), 64)
 	for from := range sent {
 		sent[from] += each
 	}
@@ -143,27 +143,27 @@
 	out.betweenHalls += all * (1/float64(f.regions) - 1/float64(f.halls))
 }
 
-func (f fleetSize) build(regions bool) (*storm, map[string]string) {
-	places := make([]string, f.routers)
+func (f simulatedFleet) build(regions bool) (*lossyNetwork, map[string]string) {
+	locations := make([]string, f.routers)
 	region := make(map[string]string)
-	for i := range places {
+	for i := range locations {
 		hall := i % f.halls
 		region[fmt.Sprint("r", i)] = fmt.Sprint("region", hall%f.regions)
-		places[i] = fmt.Sprintf("region%d/hall%d", hall%f.regions, hall)
+		locations[i] = fmt.Sprintf("region%d/hall%d", hall%f.regions, hall)
 		if !regions {
-			places[i] = fmt.Sprintf("/hall%d", hall)
+			locations[i] = fmt.Sprintf("/hall%d", hall)
 		}
 	}
-	s := newStorm(1, places...)
+	s := newLossyNetwork(1, locations...)
 	for i, r := range s.routers {
 		s.own[r.Address] = f.loads(s.random, i%f.halls%f.regions)
 	}
-	s.allKnow()
+	s.connectAll()
 	return s, region
 }
 
 // loads returns what a router has at servers of its region.
-func (f fleetSize) loads(random *rand.Rand, region int) []Load {
+func (f simulatedFleet) loads(random *rand.Rand, region int) []Load {
 	of := f.servers / f.regions
 	var out []Load
 	for _, i := range random.Perm(of)[:min(of, sizeRunning)] {
@@ -177,7 +177,7 @@
 }
 
 // churn changes some of a router's loads.
-func (f fleetSize) churn(random *rand.Rand, own []Load) {
+func (f simulatedFleet) churn(random *rand.Rand, own []Load) {
 	for range sizeChanges {
 		one := &own[random.IntN(len(own))]
 		one.Running = 1 + random.Int32N(8)
@@ -186,7 +186,7 @@
 }
 
 // rounds plays some rounds in which nothing is lost.
-func (f fleetSize) rounds(s *storm, rounds int, regions bool) {
+func (f simulatedFleet) rounds(s *lossyNetwork, rounds int, regions bool) {
 	var teams []TeamUse
 	for i := range sizeTeams {
 		teams = append(teams, TeamUse{Team: fmt.Sprint("team-", i), Offered: 5e3, Recent: 5e3, Served: 4e3})
@@ -203,15 +203,15 @@
 			if every := int(time.Second / RoundInterval / sizeCopies); regions && (s.rounds+i)%every == 0 {
 				tick.Copies = []Copy{{Part: s.random.Uint64(), Server: s.random.Uint32()}}
 			}
-			s.tell(r.Address, tick)
+			s.update(r.Address, tick)
 		}
-		for i := 0; i < len(s.flying); i++ {
+		for i := 0; i < len(s.inFlight); i++ {
 			if !regions {
-				s.flying[i].msg.Base = 0
+				s.inFlight[i].msg.Base = 0
 			}
-			s.fly(i)
+			s.transmit(i)
 		}
-		s.flying = s.flying[:0]
+		s.inFlight = s.inFlight[:0]
 	}
 }
 
@@ -219,8 +219,8 @@
 // halls which do not know of regions would, and copies in lists fewer bytes than in
 // heartbeats.
 func TestRegionBytes(t *testing.T) {
-	for _, f := range fleetSizes[:2] {
-		without, with := f.play(false), f.play(true)
+	for _, f := range simulatedFleets[:2] {
+		without, with := f.simulate(false), f.simulate(true)
 		t.Logf("%s without regions: %v", f.name, without)
 		t.Logf("%s with regions:    %v", f.name, with)
 		require.LessOrEqual(t, with.betweenRegions, without.betweenRegions/6)
@@ -230,11 +230,11 @@
 
 // BenchmarkBytes prints what fleets of several sizes send in a second.
 func BenchmarkBytes(b *testing.B) {
-	for _, f := range fleetSizes {
+	for _, f := range simulatedFleets {
 		for name, regions := range map[string]bool{"without regions": false, "with regions": true} {
 			b.Run(f.name+" "+name, func(b *testing.B) {
 				for b.Loop() {
-					b.Log(f.play(regions))
+					b.Log(f.simulate(regions))
 				}
 			})
 		}
--- a/loads/copies_test.go
+++ b/loads/copies_test.go
@@ -13,9 +13,9 @@
 }
 
 // countCopies counts the lists, each once, that tell of each copy.
-func (s *storm) countCopies() map[sentCopy]map[uint64]bool {
+func (s *lossyNetwork) countCopies() map[sentCopy]map[uint64]bool {
 	lists := make(map[sentCopy]map[uint64]bool)
-	s.sent = func(from string, f flight) {
+	s.onSend = func(from string, f packet) {
 		for _, c := range f.msg.Copies {
 			one := sentCopy{from, f.to, c}
 			if lists[one] == nil {
@@ -28,22 +28,22 @@
 }
 
 // makeCopies has each router make a copy in each of some rounds, and returns who made which.
-func (s *storm) makeCopies(rounds int) map[Copy]Router {
+func (s *lossyNetwork) makeCopies(rounds int) map[Copy]Router {
 	made := make(map[Copy]Router)
 	for range rounds {
 		for i, r := range s.routers {
 			one := Copy{Part: uint64(len(made)), Server: uint32(i)}
 			made[one] = r
-			s.made[r.Address] = append(s.made[r.Address], one)
+			s.newCopies[r.Address] = append(s.newCopies[r.Address], one)
 		}
 		s.run(1, nil)
 	}
 	return made
 }
 
-// arrived counts the routers of the makers' regions that were told of each copy, and those
+// countArrived counts the routers of the makers' regions that were told of each copy, and those
 // that should have been; none is told twice, nor of its own or another region's copies.
-func (s *storm) arrived(t *testing.T, made map[Copy]Router) (told, all int) {
+func (s *lossyNetwork) countArrived(t *testing.T, made map[Copy]Router) (received, all int) {
 	for one, maker := range made {
 		for _, r := range s.routers {
 			if r.Region != maker.Region || r.Address == maker.Address {
@@ -51,33 +51,33 @@
 				continue
 			}
 			all++
-			told += s.copies[r.Address][one]
+			received += s.copies[r.Address][one]
 			require.LessOrEqual(t, s.copies[r.Address][one], 1)
 		}
 	}
-	return told, all
+	return received, all
 }
 
-// TestCopiesArriveSoon has every router of a region know of a copy 100 ms after it was made.
-func TestCopiesArriveSoon(t *testing.T) {
-	s := newStorm(1, "north/a", "north/a", "north/a", "north/b", "north/b", "north/c", "south/d")
+// TestCopiesArriveWithin100ms has every router of a region know of a copy 100 ms after it was made.
+func TestCopiesArriveWithin100ms(t *testing.T) {
+	s := newLossyNetwork(1, "north/a", "north/a", "north/a", "north/b", "north/b", "north/c", "south/d")
 	s.run(20, nil)
 	made := s.makeCopies(1)
 	s.run(3, nil)
-	told, all := s.arrived(t, made)
+	told, all := s.countArrived(t, made)
 	require.Equal(t, all, told)
 }
 
 // TestCopiesUnderLoss has all but one in a hundred copies arrive where a tenth of all lists
 // is lost, and none be in more than three lists from one router to another.
 func TestCopiesUnderLoss(t *testing.T) {
-	s := newStorm(1, append(threeRegions, "north/f", "north/f")...)
+	s := newLossyNetwork(1, append(threeRegions, "north/f", "north/f")...)
 	s.run(20, nil)
-	s.loss = 0.1
+	s.faultRate = 0.1
 	lists := s.countCopies()
 	made := s.makeCopies(100)
 	s.run(20, nil)
-	told, all := s.arrived(t, made)
+	told, all := s.countArrived(t, made)
 	require.Greater(t, told, all*99/100, "of %d", all)
 	for one, numbers := range lists {
 		require.LessOrEqual(t, len(numbers), copyRepeats, "%+v", one)
@@ -90,14 +90,14 @@
 // TestCopiesWithinBudget makes more copies than lists may hold: each list holds no more than
 // it may, and tells the newest.
 func TestCopiesWithinBudget(t *testing.T) {
-	s := newStorm(1, "north/a", "north/a", "north/a", "north/b", "north/b")
+	s := newLossyNetwork(1, "north/a", "north/a", "north/a", "north/b", "north/b")
 	s.run(20, nil)
-	s.sent = func(_ string, f flight) { require.LessOrEqual(t, len(f.msg.Copies), copiesMost) }
+	s.onSend = func(_ string, f packet) { require.LessOrEqual(t, len(f.msg.Copies), maxCopiesPerList) }
 	var last Copy
-	for part := range 40 * copiesMost {
+	for part := range 40 * maxCopiesPerList {
 		last = Copy{Part: uint64(part), Server: 1}
-		s.made["r0"] = append(s.made["r0"], last)
-		if part%copiesMost == 0 {
+		s.newCopies["r0"] = append(s.newCopies["r0"], last)
+		if part%maxCopiesPerList == 0 {
 			s.run(1, nil)
 		}
 	}
@@ -107,14 +107,14 @@
 	}
 }
 
-// TestOldCopiesAreForgotten has a copy that is made again later be told again.
-func TestOldCopiesAreForgotten(t *testing.T) {
-	s := newStorm(1, "north/a", "north/b")
+// TestExpiredCopiesAreSentAgain has a copy that is made again later be told again.
+func TestExpiredCopiesAreSentAgain(t *testing.T) {
+	s := newLossyNetwork(1, "north/a", "north/b")
 	s.run(20, nil)
 	one := Copy{Part: 1, Server: 1}
 	for range 2 {
-		s.made["r0"] = []Copy{one}
-		s.run(2*int(copyFor/RoundInterval), nil)
+		s.newCopies["r0"] = []Copy{one}
+		s.run(2*int(copyTTL/RoundInterval), nil)
 	}
 	require.Equal(t, 2, s.copies["r1"][one])
 	require.Empty(t, s.exchanges["r1"].copies.entries)
--- a/loads/delta.go
+++ b/loads/delta.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	// deltaAbove is the number of servers above which digests are sent as deltas. A full
+	// deltaThreshold is the number of servers above which digests are sent as deltas. A full
 	// digest of so many has 2.5 kB, which costs a hall's aggregator 100 kB a second for each
 	// router that reports to it.
-	deltaAbove = 256
-	// deltaPart bounds the size of a delta: where more than one load in so many has changed,
+	deltaThreshold = 256
+	// minDeltaRatio bounds the size of a delta: where more than one load in so many has changed,
 	// a full digest is sent, from which the next deltas are small again.
-	deltaPart = 4
+	minDeltaRatio = 4
 )
 
 // fullDigest is the last full digest that was sent to a router or that came from one. Its
 // checksum names it, so that a delta is applied only to the digest that it was taken from.
 type fullDigest struct {
-	loads []Load
-	base  uint64 // the checksum; 0: no delta is taken from it
+	loads    []Load
+	checksum uint64 // the checksum; 0: no delta is taken from it
 }
 
 // newFullDigest returns a full digest; a small one is kept empty, without a checksum.
 func newFullDigest(loads []Load) fullDigest {
-	if len(loads) <= deltaAbove {
+	if len(loads) <= deltaThreshold {
 		return fullDigest{}
 	}
-	return fullDigest{loads: loads, base: checksum(loads)}
+	return fullDigest{loads: loads, checksum: checksum(loads)}
 }
 
 // deltaFor returns the loads of a digest that answers a report: the delta to the full digest
 // that the router says it holds, with its base, or all loads and 0.
-func (e *Exchange) deltaFor(report ListMsg, loads []Load) (tell []Load, base uint64) {
-	if w := e.sentFull[report.From]; w.base != 0 && w.base == report.Base {
-		if changed := diff(w.loads, loads); deltaPart*len(changed) <= len(loads) {
-			return changed, w.base
+func (e *Exchange) deltaFor(report ListMsg, loads []Load) (send []Load, base uint64) {
+	if w := e.sentDigests[report.From]; w.checksum != 0 && w.checksum == report.Base {
+		if changed := diff(w.loads, loads); minDeltaRatio*len(changed) <= len(loads) {
+			return changed, w.checksum
 		}
 	}
-	e.sentFull[report.From] = newFullDigest(loads)
+	e.sentDigests[report.From] = newFullDigest(loads)
 	return loads, 0
 }
 
-// expand returns all loads of a digest; ok is false where the digest is a delta to one that
+// applyDigest returns all loads of a digest; ok is false where the digest is a delta to one that
 // this router does not hold.
-func (e *Exchange) expand(msg ListMsg) (loads []Load, ok bool) {
+func (e *Exchange) applyDigest(msg ListMsg) (loads []Load, ok bool) {
 	if msg.Base == 0 {
-		e.heldFull = newFullDigest(msg.Loads)
+		e.heldDigest = newFullDigest(msg.Loads)
 		return msg.Loads, true
 	}
-	if msg.Base != e.heldFull.base {
+	if msg.Base != e.heldDigest.checksum {
 		return nil, false
 	}
-	return patch(e.heldFull.loads, msg.Loads), true
+	return patch(e.heldDigest.loads, msg.Loads), true
 }
 
 // diff returns the loads that have changed; those that are gone are zero.
--- a/loads/delta_test.go
+++ b/loads/delta_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestChangesAreExact has the old loads and what changed give the new ones.
-func TestChangesAreExact(t *testing.T) {
+// TestDeltaRoundTrip has the old loads and what changed give the new ones.
+func TestDeltaRoundTrip(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) []Load {
 		loads := sum(rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Load {
 			return Load{Server: rapid.Uint32Range(0, 9).Draw(t, "server"), Running: rapid.Int32Range(1, 3).Draw(t, "running")}
@@ -21,35 +21,35 @@
 	})
 }
 
-// TestChangesUnderAnyTrouble has routers with so many servers that digests tell changes,
+// TestDeltasUnderFaults has routers with so many servers that digests tell changes,
 // while lists are lost, late and repeated, loads change and routers start anew: each soon
 // knows exactly what the others have.
-func TestChangesUnderAnyTrouble(t *testing.T) {
+func TestDeltasUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
-		s := newStorm(seed, "north/a", "north/a", "north/a", "south/c")
+		s := newLossyNetwork(seed, "north/a", "north/a", "north/a", "south/c")
 		for i, r := range s.routers {
 			s.own[r.Address] = manyLoads(i)
 		}
 		s.run(10, nil)
-		s.loss = 0.2
-		shortened := 0
-		s.sent = func(_ string, f flight) {
+		s.faultRate = 0.2
+		deltas := 0
+		s.onSend = func(_ string, f packet) {
 			if f.msg.Base != 0 && f.msg.Kind == Digest {
-				shortened++
+				deltas++
 			}
 		}
 		for range 40 {
-			s.changeOne()
+			s.changeRandomRouter()
 			s.run(1, nil)
 		}
-		require.Positive(t, shortened)
-		s.quiet()
-		s.settled(t)
+		require.Positive(t, deltas)
+		s.endAllFaults()
+		s.requireConverged(t)
 	}
 }
 
-// changeOne changes some of a router's loads, and starts it anew now and then.
-func (s *storm) changeOne() {
+// changeRandomRouter changes some of a router's loads, and starts it anew now and then.
+func (s *lossyNetwork) changeRandomRouter() {
 	i := s.random.IntN(len(s.routers))
 	if s.random.IntN(10) == 0 {
 		s.restart(s.routers[i])
@@ -61,7 +61,7 @@
 
 func manyLoads(router int) []Load {
 	var out []Load
-	for i := range deltaAbove + 100 {
+	for i := range deltaThreshold + 100 {
 		out = append(out, Load{Server: uint32(1000 + i), Running: int32(1 + (i+router)%7)})
 	}
 	return out
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -21,11 +21,11 @@
 	teams     map[string][]TeamUse
 	rollouts  map[string][]rollout.Report
 	copies    map[string]map[Copy]int // how often each was told of a copy
-	off       map[string]bool         // without power
-	flying    []flight
+	down      map[string]bool         // without power
+	inFlight  []packet
 }
 
-type flight struct {
+type packet struct {
 	to  string
 	msg ListMsg
 }
@@ -34,7 +34,7 @@
 // its number.
 func newNetwork(halls ...string) *network {
 	n := &network{exchanges: make(map[string]*Exchange), own: make(map[string][]Load), others: make(map[string][]Load), now: time.Second,
-		teams: make(map[string][]TeamUse), off: make(map[string]bool),
+		teams: make(map[string][]TeamUse), down: make(map[string]bool),
 		rollouts: make(map[string][]rollout.Report), copies: make(map[string]map[Copy]int)}
 	for i, hall := range halls {
 		r := Router{Address: fmt.Sprint("r", i), Hall: hall, Power: float64(1 + i%2)}
@@ -45,29 +45,29 @@
 	return n
 }
 
-// knows tells a router which others are there.
-func (n *network) knows(address string, there func(Router) bool) {
+// setRouters tells a router which others are there.
+func (n *network) setRouters(address string, alive func(Router) bool) {
 	var out []Router
 	for _, r := range n.routers {
-		if r.Address != address && there(r) {
+		if r.Address != address && alive(r) {
 			out = append(out, r)
 		}
 	}
-	n.tell(address, RoutersMsg{Routers: out})
+	n.update(address, RoutersMsg{Routers: out})
 }
 
-func (n *network) allKnow() {
+func (n *network) connectAll() {
 	for _, r := range n.routers {
-		n.knows(r.Address, func(Router) bool { return true })
+		n.setRouters(r.Address, func(Router) bool { return true })
 	}
 }
 
-func (n *network) tell(address string, msg Msg) {
+func (n *network) update(address string, msg Msg) {
 	for _, cmd := range n.exchanges[address].Update(msg) {
 		switch cmd := cmd.(type) {
 		case SendCmd:
 			n.number++
-			n.flying = append(n.flying, flight{to: cmd.To, msg: ListMsg{
+			n.inFlight = append(n.inFlight, packet{to: cmd.To, msg: ListMsg{
 				From: address, Hall: n.hallOf(address), Kind: cmd.Kind, Number: n.number, Loads: cmd.Loads, HasTeams: cmd.HasTeams, Teams: cmd.Teams,
 				Region: cmd.Region, Base: cmd.Base, Rollouts: cmd.Rollouts, Copies: cmd.Copies,
 			}})
@@ -76,12 +76,12 @@
 			if cmd.HasTeams {
 				n.teams[address], n.rollouts[address] = cmd.Teams, cmd.Rollouts
 			}
-			n.tellCopies(address, cmd.Copies)
+			n.countReceivedCopies(address, cmd.Copies)
 		}
 	}
 }
 
-func (n *network) tellCopies(address string, told []Copy) {
+func (n *network) countReceivedCopies(address string, told []Copy) {
 	for _, c := range told {
 		if n.copies[address] == nil {
 			n.copies[address] = make(map[Copy]int)
@@ -101,36 +101,36 @@
 
 // deliver brings the i-th list under way.
 func (n *network) deliver(i int) {
-	f := n.flying[i]
+	f := n.inFlight[i]
 	f.msg.Now = n.now
-	n.tell(f.to, f.msg)
+	n.update(f.to, f.msg)
 }
 
 // round lets all tick and delivers what is under way as chosen.
-func (n *network) round(arrives func(flight) bool) {
+func (n *network) round(arrives func(packet) bool) {
 	n.now += RoundInterval
 	for _, r := range n.routers {
-		n.tell(r.Address, TickMsg{Now: n.now, Own: n.own[r.Address]})
+		n.update(r.Address, TickMsg{Now: n.now, Own: n.own[r.Address]})
 	}
-	for i := 0; i < len(n.flying); i++ {
-		if arrives(n.flying[i]) {
+	for i := 0; i < len(n.inFlight); i++ {
+		if arrives(n.inFlight[i]) {
 			n.deliver(i)
 		}
 	}
-	n.flying = n.flying[:0]
+	n.inFlight = n.inFlight[:0]
 }
 
-func always(flight) bool { return true }
+func always(packet) bool { return true }
 
-// settled holds that every router knows exactly what all the others have.
-func (n *network) settled(t require.TestingT) {
+// requireConverged holds that every router knows exactly what all the others have.
+func (n *network) requireConverged(t require.TestingT) {
 	for _, r := range n.routers {
-		n.knowsAll(t, r)
+		n.requireKnowsAll(t, r)
 	}
 }
 
-// knowsAll holds that a router knows exactly what all the others have.
-func (n *network) knowsAll(t require.TestingT, r Router) {
+// requireKnowsAll holds that a router knows exactly what all the others have.
+func (n *network) requireKnowsAll(t require.TestingT, r Router) {
 	var lists [][]Load
 	for _, other := range n.routers {
 		if other.Address != r.Address {
@@ -140,24 +140,24 @@
 	require.Equal(t, sum(lists...), n.others[r.Address], "what %s knows", r.Address)
 }
 
-// heal runs as many rounds as it may take until old lists are dropped and avoided
+// recoverFaults runs as many rounds as it may take until old lists are dropped and avoided
 // aggregators are tried again.
-func (n *network) heal() {
-	n.allKnow()
-	for range int((LoadsTTL+avoidedFor)/RoundInterval) + 20 {
+func (n *network) recoverFaults() {
+	n.connectAll()
+	for range int((LoadsTTL+avoidDuration)/RoundInterval) + 20 {
 		n.round(always)
 	}
 }
 
-// TestAllKnowAll has routers of three halls know within a few rounds what all the
+// TestRoutersConverge has routers of three halls know within a few rounds what all the
 // others have.
-func TestAllKnowAll(t *testing.T) {
+func TestRoutersConverge(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b", "b", "c")
-	n.allKnow()
+	n.connectAll()
 	for range 4 {
 		n.round(always)
 	}
-	n.settled(t)
+	n.requireConverged(t)
 	require.Equal(t, "r1", n.exchanges["r0"].Aggregator())
 	require.Equal(t, "r3", n.exchanges["r4"].Aggregator())
 }
@@ -170,11 +170,11 @@
 		halls[i] = fmt.Sprint("hall", i%3)
 	}
 	n := newNetwork(halls...)
-	n.allKnow()
+	n.connectAll()
 	sent := make(map[string]int)
 	for range 10 {
 		clear(sent)
-		n.round(func(f flight) bool { sent[f.msg.From]++; return true })
+		n.round(func(f packet) bool { sent[f.msg.From]++; return true })
 	}
 	for _, r := range n.routers {
 		want := 1
@@ -189,19 +189,19 @@
 // report to the next one, and come back after it has answered again.
 func TestSilentAggregatorIsReplaced(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b")
-	n.allKnow()
-	cut := func(f flight) bool { return f.to != "r1" && f.msg.From != "r1" }
+	n.connectAll()
+	isolated := func(f packet) bool { return f.to != "r1" && f.msg.From != "r1" }
 	for range 4 {
 		n.round(always)
 	}
-	for range int((silence+LoadsTTL)/RoundInterval) + 6 {
-		n.round(cut)
+	for range int((aggregatorTimeout+LoadsTTL)/RoundInterval) + 6 {
+		n.round(isolated)
 	}
 	require.NotEqual(t, "r1", n.exchanges["r0"].Aggregator())
 	require.Equal(t, sum(n.own["r2"], n.own["r3"]), n.others["r0"])
-	n.heal()
+	n.recoverFaults()
 	require.Equal(t, "r1", n.exchanges["r0"].Aggregator())
-	n.settled(t)
+	n.requireConverged(t)
 }
 
 // TestEveryLoss goes through all ways in which three routers may lose each list
@@ -211,36 +211,36 @@
 func TestEveryLoss(t *testing.T) {
 	for _, halls := range [][]string{{"a", "a", "a"}, {"a", "a", "b"}, {"a", "b", "c"}} {
 		for unknown := range 4 { // 3: all are known
-			explore(t, halls, unknown)
+			runLossPatterns(t, halls, unknown)
 		}
 	}
 }
 
-// explore runs each pattern of losses: eight decisions, taken again in turn where
+// runLossPatterns runs each pattern of losses: eight decisions, taken again in turn where
 // two rounds bring more lists.
-func explore(t *testing.T, halls []string, unknown int) {
+func runLossPatterns(t *testing.T, halls []string, unknown int) {
 	const decisions = 8
 	for pattern := range 1 << decisions {
 		n := newNetwork(halls...)
 		for i, r := range n.routers {
-			n.knows(r.Address, func(o Router) bool { return unknown == 3 || o.Address != n.routers[unknown].Address || i == 2 })
+			n.setRouters(r.Address, func(o Router) bool { return unknown == 3 || o.Address != n.routers[unknown].Address || i == 2 })
 		}
 		used := 0
 		for range 2 {
-			n.round(func(flight) bool {
+			n.round(func(packet) bool {
 				used++
 				return pattern>>(used%decisions)&1 == 1
 			})
-			n.nothingTwice(t)
+			n.requireNoDoubleCount(t)
 		}
-		n.heal()
-		n.settled(t)
+		n.recoverFaults()
+		n.requireConverged(t)
 	}
 }
 
-// nothingTwice holds that no router counts itself, nor more of another than it
+// requireNoDoubleCount holds that no router counts itself, nor more of another than it
 // has. It holds while no router has changed its aggregator lately.
-func (n *network) nothingTwice(t require.TestingT) {
+func (n *network) requireNoDoubleCount(t require.TestingT) {
 	for i, r := range n.routers {
 		for _, l := range n.others[r.Address] {
 			if l.Server == 999 {
@@ -260,7 +260,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 3, 6).Draw(t, "halls")
 		n := newNetwork(halls...)
-		n.allKnow()
+		n.connectAll()
 		for range rapid.IntRange(1, 25).Draw(t, "rounds") {
 			switch rapid.IntRange(0, 9).Draw(t, "trouble") {
 			case 0:
@@ -269,22 +269,22 @@
 			case 1:
 				r := rapid.SampledFrom(n.routers).Draw(t, "ignorant")
 				away := rapid.SampledFrom(n.routers).Draw(t, "away")
-				n.knows(r.Address, func(o Router) bool { return o.Address != away.Address })
+				n.setRouters(r.Address, func(o Router) bool { return o.Address != away.Address })
 			case 2:
 				r := rapid.SampledFrom(n.routers).Draw(t, "changed")
 				n.own[r.Address] = []Load{{Server: 5, Running: rapid.Int32Range(0, 9).Draw(t, "running")}}
 			}
-			old := append([]flight(nil), n.flying...)
-			n.round(func(flight) bool { return rapid.Bool().Draw(t, "arrives") })
-			n.flying = append(n.flying, old...)
+			old := append([]packet(nil), n.inFlight...)
+			n.round(func(packet) bool { return rapid.Bool().Draw(t, "arrives") })
+			n.inFlight = append(n.inFlight, old...)
 			for i := range old {
 				if rapid.Bool().Draw(t, "again") {
 					n.deliver(i)
 				}
 			}
-			n.flying = n.flying[:0]
+			n.inFlight = n.inFlight[:0]
 		}
-		n.heal()
-		n.settled(t)
+		n.recoverFaults()
+		n.requireConverged(t)
 	})
 }
--- a/loads/regions.go
+++ b/loads/regions.go
@@ -12,15 +12,15 @@
 // with the lists that tell of teams, and a few may be lost.
 const RegionTTL = TeamsTTL
 
-// regionSilence is how long a router of another region may leave lists unanswered before the
+// regionTimeout is how long a router of another region may leave lists unanswered before the
 // next one is told too, and how old its list may be before a worse sender's newer list counts
 // instead: time for three lists to be lost in a row.
-const regionSilence = 4 * TeamsInterval
+const regionTimeout = 4 * TeamsInterval
 
-// regionTold bounds the routers of one region that are told while none of them answers: the
+// maxRegionTargets bounds the routers of one region that are told while none of them answers: the
 // first of its halls' aggregators, the next one, and a router that may have taken over from
 // the first.
-const regionTold = 3
+const maxRegionTargets = 3
 
 // regionKey names the lists that one router tells of one region.
 type regionKey struct{ region, from string }
@@ -34,50 +34,50 @@
 	rollouts []rollout.Report
 }
 
-// takeRegion takes in what another region has and passes it on: a region's aggregator to
+// handleRegion takes in what another region has and passes it on: a region's aggregator to
 // those of its halls, and these to the routers that report to them.
-func (e *Exchange) takeRegion(msg ListMsg) {
-	if msg.Region == e.self.Region || !e.renewRegion(msg) {
+func (e *Exchange) handleRegion(msg ListMsg) {
+	if msg.Region == e.self.Region || !e.storeRegionIfNewer(msg) {
 		return
 	}
-	if _, told := e.asked[msg.From]; msg.Kind == RegionSum && e.gathers() && !told {
+	if _, contacted := e.regionTargets[msg.From]; msg.Kind == RegionSum && e.aggregates() && !contacted {
 		e.dropLoads(msg.Now)
 		e.emit(e.regionSum(msg.Now, msg.From, RegionAnswer))
 	}
-	if e.best(msg.Now, msg.Region).from == msg.From {
-		e.passOn(msg)
+	if e.bestRegionList(msg.Now, msg.Region).from == msg.From {
+		e.forward(msg)
 	}
 }
 
-// renewRegion keeps a list that is newer than the last of its region and sender.
-func (e *Exchange) renewRegion(msg ListMsg) bool {
+// storeRegionIfNewer keeps a list that is newer than the last of its region and sender.
+func (e *Exchange) storeRegionIfNewer(msg ListMsg) bool {
 	key := regionKey{msg.Region, msg.From}
-	if old, ok := e.regions[key]; ok && msg.Number <= old.number {
+	if old, ok := e.regionLists[key]; ok && msg.Number <= old.number {
 		return false
 	}
-	e.regions[key] = regionList{
-		list: list{at: msg.Now, number: msg.Number, loads: msg.Loads},
+	e.regionLists[key] = regionList{
+		list: list{receivedAt: msg.Now, number: msg.Number, loads: msg.Loads},
 		from: msg.From, teams: msg.Teams, rollouts: msg.Rollouts,
 	}
 	return true
 }
 
-// passOn hands another region's list one step down; no step leads back up, so none goes
+// forward hands another region's list one step down; no step leads back up, so none goes
 // round in a circle.
-func (e *Exchange) passOn(msg ListMsg) {
-	if !e.gathers() {
+func (e *Exchange) forward(msg ListMsg) {
+	if !e.aggregates() {
 		return
 	}
 	switch msg.Kind {
 	case RegionSum, RegionAnswer:
-		e.pass(msg, RegionForward, e.neighbours())
-		e.pass(msg, RegionDigest, sortedKeys(e.reports))
+		e.forwardTo(msg, RegionForward, e.peerAggregators())
+		e.forwardTo(msg, RegionDigest, sortedKeys(e.reports))
 	case RegionForward:
-		e.pass(msg, RegionDigest, sortedKeys(e.reports))
+		e.forwardTo(msg, RegionDigest, sortedKeys(e.reports))
 	}
 }
 
-func (e *Exchange) pass(msg ListMsg, kind Kind, to []string) {
+func (e *Exchange) forwardTo(msg ListMsg, kind Kind, to []string) {
 	for _, r := range to {
 		if r != msg.From {
 			e.emit(SendCmd{To: r, Kind: kind, Region: msg.Region, Loads: msg.Loads, HasTeams: true, Teams: msg.Teams, Rollouts: msg.Rollouts})
@@ -85,48 +85,48 @@
 	}
 }
 
-// gathers tells whether this router adds up what others have.
-func (e *Exchange) gathers() bool { return e.aggregator == e.self.Address || len(e.reports) > 0 }
+// aggregates tells whether this router adds up what others have.
+func (e *Exchange) aggregates() bool { return e.aggregator == e.self.Address || len(e.reports) > 0 }
 
 // leadsRegion tells whether this router is the best of its region, which tells the others.
 func (e *Exchange) leadsRegion() bool {
-	return !slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == e.self.Region && before(r, e.self) })
+	return !slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == e.self.Region && betterAggregator(r, e.self) })
 }
 
-// tellRegions sends what this region has to one router of each other region, or to a few
+// sendRegionSums sends what this region has to one router of each other region, or to a few
 // where the first do not answer.
-func (e *Exchange) tellRegions(now time.Duration) {
-	before := e.asked
-	e.asked = make(map[string]time.Duration)
+func (e *Exchange) sendRegionSums(now time.Duration) {
+	previous := e.regionTargets
+	e.regionTargets = make(map[string]time.Duration)
 	if !e.leadsRegion() {
 		return
 	}
 	for _, region := range e.otherRegions() {
 		for _, r := range e.candidates(region) {
-			since, ok := before[r.Address]
+			since, ok := previous[r.Address]
 			if !ok {
 				since = now
 			}
-			e.asked[r.Address] = since
+			e.regionTargets[r.Address] = since
 			e.emit(e.regionSum(now, r.Address, RegionSum))
-			if e.tellsRegion(now, r) || now-since <= regionSilence {
+			if e.answeredRecently(now, r) || now-since <= regionTimeout {
 				break
 			}
 		}
 	}
 }
 
-// tellsRegion tells whether a router of another region has told of it lately.
-func (e *Exchange) tellsRegion(now time.Duration, r Router) bool {
-	l, ok := e.regions[regionKey{r.Region, r.Address}]
-	return ok && now-l.at <= regionSilence
+// answeredRecently tells whether a router of another region has told of it lately.
+func (e *Exchange) answeredRecently(now time.Duration, r Router) bool {
+	l, ok := e.regionLists[regionKey{r.Region, r.Address}]
+	return ok && now-l.receivedAt <= regionTimeout
 }
 
 // regionSum is the list of all that this router's region has.
 func (e *Exchange) regionSum(now time.Duration, to string, kind Kind) SendCmd {
 	return SendCmd{
-		To: to, Kind: kind, Region: e.self.Region, Loads: e.allBut(""),
-		HasTeams: true, Teams: e.teamsBut(now, ""), Rollouts: e.rolloutsBut(now, ""),
+		To: to, Kind: kind, Region: e.self.Region, Loads: e.loadsExcept(""),
+		HasTeams: true, Teams: e.teamsExcept(now, ""), Rollouts: e.rolloutsExcept(now, ""),
 	}
 }
 
@@ -158,88 +158,88 @@
 			}
 			return 1
 		}
-		return compare(a, b)
+		return compareAggregators(a, b)
 	})
-	return out[:min(len(out), regionTold)]
+	return out[:min(len(out), maxRegionTargets)]
 }
 
-// best returns the list of another region that counts: that of the best sender which
+// bestRegionList returns the list of another region that counts: that of the bestRegionList sender which
 // still tells, or else the last one.
-func (e *Exchange) best(now time.Duration, region string) regionList {
+func (e *Exchange) bestRegionList(now time.Duration, region string) regionList {
 	var best regionList
-	for key, l := range e.regions {
-		if key.region == region && (best.from == "" || e.preferred(now, l, best)) {
+	for key, l := range e.regionLists {
+		if key.region == region && (best.from == "" || e.betterRegionList(now, l, best)) {
 			best = l
 		}
 	}
 	return best
 }
 
-// preferred tells whether a list of a region counts rather than another of the same region.
-func (e *Exchange) preferred(now time.Duration, a, b regionList) bool {
-	freshA, freshB := now-a.at <= regionSilence, now-b.at <= regionSilence
+// betterRegionList tells whether a list of a region counts rather than another of the same region.
+func (e *Exchange) betterRegionList(now time.Duration, a, b regionList) bool {
+	freshA, freshB := now-a.receivedAt <= regionTimeout, now-b.receivedAt <= regionTimeout
 	switch {
 	case freshA != freshB:
 		return freshA
-	case !freshA && a.at != b.at:
-		return a.at > b.at
+	case !freshA && a.receivedAt != b.receivedAt:
+		return a.receivedAt > b.receivedAt
 	}
-	return before(e.router(a.from), e.router(b.from))
+	return betterAggregator(e.router(a.from), e.router(b.from))
 }
 
 // router returns what is known of a router; one that is not there is no good aggregator.
 func (e *Exchange) router(address string) Router {
-	if r, ok := e.there[address]; ok {
+	if r, ok := e.byAddress[address]; ok {
 		return r
 	}
 	return Router{Address: address}
 }
 
-// heldRegions returns the list that counts of each region that was heard of.
-func (e *Exchange) heldRegions(now time.Duration) map[string]regionList {
+// bestRegionLists returns the list that counts of each region that was heard of.
+func (e *Exchange) bestRegionLists(now time.Duration) map[string]regionList {
 	out := make(map[string]regionList)
-	for key := range e.regions {
+	for key := range e.regionLists {
 		if _, ok := out[key.region]; !ok {
-			out[key.region] = e.best(now, key.region)
+			out[key.region] = e.bestRegionList(now, key.region)
 		}
 	}
 	return out
 }
 
-// others says what all others have: those of the region, and what is held of other regions.
-func (e *Exchange) others(now time.Duration, near PeerTotalsCmd) PeerTotalsCmd {
-	held := e.heldRegions(now)
-	if len(held) == 0 {
-		return near
+// addOtherRegions says what all addOtherRegions have: those of the region, and what is held of other regions.
+func (e *Exchange) addOtherRegions(now time.Duration, inRegion PeerTotalsCmd) PeerTotalsCmd {
+	lists := e.bestRegionLists(now)
+	if len(lists) == 0 {
+		return inRegion
 	}
-	loads, teams, rollouts := [][]Load{near.Loads}, [][]TeamUse{near.Teams}, [][]rollout.Report{near.Rollouts}
-	for _, region := range sortedKeys(held) {
-		l := held[region]
-		teams = append(teams, e.regionTeams(now, region, l))
-		if now-l.at <= RegionTTL {
+	loads, teams, rollouts := [][]Load{inRegion.Loads}, [][]TeamUse{inRegion.Teams}, [][]rollout.Report{inRegion.Rollouts}
+	for _, region := range sortedKeys(lists) {
+		l := lists[region]
+		teams = append(teams, e.countedRegionTeams(now, region, l))
+		if now-l.receivedAt <= RegionTTL {
 			loads = append(loads, l.loads)
 			rollouts = append(rollouts, l.rollouts)
 		}
 	}
-	near.Loads = sum(loads...)
-	if near.HasTeams {
-		near.Teams, near.Rollouts = sumTeams(teams...), mergeRollouts(rollouts...)
+	inRegion.Loads = sum(loads...)
+	if inRegion.HasTeams {
+		inRegion.Teams, inRegion.Rollouts = sumTeams(teams...), mergeRollouts(rollouts...)
 	}
-	return near
+	return inRegion
 }
 
-// regionTeams returns what counts of the teams of another region: see counted.
-func (e *Exchange) regionTeams(now time.Duration, region string, l regionList) []TeamUse {
-	if now-l.at <= TeamsTTL {
+// countedRegionTeams returns what counts of the teams of another region: see counted.
+func (e *Exchange) countedRegionTeams(now time.Duration, region string, l regionList) []TeamUse {
+	if now-l.receivedAt <= TeamsTTL {
 		return l.teams
 	}
 	if slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == region }) {
 		return nil
 	}
-	return demandOf(l.teams)
+	return demandOnly(l.teams)
 }
 
 // dropRegions forgets the lists of which nothing counts any more.
 func (e *Exchange) dropRegions(now time.Duration) {
-	maps.DeleteFunc(e.regions, func(_ regionKey, l regionList) bool { return now-l.at > TeamsTTL+DemandTTL })
+	maps.DeleteFunc(e.regionLists, func(_ regionKey, l regionList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
 }
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -12,29 +12,29 @@
 	"pgregory.net/rapid"
 )
 
-// heartbeatsHold is how long the routers of a storm count one as there that they do not hear.
-const heartbeatsHold = time.Second
+// heartbeatTTL is how long the routers of a storm count one as there that they do not hear.
+const heartbeatTTL = time.Second
 
-// storm is a network with regions whose lists are lost, late, out of order and repeated.
-type storm struct {
+// lossyNetwork is a network with regions whose lists are lost, late, out of order and repeated.
+type lossyNetwork struct {
 	*network
-	random *rand.Rand
-	loss   float64            // part of the lists that are lost, late or repeated
-	cut    map[[2]string]bool // from, to: nothing passes
-	mute   map[[2]string]bool // from, to: only heartbeats pass
-	heard  map[[2]string]time.Duration
-	late   map[time.Duration][]flight
-	rounds int
-	made   map[string][]Copy // for the next tick
-	sent   func(from string, f flight)
+	random       *rand.Rand
+	faultRate    float64            // part of the lists that are lost, late or repeated
+	blocked      map[[2]string]bool // from, to: nothing passes
+	listsBlocked map[[2]string]bool // from, to: only heartbeats pass
+	lastHeard    map[[2]string]time.Duration
+	delayed      map[time.Duration][]packet
+	rounds       int
+	newCopies    map[string][]Copy // for the next tick
+	onSend       func(from string, f packet)
 }
 
-// newStorm makes routers at places like "north/a": a region and a hall.
-func newStorm(seed uint64, places ...string) *storm {
-	s := &storm{
-		network: newNetwork(places...), random: rand.New(rand.NewPCG(seed, 1)), cut: make(map[[2]string]bool),
-		heard: make(map[[2]string]time.Duration), late: make(map[time.Duration][]flight), made: make(map[string][]Copy),
-		mute: make(map[[2]string]bool),
+// newLossyNetwork makes routers at places like "north/a": a region and a hall.
+func newLossyNetwork(seed uint64, places ...string) *lossyNetwork {
+	s := &lossyNetwork{
+		network: newNetwork(places...), random: rand.New(rand.NewPCG(seed, 1)), blocked: make(map[[2]string]bool),
+		lastHeard: make(map[[2]string]time.Duration), delayed: make(map[time.Duration][]packet), newCopies: make(map[string][]Copy),
+		listsBlocked: make(map[[2]string]bool),
 	}
 	for i := range s.routers {
 		s.routers[i].Region, _, _ = strings.Cut(places[i], "/")
@@ -43,49 +43,49 @@
 	return s
 }
 
-func (s *storm) restart(r Router) { s.exchanges[r.Address] = NewExchange(r) }
+func (s *lossyNetwork) restart(r Router) { s.exchanges[r.Address] = NewExchange(r) }
 
-func (s *storm) passes(from, to string) bool {
-	return !s.off[from] && !s.off[to] && !s.cut[[2]string{from, to}]
+func (s *lossyNetwork) reachable(from, to string) bool {
+	return !s.down[from] && !s.down[to] && !s.blocked[[2]string{from, to}]
 }
 
-// hear lets the routers hear of each other what passes between them.
-func (s *storm) hear(r Router) {
-	s.knows(r.Address, func(other Router) bool {
+// exchangeHeartbeats lets the routers exchangeHeartbeats of each other what passes between them.
+func (s *lossyNetwork) exchangeHeartbeats(r Router) {
+	s.setRouters(r.Address, func(other Router) bool {
 		pair := [2]string{other.Address, r.Address}
-		if s.passes(pair[0], pair[1]) {
-			s.heard[pair] = s.now
+		if s.reachable(pair[0], pair[1]) {
+			s.lastHeard[pair] = s.now
 		}
-		return s.heard[pair] > 0 && s.now-s.heard[pair] <= heartbeatsHold
+		return s.lastHeard[pair] > 0 && s.now-s.lastHeard[pair] <= heartbeatTTL
 	})
 }
 
 // run goes through some rounds and checks after each.
-func (s *storm) run(rounds int, check func()) {
+func (s *lossyNetwork) run(rounds int, check func()) {
 	for range rounds {
 		s.now += RoundInterval
 		s.rounds++
 		for _, r := range s.routers {
-			if !s.off[r.Address] {
-				s.hear(r)
-				s.tell(r.Address, s.tick(r))
+			if !s.down[r.Address] {
+				s.exchangeHeartbeats(r)
+				s.update(r.Address, s.tick(r))
 			}
 		}
-		s.flying = append(s.flying, s.late[s.now]...)
-		delete(s.late, s.now)
-		for i := 0; i < len(s.flying); i++ {
-			s.fly(i)
+		s.inFlight = append(s.inFlight, s.delayed[s.now]...)
+		delete(s.delayed, s.now)
+		for i := 0; i < len(s.inFlight); i++ {
+			s.transmit(i)
 		}
-		s.flying = s.flying[:0]
+		s.inFlight = s.inFlight[:0]
 		if check != nil {
 			check()
 		}
 	}
 }
 
-func (s *storm) tick(r Router) TickMsg {
-	tick := TickMsg{Now: s.now, Own: s.own[r.Address], Copies: s.made[r.Address]}
-	delete(s.made, r.Address)
+func (s *lossyNetwork) tick(r Router) TickMsg {
+	tick := TickMsg{Now: s.now, Own: s.own[r.Address], Copies: s.newCopies[r.Address]}
+	delete(s.newCopies, r.Address)
 	if s.rounds%int(TeamsInterval/RoundInterval) == 0 {
 		tick.HasTeams, tick.Teams, tick.Rollouts = true, teamsOf(r), rolloutsOf(r)
 	}
@@ -102,38 +102,38 @@
 	return []rollout.Report{report}
 }
 
-// fly delivers one list, if it is not lost, late, or cut off.
-func (s *storm) fly(i int) {
-	f := s.flying[i]
-	if s.sent != nil {
-		s.sent(f.msg.From, f)
+// transmit delivers one list, if it is not lost, late, or cut off.
+func (s *lossyNetwork) transmit(i int) {
+	f := s.inFlight[i]
+	if s.onSend != nil {
+		s.onSend(f.msg.From, f)
 	}
-	if !s.passes(f.msg.From, f.to) || s.mute[[2]string{f.msg.From, f.to}] {
+	if !s.reachable(f.msg.From, f.to) || s.listsBlocked[[2]string{f.msg.From, f.to}] {
 		return
 	}
 	switch p := s.random.Float64(); {
-	case p < s.loss:
+	case p < s.faultRate:
 		return
-	case p < 1.5*s.loss:
+	case p < 1.5*s.faultRate:
 		s.delay(f)
 		return
-	case p < 2*s.loss:
+	case p < 2*s.faultRate:
 		s.delay(f)
 	}
 	s.deliver(i)
 }
 
-func (s *storm) delay(f flight) {
+func (s *lossyNetwork) delay(f packet) {
 	due := s.now + RoundInterval*time.Duration(1+s.random.IntN(3))
-	s.late[due] = append(s.late[due], f)
+	s.delayed[due] = append(s.delayed[due], f)
 }
 
-// atMost holds that no router counts another more often than that, nor itself more than
+// requireCountedAtMost holds that no router counts another more often than that, nor itself more than
 // once less.
-func (s *storm) atMost(t require.TestingT, times int32) {
+func (s *lossyNetwork) requireCountedAtMost(t require.TestingT, times int32) {
 	for i, r := range s.routers {
 		for _, l := range s.others[r.Address] {
-			if l.Server == 999 || s.off[r.Address] {
+			if l.Server == 999 || s.down[r.Address] {
 				continue
 			}
 			most := times * int32(10+l.Server)
@@ -145,26 +145,26 @@
 	}
 }
 
-// quiet ends all trouble and waits until routers that were avoided are tried again, and
+// endAllFaults ends all trouble and waits until routers that were avoided are tried again, and
 // what was told meanwhile no longer holds.
-func (s *storm) quiet() {
-	clear(s.cut)
-	clear(s.off)
-	clear(s.mute)
-	s.loss = 0
-	s.run(int((heartbeatsHold+avoidedFor+RegionTTL+regionSilence)/RoundInterval), nil)
+func (s *lossyNetwork) endAllFaults() {
+	clear(s.blocked)
+	clear(s.down)
+	clear(s.listsBlocked)
+	s.faultRate = 0
+	s.run(int((heartbeatTTL+avoidDuration+RegionTTL+regionTimeout)/RoundInterval), nil)
 }
 
-// merged holds that each router is told of all others' roll-outs, each once.
-func (s *storm) merged(t require.TestingT) {
+// requireRolloutsMerged holds that each router is told of all others' roll-outs, each once.
+func (s *lossyNetwork) requireRolloutsMerged(t require.TestingT) {
 	for _, r := range s.routers {
 		var want []rollout.Report
 		for _, other := range s.routers {
-			if other.Address != r.Address && !s.off[other.Address] {
+			if other.Address != r.Address && !s.down[other.Address] {
 				want = mergeRollouts(want, rolloutsOf(other))
 			}
 		}
-		if !s.off[r.Address] {
+		if !s.down[r.Address] {
 			require.Equal(t, want, s.rollouts[r.Address], "what %s knows", r.Address)
 		}
 	}
@@ -175,25 +175,25 @@
 	"east/c", "east/c", "east/d", "south/e", "south/e",
 }
 
-// TestRegionsAllKnowAll has routers of three regions know what all others have, each
+// TestRegionsConverge has routers of three regions know what all others have, each
 // counted once: loads, teams and roll-outs.
-func TestRegionsAllKnowAll(t *testing.T) {
-	s := newStorm(1, threeRegions...)
-	s.run(24, func() { s.atMost(t, 1) })
-	s.settled(t)
-	s.merged(t)
+func TestRegionsConverge(t *testing.T) {
+	s := newLossyNetwork(1, threeRegions...)
+	s.run(24, func() { s.requireCountedAtMost(t, 1) })
+	s.requireConverged(t)
+	s.requireRolloutsMerged(t)
 	for _, r := range s.routers {
-		require.EqualValues(t, 900, s.seen(r.Address, "all").Offered)
+		require.EqualValues(t, 900, s.lastTeam(r.Address, "all").Offered)
 	}
 }
 
 // TestRegionListsAreFew has one router of each region send to one of each other, ten times
 // a second.
 func TestRegionListsAreFew(t *testing.T) {
-	s := newStorm(1, threeRegions...)
+	s := newLossyNetwork(1, threeRegions...)
 	s.run(40, nil)
 	sent := make(map[string]int)
-	s.sent = func(from string, f flight) {
+	s.onSend = func(from string, f packet) {
 		if s.region(from) != s.region(f.to) {
 			require.Equal(t, RegionSum, f.msg.Kind)
 			sent[from]++
@@ -203,7 +203,7 @@
 	require.Equal(t, map[string]int{"r1": 20, "r5": 20, "r9": 20}, sent)
 }
 
-func (s *storm) region(address string) string {
+func (s *lossyNetwork) region(address string) string {
 	for _, r := range s.routers {
 		if r.Address == address {
 			return r.Region
@@ -212,18 +212,18 @@
 	return ""
 }
 
-// TestRegionOfAllIsNoRegion has routers that are all in one region send what they send
+// TestSingleRegionEqualsNoRegion has routers that are all in one region send what they send
 // without any.
-func TestRegionOfAllIsNoRegion(t *testing.T) {
+func TestSingleRegionEqualsNoRegion(t *testing.T) {
 	var all [2][]string
 	for i, region := range []string{"", "north"} {
-		s := newStorm(1, region+"/a", region+"/a", region+"/b", region+"/b", region+"/c")
+		s := newLossyNetwork(1, region+"/a", region+"/a", region+"/b", region+"/b", region+"/c")
 		for j := range s.routers {
 			s.routers[j].Hall = strings.TrimPrefix(s.routers[j].Hall, region)
 			s.restart(s.routers[j])
 		}
-		s.loss = 0.1
-		s.sent = func(from string, f flight) { all[i] = append(all[i], fmt.Sprint(from, f)) }
+		s.faultRate = 0.1
+		s.onSend = func(from string, f packet) { all[i] = append(all[i], fmt.Sprint(from, f)) }
 		s.run(100, nil)
 	}
 	require.Equal(t, all[0], all[1])
@@ -233,17 +233,17 @@
 // halls: its routers are known again, each once, before the others have missed a heartbeat.
 func TestRegionAggregatorLost(t *testing.T) {
 	for _, lost := range []string{"r1", "r3", "r5", "r7", "r9"} {
-		s := newStorm(1, threeRegions...)
+		s := newLossyNetwork(1, threeRegions...)
 		s.run(20, nil)
-		s.off[lost] = true
+		s.down[lost] = true
 		delete(s.own, lost)
-		s.run(int((RegionTTL+regionSilence)/RoundInterval), func() { s.atMost(t, 2) })
+		s.run(int((RegionTTL+regionTimeout)/RoundInterval), func() { s.requireCountedAtMost(t, 2) })
 		for _, r := range s.routers {
-			if !s.off[r.Address] {
-				s.knowsAll(t, r)
+			if !s.down[r.Address] {
+				s.requireKnowsAll(t, r)
 			}
 		}
-		s.merged(t)
+		s.requireRolloutsMerged(t)
 	}
 }
 
@@ -255,16 +255,16 @@
 		"of a hall":  func(from, to string) bool { return from < "r3" && to > "r4" },
 		"deaf":       func(_, to string) bool { return to == "r1" },
 	} {
-		s := newStorm(1, threeRegions...)
+		s := newLossyNetwork(1, threeRegions...)
 		s.run(20, nil)
 		for _, a := range s.routers {
 			for _, b := range s.routers {
-				s.cut[[2]string{a.Address, b.Address}] = cut(a.Address, b.Address)
+				s.blocked[[2]string{a.Address, b.Address}] = cut(a.Address, b.Address)
 			}
 		}
-		s.run(int((heartbeatsHold+RegionTTL+regionSilence)/RoundInterval), func() { s.atMost(t, 2) })
+		s.run(int((heartbeatTTL+RegionTTL+regionTimeout)/RoundInterval), func() { s.requireCountedAtMost(t, 2) })
 		s.run(200, func() {
-			s.atMost(t, 1)
+			s.requireCountedAtMost(t, 1)
 			require.Contains(t, s.others["r9"], Load{Server: 4, Running: 14}, name)
 			if name != "deaf" { // the next in its hall now and then tries the deaf one again
 				require.Contains(t, s.others["r9"], Load{Server: 0, Running: 10}, name)
@@ -281,41 +281,41 @@
 func TestRegionsEveryLoss(t *testing.T) {
 	const decisions = 12 // six lists in each of two rounds, taken in turn
 	for pattern := range 1 << decisions {
-		s := newStorm(1, "north/a", "east/b", "south/c")
+		s := newLossyNetwork(1, "north/a", "east/b", "south/c")
 		used := 0
-		lose := func(f flight) bool {
+		lose := func(f packet) bool {
 			used++
 			return pattern>>(used%decisions)&1 == 1
 		}
 		for range 12 {
 			s.lossyRound(lose)
-			s.atMost(t, 1)
+			s.requireCountedAtMost(t, 1)
 		}
-		s.run(2*int(TeamsInterval/RoundInterval), func() { s.atMost(t, 1) })
-		s.settled(t)
+		s.run(2*int(TeamsInterval/RoundInterval), func() { s.requireCountedAtMost(t, 1) })
+		s.requireConverged(t)
 	}
 }
 
 // TestRegionOfOneCutOneWay cuts the lists of one region of a single router to another: those
 // the other way still come.
 func TestRegionOfOneCutOneWay(t *testing.T) {
-	s := newStorm(1, "north/a", "east/b")
+	s := newLossyNetwork(1, "north/a", "east/b")
 	s.run(20, nil)
-	s.mute[[2]string{"r1", "r0"}] = true
+	s.listsBlocked[[2]string{"r1", "r0"}] = true
 	s.run(200, func() {
 		require.Equal(t, s.own["r0"], s.others["r1"])
 	})
 	require.Empty(t, s.others["r0"])
 }
 
-// TestRegionKnowsHallThatTurned has a region's aggregator not answer its own hall, which
+// TestRegionSeesHallThatSwitchedAggregator has a region's aggregator not answer its own hall, which
 // turns to another: other regions still know of the hall.
-func TestRegionKnowsHallThatTurned(t *testing.T) {
-	s := newStorm(1, threeRegions...)
+func TestRegionSeesHallThatSwitchedAggregator(t *testing.T) {
+	s := newLossyNetwork(1, threeRegions...)
 	s.run(20, nil)
-	s.mute[[2]string{"r1", "r0"}], s.mute[[2]string{"r1", "r2"}] = true, true
+	s.listsBlocked[[2]string{"r1", "r0"}], s.listsBlocked[[2]string{"r1", "r2"}] = true, true
 	s.run(200, func() {
-		s.atMost(t, 2)
+		s.requireCountedAtMost(t, 2)
 		require.Equal(t, uint32(0), s.others["r9"][0].Server)
 		require.Equal(t, uint32(2), s.others["r9"][2].Server)
 	})
@@ -324,27 +324,27 @@
 // TestRegionCountsTheDeafTwiceAtMost has a router of a large hall hear none of the answers to
 // its reports, so that it turns from one aggregator to the next.
 func TestRegionCountsTheDeafTwiceAtMost(t *testing.T) {
-	s := newStorm(1, largeHall...)
+	s := newLossyNetwork(1, largeHall...)
 	s.run(20, nil)
 	for _, r := range s.routers {
-		s.mute[[2]string{r.Address, "r0"}] = true
+		s.listsBlocked[[2]string{r.Address, "r0"}] = true
 	}
-	s.run(200, func() { s.atMost(t, 2) })
+	s.run(200, func() { s.requireCountedAtMost(t, 2) })
 }
 
 // TestRegionCountsTheDeafBackTwiceAtMost has such a router hear nothing at all, and all again
 // after each time up to two seconds.
 func TestRegionCountsTheDeafBackTwiceAtMost(t *testing.T) {
 	for rounds := range int(2 * time.Second / RoundInterval) {
-		s := newStorm(uint64(rounds), largeHall...)
+		s := newLossyNetwork(uint64(rounds), largeHall...)
 		s.run(20, nil)
-		s.loss = 0.1
+		s.faultRate = 0.1
 		for _, r := range s.routers {
-			s.cut[[2]string{r.Address, "r0"}] = true
+			s.blocked[[2]string{r.Address, "r0"}] = true
 		}
-		s.run(rounds, func() { s.atMost(t, 2) })
-		clear(s.cut)
-		s.run(40, func() { s.atMost(t, 2) })
+		s.run(rounds, func() { s.requireCountedAtMost(t, 2) })
+		clear(s.blocked)
+		s.run(40, func() { s.requireCountedAtMost(t, 2) })
 	}
 }
 
@@ -352,18 +352,18 @@
 var largeHall = []string{"north/a", "north/a", "north/a", "north/a", "north/a", "north/a", "north/b", "south/c"}
 
 // lossyRound is a round in which all tell of teams, and lists arrive as chosen.
-func (s *storm) lossyRound(arrives func(flight) bool) {
+func (s *lossyNetwork) lossyRound(arrives func(packet) bool) {
 	s.now += TeamsInterval
 	for _, r := range s.routers {
-		s.hear(r)
-		s.tell(r.Address, TickMsg{Now: s.now, Own: s.own[r.Address], HasTeams: true})
+		s.exchangeHeartbeats(r)
+		s.update(r.Address, TickMsg{Now: s.now, Own: s.own[r.Address], HasTeams: true})
 	}
-	for i := 0; i < len(s.flying); i++ {
-		if arrives(s.flying[i]) {
+	for i := 0; i < len(s.inFlight); i++ {
+		if arrives(s.inFlight[i]) {
 			s.deliver(i)
 		}
 	}
-	s.flying = s.flying[:0]
+	s.inFlight = s.inFlight[:0]
 }
 
 // TestRegionsUnderAnyTrouble cuts routers off one way, kills and restarts them, each time
@@ -374,43 +374,43 @@
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.SliceOfN(rapid.SampledFrom(threeRegions), 1, 8).Draw(t, "places")
 		places = append(places, "north/a", "south/e")
-		s := newStorm(rapid.Uint64().Draw(t, "seed"), places...)
+		s := newLossyNetwork(rapid.Uint64().Draw(t, "seed"), places...)
 		s.run(20, nil)
-		s.loss = 0.1
+		s.faultRate = 0.1
 		for range rapid.IntRange(1, 3).Draw(t, "troubles") {
 			one := rapid.SampledFrom(s.routers).Draw(t, "one").Address
 			other := rapid.SampledFrom(s.routers).Draw(t, "other").Address
 			switch rapid.IntRange(0, 3).Draw(t, "trouble") {
 			case 0:
-				s.cut[[2]string{one, other}] = true
+				s.blocked[[2]string{one, other}] = true
 			case 1:
 				for _, r := range s.routers {
-					s.cut[[2]string{one, r.Address}] = true
+					s.blocked[[2]string{one, r.Address}] = true
 				}
 			case 2:
 				for _, r := range s.routers {
-					s.cut[[2]string{r.Address, one}] = true
+					s.blocked[[2]string{r.Address, one}] = true
 				}
 			case 3:
-				s.off[one] = true
+				s.down[one] = true
 			}
-			s.run(rapid.IntRange(1, 80).Draw(t, "rounds"), func() { s.atMost(t, 2) })
-			s.end(one)
-			s.run(int((avoidedFor+RegionTTL)/RoundInterval), func() { s.atMost(t, 2) })
+			s.run(rapid.IntRange(1, 80).Draw(t, "rounds"), func() { s.requireCountedAtMost(t, 2) })
+			s.endFault(one)
+			s.run(int((avoidDuration+RegionTTL)/RoundInterval), func() { s.requireCountedAtMost(t, 2) })
 		}
-		s.quiet()
-		s.settled(t)
-		s.merged(t)
+		s.endAllFaults()
+		s.requireConverged(t)
+		s.requireRolloutsMerged(t)
 	})
 }
 
-// end ends a trouble; a router that was without power starts anew.
-func (s *storm) end(one string) {
-	clear(s.cut)
+// endFault ends a trouble; a router that was without power starts anew.
+func (s *lossyNetwork) endFault(one string) {
+	clear(s.blocked)
 	for _, r := range s.routers {
-		if r.Address == one && s.off[one] {
+		if r.Address == one && s.down[one] {
 			s.restart(r)
 		}
 	}
-	clear(s.off)
+	clear(s.down)
 }
--- a/loads/rollouts.go
+++ b/loads/rollouts.go
@@ -14,24 +14,24 @@
 
 // reportedRollouts merges what the routers that report to this one, and this one where it
 // reports to itself, tell of roll-outs; but for one.
-func (e *Exchange) reportedRollouts(now time.Duration, without string) []rollout.Report {
+func (e *Exchange) reportedRollouts(now time.Duration, except string) []rollout.Report {
 	var lists [][]rollout.Report
 	for from, l := range e.teamReports {
-		if from != without && now-l.at <= RolloutTTL {
+		if from != except && now-l.receivedAt <= RolloutTTL {
 			lists = append(lists, l.rollouts)
 		}
 	}
-	if e.countsItself(without) {
+	if e.includesSelf(except) {
 		lists = append(lists, e.ownRollouts)
 	}
 	return mergeRollouts(lists...)
 }
 
-// rolloutsBut merges what all routers of the region but one tell of roll-outs.
-func (e *Exchange) rolloutsBut(now time.Duration, without string) []rollout.Report {
-	lists := [][]rollout.Report{e.reportedRollouts(now, without)}
+// rolloutsExcept merges what all routers of the region but one tell of roll-outs.
+func (e *Exchange) rolloutsExcept(now time.Duration, except string) []rollout.Report {
+	lists := [][]rollout.Report{e.reportedRollouts(now, except)}
 	for _, l := range e.teamSums {
-		if now-l.at <= RolloutTTL {
+		if now-l.receivedAt <= RolloutTTL {
 			lists = append(lists, l.rollouts)
 		}
 	}
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -31,60 +31,60 @@
 
 // teamList is the newest list of teams of one router.
 type teamList struct {
-	at       time.Duration
-	hall     string
-	uses     []TeamUse
-	rollouts []rollout.Report
+	receivedAt time.Duration
+	hall       string
+	uses       []TeamUse
+	rollouts   []rollout.Report
 }
 
-// takeTeams takes in what a router tells of teams.
-func takeTeams(lists map[string]teamList, msg ListMsg) {
+// storeTeams takes in what a router tells of teams.
+func storeTeams(lists map[string]teamList, msg ListMsg) {
 	if msg.HasTeams {
-		lists[msg.From] = teamList{at: msg.Now, hall: msg.Hall, uses: msg.Teams, rollouts: msg.Rollouts}
+		lists[msg.From] = teamList{receivedAt: msg.Now, hall: msg.Hall, uses: msg.Teams, rollouts: msg.Rollouts}
 	}
 }
 
 // reportedTeams returns what the routers that report to this one, and this one where it
 // reports to itself, see of teams; but for one.
-func (e *Exchange) reportedTeams(now time.Duration, without string) []TeamUse {
+func (e *Exchange) reportedTeams(now time.Duration, except string) []TeamUse {
 	var lists [][]TeamUse
 	for _, from := range sortedKeys(e.teamReports) {
-		if from != without {
-			lists = append(lists, e.counted(now, from, e.teamReports[from], false))
+		if from != except {
+			lists = append(lists, e.countedTeams(now, from, e.teamReports[from], false))
 		}
 	}
-	if e.countsItself(without) {
+	if e.includesSelf(except) {
 		lists = append(lists, e.ownTeams)
 	}
 	return sumTeams(lists...)
 }
 
-// teamsBut returns what all routers of the region but one see of teams.
-func (e *Exchange) teamsBut(now time.Duration, without string) []TeamUse {
-	lists := [][]TeamUse{e.reportedTeams(now, without)}
+// teamsExcept returns what all routers of the region but one see of teams.
+func (e *Exchange) teamsExcept(now time.Duration, except string) []TeamUse {
+	lists := [][]TeamUse{e.reportedTeams(now, except)}
 	for _, from := range sortedKeys(e.teamSums) {
 		l := e.teamSums[from]
-		lists = append(lists, e.counted(now, from, l, e.hasNewerSum(now, from, l.hall)))
+		lists = append(lists, e.countedTeams(now, from, l, e.hasNewerSum(now, from, l.hall)))
 	}
 	return sumTeams(lists...)
 }
 
-// counted returns what counts of a list: all of it while it is fresh, and then, for some
+// countedTeams returns what counts of a list: all of it while it is fresh, and then, for some
 // time, the demand alone, since the callers of a router that is lost are about to come back
 // through others. A router that is still there tells another aggregator, and one that was
 // replaced as its hall's aggregator has told its demand to the next.
-func (e *Exchange) counted(now time.Duration, from string, l teamList, replaced bool) []TeamUse {
-	if now-l.at <= TeamsTTL {
+func (e *Exchange) countedTeams(now time.Duration, from string, l teamList, replaced bool) []TeamUse {
+	if now-l.receivedAt <= TeamsTTL {
 		return l.uses
 	}
-	if replaced || e.isThere(from) {
+	if replaced || e.isAlive(from) {
 		return nil
 	}
-	return demandOf(l.uses)
+	return demandOnly(l.uses)
 }
 
-// demandOf returns what the callers of teams ask for, without what they get.
-func demandOf(uses []TeamUse) []TeamUse {
+// demandOnly returns what the callers of teams ask for, without what they get.
+func demandOnly(uses []TeamUse) []TeamUse {
 	out := make([]TeamUse, 0, len(uses))
 	for _, u := range uses {
 		out = append(out, TeamUse{Team: u.Team, Offered: u.Offered})
@@ -95,22 +95,22 @@
 // hasNewerSum tells whether another aggregator of a hall has told its teams lately.
 func (e *Exchange) hasNewerSum(now time.Duration, from, hall string) bool {
 	for other, l := range e.teamSums {
-		if other != from && l.hall == hall && now-l.at <= TeamsTTL {
+		if other != from && l.hall == hall && now-l.receivedAt <= TeamsTTL {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *Exchange) isThere(address string) bool {
-	_, there := e.there[address]
+func (e *Exchange) isAlive(address string) bool {
+	_, there := e.byAddress[address]
 	return there
 }
 
 // dropTeams forgets the lists of which nothing counts any more.
 func (e *Exchange) dropTeams(now time.Duration) {
 	for _, lists := range []map[string]teamList{e.teamReports, e.teamSums} {
-		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.at > TeamsTTL+DemandTTL })
+		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
 	}
 }
 
--- a/loads/teams_test.go
+++ b/loads/teams_test.go
@@ -8,27 +8,27 @@
 	"pgregory.net/rapid"
 )
 
-// teamRounds plays rounds in which every router tells of one team that it alone sees, and
+// runTeamRounds plays rounds in which every router tells of one team that it alone sees, and
 // of one that all see, in every fourth.
-func (n *network) teamRounds(rounds int, arrives func(flight) bool) {
+func (n *network) runTeamRounds(rounds int, arrives func(packet) bool) {
 	for i := range rounds {
 		n.now += RoundInterval
 		for _, r := range n.routers {
-			if n.off[r.Address] {
+			if n.down[r.Address] {
 				continue
 			}
 			tick := TickMsg{Now: n.now, Own: n.own[r.Address]}
 			if i%int(TeamsInterval/RoundInterval) == 0 {
 				tick.HasTeams, tick.Teams = true, teamsOf(r)
 			}
-			n.tell(r.Address, tick)
+			n.update(r.Address, tick)
 		}
-		for i := 0; i < len(n.flying); i++ {
-			if f := n.flying[i]; !n.off[f.to] && arrives(f) {
+		for i := 0; i < len(n.inFlight); i++ {
+			if f := n.inFlight[i]; !n.down[f.to] && arrives(f) {
 				n.deliver(i)
 			}
 		}
-		n.flying = n.flying[:0]
+		n.inFlight = n.inFlight[:0]
 	}
 }
 
@@ -36,18 +36,18 @@
 	return []TeamUse{{Team: "all", Offered: 100, Recent: 50, Served: 10}, {Team: "of " + r.Address, Offered: 7, Recent: 7, Served: 7}}
 }
 
-// lose takes a router's power; the others no longer count it as there.
-func (n *network) lose(address string) {
-	n.off[address] = true
+// powerOff takes a router's power; the others no longer count it as there.
+func (n *network) powerOff(address string) {
+	n.down[address] = true
 	for _, r := range n.routers {
-		if !n.off[r.Address] {
-			n.knows(r.Address, func(o Router) bool { return !n.off[o.Address] })
+		if !n.down[r.Address] {
+			n.setRouters(r.Address, func(o Router) bool { return !n.down[o.Address] })
 		}
 	}
 }
 
-// seen returns what a router was last told of a team.
-func (n *network) seen(address, team string) TeamUse {
+// lastTeam returns what a router was last told of a team.
+func (n *network) lastTeam(address, team string) TeamUse {
 	for _, u := range n.teams[address] {
 		if u.Team == team {
 			return u
@@ -56,17 +56,17 @@
 	return TeamUse{Team: team}
 }
 
-// TestAllKnowTeams has every router know what all others see, each counted once.
-func TestAllKnowTeams(t *testing.T) {
+// TestTeamsConverge has every router know what all others see, each counted once.
+func TestTeamsConverge(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b", "b", "c")
-	n.allKnow()
-	n.teamRounds(16, always)
+	n.connectAll()
+	n.runTeamRounds(16, always)
 	for _, r := range n.routers {
-		require.Equal(t, TeamUse{Team: "all", Offered: 500, Recent: 250, Served: 50}, n.seen(r.Address, "all"))
-		require.Zero(t, n.seen(r.Address, "of "+r.Address).Offered, "it does not count itself")
+		require.Equal(t, TeamUse{Team: "all", Offered: 500, Recent: 250, Served: 50}, n.lastTeam(r.Address, "all"))
+		require.Zero(t, n.lastTeam(r.Address, "of "+r.Address).Offered, "it does not count itself")
 		for _, other := range n.routers {
 			if other.Address != r.Address {
-				require.EqualValues(t, 7, n.seen(r.Address, "of "+other.Address).Served)
+				require.EqualValues(t, 7, n.lastTeam(r.Address, "of "+other.Address).Served)
 			}
 		}
 	}
@@ -77,18 +77,18 @@
 func TestLostRoutersDemandStays(t *testing.T) {
 	for name, lost := range map[string][]string{"router": {"r0"}, "hall": {"r3", "r4"}} {
 		n := newNetwork("a", "a", "a", "b", "b", "c")
-		n.allKnow()
-		n.teamRounds(16, always)
+		n.connectAll()
+		n.runTeamRounds(16, always)
 		for _, r := range lost {
-			n.lose(r)
+			n.powerOff(r)
 		}
-		n.teamRounds(int(2*TeamsTTL/RoundInterval), always)
+		n.runTeamRounds(int(2*TeamsTTL/RoundInterval), always)
 		for _, r := range lost {
-			require.Equal(t, TeamUse{Team: "of " + r, Offered: 7}, n.seen("r5", "of "+r), name)
+			require.Equal(t, TeamUse{Team: "of " + r, Offered: 7}, n.lastTeam("r5", "of "+r), name)
 		}
-		n.teamRounds(int(2*DemandTTL/RoundInterval), always)
+		n.runTeamRounds(int(2*DemandTTL/RoundInterval), always)
 		for _, r := range lost {
-			require.Zero(t, n.seen("r5", "of "+r).Offered, name)
+			require.Zero(t, n.lastTeam("r5", "of "+r).Offered, name)
 		}
 	}
 }
@@ -97,16 +97,16 @@
 // counted twice for no longer than its last list holds.
 func TestNewAggregatorCountsOnce(t *testing.T) {
 	n := newNetwork("a", "a", "a", "a", "b")
-	n.allKnow()
-	n.teamRounds(16, always)
+	n.connectAll()
+	n.runTeamRounds(16, always)
 	require.Equal(t, "r1", n.exchanges["r0"].Aggregator())
-	n.lose("r1")
-	n.teamRounds(int((silence+TeamsTTL+TeamsInterval)/RoundInterval), always)
+	n.powerOff("r1")
+	n.runTeamRounds(int((aggregatorTimeout+TeamsTTL+TeamsInterval)/RoundInterval), always)
 	for range 40 {
-		n.teamRounds(int(TeamsInterval/RoundInterval), always)
-		require.LessOrEqual(t, n.seen("r4", "all").Offered, float32(400))
+		n.runTeamRounds(int(TeamsInterval/RoundInterval), always)
+		require.LessOrEqual(t, n.lastTeam("r4", "all").Offered, float32(400))
 	}
-	require.EqualValues(t, 300, n.seen("r4", "all").Offered)
+	require.EqualValues(t, 300, n.lastTeam("r4", "all").Offered)
 }
 
 // TestTeamsUnderAnyTrouble loses, repeats and delays lists and restarts routers: soon after
@@ -115,25 +115,25 @@
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 3, 6).Draw(t, "halls")
 		n := newNetwork(halls...)
-		n.allKnow()
+		n.connectAll()
 		for range rapid.IntRange(1, 12).Draw(t, "rounds") {
 			if rapid.IntRange(0, 5).Draw(t, "trouble") == 0 {
 				r := rapid.SampledFrom(n.routers).Draw(t, "restarted")
 				n.exchanges[r.Address] = NewExchange(r)
-				n.knows(r.Address, func(Router) bool { return true })
+				n.setRouters(r.Address, func(Router) bool { return true })
 			}
-			old := append([]flight(nil), n.flying...)
-			n.teamRounds(int(TeamsInterval/RoundInterval), func(flight) bool { return rapid.Bool().Draw(t, "arrives") })
-			n.flying = append(n.flying, old...)
+			old := append([]packet(nil), n.inFlight...)
+			n.runTeamRounds(int(TeamsInterval/RoundInterval), func(packet) bool { return rapid.Bool().Draw(t, "arrives") })
+			n.inFlight = append(n.inFlight, old...)
 			for i := range old {
 				n.deliver(i)
 			}
-			n.flying = n.flying[:0]
+			n.inFlight = n.inFlight[:0]
 		}
-		n.allKnow()
-		n.teamRounds(int((TeamsTTL+DemandTTL+avoidedFor)/RoundInterval), always)
+		n.connectAll()
+		n.runTeamRounds(int((TeamsTTL+DemandTTL+avoidDuration)/RoundInterval), always)
 		for _, r := range n.routers {
-			require.EqualValues(t, 100*(len(n.routers)-1), n.seen(r.Address, "all").Offered)
+			require.EqualValues(t, 100*(len(n.routers)-1), n.lastTeam(r.Address, "all").Offered)
 		}
 	})
 }
@@ -146,15 +146,15 @@
 		halls[i] = "a"
 	}
 	n := newNetwork(halls...)
-	n.allKnow()
-	n.teamRounds(8, always)
-	told := make(map[string]int)
-	n.teamRounds(int(time.Second/RoundInterval), func(f flight) bool {
+	n.connectAll()
+	n.runTeamRounds(8, always)
+	sent := make(map[string]int)
+	n.runTeamRounds(int(time.Second/RoundInterval), func(f packet) bool {
 		if f.msg.HasTeams {
-			told[f.msg.From]++
+			sent[f.msg.From]++
 		}
 		return true
 	})
-	require.Equal(t, 10, told["r0"])
-	require.Equal(t, 10*99, told["r1"], "the aggregator answers each")
+	require.Equal(t, 10, sent["r0"])
+	require.Equal(t, 10*99, sent["r1"], "the aggregator answers each")
 }
