--- a/gateway/cluster/ahead.go
+++ b/gateway/cluster/ahead.go
@@ -2,7 +2,7 @@
 
 import "github.com/croftvale/croftvale/gateway/feed"
 
-// Ahead tells which live routers know something newer.
+// Ahead returns, by feed, the live routers that have a newer revision than this one.
 func (p *Peers) Ahead() feed.AheadByFeed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configSource has a configuration, and counts how often it is asked for it.
+// configSource holds a configuration and counts the calls for it.
 type configSource struct {
 	feed.Source
 	reads, watches atomic.Int64
@@ -31,8 +31,8 @@
 	return nil, since, nil
 }
 
-// startConfig starts the follower of the configuration of a router that has just begun and knows
-// five others.
+// startConfig starts the configuration follower of a router that has just started and has five
+// peers.
 func startConfig(t *testing.T, source feed.Source, self string) *Peers {
 	var others []*peer
 	for i := range 5 {
@@ -46,9 +46,9 @@
 	return p
 }
 
-// TestConfigComesFromPeers has a router start beside others, whose followers have read the configuration a
-// second later: it takes it from them. Each router of a fleet that starts would ask the source
-// otherwise.
+// TestConfigComesFromPeers starts a router in a fleet whose followers have read the configuration
+// one second later. The router must take it from them: otherwise each router of a starting fleet
+// would call the source.
 func TestConfigComesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &configSource{}
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestStandbyPollsLessOften has routers follow the source while nothing changes: the first of them asks
-// once a second, those that stand by for it a quarter as often.
+// TestStandbyPollsLessOften checks the calls for changes while nothing changes: the first follower
+// polls the source once a second, the standby followers a quarter as often.
 func TestStandbyPollsLessOften(t *testing.T) {
 	for self, atMost := range map[string]int64{"a": 21, "c0b": 7} {
 		synctest.Test(t, func(t *testing.T) {
@@ -78,5 +78,5 @@
 	}
 }
 
-// maxPeerWaitAtStart is longer than a router that starts waits for others to bring what it lacks.
+// maxPeerWaitAtStart is longer than a starting router waits for its peers to send what it lacks.
 func maxPeerWaitAtStart() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -11,11 +11,11 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Dependencies are what a Cluster stands on.
+// Dependencies are the components that a Cluster uses.
 type Dependencies struct {
 	Decisions Decisions
 	Feeds     *feed.Set
-	Rollouts  Rollouts // nil: they are not on
+	Rollouts  Rollouts // nil if rollouts are disabled
 	Pressure  *pressure.Gauge
 	Registry  Registry
 	Log       *eventlog.Log
@@ -23,7 +23,7 @@
 	Traffic   *traffic.Counter
 }
 
-// Cluster is a router's part in the fleet.
+// Cluster connects a router to the other routers of the fleet.
 type Cluster struct {
 	Peers         *Peers
 	heartbeatConn *transport
@@ -32,8 +32,8 @@
 	discovery     discovery
 }
 
-// New opens the sockets for what other routers tell. Newer content of the feeds is told to
-// others from now on.
+// New opens the sockets for datagrams from other routers. From now on, newer content of the feeds
+// is announced to them.
 func New(s Settings, deps Dependencies) (*Cluster, error) {
 	heartbeatConn, err := openTransport(s.Peers, traffic.Heartbeats, deps)
 	if err != nil {
@@ -55,11 +55,10 @@
 	return c, nil
 }
 
-// ReportNow tells some other routers at once what this one has to report, in place of the next
-// heartbeat.
+// ReportNow sends a heartbeat to some other routers at once, ahead of schedule.
 func (c *Cluster) ReportNow() { c.heartbeats.sendNow() }
 
-// Tasks returns what goes on until a context ends.
+// Tasks returns the tasks of the cluster, each of which runs until its context ends.
 func (c *Cluster) Tasks() []func(context.Context) error {
 	receive := func(ctx context.Context) error { return c.heartbeatConn.receive(ctx, c.heartbeats.receive) }
 	return []func(context.Context) error{
--- a/gateway/cluster/compatibility_test.go
+++ b/gateway/cluster/compatibility_test.go
@@ -19,26 +19,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// addCorpus writes the messages of this build under a build's name, to be committed before it lands:
+// addCorpus writes the messages of this build to the corpus under a name, to be committed before
+// the build lands:
 //
 //	go test ./gateway/cluster -run TestCorpus -add-corpus DAY
 var addCorpus = flag.String("add-corpus", "", "write this build's messages to the corpus under a `name`")
 
-// corpus are the messages of all builds that landed, each in a folder with the name of its commit or,
-// for the one that is being written, of its day. firstBuild is the first of them.
+// corpus holds the messages of all builds that landed, each in a folder named after its commit or,
+// for builds added before their commit, their day. firstBuild is the first of them.
 const (
 	corpus     = "testdata/corpus"
 	firstBuild = "2739690"
 )
 
-// beforeDemand are the builds whose lists don't say what callers ask of their routers.
+// beforeDemand are the builds whose lists carry no demand of callers.
 var beforeDemand = []string{firstBuild, "2026-12-03"}
 
-// beforeNearlyBarred are the builds that read names and whose heartbeats don't say which contents are
-// nearly barred.
+// beforeNearlyBarred are the builds that read the extension by field names, but whose heartbeats
+// lack NearlyBarred.
 var beforeNearlyBarred = []string{"2026-12-03", "2026-12-03-demand"}
 
-// TestCorpusIsRead reads what each landed build sends.
+// TestCorpusIsRead decodes the messages of each build that landed.
 func TestCorpusIsRead(t *testing.T) {
 	if *addCorpus != "" {
 		writeCorpus(t, filepath.Join(corpus, *addCorpus))
@@ -51,7 +52,7 @@
 		require.NoError(t, err)
 		want := sampleHeartbeat()
 		if build.Name() == firstBuild {
-			want.Extension = heartbeatExtension{} // it sends none
+			want.Extension = heartbeatExtension{} // this build sends none
 		}
 		if slices.Contains(beforeNearlyBarred, build.Name()) {
 			want.Extension.NearlyBarred = 0
@@ -61,13 +62,13 @@
 		require.NoError(t, err)
 		list := sampleLoadList()
 		if slices.Contains(beforeDemand, build.Name()) {
-			list.Extension = loadListExtension{} // they send none
+			list.Extension = loadListExtension{} // these builds send none
 		}
 		require.Equal(t, list, l, "loads of %s", build.Name())
 	}
 }
 
-// TestCorpusHasThisBuild fails where a message has changed and was not added to the corpus.
+// TestCorpusHasThisBuild fails if a message has changed and was not added to the corpus.
 func TestCorpusHasThisBuild(t *testing.T) {
 	builds, err := os.ReadDir(corpus)
 	require.NoError(t, err)
@@ -82,8 +83,8 @@
 	}
 }
 
-// TestOlderBuildReadsOurs reads what this build sends as build 2739690 does, which takes a message
-// with another number of fields for none at all.
+// TestOlderBuildReadsOurs decodes the messages of this build as build 2739690 does, which rejects
+// messages with a different number of fields.
 func TestOlderBuildReadsOurs(t *testing.T) {
 	bodies := thisBuild(t)
 	var b heartbeat2739690
@@ -94,7 +95,7 @@
 	require.Equal(t, frozenLoadList(), l)
 }
 
-// thisBuild returns the samples as this build sends them.
+// thisBuild returns the sample messages as encoded by this build.
 func thisBuild(t *testing.T) map[string][]byte {
 	b, err := encodeHeartbeat(sampleHeartbeat())
 	require.NoError(t, err)
@@ -118,7 +119,8 @@
 	return body
 }
 
-// FuzzHeartbeat reads datagrams of whatever sender. What can be read says nothing that can't be told on.
+// FuzzHeartbeat decodes datagrams from arbitrary senders. The gossip of any heartbeat that can be
+// decoded must survive encoding and decoding.
 func FuzzHeartbeat(f *testing.F) {
 	builds, err := os.ReadDir(corpus)
 	require.NoError(f, err)
@@ -138,7 +140,8 @@
 	})
 }
 
-// TestUnreadableSenderIsLoggedOnce sends what is no heartbeat: each datagram counts, and the sender is logged once.
+// TestUnreadableSenderIsLoggedOnce sends datagrams that are no heartbeats. Each must be reported as
+// unreadable, and their sender must be logged once.
 func TestUnreadableSenderIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New(&out, "test")
--- a/gateway/cluster/datagram.go
+++ b/gateway/cluster/datagram.go
@@ -6,12 +6,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxDatagramSize bounds what routers send each other at once.
+// maxDatagramSize is the maximum size of a datagram between routers, in bytes.
 const maxDatagramSize = 60 << 10
 
-// encode writes a message as a datagram: structs as arrays, since routers of one
-// fleet know the order of their fields, and names would be most of it. A message that is
-// written so never changes; see docs/design/compatibility.md.
+// encode encodes a message as a datagram. Structs are encoded as arrays: all routers of a fleet
+// have the same field order, and field names would take most of the bytes. A message encoded this
+// way never changes; see docs/design/compatibility.md.
 func encode(message any) ([]byte, error) {
 	var out bytes.Buffer
 	encoder := msgpack.NewEncoder(&out)
@@ -21,7 +21,8 @@
 	return out.Bytes(), err
 }
 
-// encodeExtended writes a message and, after it, what routers of the first builds don't read.
+// encodeExtended encodes a message followed by an extension, which routers of the first builds do
+// not read.
 func encodeExtended(message, extension any) ([]byte, error) {
 	body, err := encode(message)
 	if err != nil {
@@ -32,10 +33,10 @@
 	return out.Bytes(), err
 }
 
-// decode reads a datagram into a message.
+// decode decodes a datagram into a message.
 func decode(body []byte, message any) error { return msgpack.Unmarshal(body, message) }
 
-// decodeExtended reads a datagram into a message and, where it has one, its second value.
+// decodeExtended decodes a datagram into a message and, if present, an extension.
 func decodeExtended(body []byte, message, extension any) error {
 	in := bytes.NewReader(body)
 	decoder := msgpack.NewDecoder(in)
--- a/gateway/cluster/datagram_test.go
+++ b/gateway/cluster/datagram_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDatagrams has what routers tell each other come back as it was, and small:
-// a server costs 12 bytes at the most; for teams see TestTeamsAreSmall.
+// TestDatagrams checks that messages between routers survive encoding and decoding, and that a
+// server takes at most 12 bytes of a list. For teams see TestTeamsAreSmall.
 func TestDatagrams(t *testing.T) {
 	sent := heartbeat{
 		Address: "10.1.0.33", Hall: "a", Region: "north", Power: 0.3, Shed: 0.25, Yields: true, SourceLost: true, Life: 1 << 60, Seq: 7, Knows: feed.Revisions{3, 9, 11},
--- a/gateway/cluster/decisions.go
+++ b/gateway/cluster/decisions.go
@@ -6,18 +6,16 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// Decisions is the state machine that is told of the other routers, and tells them what
-// this one does.
+// Decisions is the state machine of the router. It receives the state of the other routers and
+// returns what this one reports to them.
 type Decisions interface {
 	feed.Decisions
-	// Report returns what heartbeats say of this router's work; each call is for one
-	// heartbeat.
+	// Report returns this router's report for one heartbeat. Call it once per heartbeat.
 	Report() direct.Report
-	// Loads returns what this router has at the servers.
+	// Loads returns this router's loads at the servers.
 	Loads() []loads.Load
-	// TakeCopies returns the copies of prompts' parts made through this router since the
-	// last call.
+	// TakeCopies returns the copies of prompt parts made through this router since the last call.
 	TakeCopies() []loads.Copy
-	// Teams returns what this router sees of teams.
+	// Teams returns the usage of teams that this router observes.
 	Teams() []loads.TeamUse
 }
--- a/gateway/cluster/demandrow.go
+++ b/gateway/cluster/demandrow.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// demandRow is a rollout.Demand in a datagram.
+// demandRow is the encoding of a rollout.Demand.
 type demandRow struct {
 	Known     bool    `msgpack:"k,omitempty"`
 	PerSecond float32 `msgpack:"r,omitempty"`
--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// firstListDelay is the time from the start to the first list of routers: by then
-	// the heartbeats of some have come, where there are any.
+	// firstListDelay is the time from the start to the first list of routers. By then some
+	// heartbeats have arrived, if there are other routers.
 	firstListDelay = 500 * time.Millisecond
-	// maxPeerWait is how long after that a router waits to hear of another one: then a list
-	// that may be some seconds old is enough, which costs the registry a tenth.
+	// maxPeerWait is how long after that a router waits for a heartbeat of another one. Once one
+	// has arrived, a list that may be some seconds old suffices, which costs the registry a tenth.
 	maxPeerWait = 2 * time.Second
-	// earlyListInterval is the time between the first membersOften lists of routers,
-	// membersEach between the later ones: heartbeats name the others by then.
+	// earlyListInterval is the time between the first earlyLists lists of routers, listInterval
+	// that between later ones: by then heartbeats name the other routers.
 	earlyListInterval = 6 * time.Second
 	earlyLists        = 3
 	listInterval      = 30 * time.Second
-	// registryTimeout bounds one call to the registry, registryRetry is the time until
-	// the next where one failed.
+	// registryTimeout bounds a call to the registry. registryRetryDelay is the time until the next
+	// call after a failed one.
 	registryTimeout    = 1500 * time.Millisecond
 	registryRetryDelay = time.Second
-	// eraPollInterval is how often a router looks whether the registry has come back from a copy, and
-	// registerOver the time over which all routers look for themselves in it then.
+	// eraPollInterval is how often a router checks whether the registry was restored from a backup.
+	// After that, all routers look for themselves in it, spread over reregisterSpread.
 	eraPollInterval  = 500 * time.Millisecond
 	reregisterSpread = 5 * time.Second
 )
@@ -36,14 +36,14 @@
 	registry Registry
 	self     Member
 	onMember func(Member)
-	// heardAny tells whether another router has been heardAny of already.
+	// heardAny reports whether a heartbeat of another router has arrived.
 	heardAny func() bool
-	// firstStart says that the whole fleet starts for the first time, so that this
-	// router is not registered yet.
+	// firstStart reports that the whole fleet starts for the first time, so that this router is not
+	// registered yet.
 	firstStart bool
 	// countCall counts a call to the registry.
 	countCall func(what string)
-	// era tells how often the registry has come back from a copy, which may lack this router.
+	// era returns how often the registry was restored from a backup, which may lack this router.
 	era func() uint64
 }
 
@@ -53,8 +53,8 @@
 	m.awaitPeer(ctx)
 	era := m.era()
 	for ctx.Err() == nil {
-		// Heartbeats name the routers that came since. Only a router that has heard
-		// of none, since its seeds are away, needs a list that is up to date.
+		// Heartbeats name the routers that have joined since. Only a router that has received none,
+		// because its seeds are away, needs an up-to-date list.
 		listed, err := m.list(ctx, !restored && (lists > 0 || m.heardAny()))
 		registered = registered || listed || m.register(ctx)
 		if err != nil || !registered {
@@ -69,13 +69,13 @@
 		restored = m.awaitNextList(ctx, pause, era)
 		era = m.era()
 		if restored || pause == listInterval {
-			registered = false // unless the next list has this router
+			registered = false // unless the next list names this router
 		}
 	}
 	return nil
 }
 
-// awaitPeer waits until another router has been heard of, for some time at most.
+// awaitPeer waits for a heartbeat of another router, at most firstListDelay and maxPeerWait.
 func (m discovery) awaitPeer(ctx context.Context) {
 	wait.Sleep(ctx, firstListDelay)
 	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !m.heardAny() && time.Now().Before(end); {
@@ -83,8 +83,9 @@
 	}
 }
 
-// awaitNextList waits for some time, or until the registry is in a later era than the one given and this router's
-// turn has come: routers that started together don't ask it together. It tells whether that was so.
+// awaitNextList waits for a time limit, or until the registry is in a later era than the given one
+// and this router's turn has come. The turn depends on the address, so that routers that started
+// together do not call the registry together. It reports whether the era has changed.
 func (m discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
 	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
 		wait.Sleep(ctx, min(eraPollInterval, time.Until(end)))
@@ -97,8 +98,7 @@
 	return false
 }
 
-// register makes this router known to others, and tells whether the registry has
-// taken that.
+// register registers this router and reports whether that succeeded.
 func (m discovery) register(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
@@ -106,8 +106,7 @@
 	return m.registry.Register(call, m.self) == nil
 }
 
-// list makes the routers known that the registry lists, and tells whether this one is
-// among them.
+// list adds the routers that the registry lists, and reports whether this one is among them.
 func (m discovery) list(ctx context.Context, stale bool) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
--- a/gateway/cluster/discovery_test.go
+++ b/gateway/cluster/discovery_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memberSource lists routers and remembers which lists could be stale.
+// memberSource is a registry that records which lists were allowed to be stale.
 type memberSource struct {
 	mu         sync.Mutex
 	down       atomic.Bool
 	stale      []bool
 	registered []Member
-	during     func() // called in each list; nil: nothing is
+	during     func() // called during each list; may be nil
 }
 
 func (s *memberSource) Register(_ context.Context, m Member) error {
@@ -41,7 +41,7 @@
 	return append([]Member{{Name: "other", Address: "10.0.0.2"}}, s.registered...), nil
 }
 
-// taken returns the registrations and what was listed, and begins anew with neither.
+// taken returns the recorded registrations and lists, and clears both.
 func (s *memberSource) taken() (registered []Member, stale []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,8 +50,8 @@
 	return registered, stale
 }
 
-// TestMembersAreListedFreshFirst lists the routers anew until it has worked once,
-// and then takes lists that may be some seconds old.
+// TestMembersAreListedFreshFirst checks that a router requests up-to-date lists until one call has
+// succeeded, and then accepts lists that may be some seconds old.
 func TestMembersAreListedFreshFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -75,8 +75,8 @@
 	})
 }
 
-// TestRegistersOnce has a router start three times: it registers where no list names it
-// with its address, and makes no call for it otherwise.
+// TestRegistersOnce starts a router three times. It must register only if no list names it with its
+// address.
 func TestRegistersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &memberSource{}
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestRegistersAgain has the registry come back from a copy that lacks a router: it looks for itself
-// in a list that is up to date, registers once, and makes no other call for it.
+// TestRegistersAgain restores the registry from a backup that lacks a router. The router must look
+// for itself in an up-to-date list, register once, and make no other call because of it.
 func TestRegistersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, era := &memberSource{}, atomic.Uint64{}
@@ -129,8 +129,8 @@
 	})
 }
 
-// TestEraDuringAList has the registry come back from a copy while it is being listed: the router looks
-// for itself in a fresh list soon after, and not at the next turn.
+// TestEraDuringAList restores the registry from a backup while it is being listed. The router must
+// look for itself in an up-to-date list soon after, not at the next interval.
 func TestEraDuringAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, era := &memberSource{}, atomic.Uint64{}
--- a/gateway/cluster/doc.go
+++ b/gateway/cluster/doc.go
@@ -1,7 +1,8 @@
-// Package cluster is what a router knows of the others and tells them: how it finds them,
-// the heartbeats by which each knows who is there and how new what it knows is, and the
-// loads that each has at servers. From that follows who follows the source.
+// Package cluster connects a router to the others of its fleet. It finds the other routers,
+// exchanges heartbeats with them, which show who is alive and which revisions each of them has, and
+// exchanges the loads that each of them has at the servers. From the heartbeats it also decides
+// which routers follow the source.
 //
-// Peers keeps what is known of the other routers and decides by it; heartbeats,
-// loadExchange and members send and receive.
+// Peers holds the state of the other routers and makes the decisions; heartbeats, loadExchange and
+// discovery send and receive.
 package cluster
--- a/gateway/cluster/extension.go
+++ b/gateway/cluster/extension.go
@@ -8,36 +8,38 @@
 	"github.com/croftvale/croftvale/gateway/detector"
 )
 
-// heartbeatExtension is the second value of a heartbeat, which routers of the first builds don't read.
-// Its fields have names, and any may be absent; see docs/design/compatibility.md.
+// heartbeatExtension is the second value of a heartbeat, which routers of the first builds do not
+// read. Its fields are encoded by name, and any may be absent; see docs/design/compatibility.md.
 type heartbeatExtension struct {
-	// Answers says that the sender answers when it is asked whether it is there.
+	// Answers reports that the sender answers probes of the failure detector.
 	Answers bool `msgpack:"a,omitempty"`
-	// Ask has the receiver answer at once: to AnswerTo, or where that is empty to the sender.
+	// Ask is a probe: the receiver answers at once, to AnswerTo or, if that is empty, to the
+	// sender.
 	Ask      bool   `msgpack:"q,omitempty"`
 	AnswerTo string `msgpack:"t,omitempty"`
-	// AskOf is a router that the receiver is to have answer to the sender.
+	// AskOf requests an indirect probe: the receiver probes this router and has it answer to the
+	// sender.
 	AskOf string `msgpack:"o,omitempty"`
-	// NearlyBarred is of the sender's quarantine.Digest.
+	// NearlyBarred is the field of the sender's quarantine.Digest.
 	NearlyBarred uint64 `msgpack:"w,omitempty"`
-	// News is what the sender tells of other routers, in rows of newsRow bytes.
+	// News holds the sender's updates about other routers, in rows of gossipRowSize bytes.
 	News []byte `msgpack:"n,omitempty"`
 }
 
 const (
-	// gossipRowSize is the length of one piece of news: an IPv4 address, an incarnation, and an age
-	// in milliseconds doubled, to which one is added where the router is alive.
+	// gossipRowSize is the size of an encoded update: an IPv4 address, an incarnation, and twice
+	// the age in milliseconds, plus one if the router is alive.
 	gossipRowSize = 4 + 4 + 4
-	// maxGossipRows is how many pieces of news one heartbeat tells: some 1 kB, which only fleets
-	// that lose many hosts at once have.
+	// maxGossipRows is the maximum number of updates in a heartbeat, about 1 kB. Only fleets that
+	// lose many hosts at once need that many.
 	maxGossipRows = 80
 )
 
-// incarnationOf is the short form of a life by which news names it: starts of one host differ in
-// their milliseconds.
+// incarnationOf returns the incarnation of a router from the time of its start. It has millisecond
+// resolution, which distinguishes the starts of one host.
 func incarnationOf(startNanos int64) uint32 { return uint32(startNanos / int64(time.Millisecond)) }
 
-// packGossip writes news as rows. What has no IPv4 address is left out: no router has another.
+// packGossip encodes updates as rows. It skips addresses other than IPv4, which no router has.
 func packGossip(updates []detector.PeerUpdate) []byte {
 	var rows []byte
 	for _, n := range updates {
@@ -57,7 +59,7 @@
 	return rows
 }
 
-// unpackGossip reads the rows of news.
+// unpackGossip decodes rows of updates.
 func unpackGossip(rows []byte) []detector.PeerUpdate {
 	var updates []detector.PeerUpdate
 	for ; len(rows) >= gossipRowSize; rows = rows[gossipRowSize:] {
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -16,14 +16,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// memoryFleet is routers in memory on a fake clock: their peers, heartbeats and detectors are real,
-// and datagrams are bytes that pass from one to another at once.
+// memoryFleet simulates routers in memory on a fake clock. Their peers, heartbeats and detectors
+// are real; datagrams are delivered at once.
 type memoryFleet struct {
 	now      time.Duration
 	random   *rand.Rand
 	routers  []*memoryRouter
 	byName   map[string]*memoryRouter
-	lossRate float64 // part of the datagrams
+	lossRate float64 // fraction of the datagrams that is lost
 }
 
 type memoryRouter struct {
@@ -37,7 +37,7 @@
 
 const memoryStep = 10 * time.Millisecond
 
-// memoryMachine is decisions that only tell the time.
+// memoryMachine is a state machine that only returns the time.
 type memoryMachine struct {
 	testMachine
 	fleet *memoryFleet
@@ -46,17 +46,17 @@
 func (m *memoryMachine) Now() time.Duration { return m.fleet.now }
 func (m *memoryMachine) Update(direct.Msg)  {}
 
-// send brings a datagram to another router.
+// send delivers a datagram to another router.
 func (r *memoryRouter) send(address string, _ traffic.Path, body []byte) {
 	to := r.fleet.byName[address]
 	if r.dead || to == nil || to.dead || r.fleet.random.Float64() < r.fleet.lossRate {
 		return
 	}
-	_ = to.heartbeats.receive(body) // it can be read, as tests of messages show
+	_ = to.heartbeats.receive(body) // always decodes; the messages have their own tests
 }
 
-// newMemoryFleet returns routers in five halls that have heard of one another, a seventh of them
-// strong.
+// newMemoryFleet returns routers in five halls that have received a heartbeat of one another. One
+// in seven is powerful.
 func newMemoryFleet(size int) *memoryFleet {
 	f := &memoryFleet{now: 10 * time.Second, random: rand.New(rand.NewPCG(uint64(size), 3)), byName: make(map[string]*memoryRouter)}
 	counts := stats.New(tally.NoopScope)
@@ -92,7 +92,7 @@
 	return f
 }
 
-// advance goes on for some time.
+// advance runs the fleet for a duration.
 func (f *memoryFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; f.now += memoryStep {
 		for _, r := range f.routers {
@@ -111,7 +111,7 @@
 	}
 }
 
-// followers are the routers that follow the source.
+// followers returns the routers that follow the source.
 func (f *memoryFleet) followers() []*memoryRouter {
 	var out []*memoryRouter
 	for _, r := range f.routers {
@@ -122,10 +122,10 @@
 	return out
 }
 
-// TestChangeSpreadsAfterLoss loses the routers that follow the source, the first hall, and half of all
-// hosts. Then a change comes to the source: within three seconds of the loss each router that is left
-// knows of it. Its way: a router that follows the source offers it, and heartbeats tell the others that
-// there is something newer, which they pull.
+// TestChangeSpreadsAfterLoss loses the routers that follow the source, the first hall, or half of
+// all hosts, just before the source changes. Within three seconds of the loss, each remaining
+// router must have the change: a router that follows the source offers it, heartbeats announce the
+// newer revision, and the other routers pull it.
 func TestChangeSpreadsAfterLoss(t *testing.T) {
 	losses := map[string]func(f *memoryFleet) func(i int, r *memoryRouter) bool{
 		"the followers": func(f *memoryFleet) func(int, *memoryRouter) bool {
@@ -155,21 +155,21 @@
 				for _, r := range followers {
 					halls[r.peers.place.Hall] = true
 				}
-				require.Len(t, halls, minFollowers+1, "followers share no hall")
+				require.Len(t, halls, minFollowers+1, "followers are in different halls")
 				isLost := loss(f)
 				for i, r := range f.routers {
 					r.dead = isLost(i, r)
 				}
 				took := f.timeToConverge(t)
-				t.Logf("in force everywhere after %v", took)
+				t.Logf("applied by all routers after %v", took)
 				require.LessOrEqual(t, took, 3*time.Second)
 			})
 		}
 	}
 }
 
-// timeToConverge has each router that comes to follow the source know of a change, and the others
-// take it from whoever their heartbeats say has it, and returns when all know.
+// timeToConverge offers the change to each router that follows the source, and to the others as
+// soon as a live peer announces it. It returns the time until all routers have it.
 func (f *memoryFleet) timeToConverge(t *testing.T) time.Duration {
 	began := f.now
 	for f.now-began < 30*time.Second {
@@ -193,7 +193,7 @@
 	return f.now - began
 }
 
-// peerHasChange tells whether a router knows of one that has the change and answers.
+// peerHasChange reports whether a router knows of a live peer that has the change.
 func (f *memoryFleet) peerHasChange(r *memoryRouter) bool {
 	for _, ahead := range r.peers.Ahead() {
 		for _, address := range ahead.All() {
--- a/gateway/cluster/followevacuations_test.go
+++ b/gateway/cluster/followevacuations_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// hallSource tells which data halls are evacuated, or fails.
+// hallSource is a source of evacuated data halls that can be down.
 type hallSource struct {
 	feed.Source
 	mu       sync.Mutex
@@ -69,7 +69,7 @@
 	s.down = down
 }
 
-// startEvacuations starts the follower of evacuations of a router that has no others.
+// startEvacuations starts the follower of evacuations of a router without peers.
 func startEvacuations(t *testing.T, source feed.Source) *feed.Evacuations {
 	p := newTestPeers("d")
 	p.isSeed = true
@@ -79,8 +79,8 @@
 	return p.deps.Feeds.Evacuations
 }
 
-// TestEvacuationsAreFollowed evacuates a hall, takes it back while the source is away, and
-// sees the change within the bound once the source is there again.
+// TestEvacuationsAreFollowed evacuates a hall and ends the evacuation while the source is down. The
+// change must arrive within the bound once the source is up again.
 func TestEvacuationsAreFollowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &hallSource{revision: 3}
@@ -93,7 +93,7 @@
 		require.Equal(t, []string{"b"}, halls.Newest().Halls)
 		source.setDown(true)
 		time.Sleep(3 * time.Second)
-		require.Equal(t, []string{"b"}, halls.Newest().Halls, "what was known holds while the source is away")
+		require.Equal(t, []string{"b"}, halls.Newest().Halls, "the last known state holds while the source is down")
 		source.set(8, feed.Change[string]{Object: "b", Gone: true})
 		source.setDown(false)
 		time.Sleep(2 * time.Second)
@@ -102,8 +102,8 @@
 	})
 }
 
-// TestEvacuationsCostFewCalls counts the calls of a router that follows while nothing
-// changes: one in two seconds.
+// TestEvacuationsCostFewCalls checks that a follower calls the source about once in two seconds
+// while nothing changes.
 func TestEvacuationsCostFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &hallSource{revision: 3}
--- a/gateway/cluster/followservers_test.go
+++ b/gateway/cluster/followservers_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serverSource lists servers and counts how often it is asked.
+// serverSource lists servers and counts the calls.
 type serverSource struct {
 	feed.Source
 	reads, watches atomic.Int64
@@ -30,8 +30,8 @@
 	return nil, since, nil
 }
 
-// startServers starts the follower of servers of a router that has just begun and
-// knows three others.
+// startServers starts the follower of servers of a router that has just started and has three
+// peers.
 func startServers(t *testing.T, source feed.Source) (*feed.Servers, *Peers) {
 	p := newTestPeers("d", &peer{address: "a"}, &peer{address: "b"}, &peer{address: "c"})
 	p.deps.Decisions = newTestMachine()
@@ -41,9 +41,8 @@
 	return p.deps.Feeds.Servers, p
 }
 
-// TestServersAreBrought has a router start beside others: it takes the list of
-// servers from them and does not ask the source, which would else be asked by each
-// router of a fleet that starts together.
+// TestServersAreBrought starts a router whose peers send it the list of servers. It must not call
+// the source: otherwise each router of a starting fleet would.
 func TestServersAreBrought(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &serverSource{}
@@ -56,8 +55,8 @@
 	})
 }
 
-// TestServersAreReadOnce has nobody bring the list of servers: a router reads it
-// once, and goes on from there when it comes to follow the source.
+// TestServersAreReadOnce starts a router to which no peer sends the list of servers. It must read
+// the list once, and continue from it when it becomes a follower of the source.
 func TestServersAreReadOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &serverSource{}
@@ -72,7 +71,7 @@
 		peers.known["a"].sourceLost = true
 		peers.mu.Unlock()
 		time.Sleep(4 * time.Second)
-		require.EqualValues(t, 1, source.reads.Load(), "it goes on from what it read")
+		require.EqualValues(t, 1, source.reads.Load(), "it continues from the list that it read")
 		require.Positive(t, source.watches.Load())
 	})
 }
--- a/gateway/cluster/frozen_test.go
+++ b/gateway/cluster/frozen_test.go
@@ -10,8 +10,8 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// The types below are those of messages as build 2739690 has them, and stay as they are: that build
-// reads what this one sends into them. See docs/design/compatibility.md.
+// The types below are the message types of build 2739690 and must not change: that build decodes
+// the messages of this one into them. See docs/design/compatibility.md.
 
 type heartbeat2739690 struct {
 	Address        string
@@ -93,7 +93,7 @@
 	Server uint32
 }
 
-// The samples are one of each message, with all of its fields in use.
+// The samples contain one of each message, with all fields set.
 
 func sampleHeartbeat() heartbeat {
 	return heartbeat{
--- a/gateway/cluster/halls.go
+++ b/gateway/cluster/halls.go
@@ -8,8 +8,8 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// PathTo returns the path to another router; one that has not been heard of counts as
-// being in another hall of the region.
+// PathTo returns the path to another router. A router without a heartbeat so far counts as being in
+// another hall of the region.
 func (p *Peers) PathTo(address string) traffic.Path {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -19,8 +19,7 @@
 	return traffic.BetweenHalls
 }
 
-// FirstOfHall tells whether this router is the first of its hall by address, among those
-// that are there.
+// FirstOfHall reports whether this router is the first by address of the live routers of its hall.
 func (p *Peers) FirstOfHall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,7 +31,7 @@
 	return true
 }
 
-// countPeer counts another router of the hall.
+// countPeer adds another router of the hall to h.
 func countPeer(h *pressure.Hall, p *peer) {
 	h.Routers++
 	switch {
@@ -43,12 +42,14 @@
 	}
 }
 
-// silentAfter is how long no router of a data hall is heard before the hall counts as
-// quiet: at the least two heartbeats of the only router of a hall, in a small fleet.
+// silentAfter is the time without a heartbeat from any router of a data hall after which the hall
+// counts as silent. It is at least two heartbeat intervals of a hall's only router in a small
+// fleet.
 const silentAfter = 450 * time.Millisecond
 
-// silentHalls returns the data halls of which routers were heard lately and none any
-// more, while others are. A late router has not read what it was told.
+// silentHalls returns the data halls whose live routers have all been silent for silentAfter, while
+// a heartbeat of another hall has arrived. A late router returns none: it may not have read its
+// datagrams yet.
 func (p *Peers) silentHalls(now time.Duration) []string {
 	if p.deps.Pressure.Slow() {
 		return nil
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -8,25 +8,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQuietHalls has the routers of one hall fall silent, those of all halls, and none.
+// TestQuietHalls silences the routers of no hall, of one hall, and of all halls.
 func TestQuietHalls(t *testing.T) {
 	p := newTestPeers("a1", &peer{address: "a2", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "b2", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	now := p.deps.Decisions.Now()
 	require.Empty(t, p.silentHalls(now))
 	p.known["b1"].lastHeard = now - 2*silentAfter
-	require.Empty(t, p.silentHalls(now), "another router of the hall is heard")
+	require.Empty(t, p.silentHalls(now), "another router of the hall sends heartbeats")
 	p.known["b2"].lastHeard = now - 2*silentAfter
 	require.Equal(t, []string{"b"}, p.silentHalls(now))
 	for _, one := range p.known {
 		one.lastHeard = now - 2*silentAfter
 	}
-	require.Empty(t, p.silentHalls(now), "this router hears nobody: that says nothing of one hall")
+	require.Empty(t, p.silentHalls(now), "without any heartbeat, no single hall counts as quiet")
 	p.known["b1"].live, p.known["b2"].live = false, false
 	p.known["c1"].lastHeard = now
-	require.NotContains(t, p.silentHalls(now), "b", "routers that are long gone are not quiet")
+	require.NotContains(t, p.silentHalls(now), "b", "routers that are no longer live do not count")
 }
 
-// TestOwnHallIsAskedFirst has newer things known in this hall, in another one, and in both.
+// TestOwnHallIsAskedFirst has newer revisions in this hall, in another one, and in both.
 func TestOwnHallIsAskedFirst(t *testing.T) {
 	p := newTestPeers("a2", &peer{address: "a1", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	p.place.Hall = "a"
@@ -43,8 +43,8 @@
 	require.True(t, p.FirstOfHall(), "the first is away")
 }
 
-// TestOwnRegionBeforeOthers has something newer known in each tier: the nearest are asked
-// first, and a hall whose region is not known counts as one of another.
+// TestOwnRegionBeforeOthers has a newer revision at each distance. The nearest router must come
+// first, and a hall of unknown region counts as one of another region.
 func TestOwnRegionBeforeOthers(t *testing.T) {
 	at := func(address, hall, region string) *peer {
 		return &peer{address: address, place: traffic.Place{Hall: hall, Region: region}, revisions: feed.Revisions{3}}
--- a/gateway/cluster/heartbeat.go
+++ b/gateway/cluster/heartbeat.go
@@ -9,50 +9,50 @@
 )
 
 const (
-	minHeartbeatInterval = 100 * time.Millisecond // at the least
-	heartbeatsPerSecond  = 100                    // a second, that a router should hear
-	heartbeatFanout      = 24                     // peers that one heartbeat goes to
-	membersPerHeartbeat  = 16                     // peers named in one heartbeat
-	membersEveryRounds   = 8                      // one heartbeat in so many names peers
-	// farMembersEveryRounds is the same for those to other regions, where bytes cost most: routers hear
-	// of peers from their own region, and once in a quarter of a minute from others, in
-	// case they know nobody there.
+	minHeartbeatInterval = 100 * time.Millisecond // in small fleets
+	heartbeatsPerSecond  = 100                    // received by each router, in large fleets
+	heartbeatFanout      = 24                     // peers that receive a heartbeat
+	membersPerHeartbeat  = 16                     // peers named in a heartbeat
+	membersEveryRounds   = 8                      // of which one names peers
+	// farMembersEveryRounds is the same for heartbeats to other regions, where bytes cost most.
+	// Routers learn of peers mainly from their own region, and about every 15 seconds from other
+	// regions, in case they know no router of their own.
 	farMembersEveryRounds = 8 * membersEveryRounds
 )
 
-// heartbeat is what a router tells the others, several times a second.
+// heartbeat is the message that routers send one another several times a second.
 type heartbeat struct {
 	Address string // of the sender's host
 	Hall    string
 	Region  string  // empty: unknown
 	Power   float64 // cores
-	Shed    float64 // part of the new requests that it refuses for want of processor time
-	Yields  bool    // it is not ready for want of processor time
-	// SourceLost says that the sender's last call to the source failed.
+	Shed    float64 // fraction of the new requests that the sender refuses because it is short of CPU time
+	Yields  bool    // the sender is not ready because it is short of CPU time
+	// SourceLost reports that the sender's last call to the source failed.
 	SourceLost bool
-	Life       int64 // start of the sender, so that a restart begins anew
+	Life       int64 // start of the sender in nanoseconds since 1970; a later start supersedes earlier heartbeats
 	Seq        uint64
 	Knows      feed.Revisions
 	Headroom   float32             // see direct.Shares
-	Members    []string            // other routers that the sender has heard of
-	Suspects   []quarantine.Report // as in direct.Report
-	// SuspectsDigest is Barred of the sender's quarantine.Digest.
+	Members    []string            // other routers from which the sender has received heartbeats
+	Suspects   []quarantine.Report // see direct.Report
+	// SuspectsDigest is the field Barred of the sender's quarantine.Digest.
 	SuspectsDigest uint64
 	// Extension is the second value of the datagram.
 	Extension heartbeatExtension `msgpack:"-"`
 }
 
-// encodeHeartbeat writes a heartbeat as a datagram.
+// encodeHeartbeat encodes a heartbeat as a datagram.
 func encodeHeartbeat(b heartbeat) ([]byte, error) { return encodeExtended(b, b.Extension) }
 
-// decodeHeartbeat reads a datagram as a heartbeat.
+// decodeHeartbeat decodes a datagram as a heartbeat.
 func decodeHeartbeat(body []byte) (heartbeat, error) {
 	var b heartbeat
 	err := decodeExtended(body, &b, &b.Extension)
 	return b, err
 }
 
-// report is what the heartbeat says of the sender's work.
+// report returns the sender's report.
 func (b *heartbeat) report() direct.Report {
 	return direct.Report{
 		Headroom: float64(b.Headroom), Suspects: b.Suspects,
--- a/gateway/cluster/heartbeat_test.go
+++ b/gateway/cluster/heartbeat_test.go
@@ -14,7 +14,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// fullHeartbeat is a heartbeat of a large fleet, in which all numbers are long.
+// fullHeartbeat returns a heartbeat of a large fleet in which all numbers are long.
 func fullHeartbeat(members int) heartbeat {
 	b := heartbeat{
 		Address: "10.101.200.133", Hall: "hall-1", Region: "region-1", Power: 0.3, Shed: 0.25, Life: 1 << 60, Seq: 1 << 30,
@@ -26,8 +26,8 @@
 	return b
 }
 
-// TestHeartbeatsAreFewBytes bounds what a router tells in heartbeats each second: a hundred at the
-// most, and few name members.
+// TestHeartbeatsAreFewBytes bounds the bytes of heartbeats that a router sends per second: at most
+// a hundred heartbeats, few of which name members.
 func TestHeartbeatsAreFewBytes(t *testing.T) {
 	plain, err := encode(fullHeartbeat(0))
 	require.NoError(t, err)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestMembersMostlyStayInTheirRegion has a heartbeat name members to a router of the own region
-// and to one that has not been heard, and to one of another region only now and then.
+// TestMembersMostlyStayInTheirRegion checks that a heartbeat names members to routers of the own
+// region and to those without a heartbeat so far, but rarely to routers of other regions.
 func TestMembersMostlyStayInTheirRegion(t *testing.T) {
 	at := func(address, region string) *peer {
 		return &peer{address: address, place: traffic.Place{Hall: region, Region: region}}
@@ -74,11 +74,11 @@
 	require.Equal(t, now.WithinHall-sent.WithinHall, now.BetweenRegions-sent.BetweenRegions)
 }
 
-// TestOtherRegionsReceiveGraveSuspects has a router tell of a content under which one server crashed
-// and of one under which two did: other regions are told of the second.
+// TestOtherRegionsReceiveGraveSuspects reports fingerprints under which one or two servers crashed.
+// Other regions must receive only those under which two did.
 func TestOtherRegionsReceiveGraveSuspects(t *testing.T) {
 	all := []quarantine.Report{{Content: 1}, {Content: 2, Grave: true}, {Content: 3}}
 	require.Equal(t, []quarantine.Report{{Content: 2, Grave: true}}, graveReports(all))
 	require.Len(t, all, 3)
-	require.EqualValues(t, 1, all[0].Content, "the others of this region are told of all")
+	require.EqualValues(t, 1, all[0].Content, "other routers of this region receive all reports")
 }
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -12,7 +12,7 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// heartbeats are sent to the other routers and taken from them.
+// heartbeats sends and receives heartbeats.
 type heartbeats struct {
 	peers      *Peers
 	deps       Dependencies
@@ -20,16 +20,16 @@
 	power      float64
 	startNanos int64
 	seq        atomic.Uint64
-	rounds     uint64                    // of heartbeats to some others
-	lastSent   atomic.Pointer[heartbeat] // of the last round, without what only rounds tell
-	wake       chan struct{}             // this router has something newer
+	rounds     uint64                    // rounds of scheduled heartbeats
+	lastSent   atomic.Pointer[heartbeat] // last round's heartbeat, without the fields that only rounds send
+	wake       chan struct{}             // requests a round ahead of schedule
 }
 
 func newHeartbeats(s Settings, conn sender, p *Peers, deps Dependencies) *heartbeats {
 	return &heartbeats{peers: p, deps: deps, conn: conn, power: s.Power, startNanos: s.startNanos, wake: make(chan struct{}, 1)}
 }
 
-// sendNow tells the peers at once that this router has something newer.
+// sendNow sends a round of heartbeats ahead of schedule.
 func (h *heartbeats) sendNow() { notify(h.wake) }
 
 func notify(c chan struct{}) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sendRound sends one heartbeat to some others.
+// sendRound sends one heartbeat to some other routers.
 func (h *heartbeats) sendRound() {
 	report := h.deps.Decisions.Report()
 	targets, members := h.peers.startRound()
@@ -84,12 +84,13 @@
 	h.sendEach(targets, near, far)
 }
 
-// graveReports returns the reports that other regions are told.
+// graveReports returns the reports that are sent to other regions.
 func graveReports(all []quarantine.Report) []quarantine.Report {
 	return slices.DeleteFunc(slices.Clone(all), func(r quarantine.Report) bool { return !r.Grave })
 }
 
-// sendEach sends a heartbeat to some routers, as it is for those of this region and of others.
+// sendEach sends near to the targets in this region and far to those in other regions, each with
+// its gossip.
 func (h *heartbeats) sendEach(targets []string, near, far heartbeat) {
 	nearBody, farBody := h.encode(near), h.encode(far)
 	for _, address := range targets {
@@ -105,7 +106,7 @@
 	}
 }
 
-// encode writes a heartbeat as a datagram, an empty one where that fails.
+// encode encodes a heartbeat as a datagram, which is empty if that fails.
 func (h *heartbeats) encode(b heartbeat) []byte {
 	body, err := encodeHeartbeat(b)
 	if err != nil {
@@ -115,11 +116,11 @@
 	return body
 }
 
-// sendExtra sends a heartbeat beside the rounds, which asks for something.
+// sendExtra sends a heartbeat with an extension outside the rounds.
 func (h *heartbeats) sendExtra(address string, extension heartbeatExtension) {
 	last := h.lastSent.Load()
 	if last == nil || address == h.peers.self {
-		return // this router has told nobody that it answers
+		return // other routers do not know yet that this one answers probes
 	}
 	b := *last
 	b.Seq, b.Knows = h.seq.Add(1), h.deps.Feeds.Revisions()
@@ -129,7 +130,7 @@
 	h.conn.send(address, h.peers.PathTo(address), h.encode(b))
 }
 
-// receive takes one heartbeat, and answers where it asks for that.
+// receive handles one heartbeat, and answers it if it is a probe.
 func (h *heartbeats) receive(body []byte) error {
 	b, err := decodeHeartbeat(body)
 	if err != nil {
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// runDetector finds out which routers are there until ctx ends.
+// runDetector ticks the failure detector until ctx ends.
 func (h *heartbeats) runDetector(ctx context.Context) error {
 	ticker := time.NewTicker(detector.TickInterval)
 	defer ticker.Stop()
@@ -159,7 +160,7 @@
 	}
 }
 
-// execute does what the detector wants.
+// execute runs the commands of the failure detector.
 func (h *heartbeats) execute(cmds []detector.Cmd) {
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
--- a/gateway/cluster/loadlist.go
+++ b/gateway/cluster/loadlist.go
@@ -6,33 +6,33 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// loadList is the datagram of one list of loads.
+// loadList is the encoding of a list of loads.
 type loadList struct {
 	From   string
-	Hall   string // of the sender; only where the list tells of teams
-	Region string // that the list covers; only where its kind covers one
+	Hall   string // of the sender; set only if the list carries team usage
+	Region string // covered by the list; set only for kinds that cover a region
 	Kind   loads.Kind
 	Number uint64
 	Base   uint64 // see loads.ListMsg
 	Loads  []loads.Load
-	// HasTeams says that the list tells of teams.
+	// HasTeams reports whether the list carries team usage.
 	HasTeams bool
 	Teams    []teamRow
-	// Rollouts come with teams, where roll-outs are on.
+	// Rollouts are sent with team usage, if rollouts are enabled.
 	Rollouts []rolloutRow
 	Copies   []loads.Copy
 	// Extension is the second value of the datagram.
 	Extension loadListExtension `msgpack:"-"`
 }
 
-// loadListExtension is the second value of a list, which routers of earlier builds don't read.
-// Its fields have names, and any may be absent; see docs/design/compatibility.md.
+// loadListExtension is the second value of a list, which routers of earlier builds do not read. Its
+// fields are encoded by name, and any may be absent; see docs/design/compatibility.md.
 type loadListExtension struct {
-	// Demands are those of the list's Rollouts, in the same order.
+	// Demands holds the demands of the list's Rollouts, in the same order.
 	Demands []demandRow `msgpack:"d,omitempty"`
 }
 
-// encodeLoadList writes a list as a datagram.
+// encodeLoadList encodes a list as a datagram.
 func encodeLoadList(l *loadList) ([]byte, error) {
 	if len(l.Extension.Demands) == 0 {
 		return encode(l)
@@ -40,14 +40,14 @@
 	return encodeExtended(l, l.Extension)
 }
 
-// decodeLoadList reads a datagram as a list.
+// decodeLoadList decodes a datagram as a list.
 func decodeLoadList(body []byte) (loadList, error) {
 	var l loadList
 	err := decodeExtended(body, &l, &l.Extension)
 	return l, err
 }
 
-// packList makes a list small. Its sender and number are still to be filled in.
+// packList returns the encoding of a list, without its sender and number.
 func packList(cmd loads.SendCmd) loadList {
 	list := loadList{
 		Region: cmd.Region, Kind: cmd.Kind, Base: cmd.Base, Loads: cmd.Loads, HasTeams: cmd.HasTeams, Copies: cmd.Copies,
@@ -59,7 +59,7 @@
 	return list
 }
 
-// unpack returns what a list that has just come says.
+// unpack returns the message for a list received at a time.
 func (l *loadList) unpack(now time.Duration) loads.ListMsg {
 	return loads.ListMsg{
 		Now: now, From: l.From, Hall: l.Hall, Region: l.Region, Kind: l.Kind, Number: l.Number, Base: l.Base,
--- a/gateway/cluster/loadlist_test.go
+++ b/gateway/cluster/loadlist_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestListsComeAsSent has all that a list tells come as it was sent.
+// TestListsComeAsSent checks that all fields of a list survive encoding and decoding.
 func TestListsComeAsSent(t *testing.T) {
 	cmd := loads.SendCmd{
 		To: "10.1.0.7", Kind: loads.RegionSum, Region: "north", Base: 1 << 60, Loads: []loads.Load{{Server: 1, Running: 2, Pending: 3}},
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -11,17 +11,17 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// loadExchange carries out what the exchange of loads decides.
+// loadExchange executes the commands of a loads.Exchange.
 type loadExchange struct {
 	self         string
 	place        traffic.Place
-	paths        map[string]traffic.Path // to the routers that are there
+	paths        map[string]traffic.Path // by address, to the live routers
 	conn         *transport
 	deps         Dependencies
 	mu           sync.Mutex
 	exchange     *loads.Exchange
-	lastReceived time.Duration // when the others' loads came last
-	number       uint64        // of the last list that was sent; begins with the time of the start
+	lastReceived time.Duration // when the last peer totals were received
+	number       uint64        // of the last list sent; starts at the start time in nanoseconds
 }
 
 func newLoadExchange(s Settings, conn *transport, deps Dependencies) *loadExchange {
@@ -32,7 +32,7 @@
 	}
 }
 
-// setRouters takes in which other setRouters are there.
+// setRouters sets the live routers.
 func (l *loadExchange) setRouters(alive []loads.Router) {
 	paths := make(map[string]traffic.Path, len(alive))
 	for _, r := range alive {
@@ -44,8 +44,8 @@
 	l.update(loads.RoutersMsg{Routers: alive})
 }
 
-// pathTo returns the path to another router; one that is not there any more counts as
-// being in another hall of the region.
+// pathTo returns the path to another router. One that is no longer alive counts as being in another
+// hall of the region.
 func (l *loadExchange) pathTo(address string) traffic.Path {
 	if path, ok := l.paths[address]; ok {
 		return path
@@ -53,7 +53,7 @@
 	return traffic.BetweenHalls
 }
 
-// send goes through the rounds until ctx ends.
+// send starts a round every RoundInterval until ctx ends.
 func (l *loadExchange) send(ctx context.Context) error {
 	ticker := time.NewTicker(loads.RoundInterval)
 	defer ticker.Stop()
@@ -76,7 +76,7 @@
 	}
 }
 
-// receive takes lists until ctx ends.
+// receive handles lists until ctx ends.
 func (l *loadExchange) receive(ctx context.Context) error {
 	return l.conn.receive(ctx, func(body []byte) error {
 		list, err := decodeLoadList(body)
@@ -88,7 +88,7 @@
 	})
 }
 
-// update tells the exchange something and does what it wants done.
+// update passes a message to the exchange and executes its commands.
 func (l *loadExchange) update(msg loads.Msg) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// deliver tells the machine what the others have.
+// deliver passes the totals of the other routers to the state machine.
 func (l *loadExchange) deliver(others loads.PeerTotalsCmd) {
 	now := l.deps.Decisions.Now()
 	if l.lastReceived > 0 {
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -11,7 +11,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// copyRecorder keeps the copies that its router's decisions are copyRecorder of.
+// copyRecorder is a state machine that records the copies it receives.
 type copyRecorder struct {
 	*testMachine
 	copies []loads.Copy
@@ -24,7 +24,7 @@
 	d.testMachine.Update(msg)
 }
 
-// newTestLoads returns the exchange of a router of which no datagram arrives.
+// newTestLoads returns a loadExchange that receives no datagrams.
 func newTestLoads(t *testing.T, s Settings) (*loadExchange, *copyRecorder) {
 	d := &copyRecorder{testMachine: newTestMachine()}
 	parts := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
@@ -34,15 +34,15 @@
 	return newLoadExchange(s, over, parts), d
 }
 
-// TestListsBetweenRegions has a router tell one of another region, as settings say that they
-// are in two, and be told of copies: bytes count by how far they go.
+// TestListsBetweenRegions has a router send lists to a router of another region and receive a copy.
+// The bytes sent must count by path, according to the regions in the settings.
 func TestListsBetweenRegions(t *testing.T) {
 	l, d := newTestLoads(t, Settings{Self: Member{Address: "127.0.0.1"}, Hall: "a", Region: "north", Power: 9})
 	l.setRouters([]loads.Router{{Address: "127.0.0.2", Hall: "b", Region: "south"}, {Address: "127.0.0.3", Hall: "c", Region: "north"}})
 	l.update(loads.TickMsg{Now: d.Now()})
 	sent := l.deps.Traffic.Sums()["loads"]
 	require.Positive(t, sent.BetweenHalls)
-	require.Zero(t, sent.BetweenRegions, "other regions are told with the teams")
+	require.Zero(t, sent.BetweenRegions, "lists to other regions are sent with team usage")
 	l.update(loads.TickMsg{Now: d.Now(), HasTeams: true})
 	sent = l.deps.Traffic.Sums()["loads"]
 	require.Zero(t, sent.WithinHall)
--- a/gateway/cluster/peer.go
+++ b/gateway/cluster/peer.go
@@ -7,7 +7,7 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// peer is another router.
+// peer is the state of another router.
 type peer struct {
 	address    string
 	place      traffic.Place
@@ -15,23 +15,23 @@
 	shed       float64
 	yields     bool
 	startNanos int64
-	// sourceLost says that its last call to the source failed.
+	// sourceLost reports that the router's last call to the source failed.
 	sourceLost  bool
 	seq         uint64
 	lastHeard   time.Duration // 0: never
 	added       time.Duration
-	restartedAt time.Duration // when another life was first heard; 0: never
+	restartedAt time.Duration // when a heartbeat with a later start was first received; 0: never
 	revisions   feed.Revisions
 	live        bool
 }
 
-// heardWithin tells whether a heartbeat of the peer has come lately.
+// heardWithin reports whether the last heartbeat of the peer is at most limit old.
 func (p *peer) heardWithin(now, limit time.Duration) bool {
 	return p.lastHeard > 0 && now-p.lastHeard <= limit
 }
 
-// settling tells whether a router has just been started again: it leads nothing yet. In a
-// fleet that starts, nobody is taken for that.
+// settling reports whether a router has just restarted and thus does not lead yet. When a whole
+// fleet starts, no router counts as settling.
 func (p *peer) settling(now time.Duration) bool {
 	return p.restartedAt > 0 && now-p.restartedAt < settleTime
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -13,30 +13,30 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// forgetPeerAfter is how long a peer is remembered that is not heard of.
+// forgetPeerAfter is how long a peer without heartbeats is kept.
 const forgetPeerAfter = 60 * time.Second
 
-// Peers is what a router knows of the other routers.
+// Peers holds the state of the other routers.
 type Peers struct {
 	self      string
 	place     traffic.Place
 	deps      Dependencies
 	seedCount int
-	// isSeed says that routers which start ask this one, or that it has no others to ask.
+	// isSeed reports that starting routers ask this router, or that it has no others to ask.
 	isSeed bool
-	// startupWait is how long this router waits, as it starts, for others to bring what
-	// it would read from the source.
+	// startupWait is how long this router waits, as it starts, for its peers to send what it would
+	// otherwise read from the source.
 	startupWait     time.Duration
-	without         direct.Without // mechanisms that are switched off
+	without         direct.Without // disabled mechanisms
 	mu              sync.Mutex
-	targetRevisions feed.Revisions // newest that others knew at behindSince
-	behindSince     time.Duration  // when this router was last known to know no less
+	targetRevisions feed.Revisions // newest revisions of live peers at behindSince
+	behindSince     time.Duration  // when this router last had all revisions of its peers
 	known           map[string]*peer
-	newlyLive       []string             // routers that were not there before, since the last round
-	onLive          func([]loads.Router) // takes the routers that are there
+	newlyLive       []string             // routers that became live since the last round
+	onLive          func([]loads.Router) // receives the live routers
 	power           float64
 	detector        *detector.Detector
-	behind          chan struct{} // a peer knows something newer
+	behind          chan struct{} // signals that a peer has a newer revision
 }
 
 func newPeers(s Settings, deps Dependencies) *Peers {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Live returns the addresses of the routers that are there.
+// Live returns the addresses of the live routers.
 func (p *Peers) Live() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,10 +61,10 @@
 	return out
 }
 
-// Behind is sent on when another router knows something newer.
+// Behind returns a channel that signals that another router has a newer revision.
 func (p *Peers) Behind() <-chan struct{} { return p.behind }
 
-// Add makes a router known.
+// Add adds a router by its address.
 func (p *Peers) Add(address string) {
 	if address == p.self || address == "" {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// startRound picks whom a heartbeat goes to, and tells the machine how many routers
-// there are.
+// startRound picks the targets of a heartbeat and the members it may name, and reports the state of
+// the fleet to the state machine.
 func (p *Peers) startRound() (targets, members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,7 +116,7 @@
 	p.newlyLive = nil
 	targets = pickTargets(targets, away)
 	p.onLive(alive)
-	// A late router has not read what the others said: it keeps what it knew.
+	// A late router may not have read its datagrams yet, so it keeps the previous state.
 	if !p.deps.Pressure.Slow() {
 		p.deps.Pressure.SetHall(hall)
 	}
@@ -127,7 +127,7 @@
 	return targets, members
 }
 
-// onHeartbeat takes one heartbeat in, and returns what the detector wants.
+// onHeartbeat records a heartbeat and returns the commands of the failure detector.
 func (p *Peers) onHeartbeat(b heartbeat) (cmds []detector.Cmd) {
 	p.Add(b.Address)
 	for _, m := range b.Members {
@@ -169,8 +169,8 @@
 	return cmds
 }
 
-// pickTargets draws whom a heartbeat goes to, of the routers that are there and those that are away:
-// one of the latter, so that a fleet finds together again whose parts were cut off from one another.
+// pickTargets picks the targets of a heartbeat at random from the live routers, and one from those
+// that are away, so that parts of a fleet that were disconnected find one another again.
 func pickTargets(alive, away []string) []string {
 	shuffle(alive)
 	alive = alive[:min(len(alive), heartbeatFanout)]
@@ -185,26 +185,26 @@
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 }
 
-// tick has the detector go on, and returns what it wants.
+// tick ticks the failure detector and returns its commands.
 func (p *Peers) tick() []detector.Cmd {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.detector.Update(detector.TickMsg{Now: p.deps.Decisions.Now(), Late: p.deps.Pressure.Slow()})
 }
 
-// gossip returns what a heartbeat to another router tells of others.
+// gossip returns the encoded updates for a heartbeat to another router.
 func (p *Peers) gossip(to string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return packGossip(p.detector.NextUpdates(p.deps.Decisions.Now(), to, maxGossipRows))
 }
 
-// isAlive tells whether a router counts as isAlive; p.mu is held.
+// isAlive reports whether a router counts as alive. p.mu must be held.
 func (p *Peers) isAlive(peer *peer, now, timeout time.Duration) bool {
 	return peer.heardWithin(now, timeout) && p.detector.Alive(peer.address, now)
 }
 
-// rank returns this router's place by address among all that it knows.
+// rank returns this router's rank by address among all known routers.
 func (p *Peers) rank() int {
 	before := 0
 	for address := range p.known {
--- a/gateway/cluster/peers_test.go
+++ b/gateway/cluster/peers_test.go
@@ -17,17 +17,17 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// quietLog is for tests that make many routers; it is never closed.
+// quietLog is the log of tests that create many routers; it is never closed.
 var quietLog = eventlog.New(io.Discard, "test")
 
-// testMachine is the decisions of a router under test.
+// testMachine is the state machine of a router under test.
 type testMachine struct {
 	mu      sync.Mutex
 	machine *direct.Machine
 	start   time.Time
 }
 
-// newTestMachine returns the decisions of a router that has just begun.
+// newTestMachine returns the state machine of a router that has just started.
 func newTestMachine() *testMachine {
 	return &testMachine{machine: direct.NewMachine(direct.Options{}), start: time.Now()}
 }
@@ -50,14 +50,14 @@
 	return m.machine.TakeCopies()
 }
 
-// newTestFeeds returns the feeds of a fleet whose halls may be evacuated.
+// newTestFeeds returns the feeds of a fleet that allows evacuations of halls.
 func newTestFeeds(source feed.Source, d Decisions) *feed.Set {
 	return feed.NewSet(feed.Options{
 		Source: source, Decisions: d, Log: quietLog, Stats: stats.New(tally.NoopScope), Evacuate: 5 * time.Second,
 	})
 }
 
-// newTestPeers returns what a router that began a minute ago knows of others.
+// newTestPeers returns the peers of a router that started a minute ago.
 func newTestPeers(self string, others ...*peer) *Peers {
 	m := newTestMachine()
 	m.start = m.start.Add(-time.Minute)
@@ -72,7 +72,7 @@
 	return p
 }
 
-// follow follows one feed until the test ends.
+// follow follows a feed until the test ends.
 func follow(t *testing.T, p *Peers, one feed.Feed) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/gateway/cluster/registry.go
+++ b/gateway/cluster/registry.go
@@ -8,11 +8,11 @@
 	Address string // host, without a port
 }
 
-// Registry is where routers find each other.
+// Registry lists the routers of the fleet, which find one another through it.
 type Registry interface {
-	// Register makes a router known to others.
+	// Register adds a router.
 	Register(ctx context.Context, m Member) error
-	// Members returns the routers that registered, some of which may be gone. A
-	// stale list may be seconds old and costs the registry less.
+	// Members returns the registered routers, some of which may no longer exist. A stale list may
+	// be seconds old and costs the registry less.
 	Members(ctx context.Context, stale bool) ([]Member, error)
 }
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -8,32 +8,31 @@
 )
 
 const (
-	// minFollowers is how many routers follow the source, in fleets of more than
-	// smallFleet one more. The others learn of changes from them.
+	// minFollowers is the number of routers that follow the source; in fleets of more than
+	// smallFleet routers there is one more. The other routers receive changes from them.
 	minFollowers = 3
 	smallFleet   = 8
 )
 
-// stuckAfter is how long a router may know less than another one before it asks
-// the source itself.
+// stuckAfter is how long a router may be behind another one before it calls the source itself.
 const stuckAfter = 500 * time.Millisecond
 
 const (
-	// settleTime is how long after its start a router leaves following to the
-	// seeds: until then it has not heard of enough others to know who is first.
+	// settleTime is the time after its start during which a router leaves following to the seeds:
+	// it has not received enough heartbeats yet to know which routers come first.
 	settleTime = 1500 * time.Millisecond
-	// startupWait is how long a router that starts waits for another to bring the
-	// list of servers, before it reads it from the source: some calls to a seed that
-	// is there. Its callers wait too.
+	// startupWait is how long a starting router waits for a peer to send the list of servers before
+	// it reads the list from the source. It is the time of several calls to a live seed. The
+	// router's callers wait too.
 	startupWait = 50 * time.Millisecond
-	// firstStartupWait is the same where the whole fleet starts for the first time: it
-	// has no callers yet, and hosts start within 0.3 s of one another.
+	// firstStartupWait is the same if the whole fleet starts for the first time. It has no callers
+	// yet, and hosts start within 0.3 s of one another.
 	firstStartupWait = 400 * time.Millisecond
 )
 
-// Patience is how long this router waits, as it starts, for others to bring what it would
-// read from the source. Seeds read themselves, so that those that start together read a
-// few times and not once each.
+// Patience returns how long this router waits, as it starts, for its peers to send what it would
+// otherwise read from the source. Seeds do not wait, so that of the routers that start together
+// only the seeds read the source.
 func (p *Peers) Patience() time.Duration {
 	if p.isSeed || !p.without.Uses(direct.Followers) {
 		return 0
@@ -41,14 +40,14 @@
 	return p.startupWait
 }
 
-// First tells whether this router is the first of those that follow the source.
+// First reports whether this router is the first of those that follow the source.
 func (p *Peers) First() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.followersBefore() == 0
 }
 
-// HeardAny tells whether another router has been heard of.
+// HeardAny reports whether a heartbeat of another live router has arrived.
 func (p *Peers) HeardAny() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,8 +59,8 @@
 	return false
 }
 
-// Follows tells whether this router is one of the few that follow the source, or
-// knows less than another for too long.
+// Follows reports whether this router is one of the few that follow the source, or has been behind
+// another router for too long.
 func (p *Peers) Follows() bool {
 	if p.stuck() || !p.without.Uses(direct.Followers) {
 		return true
@@ -84,11 +83,12 @@
 	return p.followersBefore() < followers
 }
 
-// followersBefore counts the routers that follow the source before this one, of those that are there and
-// reach it: first the strongest of each data hall, then the second of each, and so on. So the loss
-// of a hall leaves followers in others, and weak hosts have other work. p.mu is held.
+// followersBefore returns the number of routers that follow the source in preference to this one,
+// among those that are live and reach it. The most powerful router of each data hall comes first,
+// then the second of each, and so on: the loss of a hall leaves followers in other halls, and weak
+// hosts are spared. p.mu must be held.
 func (p *Peers) followersBefore() int {
-	own := 0 // place within the hall
+	own := 0 // rank within the hall
 	halls := make(map[string]int)
 	for address, peer := range p.known {
 		switch {
@@ -109,9 +109,9 @@
 	return before
 }
 
-// stuck tells whether this router has known less than another one for too long:
-// what that one knew at the beginning, since where things change all the time
-// somebody always knows more.
+// stuck reports whether this router has been behind another one for too long. It compares with the
+// revisions that the other router had at the beginning: where things change all the time, some
+// router always has a newer revision.
 func (p *Peers) stuck() bool {
 	now := p.deps.Decisions.Now()
 	knows := p.deps.Feeds.Revisions()
@@ -124,7 +124,7 @@
 	return !knows.Reaches(p.targetRevisions) && now-p.behindSince > stuckAfter
 }
 
-// newest returns the newest revisions that live routers know.
+// newest returns the newest revisions of live routers.
 func (p *Peers) newest(now time.Duration) feed.Revisions {
 	var newest feed.Revisions
 	timeout := p.peerTimeoutLocked()
--- a/gateway/cluster/role_test.go
+++ b/gateway/cluster/role_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFewFollowTheSource has the first routers by address that reach the source
-// follow it, one more in a large fleet, and nobody else.
+// TestFewFollowTheSource checks that only the first routers that reach the source follow it, and
+// one more in a large fleet.
 func TestFewFollowTheSource(t *testing.T) {
 	for _, fleet := range []struct{ routers, follow int }{{1, 1}, {3, 3}, {5, 3}, {9, 4}, {60, 4}} {
 		follow := 0
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestOthersTakeOver has a router follow the source where those before it have
-// lost it, are away, or know more and can't be asked.
+// TestOthersTakeOver checks that a router follows the source if a router before it has lost the
+// source or is away, or if it stays behind another router.
 func TestOthersTakeOver(t *testing.T) {
 	before := func() []*peer {
 		return []*peer{{address: "a"}, {address: "b"}, {address: "c"}}
@@ -46,12 +46,12 @@
 	p.known["c"].revisions = feed.Revisions{0, 9, 0}
 	require.False(t, p.Follows(), "it may still pull")
 	p.behindSince -= 2 * stuckAfter
-	require.True(t, p.Follows(), "it has known less for too long")
+	require.True(t, p.Follows(), "it has been behind for too long")
 }
 
-// TestChangesAreNotStuck has the servers change all the time: a router that learns
-// of each change a little later than others is not stuck, and leaves the source to
-// them, or all routers of a fleet that starts together would call it.
+// TestChangesAreNotStuck changes the servers all the time. A router that receives each change a
+// little later than others is not stuck and must not call the source; otherwise all routers of a
+// starting fleet would.
 func TestChangesAreNotStuck(t *testing.T) {
 	p := newTestPeers("d", &peer{address: "a"}, &peer{address: "b"}, &peer{address: "c"})
 	for revision := uint64(1); revision < 20; revision++ {
@@ -61,5 +61,5 @@
 		p.behindSince -= stuckAfter / 3
 	}
 	p.behindSince -= 2 * stuckAfter
-	require.True(t, p.Follows(), "it learns of nothing any more")
+	require.True(t, p.Follows(), "it receives no more changes")
 }
--- a/gateway/cluster/rolloutrow.go
+++ b/gateway/cluster/rolloutrow.go
@@ -7,8 +7,8 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// rolloutRow is a rollout.Report in a datagram. The names of routes and cohorts come once
-// each, since they would be most of it.
+// rolloutRow is the encoding of a rollout.Report. It holds the names of routes and cohorts once
+// each, since they would take most of the bytes.
 type rolloutRow struct {
 	Service        string
 	Order          uint64
@@ -22,7 +22,7 @@
 	Cells          []cellRow
 }
 
-// cellRow is a rollout.Cell, with indices into the row's Routes and Cohorts.
+// cellRow is the encoding of a rollout.Cell, with indices into the row's Routes and Cohorts.
 type cellRow struct {
 	Route, Cohort int
 	Target, Later bool
@@ -47,8 +47,8 @@
 	return rows
 }
 
-// intern returns the index of a name in a list, to which it is added where it is not there.
-// Cells come sorted by route, so a route is most often the last of the list.
+// intern returns the index of a name in a list, and appends the name if it is missing. Cells are
+// sorted by route, so a route is usually the last name of the list.
 func intern(names []string, name string) ([]string, int) {
 	if n := len(names); n > 0 && names[n-1] == name {
 		return names, n - 1
@@ -59,7 +59,7 @@
 	return append(names, name), len(names)
 }
 
-// unpackRollouts reads rows, and the demands that came with them.
+// unpackRollouts decodes rows and the demands that came with them.
 func unpackRollouts(rows []rolloutRow, demands []demandRow) []rollout.Report {
 	var reports []rollout.Report
 	for i, row := range rows {
@@ -72,7 +72,7 @@
 		}
 		for _, c := range row.Cells {
 			if !inRange(row.Routes, c.Route) || !inRange(row.Cohorts, c.Cohort) {
-				continue // a datagram may come from anywhere
+				continue // the datagram may come from any sender
 			}
 			r.Cells = append(r.Cells, rollout.Cell{
 				Route: row.Routes[c.Route], Cohort: row.Cohorts[c.Cohort], Target: c.Target, Later: c.Later, Good: c.Good, Bad: c.Bad,
--- a/gateway/cluster/rolloutrow_test.go
+++ b/gateway/cluster/rolloutrow_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutDatagram has reports of roll-outs come back as they were, and the evidence of
-// a hundred routes in three halls fit into a datagram several times. Places that name
-// nothing are passed over.
+// TestRolloutDatagram checks that rollout reports survive encoding and decoding, and that the
+// evidence of a hundred routes in three halls takes less than a third of a datagram. Cells with
+// indices out of range are skipped.
 func TestRolloutDatagram(t *testing.T) {
 	sent := rollout.Report{
 		Service: "llm", Order: 1 << 63, Routers: 12, Known: rollout.All, InForce: rollout.Half, Age: time.Minute, OldRunning: 3, Rejected: true,
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -2,17 +2,17 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// Rollouts is the decisions on roll-outs, which exchange reports with the other routers.
+// Rollouts makes the decisions on rollouts, for which routers exchange reports.
 type Rollouts interface {
-	// Reports returns this router's reports of the roll-outs under way.
+	// Reports returns this router's reports of the rollouts in progress.
 	Reports() []rollout.Report
-	// Tell brings the reports of the other routers. It must not block.
+	// Tell receives the reports of the other routers. It must not block.
 	Tell(msg rollout.Msg)
 }
 
-// Leads tells whether this router is the one that moves roll-outs on and writes what the routers
-// know to the source: the first by address of those that are there and reach it. A router that has
-// just started has not heard enough of the others to know.
+// Leads reports whether this router advances rollouts and writes the state of the routers to the
+// source. The leader is the first router by address among those that are live and reach the source.
+// A router that has just started does not lead, because it has not received enough heartbeats yet.
 func (p *Peers) Leads() bool {
 	now := p.deps.Decisions.Now()
 	if now < settleTime || p.deps.Feeds.SourceFails() {
@@ -33,11 +33,11 @@
 		}
 		live++
 	}
-	// One that hears only a few of the routers that it heard lately may be cut off from
-	// the rest: it would complete a roll-out while they still use the old servers. Those
-	// that are only listed may have been replaced long ago.
+	// A router that receives heartbeats from fewer than half of the routers may be cut off from the
+	// rest, and would complete a rollout while they still use the old servers. Routers without any
+	// heartbeat do not count: they may have been replaced long ago.
 	return 2*live >= heard
 }
 
-// Routers counts the routers that are there, this one included.
+// Routers returns the number of live routers, including this one.
 func (p *Peers) Routers() int { return len(p.Live()) + 1 }
--- a/gateway/cluster/rollouts_test.go
+++ b/gateway/cluster/rollouts_test.go
@@ -8,8 +8,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestRolloutLeader has the first router by address lead that is there and reaches the
-// source, and one that has just started not at all.
+// TestRolloutLeader checks that the first router by address leads among those that are live and
+// reach the source, and that one that has just started does not.
 func TestRolloutLeader(t *testing.T) {
 	others := func() []*peer { return []*peer{{address: "a"}, {address: "b"}, {address: "d"}} }
 	p := newTestPeers("c", others()...)
@@ -17,7 +17,7 @@
 	require.False(t, p.Leads())
 	p.known["a"].live = false
 	require.Equal(t, 3, p.Routers())
-	require.False(t, p.Leads(), "b is there")
+	require.False(t, p.Leads(), "b is live")
 	p.known["b"].sourceLost = true
 	require.True(t, p.Leads())
 	p.deps.Decisions = newTestMachine()
@@ -25,8 +25,8 @@
 	require.True(t, newTestPeers("a", &peer{address: "b"}).Leads())
 }
 
-// TestRolloutLeaderCutOff has no router lead that hears less than half of those that were
-// there lately: it can't know what the others send to old servers.
+// TestRolloutLeaderCutOff checks that a router does not lead if it receives heartbeats from fewer
+// than half of the routers: it cannot know what the others send to old servers.
 func TestRolloutLeaderCutOff(t *testing.T) {
 	p := newTestPeers("a", &peer{address: "b"}, &peer{address: "c"}, &peer{address: "d"})
 	p.known["b"].live, p.known["c"].live = false, false
@@ -36,11 +36,11 @@
 	for _, one := range p.known {
 		one.lastHeard = 0
 	}
-	require.True(t, p.Leads(), "the others are only listed")
+	require.True(t, p.Leads(), "no heartbeat of the others has arrived")
 }
 
-// TestRolloutLeaderRestarts has the next router go on leading where the first was started
-// again, until that one can lead.
+// TestRolloutLeaderRestarts checks that the next router leads after the first has restarted, until
+// the first can lead again.
 func TestRolloutLeaderRestarts(t *testing.T) {
 	p := newTestPeers("b", &peer{address: "a", startNanos: 1})
 	p.deps.Stats = stats.New(tally.NoopScope)
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -8,25 +8,25 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Settings are what a router takes part in the fleet with.
+// Settings are the settings of a Cluster.
 type Settings struct {
 	Self       Member
 	Hall       string
 	Region     string   // empty: unknown
 	Power      float64  // cores that the process may use
-	Peers      string   // other routers' heartbeats, as datagrams
-	Loads      string   // other routers' loads, as datagrams
+	Peers      string   // address to listen on for heartbeats
+	Loads      string   // address to listen on for loads
 	Seeds      []string // control addresses of some routers
 	FirstStart bool     // the whole fleet starts for the first time
 	Without    direct.Without
 	startNanos int64 // start of the router, in nanoseconds since 1970
 }
 
-// place returns where the router is.
+// place returns the location of the router.
 func (s Settings) place() traffic.Place { return traffic.Place{Hall: s.Hall, Region: s.Region} }
 
-// startupWait returns how long a router that starts waits for others to bring what it would
-// read from the source.
+// startupWait returns how long a starting router waits for its peers to send what it would
+// otherwise read from the source.
 func (s Settings) startupWait() time.Duration {
 	if s.FirstStart {
 		return firstStartupWait
@@ -34,7 +34,7 @@
 	return startupWait
 }
 
-// isSeed tells whether a router is one of its own seeds, or has none.
+// isSeed reports whether a router is one of its own seeds, or has none.
 func (s Settings) isSeed() bool {
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil && host == s.Self.Address {
--- a/gateway/cluster/teamrow.go
+++ b/gateway/cluster/teamrow.go
@@ -6,19 +6,18 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// rateUnit is what datagrams count teams' rates in, in tokens a second: about a
-// hundredth of a common request a second. Most rates of one router then take one or
-// two bytes, and what is lost by rounding is small beside any team's share.
+// rateUnit is the unit of teams' rates in datagrams, in tokens per second: about a hundredth of a
+// common request per second. Most rates of a router then take one or two bytes, and the rounding
+// error is small compared with any team's share.
 const rateUnit = 64
 
-// teamRow is a loads.TeamUse, its rates in rateUnits.
+// teamRow is the encoding of a loads.TeamUse, with rates in units of rateUnit.
 type teamRow struct {
 	Team                    string
 	Offered, Recent, Served uint32
 }
 
-// packTeams makes a list of teams small. A team whose rates all round to nothing is left
-// out.
+// packTeams encodes the usage of teams. It skips a team whose rates all round to 0.
 func packTeams(teams []loads.TeamUse) []teamRow {
 	out := make([]teamRow, 0, len(teams))
 	for _, t := range teams {
@@ -30,7 +29,7 @@
 	return out
 }
 
-// unpackTeams returns what the rows say in tokens a second.
+// unpackTeams decodes rows to tokens per second.
 func unpackTeams(rows []teamRow) []loads.TeamUse {
 	out := make([]loads.TeamUse, 0, len(rows))
 	for _, t := range rows {
--- a/gateway/cluster/teamrow_test.go
+++ b/gateway/cluster/teamrow_test.go
@@ -9,9 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTeamsAreSmall has a router tell of 60 teams, most of which ask it for little:
-// a team costs some 15 bytes, and each rate comes back to within half a unit. Bytes
-// between halls are priced.
+// TestTeamsAreSmall encodes the usage of 60 teams, most of it low, in about 15 bytes per team,
+// because bytes between halls are billed. Each rate must be restored to within half a unit.
 func TestTeamsAreSmall(t *testing.T) {
 	var sent []loads.TeamUse
 	for i := range 60 {
@@ -38,8 +37,8 @@
 	}
 }
 
-// TestHeartbeatIsSmall has a heartbeat cost less than 200 bytes, however many teams there
-// are: 24 others get it four times a second.
+// TestHeartbeatIsSmall checks that a heartbeat takes less than 100 bytes, however many teams there
+// are: it is sent to 24 other routers four times a second.
 func TestHeartbeatIsSmall(t *testing.T) {
 	body, err := encode(heartbeat{
 		Address: "10.128.14.133", Hall: "lausanne-a", Power: 0.144, Life: 1 << 60, Seq: 1 << 20,
@@ -49,7 +48,7 @@
 	require.Less(t, len(body), 100)
 }
 
-// TestRatesOutOfRange has no rate below nothing.
+// TestRatesOutOfRange checks that negative rates are encoded as 0.
 func TestRatesOutOfRange(t *testing.T) {
 	require.Zero(t, rateUnits(-5))
 	require.Zero(t, rateUnits(31))
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// receiveRetryDelay is the time after a failed read.
+	// receiveRetryDelay is the time until the next read after a failed one.
 	receiveRetryDelay = 100 * time.Millisecond
-	// maxLoggedSenders is how many senders of unreadable datagrams are logged: more than a fleet
-	// has whose hosts are replaced one after the other, at any time.
+	// maxLoggedSenders is the number of senders of unreadable datagrams that are logged. At any
+	// time, a fleet whose hosts are replaced one after the other has fewer.
 	maxLoggedSenders = 100
 )
 
-// sender sends datagrams to other routers. Any may be lost.
+// sender sends datagrams to other routers. Any datagram may be lost.
 type sender interface {
 	send(address string, path traffic.Path, body []byte)
 }
 
-// transport is one kind of datagrams between routers, which all use the same port. Any of
-// them may be lost, so a failure is counted and nothing more.
+// transport sends and receives one kind of datagram; all routers use the same port for it. Any
+// datagram may be lost, so failures are only counted.
 type transport struct {
 	conn          net.PacketConn
 	port          int
@@ -39,7 +39,7 @@
 	loggedSenders map[string]bool // senders that were logged
 }
 
-// openTransport opens an address of this host for what other routers tell.
+// openTransport listens on an address of this host for datagrams from other routers.
 func openTransport(address string, kind traffic.Kind, deps Dependencies) (*transport, error) {
 	conn, err := net.ListenPacket("udp4", address)
 	if err != nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// receive hands each datagram to take until ctx ends. What take gets is valid
-// until it returns; its error says that it can't be read.
+// receive passes each datagram to handle until ctx ends. The body is valid until handle returns; an
+// error of handle means that the datagram is unreadable.
 func (t *transport) receive(ctx context.Context, handle func(body []byte) error) error {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.Close() })
 	defer stop()
@@ -88,8 +88,8 @@
 	}
 }
 
-// recordUnreadable counts a datagram that can't be read, and logs the first of a sender: a router of another
-// build may be there that this one does not see.
+// recordUnreadable counts an unreadable datagram and logs the first one of each sender: there may
+// be a router of another build that this one cannot see.
 func (t *transport) recordUnreadable(from net.Addr, err error) {
 	t.stats.DatagramUnreadable()
 	host, _, splitErr := net.SplitHostPort(from.String())
--- a/gateway/detector/detector.go
+++ b/gateway/detector/detector.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// TickInterval is the time between two ticks. A router asks one other at each, so that in a
-	// fleet of any size a router is asked by somebody as often, and a lost one within some
-	// 100 ms in the mean.
+	// TickInterval is the time between two ticks. A router probes one other router per tick, so the
+	// rate at which each router is probed does not depend on the size of the fleet, and a failed
+	// router is probed within about 100 ms on average.
 	TickInterval = 100 * time.Millisecond
-	// maxTickDelay is how late a tick may come; after a later one what was asked is not judged.
+	// maxTickDelay is how late a tick may be. After a later tick, outstanding probes are dropped
+	// without being evaluated.
 	maxTickDelay = TickInterval
-	// deadAfter is when a router that was asked and does not answer counts as gone. From the
-	// suspicion on that leaves 600 ms, two and a half rounds of heartbeats in a large fleet, in
-	// which the suspicion reaches nearly all routers and a refutation overtakes it.
+	// deadAfter is the time from the unanswered probe after which a router counts as dead. After
+	// the suspicion starts this leaves 600 ms, two and a half heartbeat rounds of a large fleet, in
+	// which the suspicion reaches nearly all routers and a refutation can overtake it.
 	deadAfter = 1000 * time.Millisecond
-	// minSuspicionTime is how long a router waits for a refutation after it has learned of a
-	// suspicion, however old that is: a round of heartbeats in a large fleet.
+	// minSuspicionTime is how long a router waits for a refutation after it has received a
+	// suspicion, however old the suspicion is: one heartbeat round of a large fleet.
 	minSuspicionTime = 300 * time.Millisecond
 )
 
-// Detector is what one router knows of who is there. Make one with New.
+// Detector is the failure detector of one router. Create one with New.
 type Detector struct {
 	self        string
 	incarnation uint32
 	peers       map[string]*peer
-	ring        []*peer // in an order of this router's own, so that routers ask different ones
-	nextProbe   int     // place in ring of whom to ask next
-	probed      []*peer // whose answers are awaited
-	suspects    []*peer // that are suspected and don't count as gone yet
+	ring        []*peer // ordered by ringKey, which differs per router, so that routers probe different targets
+	nextProbe   int     // index in ring of the next router to probe
+	probed      []*peer // routers with an outstanding probe
+	suspects    []*peer // suspected routers that do not count as dead yet
 	updates     []*pendingUpdate
 	lastTick    time.Duration
-	cmds        []Cmd // of the present Update
+	cmds        []Cmd // commands of the current Update
 }
 
-// New returns the detector of a router.
+// New returns the failure detector of the router at address self.
 func New(self string, incarnation uint32) *Detector {
 	return &Detector{self: self, incarnation: incarnation, peers: make(map[string]*peer)}
 }
 
-// Update takes in what happened and returns what to do.
+// Update handles a message and returns the commands to execute.
 func (d *Detector) Update(msg Msg) []Cmd {
 	d.cmds = nil
 	switch msg := msg.(type) {
@@ -60,13 +61,13 @@
 	return d.cmds
 }
 
-// Alive tells whether a router that has been heard of is there, as far as anybody knows.
+// Alive reports whether a router counts as alive. A router without a heartbeat so far does.
 func (d *Detector) Alive(address string, now time.Duration) bool {
 	p := d.peers[address]
 	return p == nil || !p.dead(now)
 }
 
-// onHeartbeat notes a heartbeat.
+// onHeartbeat records a heartbeat, and adds its sender to the ring if it is new.
 func (d *Detector) onHeartbeat(msg HeartbeatMsg) {
 	p := d.peers[msg.Address]
 	if p == nil {
@@ -81,7 +82,8 @@
 	d.markAlive(p, msg.Now)
 }
 
-// markAlive notes that a router was there at a time, and tells that where somebody doubts it.
+// markAlive records that a router was alive at a time. That refutes an older suspicion, unless a
+// later probe went unanswered: the suspicion then counts from that probe.
 func (d *Detector) markAlive(p *peer, at time.Duration) {
 	if at <= p.lastAlive {
 		return
@@ -89,7 +91,7 @@
 	p.lastAlive = at
 	switch {
 	case p.suspectedSince == 0 || p.suspectedSince >= at:
-	case p.lastUnanswered > at: // it was asked again after that
+	case p.lastUnanswered > at: // a later probe went unanswered
 		p.suspectedSince = p.lastUnanswered
 		d.enqueueUpdate(p, false, p.suspectedSince)
 	default:
@@ -98,7 +100,7 @@
 	}
 }
 
-// applyUpdate takes in what another router told of a third.
+// applyUpdate handles what another router reports about a third one, or about this one.
 func (d *Detector) applyUpdate(now time.Duration, u PeerUpdate) {
 	at := now - u.Age
 	if u.Address == d.self {
@@ -121,14 +123,14 @@
 	}
 }
 
-// suspect begins a suspicion.
+// suspect marks a router as suspected since a time.
 func (d *Detector) suspect(p *peer, now, since time.Duration) {
 	p.suspectedSince, p.suspicionSeen, p.lastUnanswered = max(since, 1), now, since
 	d.suspects = append(d.suspects, p)
 	d.enqueueUpdate(p, false, since)
 }
 
-// tick asks the next router, and judges those that were asked.
+// tick evaluates the outstanding probes and probes the next routers.
 func (d *Detector) tick(msg TickMsg) {
 	late := msg.Late || msg.Now-d.lastTick > TickInterval+maxTickDelay
 	d.lastTick = msg.Now
@@ -142,8 +144,8 @@
 	}
 }
 
-// expireSuspicions tells once more of those that count as gone from now on: what was told before went to
-// others that are gone too, where many were lost at once.
+// expireSuspicions queues an update again for each router that counts as dead from now on. Where
+// many routers fail at once, earlier updates may have gone to routers that had failed too.
 func (d *Detector) expireSuspicions(now time.Duration) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(p *peer) bool {
 		if p.dead(now) {
@@ -154,7 +156,7 @@
 	})
 }
 
-// forget drops what is known of a router.
+// forget removes all state of a router.
 func (d *Detector) forget(address string) {
 	p := d.peers[address]
 	if p == nil {
--- a/gateway/detector/detector_test.go
+++ b/gateway/detector/detector_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// detectionTime kills routers and returns when the others know, all of them of all, up to a bound.
+// detectionTime kills routers and returns the time until all live routers have detected all dead
+// ones, at most 20 seconds.
 func (f *fleet) detectionTime(kill func(id int) bool) time.Duration {
 	began := f.now
 	for _, n := range f.nodes {
@@ -23,7 +24,7 @@
 	return f.now - began
 }
 
-// losses are what may go at once, by the size of the fleet.
+// losses maps names to the routers that fail at once, by the size of the fleet.
 var losses = map[string]func(size int) func(id int) bool{
 	"one":       func(int) func(int) bool { return func(id int) bool { return id == 3 } },
 	"four":      func(int) func(int) bool { return func(id int) bool { return id < 4 } },
@@ -31,9 +32,9 @@
 	"half":      func(size int) func(int) bool { return func(id int) bool { return id < size/2 } },
 }
 
-// TestLossIsDetectedQuickly has one router, four, a seventh of all and half of all go at once, one datagram
-// in a hundred lost. All others know within two seconds, whatever the size of the fleet, and
-// nobody takes a live router for gone.
+// TestLossIsDetectedQuickly fails one router, four, a seventh and half of all at once, with 1% of
+// the datagrams lost. All other routers must detect it within two seconds, whatever the size of the
+// fleet, and no live router may count as dead.
 func TestLossIsDetectedQuickly(t *testing.T) {
 	for _, size := range []int{30, 384} {
 		for name, loss := range losses {
@@ -44,16 +45,17 @@
 				f.run(2 * time.Second)
 				took := f.detectionTime(loss(size))
 				_, falsePositives := f.detected()
-				t.Logf("known to all after %v", took)
+				t.Logf("detected by all after %v", took)
 				require.LessOrEqual(t, took, 2*time.Second)
-				require.Zero(t, falsePositives, "live routers that count as gone")
+				require.Zero(t, falsePositives, "live routers that count as dead")
 			})
 		}
 	}
 }
 
-// TestNoFalseDetections plays a minute of 100 routers where one datagram in fifty is lost, a
-// tenth of the routers read everything 200 ms late, and one can't reach ten others.
+// TestNoFalseDetections runs 100 routers for a minute with 2% of the datagrams lost, a tenth of the
+// routers reading everything 200 ms late, and one router that cannot reach ten others. No live
+// router may count as dead.
 func TestNoFalseDetections(t *testing.T) {
 	f := newFleet(100, 5)
 	f.lossRate = 0.02
@@ -70,24 +72,26 @@
 		_, falsely := f.detected()
 		falsePositives += falsely
 	}
-	t.Logf("%.1f datagrams a second and router, %.2f rows of news", float64(f.datagrams)/60/100, float64(f.updates)/60/100)
+	t.Logf("%.1f datagrams and %.2f updates per second and router", float64(f.datagrams)/60/100, float64(f.updates)/60/100)
 	require.Zero(t, falsePositives)
 }
 
-// TestCostIsIndependentOfFleetSize counts what a router asks and answers beside its heartbeats.
+// TestCostIsIndependentOfFleetSize bounds the datagrams that a router sends in addition to its
+// heartbeats.
 func TestCostIsIndependentOfFleetSize(t *testing.T) {
 	for _, size := range []int{30, 100, 400} {
 		f := newFleet(size, 7)
 		f.run(3 * time.Second)
 		each := float64(f.datagrams) / 3 / float64(size)
-		t.Logf("%d routers: %.1f datagrams a second", size, each)
+		t.Logf("%d routers: %.1f datagrams per second", size, each)
 		require.LessOrEqual(t, each, 22.0)
-		require.Zero(t, f.updates, "there is no news")
+		require.Zero(t, f.updates, "updates without a failure")
 	}
 }
 
-// TestPausedRouterIsAliveAgain has a router stand still for three seconds: it counts as gone, accuses
-// nobody when it goes on, and is there again for all within a second.
+// TestPausedRouterIsAliveAgain pauses a router for three seconds. It counts as dead meanwhile.
+// After it resumes it may take no other router for dead, and must count as alive at all routers
+// within a second.
 func TestPausedRouterIsAliveAgain(t *testing.T) {
 	f := newFleet(200, 9)
 	f.run(time.Second)
@@ -101,9 +105,10 @@
 	require.Zero(t, falsely)
 }
 
-// BenchmarkLossIsKnown plays losses in fleets up to twice the largest known. Its figures are the time
-// until all others know of all (known-ms), pairs in which a live router counts as gone then
-// (false), and what a router asks and answers in a quiet second before (datagrams).
+// BenchmarkLossIsKnown simulates failures in fleets up to twice the largest known one. It reports
+// the time until all other routers have detected all failures (known-ms), the pairs in which a live
+// router then counts as dead (false), and the probes and answers that a router sends per second
+// before the failure (datagrams/s).
 func BenchmarkLossIsKnown(b *testing.B) {
 	for _, size := range []int{30, 384, 1000, 2000} {
 		for name, loss := range losses {
--- a/gateway/detector/doc.go
+++ b/gateway/detector/doc.go
@@ -1,17 +1,18 @@
-// Package detector decides which other routers are there, by asking. It does no I/O and reads no
-// clock; package cluster sends what it says and brings what comes.
+// Package detector is a failure detector: it decides which other routers are alive by probing them.
+// It does no I/O and reads no clock; package cluster executes its commands and delivers its
+// messages.
 //
-// A heartbeat reaches some routers of a large fleet each time, so that any two of them hear of
-// one another every few seconds only. To wait for the next one would take the longer the more
-// routers there are. So each router asks one other after another to answer at once, directly and
-// through others, and tells in its heartbeats who doesn't: a suspicion. Whoever has heard of the
-// suspect since it was asked, the suspect first of all, tells that; otherwise all take it for
-// gone a little later. What one router asks and tells does not grow with the fleet. This is the
-// way of the SWIM protocol (Das, Gupta, Motivala, 2002), with the ages of what was seen in place
-// of incarnation numbers.
+// In a large fleet a heartbeat reaches only some routers, so any two routers receive a heartbeat of
+// one another only every few seconds. A timeout on heartbeats would grow with the number of
+// routers. Instead, each router probes one router after another, directly and through others, and
+// reports those that do not answer in its heartbeats: a suspicion. Any router that knows the
+// suspect to have been alive since the probe refutes the suspicion, the suspect itself first;
+// otherwise all routers count the suspect as dead shortly after. The number of probes and updates
+// that a router sends does not grow with the fleet. This follows the SWIM protocol (Das, Gupta,
+// Motivala, 2002), with the ages of observations in place of its incarnation numbers.
 //
 //	d := detector.New("10.1.0.33", incarnation)
-//	cmds := d.Update(detector.HeardMsg{Now: now, Address: "10.2.0.18", Incarnation: 7, Answers: true})
+//	cmds := d.Update(detector.HeartbeatMsg{Now: now, Address: "10.2.0.18", Incarnation: 7, AnswersProbes: true})
 //	cmds = d.Update(detector.TickMsg{Now: now})
-//	there := d.There("10.2.0.18", now)
+//	alive := d.Alive("10.2.0.18", now)
 package detector
--- a/gateway/detector/fleet_test.go
+++ b/gateway/detector/fleet_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// fleet is routers in memory on a fake clock, which tell one another as package cluster does.
+// fleet simulates routers in memory on a fake clock. They exchange datagrams as package cluster
+// does.
 type fleet struct {
 	random    *rand.Rand
 	nodes     []*node
@@ -15,11 +16,11 @@
 	now       time.Duration
 	events    events
 	order     uint64
-	lossRate  float64                    // part of the datagrams
-	blocked   func(from, to int) bool    // one way
+	lossRate  float64                    // fraction of the datagrams that is lost
+	blocked   func(from, to int) bool    // one direction
 	delay     func(to int) time.Duration // how late a router reads
-	updates   int                        // of news, told in all
-	datagrams int                        // datagrams of the detector's own, in all
+	updates   int                        // total updates sent
+	datagrams int                        // total datagrams other than heartbeats
 }
 
 type node struct {
@@ -29,7 +30,7 @@
 	dead     bool
 }
 
-// Figures of package cluster, with those of a large fleet.
+// Values of package cluster in a large fleet.
 const (
 	fanout            = 24
 	heartbeatInterval = 240 * time.Millisecond
@@ -58,7 +59,7 @@
 	return last
 }
 
-// newFleet returns routers that have all heard of one another.
+// newFleet returns routers that have all received a heartbeat of one another.
 func newFleet(routers int, seed uint64) *fleet {
 	f := &fleet{
 		byName:  make(map[string]*node),
@@ -89,7 +90,7 @@
 	heap.Push(&f.events, event{f.now + d, f.order, do})
 }
 
-// run plays until a time.
+// run processes events until a time.
 func (f *fleet) run(until time.Duration) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		e := heap.Pop(&f.events).(event)
@@ -99,7 +100,7 @@
 	f.now = until
 }
 
-// sendHeartbeats sends a heartbeat to some others.
+// sendHeartbeats sends a heartbeat to some other routers.
 func (f *fleet) sendHeartbeats(n *node) {
 	f.schedule(heartbeatInterval, func() { f.sendHeartbeats(n) })
 	if n.dead {
@@ -114,7 +115,7 @@
 	}
 }
 
-// tick ticks a router, which may be late by what it reads late.
+// tick ticks a router. A router that reads late also ticks late.
 func (f *fleet) tick(n *node, due time.Duration) {
 	next := due + TickInterval
 	f.schedule(next-f.now+f.delay(n.id), func() { f.tick(n, next) })
@@ -123,7 +124,7 @@
 	}
 }
 
-// send brings a heartbeat with news to another router, which does something with it then.
+// send delivers a heartbeat with updates to another router, and calls then on arrival.
 func (f *fleet) send(from, to *node, then func()) {
 	if from == to {
 		return
@@ -147,7 +148,7 @@
 	})
 }
 
-// execute does what a detector says.
+// execute runs the commands of a detector.
 func (f *fleet) execute(n *node, cmds []Cmd) {
 	for _, cmd := range cmds {
 		f.datagrams++
@@ -171,8 +172,9 @@
 
 func (f *fleet) node(address string) *node { return f.byName[address] }
 
-// detected returns the part of pairs of a live router and a dead one in which the first knows, and
-// in how many pairs of live ones the first takes the second for gone.
+// detected returns the fraction of pairs of a live and a dead router in which the first has
+// detected the failure, and the number of pairs of live routers in which the first counts the
+// second as dead.
 func (f *fleet) detected() (fraction float64, falsePositives int) {
 	detections, pairs := 0, 0
 	for _, n := range f.nodes {
--- a/gateway/detector/gossip.go
+++ b/gateway/detector/gossip.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// sendsPerUpdate is in how many datagrams a router tells a piece of news, those to routers that may be gone
-// too not counted: with so many, one of nine million hears it from nobody.
+// sendsPerUpdate is the number of datagrams that carry an update, not counting those to routers
+// that may be dead. With 16, one router in nine million receives an update from nobody.
 const sendsPerUpdate = 16
 
-// pendingUpdate is news that is still to be told.
+// pendingUpdate is an update that is still to be sent.
 type pendingUpdate struct {
 	peer      *peer
 	alive     bool
-	at        time.Duration // when it was heard of, or asked
-	sendsLeft int           // datagrams
+	at        time.Duration // when the router was known to be alive, or was probed
+	sendsLeft int           // remaining datagrams
 }
 
-// enqueueUpdate has news told to others, in place of older news of the same router.
+// enqueueUpdate queues an update for sending. It replaces an older update about the same router.
 func (d *Detector) enqueueUpdate(p *peer, alive bool, at time.Duration) {
 	switch r := p.update; {
 	case r == nil:
@@ -25,7 +25,8 @@
 	}
 }
 
-// NextUpdates returns what the next datagram to a router tells, most at a time. All news gets its turn.
+// NextUpdates returns the updates for the next datagram to a router, at most limit. It rotates the
+// queue, so that every update gets its turn.
 func (d *Detector) NextUpdates(now time.Duration, to string, limit int) []PeerUpdate {
 	n := min(limit, len(d.updates))
 	if n == 0 {
@@ -50,7 +51,7 @@
 	return out
 }
 
-// maybeDead tells whether a router may be gone, so that it may hear of nothing.
+// maybeDead reports whether a router may be dead, so that a datagram to it may not be received.
 func (d *Detector) maybeDead(address string) bool {
 	p := d.peers[address]
 	return p != nil && (p.suspectedSince > 0 || p.probedAt > 0 && p.reprobed)
--- a/gateway/detector/messages.go
+++ b/gateway/detector/messages.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Msg is something that happened. Now is the time since the router's start.
+// Msg is an event for a Detector. Now is the time since the start of the router.
 type Msg interface{ isMsg() }
 
-// HeartbeatMsg says that a heartbeat of another router has come.
+// HeartbeatMsg reports that a heartbeat of another router has arrived.
 type HeartbeatMsg struct {
 	Now     time.Duration
 	Address string
-	// Incarnation differs between two lives of a router.
+	// Incarnation differs between two starts of a router.
 	Incarnation uint32
-	// AnswersProbes says that the router answers when it is asked: routers of earlier builds don't.
+	// AnswersProbes reports that the router answers probes; routers of earlier builds do not.
 	AnswersProbes bool
 }
 
-// GossipMsg is what another router has told.
+// GossipMsg holds the updates that another router has sent.
 type GossipMsg struct {
 	Now     time.Duration
 	Updates []PeerUpdate
 }
 
-// TickMsg comes every TickEvery.
+// TickMsg is sent every TickInterval.
 type TickMsg struct {
 	Now time.Duration
-	// Late says that this router has no processor time: what seems unanswered may only be unread.
+	// Late reports that this process is short of CPU time, so that probes may seem unanswered only
+	// because the answers have not been read yet.
 	Late bool
 }
 
-// ForgetMsg says that a router was not heard of for so long that it is not remembered.
+// ForgetMsg removes a router of which no heartbeat has arrived for a long time.
 type ForgetMsg struct{ Address string }
 
 func (HeartbeatMsg) isMsg() {}
@@ -36,28 +37,28 @@
 func (TickMsg) isMsg()      {}
 func (ForgetMsg) isMsg()    {}
 
-// Cmd is something to do.
+// Cmd is a command to the caller of Update.
 type Cmd interface{ isCmd() }
 
-// ProbeCmd has a router asked to answer at once.
+// ProbeCmd asks the router To to answer at once.
 type ProbeCmd struct{ To string }
 
-// IndirectProbeCmd has a router asked to have another one answer to this one.
+// IndirectProbeCmd asks the router Via to have Target answer to this router.
 type IndirectProbeCmd struct{ Via, Target string }
 
-// RefuteCmd has a heartbeat sent at once, since others suspect this router.
+// RefuteCmd sends a heartbeat at once, because other routers suspect this one.
 type RefuteCmd struct{}
 
 func (ProbeCmd) isCmd()         {}
 func (IndirectProbeCmd) isCmd() {}
 func (RefuteCmd) isCmd()        {}
 
-// PeerUpdate is what routers tell one another of a third.
+// PeerUpdate is what routers report to one another about a third one.
 type PeerUpdate struct {
 	Address     string
 	Incarnation uint32
-	// Alive says that the router was heard of, Age ago; otherwise it was asked, Age ago, and has
-	// not answered.
+	// Alive reports that the router was known to be alive Age ago. Otherwise it was probed Age ago
+	// and has not answered.
 	Alive bool
 	Age   time.Duration
 }
--- a/gateway/detector/peer.go
+++ b/gateway/detector/peer.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// peer is another router that has been heard of.
+// peer is another router that has sent a heartbeat.
 type peer struct {
 	address        string
-	ringKey        uint64 // in the ring's order
+	ringKey        uint64 // sort key in the ring
 	incarnation    uint32
 	answersProbes  bool
-	lastAlive      time.Duration  // last time at which it was there for sure
-	probedAt       time.Duration  // when it was asked; 0: it isn't
-	reprobed       bool           // it was asked a second time
-	suspectedSince time.Duration  // since when it has not answered somebody; 0: it isn't
-	lastUnanswered time.Duration  // since when it has not answered somebody else, at the latest
-	suspicionSeen  time.Duration  // when this router learned of the suspicion
-	update         *pendingUpdate // nil: there is no news of it
+	lastAlive      time.Duration  // when it was last known to be alive
+	probedAt       time.Duration  // when the outstanding probe was sent; 0: none
+	reprobed       bool           // the outstanding probe was repeated
+	suspectedSince time.Duration  // time of the unanswered probe that raised the suspicion; 0: not suspected
+	lastUnanswered time.Duration  // time of the last unanswered probe, by any router
+	suspicionSeen  time.Duration  // when this router received or raised the suspicion
+	update         *pendingUpdate // nil: no update to send
 }
 
 func (p *peer) dead(now time.Duration) bool {
--- a/gateway/detector/probe.go
+++ b/gateway/detector/probe.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// probeAfterSilence is how long a router needn't be asked after it was heard of.
+	// probeAfterSilence is how long a router is not probed after it was last known to be alive.
 	probeAfterSilence = 300 * time.Millisecond
-	// reprobeAfter is when a router that doesn't answer is asked again, and through others:
-	// several times the time that an answer takes between regions.
+	// reprobeAfter is the time after which an unanswered probe is repeated, directly and through
+	// other routers. It is several times the round trip between regions.
 	reprobeAfter = 150 * time.Millisecond
-	// suspectAfter is when it is suspected: a second question and those through others have
-	// had time to be answered by a router that is 100 ms late.
+	// suspectAfter is the time after which a router that answers no probe is suspected. It leaves a
+	// router that runs 100 ms late enough time to answer the second and the indirect probes.
 	suspectAfter = 400 * time.Millisecond
-	// indirectProbes is how many others a router is asked through.
+	// indirectProbes is the number of other routers through which a router is probed.
 	indirectProbes = 3
-	// maxExtraProbes is how many more a router asks at each tick while others don't answer it: where
-	// many are lost at once, each must be asked by somebody as soon as a single one is.
+	// maxExtraProbes is the maximum number of additional probes per tick while other probes are
+	// unanswered. Where many routers fail at once, each of them must be probed by some router as
+	// quickly as a single failed router would be.
 	maxExtraProbes = 5
-	// maxRingScan bounds how many routers one tick looks at for one to ask.
+	// maxRingScan bounds the number of ring entries examined per tick to find a router to probe.
 	maxRingScan = 64
 )
 
-// cancelProbes gives up what was asked, without a judgement.
+// cancelProbes drops all outstanding probes without evaluating them.
 func (d *Detector) cancelProbes() {
 	for _, p := range d.probed {
 		p.probedAt = 0
@@ -31,12 +32,13 @@
 	d.probed = nil
 }
 
-// checkProbes looks at those that were asked, and returns how many have not answered in time.
+// checkProbes evaluates the outstanding probes and returns how many have been repeated and are
+// still unanswered.
 func (d *Detector) checkProbes(now time.Duration) (unanswered int) {
 	d.probed = slices.DeleteFunc(d.probed, func(p *peer) bool {
 		waited := now - p.probedAt
 		switch {
-		case p.probedAt == 0: // it is not remembered any more
+		case p.probedAt == 0: // removed by ForgetMsg
 			return true
 		case p.lastAlive >= p.probedAt:
 			p.probedAt = 0
@@ -57,7 +59,7 @@
 	return unanswered
 }
 
-// probeTimedOut notes that a router did not answer.
+// probeTimedOut records that a router did not answer a probe.
 func (d *Detector) probeTimedOut(p *peer, now time.Duration) {
 	if p.suspectedSince == 0 {
 		d.suspect(p, now, p.probedAt)
@@ -66,8 +68,8 @@
 	p.probedAt = 0
 }
 
-// probeIndirectly asks a router through those that are asked next themselves, so that they differ
-// from time to time.
+// probeIndirectly probes a router through the next routers of the ring, so that each call uses
+// different ones.
 func (d *Detector) probeIndirectly(p *peer) {
 	sent := 0
 	for i := 0; i < min(len(d.ring), maxRingScan) && sent < indirectProbes; i++ {
@@ -79,7 +81,8 @@
 	}
 }
 
-// probeNext asks the next router of the ring that was not heard of lately.
+// probeNext probes the next router of the ring that was not known to be alive within
+// probeAfterSilence.
 func (d *Detector) probeNext(now time.Duration) {
 	for range min(len(d.ring), maxRingScan) {
 		p := d.ring[d.nextProbe%len(d.ring)]
--- a/gateway/detector/ring.go
+++ b/gateway/detector/ring.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// insertIntoRing adds a router to the ring.
+// insertIntoRing adds a router to the ring at its position.
 func (d *Detector) insertIntoRing(p *peer) {
 	i, _ := d.ringIndex(p)
 	d.ring = slices.Insert(d.ring, i, p)
--- a/gateway/pressure/batch.go
+++ b/gateway/pressure/batch.go
@@ -3,17 +3,16 @@
 import "time"
 
 const (
-	// batchMinLag is how late a router runs when it begins to gather events.
+	// batchMinLag is the lag from which a router batches events.
 	batchMinLag = 3 * time.Millisecond
-	// batchDelayShare is the part of the longest delay of an event that a router
-	// may spend on gathering, less what it is late anyway.
+	// batchDelayShare is the fraction of the maximum delay of an event that a router may spend on
+	// batching, including its lag.
 	batchDelayShare = 0.4
 )
 
-// BatchDelay returns how long a stream waits before it is read again, so that
-// several events cost one read, one write and one wake-up. A router that keeps
-// up does not wait. All streams wake at the same moments, so that one timer
-// wakes many.
+// BatchDelay returns how long a stream waits before it is read again, so that several events take
+// one read, one write and one wake-up. A router that keeps up does not wait. All streams wake at
+// the same times, so that one timer wakes many of them.
 func BatchDelay(now, lag, maxDelay time.Duration) time.Duration {
 	if lag < batchMinLag {
 		return 0
--- a/gateway/pressure/batch_test.go
+++ b/gateway/pressure/batch_test.go
@@ -8,13 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestBatchDelayStaysWithinBound has events wait for others only while the router is
-// late, at moments that all streams share, and never beyond a part of the delay
-// that an event may have.
+// TestBatchDelayStaysWithinBound checks that streams are delayed only while the router lags, until
+// times that all streams share, and never beyond batchDelayShare of the maximum delay.
 func TestBatchDelayStaysWithinBound(t *testing.T) {
-	require.Zero(t, BatchDelay(time.Second, batchMinLag-1, 200*time.Millisecond), "a router that keeps up passes events on at once")
-	require.Zero(t, BatchDelay(time.Second, batchMinLag, 0), "an unknown bound")
-	require.Zero(t, BatchDelay(time.Second, time.Second, 200*time.Millisecond), "a router later than the bound")
+	require.Zero(t, BatchDelay(time.Second, batchMinLag-1, 200*time.Millisecond), "a router that keeps up does not batch")
+	require.Zero(t, BatchDelay(time.Second, batchMinLag, 0), "unknown maximum delay")
+	require.Zero(t, BatchDelay(time.Second, time.Second, 200*time.Millisecond), "lag above the maximum delay")
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "now"))
 		lag := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "late"))
--- a/gateway/pressure/doc.go
+++ b/gateway/pressure/doc.go
@@ -1,8 +1,8 @@
-// Package pressure is how a router behaves without processor time: it measures how
-// late the process runs, and decides from that which part of the requests is refused
-// at the door, when the balancer should send callers to other routers, and how long
-// streams gather events.
+// Package pressure controls how a router behaves when it is short of CPU time. It measures how late
+// the process runs, and decides from that which fraction of the requests is refused on arrival,
+// when the load balancer should send callers to other routers, and for how long streams batch
+// events.
 //
-// A Gauge takes in the lateness of each tick and is asked from anywhere; it reads no
-// clock itself.
+// A Gauge receives the delay of each tick. Its methods may be called from any goroutine, except
+// Observe. It reads no clock.
 package pressure
--- a/gateway/pressure/gauge_test.go
+++ b/gateway/pressure/gauge_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// shedCount counts the requests of a team that are refused at the door, of 1,000.
+// shedCount returns how many of 1,000 requests of a team are refused on arrival.
 func shedCount(p *Gauge, weight float64) int {
 	n := 0
 	for i := range 1000 {
@@ -20,11 +20,11 @@
 	return n
 }
 
-// TestPressureSpares has a router without processor time shed the team that
-// fills it: a small team whose callers all reach it is still served.
+// TestPressureSpares checks that a router that is short of CPU time sheds the team that fills it. A
+// small team whose callers all reach this router is still served.
 func TestPressureSpares(t *testing.T) {
 	var p Gauge
-	require.Zero(t, shedCount(&p, 1), "a router that keeps up refuses nobody")
+	require.Zero(t, shedCount(&p, 1), "a router that keeps up sheds nothing")
 	for range 20 {
 		p.Observe(0, overloadLag)
 	}
@@ -33,16 +33,16 @@
 	for range 400 {
 		p.Observe(0, 0)
 	}
-	require.Less(t, shedCount(&p, 1), 5, "pressure passes")
+	require.Less(t, shedCount(&p, 1), 5, "shedding ends")
 	require.False(t, p.Slow())
 	require.Less(t, time.Duration(p.lag.Load()), keepsUpLag)
 }
 
-// TestShedSettles drives a router whose lateness follows from what it takes in:
-// the part that it sheds settles where it runs about as late as it may.
+// TestShedSettles simulates a router whose lag follows from the load that it accepts. The shed
+// fraction must settle where the lag is close to the target.
 func TestShedSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		offered := rapid.Float64Range(0.2, 8).Draw(t, "asked") // of what the router can do
+		offered := rapid.Float64Range(0.2, 8).Draw(t, "asked") // as a multiple of the router's capacity
 		var s shedder
 		queue, sum, n := 0.0, 0.0, 0
 		for tick := range 2000 {
@@ -52,15 +52,15 @@
 				sum, n = sum+queue, n+1
 			}
 		}
-		require.Less(t, sum/float64(n), 2*shedTarget.Seconds(), "late for good")
+		require.Less(t, sum/float64(n), 2*shedTarget.Seconds(), "the lag stays above the target")
 		if offered < 0.9 {
 			require.Less(t, s.fraction, 0.01, "sheds while it keeps up")
 		}
 	})
 }
 
-// TestStuckRouterIsNotReady has a router whose ticks come once a second be
-// overloaded at once, not after as many ticks as one that is late by moments.
+// TestStuckRouterIsNotReady checks that a router whose ticks come once a second counts as
+// overloaded at once, not after as many ticks as one that is only slightly late.
 func TestStuckRouterIsNotReady(t *testing.T) {
 	var p Gauge
 	p.Observe(0, time.Second)
--- a/gateway/pressure/probe.go
+++ b/gateway/pressure/probe.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Probe measures how long a goroutine of this process waits behind all that are
-// runnable: that is how long requests wait. While one such wait lasts, its length
-// so far counts, since behind enough others it may last for seconds.
+// Probe measures how long a goroutine of this process waits behind all other runnable goroutines,
+// which is how long requests wait. A wait that has not ended counts by its length so far, since it
+// may take seconds.
 type Probe struct {
-	now   func() time.Duration // since the start
-	began atomic.Int64         // of the wait under way; 0: none
-	last  atomic.Int64         // length of the last whole wait
+	now   func() time.Duration // since the process started
+	began atomic.Int64         // start of the current wait; 0: none
+	last  atomic.Int64         // length of the last completed wait
 }
 
-// NewProbe returns a probe on a clock that tells the time since the start.
+// NewProbe returns a probe whose clock returns the time since the process started.
 func NewProbe(now func() time.Duration) *Probe { return &Probe{now: now} }
 
-// Lag returns how long a goroutine waits at the moment, and begins another
-// measurement where none is under way.
+// Lag returns how long a goroutine currently waits, and starts a measurement if none is in
+// progress.
 func (p *Probe) Lag() time.Duration {
 	now := p.now()
 	began := time.Duration(p.began.Load())
@@ -31,7 +31,7 @@
 	return time.Duration(p.last.Load())
 }
 
-// wait lets all others run once.
+// wait yields to all other runnable goroutines once and records the wait.
 func (p *Probe) wait() {
 	runtime.Gosched()
 	p.last.Store(int64(p.now()) - p.began.Load())
--- a/gateway/pressure/probe_test.go
+++ b/gateway/pressure/probe_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestProbeCountsWhileItWaits has a wait that has not ended count by its length so
-// far: a router whose goroutines wait for seconds knows it meanwhile.
+// TestProbeCountsWhileItWaits checks that a wait that has not ended counts by its length so far.
+// Otherwise a router whose goroutines wait for seconds would not notice until they run.
 func TestProbeCountsWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -20,6 +20,6 @@
 		require.Zero(t, p.began.Load(), "the wait has ended")
 		p.began.Store(int64(p.now()))
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 3*time.Second, p.Lag(), "it has not")
+		require.Equal(t, 3*time.Second, p.Lag(), "the wait has not ended")
 	})
 }
--- a/gateway/pressure/shed.go
+++ b/gateway/pressure/shed.go
@@ -7,36 +7,34 @@
 )
 
 const (
-	// shedTarget is how late a router may run; it passes new requests on to
-	// other routers so that it does not run later.
+	// shedTarget is the lag that shedding aims at: a router refuses new requests, whose callers
+	// then try other routers, to keep its lag from exceeding it.
 	shedTarget = 12 * time.Millisecond
-	// shedErrorGain and shedTrend are what one second of lateness beyond the target,
-	// and one second of its growth, add to the part that is shed, at one tick:
-	// a proportional integral controller, after RFC 8033.
+	// shedErrorGain and shedTrendGain are what a second of lag above the target, and a second of
+	// growth of the lag, add to the shed fraction per tick: a proportional-integral controller
+	// after RFC 8033.
 	shedErrorGain = 0.4
 	shedTrendGain = 3.0
-	// maxShedStep bounds the change of the part at one tick.
+	// maxShedStep bounds the change of the fraction per tick.
 	maxShedStep = 0.1
-	// shedSomeLag and shedAll bound the lateness between which at least a part of
-	// the requests is refused, and all of them: ticks come late then, and what
-	// is read late is read in vain.
+	// From shedSomeLag to shedAllLag, a minimum fraction of the requests is shed that rises from
+	// none to all: ticks come late then, and requests that are read late are read in vain.
 	shedSomeLag = 40 * time.Millisecond
 	shedAllLag  = 100 * time.Millisecond
-	// shedDecay is what remains of the part after a tick within half the target.
+	// shedDecay is the fraction that remains after a tick with a lag below half the target.
 	shedDecay = 0.97
-	// minShedFraction is the least part that counts.
+	// minShedFraction is the smallest fraction that counts; smaller ones become 0.
 	minShedFraction = 0.001
 )
 
-// shedder works out the part of the new requests that a router without processor
-// time refuses at once, so that their callers ask another router. The zero value
-// sheds nothing.
+// shedder computes the fraction of the new requests that a router short of CPU time refuses at
+// once, so that their callers try another router. The zero value sheds nothing.
 type shedder struct {
 	fraction float64
 	late     time.Duration // at the last tick
 }
 
-// update takes in how late a tick came and returns the part to shed.
+// update records how late a tick came and returns the fraction to shed.
 func (s *shedder) update(late time.Duration) float64 {
 	step := shedErrorGain*(late-shedTarget).Seconds() + shedTrendGain*(late-s.late).Seconds()
 	s.late = late
@@ -51,9 +49,9 @@
 	return s.fraction
 }
 
-// selectedForShedding tells whether a request is among those that are shed, by its id. weight
-// is how much of the router's work its team asks for, in parts of the average
-// over requests: teams that fill the router are shed first.
+// selectedForShedding reports whether a request is shed, by a hash of its ID. weight is the share
+// of the router's work that the request's team asks for, relative to the average over all requests:
+// teams that fill the router are shed first.
 func selectedForShedding(id string, fraction, weight float64) bool {
 	return float64(xxhash.Sum64String(id))/(1<<64) < fraction*weight
 }
--- a/gateway/pressure/unreadconns.go
+++ b/gateway/pressure/unreadconns.go
@@ -3,32 +3,34 @@
 import "time"
 
 const (
-	// unreadConnsPerCore is how many new connections a core reads and refuses in some 50
-	// milliseconds (a refusal on a new connection takes 70 us of a core at
-	// BenchmarkRefusal, and about twice that under the users' accounting).
+	// unreadConnsPerCore is the number of new connections that one core reads and refuses in about
+	// 50 ms. A refusal on a new connection takes 70 us of a core (see BenchmarkRefusal), and about
+	// twice that where CPU time is accounted per user.
 	unreadConnsPerCore = 300
-	// MinUnreadConns is the least bound: callers that come together to a small host.
+	// MinUnreadConns is the minimum limit, for callers that connect to a small host at the same
+	// time.
 	MinUnreadConns = 16
-	// unreadConnTTL is how long a connection counts that is not read: by then its caller
-	// has not sent anything, and nothing waits.
+	// unreadConnTTL is how long an unread connection counts. After that its caller has not sent
+	// anything, so no request is waiting.
 	unreadConnTTL = 250 * time.Millisecond
 )
 
-// AcceptedConn is a connection that was accepted.
+// AcceptedConn is an accepted connection.
 type AcceptedConn struct {
 	At      time.Time
-	counted bool // by Fresh
+	counted bool // by UnreadConns
 }
 
-// UnreadConns counts the connections that were accepted and whose first request has not
-// been read: they wait for processor time. The zero value counts and is never full.
+// UnreadConns counts the accepted connections whose first request has not been read because the
+// process is short of CPU time. The zero value counts and is never full.
 type UnreadConns struct {
-	limit int // 0: without bounds
+	limit int // 0: no limit
 	count int
-	queue []*AcceptedConn // in the order in which they were accepted
+	queue []*AcceptedConn // in the order of acceptance
 }
 
-// NewUnreadConns returns the count of a router with so many cores; 0: unknown.
+// NewUnreadConns returns the counter of a router with the given number of cores; 0 means unknown
+// and sets no limit.
 func NewUnreadConns(cores float64) UnreadConns {
 	if cores <= 0 {
 		return UnreadConns{}
@@ -36,14 +38,14 @@
 	return UnreadConns{limit: max(int(unreadConnsPerCore*cores), MinUnreadConns)}
 }
 
-// Add begins to count a connection.
+// Add starts counting a connection.
 func (f *UnreadConns) Add(a *AcceptedConn) {
 	a.counted = true
 	f.count++
 	f.queue = append(f.queue, a)
 }
 
-// Remove ends counting a connection, whose first request is read or which is closed.
+// Remove stops counting a connection whose first request has been read or that has been closed.
 func (f *UnreadConns) Remove(a *AcceptedConn) {
 	if a.counted {
 		a.counted = false
@@ -51,10 +53,10 @@
 	}
 }
 
-// Count returns how many connections wait.
+// Count returns the number of unread connections.
 func (f *UnreadConns) Count() int { return f.count }
 
-// Full tells whether as many connections wait as the router reads in good time.
+// Full reports whether as many connections are unread as the router can read in about 50 ms.
 func (f *UnreadConns) Full(now time.Time) bool {
 	for len(f.queue) > 0 {
 		oldest := f.queue[0]
--- a/gateway/pressure/unreadconns_test.go
+++ b/gateway/pressure/unreadconns_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreshCountsWhatWaits counts connections until they are read, closed, or have
-// been quiet for too long to be waiting.
+// TestFreshCountsWhatWaits checks that a connection counts until it is read, is closed, or has been
+// idle for unreadConnTTL.
 func TestFreshCountsWhatWaits(t *testing.T) {
 	f := NewUnreadConns(0.144)
 	at := time.Now()
@@ -25,11 +25,11 @@
 	require.Equal(t, len(conns)-1, f.count, "a connection counts once")
 	f.Add(&AcceptedConn{At: at.Add(unreadConnTTL / 2)})
 	require.True(t, f.Full(at))
-	require.False(t, f.Full(at.Add(unreadConnTTL)), "quiet connections do not wait")
+	require.False(t, f.Full(at.Add(unreadConnTTL)), "idle connections no longer count")
 	require.Equal(t, 1, f.count)
 }
 
-// TestUnreadConnsWithUnknownCores has no bound where the power of the host is not known.
+// TestUnreadConnsWithUnknownCores checks that there is no limit if the number of cores is unknown.
 func TestUnreadConnsWithUnknownCores(t *testing.T) {
 	var f UnreadConns
 	for range 10000 {
--- a/gateway/pressure/yield.go
+++ b/gateway/pressure/yield.go
@@ -3,36 +3,35 @@
 import "time"
 
 const (
-	// A router that sheds yieldShedFraction of its new requests or more for yieldAfter
-	// asks the balancer to send its callers elsewhere.
+	// A router that sheds yieldShedFraction or more of its new requests for yieldAfter asks the
+	// load balancer to send its callers elsewhere.
 	yieldShedFraction = 0.2
 	yieldAfter        = 500 * time.Millisecond
-	// minYieldTime is how long it does so at first. Where it happens again within
-	// yieldAgain of its end, it lasts twice as long, up to yieldLongest.
+	// minYieldTime is how long a router yields the first time. If it yields again within
+	// yieldBackoffWindow of the end, the time doubles, up to maxYieldTime.
 	minYieldTime       = 12 * time.Second
 	yieldBackoffWindow = 10 * time.Second
 	maxYieldTime       = 48 * time.Second
 )
 
-// Hall is what a router knows of the others of its hall.
+// Hall is the state of the other routers of a router's hall.
 type Hall struct {
-	Routers  int // that are there
-	Yielding int // of these
-	Unloaded int // of these, neither yield nor pass requests on
+	Routers  int // alive
+	Yielding int // alive routers that yield
+	Unloaded int // alive routers that neither yield nor shed requests
 }
 
-// yielder decides when a router without processor time is not ready, so that the
-// balancer sends its callers to the others of its hall. It leaves at least half
-// of the hall ready, since the balancer uses all of them where fewer are. The
-// zero value is ready.
+// yielder decides when a router that is short of CPU time reports that it is not ready, so that the
+// load balancer sends its callers to the other routers of its hall. It keeps at least half of the
+// hall ready, because with fewer the load balancer uses all routers. The zero value is ready.
 type yielder struct {
-	sheddingSince time.Duration // 0: it is not
-	yieldUntil    time.Duration // of the time that it yields
-	yieldTime     time.Duration // of the last such time
+	sheddingSince time.Duration // 0: not shedding enough
+	yieldUntil    time.Duration // end of the last yield
+	yieldTime     time.Duration // length of the last yield
 }
 
-// update takes in the part of the new requests that is shed, and tells
-// whether the router yields.
+// update records the fraction of the new requests that is shed and reports whether the router
+// yields.
 func (y *yielder) update(now time.Duration, fraction float64, hall Hall) bool {
 	if now < y.yieldUntil {
 		return true
@@ -60,7 +59,7 @@
 	y.sheddingSince = 0
 }
 
-// canSpareOne tells whether the hall can do with one ready router less.
+// canSpareOne reports whether one more router of the hall may yield.
 func (h Hall) canSpareOne() bool {
 	return h.Unloaded > 0 && 2*(h.Yielding+1) <= h.Routers+1
 }
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -8,9 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestYields has a router that passes requests on for a while ask for fewer
-// callers, twice as long each time that it happens again, and be ready at once
-// where it does not.
+// TestYields checks that a router that sheds for a while yields, for twice as long when it has to
+// again, and is ready at once when it sheds no longer.
 func TestYields(t *testing.T) {
 	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
@@ -24,7 +23,7 @@
 		return yielding
 	}
 	require.Zero(t, shedFor(time.Minute, yieldShedFraction/2))
-	require.Zero(t, shedFor(yieldAfter, 0.9), "a moment")
+	require.Zero(t, shedFor(yieldAfter, 0.9), "sheds too briefly")
 	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime, 0.9).Seconds(), 0.1)
 	shedFor(time.Second, 0.9)
 	require.InDelta(t, 2*minYieldTime.Seconds(), shedFor(40*time.Second, 0).Seconds(), 1.1)
@@ -32,8 +31,8 @@
 	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime+time.Second, 0.9).Seconds(), 0.6)
 }
 
-// TestHalfStaysReady has no hall end up with less than half of its routers ready,
-// however many of them are out of processor time.
+// TestHalfStaysReady checks that at least half of the routers of a hall stay ready, however many of
+// them are short of CPU time.
 func TestHalfStaysReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]yielder, rapid.IntRange(1, 9).Draw(t, "routers"))
--- a/loads/aggregator.go
+++ b/loads/aggregator.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// minAggregatorTime is how long a router stays with an aggregator where there are several regions: until
-// what it told the last one, and what that one told of it, no longer holds, late lists
-// included. One that hears nothing would else count through three aggregators and more.
+// minAggregatorTime is how long a router keeps its aggregator where there are several regions:
+// until what it reported to the previous aggregator, and the sums that include it, have expired,
+// delayed lists included. Otherwise a router that receives no answers would be counted through
+// three or more aggregators.
 const minAggregatorTime = 2*LoadsTTL + aggregatorTimeout
 
-// chooseAggregator picks the aggregator: the most powerful router of the hall, but one
-// that does not answer is avoided for a while.
+// chooseAggregator chooses the most powerful router of the hall, but avoids one that does not
+// answer for a while.
 func (e *Exchange) chooseAggregator(now time.Duration) {
 	if e.mustKeepAggregator(now) {
 		return
@@ -33,14 +34,14 @@
 	}
 }
 
-// mustKeepAggregator tells whether the aggregator was chosen too lately to turn to another, though it may
-// be lost meanwhile.
+// mustKeepAggregator reports whether the aggregator was chosen too recently to be replaced, even if
+// it may be lost.
 func (e *Exchange) mustKeepAggregator(now time.Duration) bool {
 	return e.multiRegion && e.chosenAt > 0 && now-e.chosenAt < minAggregatorTime
 }
 
-// peerAggregators returns the other aggregators of the region: those that the other halls
-// should have, and all that send their sums.
+// peerAggregators returns the other aggregators of the region: the expected ones of the other
+// halls, and every router that sends sums.
 func (e *Exchange) peerAggregators() []string {
 	to := make(map[string]bool)
 	for hall, r := range e.hallLeaders() {
@@ -54,13 +55,14 @@
 	return sortedKeys(to)
 }
 
-// mustReachHallLeader tells whether the best router of this one's hall tells other regions what this
-// one has, though this one avoids it: it would miss the sum of its own hall.
+// mustReachHallLeader reports whether this router must send its sum to the best router of its own
+// hall. That router sends the region's totals to other regions, which would lack this hall while
+// this router avoids it and aggregates the hall itself.
 func (e *Exchange) mustReachHallLeader(best Router) bool {
 	return e.aggregator == e.self.Address && betterAggregator(best, e.self) && len(e.otherRegions()) > 0
 }
 
-// hallLeaders returns the best router of each hall, this one aside.
+// hallLeaders returns the best router of each hall, without this router.
 func (e *Exchange) hallLeaders() map[string]Router {
 	leaders := make(map[string]Router)
 	for _, r := range e.routers {
@@ -71,10 +73,10 @@
 	return leaders
 }
 
-// betterAggregator tells whether a router is the better aggregator.
+// betterAggregator reports whether a is a better aggregator than b.
 func betterAggregator(a, b Router) bool { return compareAggregators(a, b) < 0 }
 
-// compareAggregators orders routers, the better aggregators first.
+// compareAggregators orders routers by power, highest first, and then by address.
 func compareAggregators(a, b Router) int {
 	return cmp.Or(-cmp.Compare(a.Power, b.Power), cmp.Compare(a.Address, b.Address))
 }
--- a/loads/bytes_test.go
+++ b/loads/bytes_test.go
@@ -12,8 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// wireList is a list as the gateway may send it: what comes with teams is left out of
-// the others.
+// wireList is a list as the gateway may encode it. Fields that are used only with team usage are
+// left out of other lists.
 type wireList struct {
 	From   string
 	Kind   Kind
@@ -30,13 +30,13 @@
 	Rollouts     []struct{}
 }
 
-// wireTeam is the gateway's row of a team.
+// wireTeam is the gateway's encoding of a TeamUse.
 type wireTeam struct {
 	Team                    string
 	Offered, Recent, Served uint32
 }
 
-// bytesOf returns the bytes of a message as the gateway encodes it.
+// bytesOf returns the size of a message as the gateway encodes it.
 func bytesOf(message any) int {
 	var out bytes.Buffer
 	encoder := msgpack.NewEncoder(&out)
@@ -67,10 +67,10 @@
 }
 
 const (
-	sizeRunning = 50 // servers that each router has requests at
-	sizeChanges = 1  // that change in a round: 40 requests begin or end in a second
+	sizeRunning = 50 // servers at which each router has requests
+	sizeChanges = 1  // loads that change per round: 40 requests begin or end per second
 	sizeTeams   = 20
-	sizeCopies  = 20 // that each router makes in a second
+	sizeCopies  = 20 // made by each router per second
 )
 
 var simulatedFleets = []simulatedFleet{
@@ -81,11 +81,11 @@
 	{"670 routers", 670, 13, 4, 10000},
 }
 
-// traffic is the bytes that a fleet sends in a second.
+// traffic is the number of bytes that a fleet sends per second.
 type traffic struct {
-	mean, busiest                float64 // sent by a router
-	betweenHalls, betweenRegions float64 // of all, halls of one region
-	largest                      int     // list
+	mean, busiest                float64 // sent by one router
+	betweenHalls, betweenRegions float64 // whole fleet; betweenHalls counts halls of the same region
+	largest                      int     // bytes of the largest list
 }
 
 func (t traffic) String() string {
@@ -93,8 +93,8 @@
 		t.mean/1e3, t.busiest/1e3, t.betweenHalls/1e3, t.betweenRegions/1e3, t.largest)
 }
 
-// simulate returns what a fleet sends. Without regions routers do not know of them, all digests
-// are whole, and copies go with heartbeats.
+// simulate returns the traffic of a fleet. Without regions, routers have no regions, all digests
+// are full, and copies are sent in heartbeats.
 func (f simulatedFleet) simulate(regions bool) traffic {
 	s, region := f.build(regions)
 	perSecond := float64(time.Second / TeamsInterval)
@@ -128,8 +128,9 @@
 	}
 }
 
-// addHeartbeats adds the copies in heartbeats: arithmetic, on 100 heartbeats a second at
-// most to 24 others at random, told for 700 ms, 64 in each at most.
+// addHeartbeats adds the traffic of copies in heartbeats. It is computed, not simulated: at most
+// 100 heartbeats per second to 24 random routers, each copy sent for 700 ms, at most 64 copies per
+// heartbeat.
 func (f simulatedFleet) addHeartbeats(out *traffic, sent map[string]float64) {
 	targets := min(f.routers-1, 24)
 	beats := min(float64(targets)*10, 100)
@@ -162,7 +163,7 @@
 	return s, region
 }
 
-// loads returns what a router has at servers of its region.
+// loads returns the loads of a router at servers of its region.
 func (f simulatedFleet) loads(random *rand.Rand, region int) []Load {
 	of := f.servers / f.regions
 	var out []Load
@@ -185,7 +186,7 @@
 	}
 }
 
-// rounds plays some rounds in which nothing is lost.
+// rounds runs rounds in which no list is lost.
 func (f simulatedFleet) rounds(s *lossyNetwork, rounds int, regions bool) {
 	var teams []TeamUse
 	for i := range sizeTeams {
@@ -215,9 +216,8 @@
 	}
 }
 
-// TestRegionBytes has regions take no more than a sixth of the bytes between them that
-// halls which do not know of regions would, and copies in lists fewer bytes than in
-// heartbeats.
+// TestRegionBytes checks that regions reduce the bytes between them to at most a sixth, and that
+// copies take fewer bytes in lists than in heartbeats.
 func TestRegionBytes(t *testing.T) {
 	for _, f := range simulatedFleets[:2] {
 		without, with := f.simulate(false), f.simulate(true)
@@ -228,7 +228,7 @@
 	}
 }
 
-// BenchmarkBytes prints what fleets of several sizes send in a second.
+// BenchmarkBytes logs the traffic of fleets of several sizes.
 func BenchmarkBytes(b *testing.B) {
 	for _, f := range simulatedFleets {
 		for name, regions := range map[string]bool{"without regions": false, "with regions": true} {
--- a/loads/copies.go
+++ b/loads/copies.go
@@ -6,50 +6,52 @@
 )
 
 const (
-	// copyRepeats is in how many lists each receiver is told of a copy: of ten datagrams
-	// one may be lost, and of a copy that is not heard of the prompt is read once more.
+	// copyRepeats is the number of lists in which a copy is announced to each receiver. One in ten
+	// datagrams may be lost, and a receiver that misses a copy makes a server read the prompt once
+	// more.
 	copyRepeats = 3
-	// copyTTL is how long a copy is told, and remembered so that a repeat is not taken for
-	// a new one: longer than repeats take to arrive.
+	// copyTTL is how long a copy is announced, and remembered so that a repeat is not taken for a
+	// new copy. It is longer than repeats take to arrive.
 	copyTTL = 700 * time.Millisecond
-	// maxLoggedCopies bounds the copies that a router has to tell; the oldest are dropped.
+	// maxLoggedCopies bounds the copies in the log; the oldest are dropped.
 	maxLoggedCopies = 512
-	// maxCopiesPerList bounds the copies in one list, which stays well below a datagram.
+	// maxCopiesPerList bounds the copies in one list, which stays well below the size of a
+	// datagram.
 	maxCopiesPerList = 32
-	// minCopiesPerList is what a list may hold however many lists a round has: a copy must get
-	// through in the end.
+	// minCopiesPerList is the number of copies that a list may hold however many lists a round has,
+	// so that every copy is sent eventually.
 	minCopiesPerList = 4
-	// maxCopiesPerRound bounds the copies that an aggregator tells in a round, all lists
-	// together: 100 kB a second at the most, with 15 bytes each.
+	// maxCopiesPerRound bounds the copies that an aggregator sends in all lists of a round: at 15
+	// bytes each, at most 100 kB per second.
 	maxCopiesPerRound = 160
 )
 
-// copyOrigin says how a router has come to know of a copy, which decides whom it tells.
+// copyOrigin is how a router learned of a copy. It decides which lists announce the copy.
 type copyOrigin uint8
 
 const (
-	fromSelf   copyOrigin = iota // told to the aggregator, and as fromReport
-	fromReport                   // told to all that report here and to other halls
-	fromSum                      // told to all that report here
-	fromDigest                   // told to nobody
+	fromSelf   copyOrigin = iota // sent to the aggregator and, as with fromReport, to others
+	fromReport                   // sent to all routers that report here and to other halls
+	fromSum                      // sent to all routers that report here
+	fromDigest                   // not sent
 )
 
-// copyEntry is a copy that is being told.
+// copyEntry is a copy that is being announced.
 type copyEntry struct {
 	Copy
 	at     time.Duration
 	origin copyOrigin
-	from   string // the router that told it
+	from   string // the router that announced it
 }
 
-// copyLog holds the copies of the last copyFor, oldest first. The zero value is ready.
+// copyLog holds the copies of the last copyTTL, oldest first. The zero value is ready to use.
 type copyLog struct {
 	known   map[Copy]bool
 	entries []copyEntry
-	dropped uint64 // entries that came before the first one
+	dropped uint64 // number of entries dropped from the front
 }
 
-// add takes in a copy, and tells whether it was new.
+// add adds a copy and reports whether it was new.
 func (l *copyLog) add(entry copyEntry) bool {
 	if l.known[entry.Copy] {
 		return false
@@ -65,7 +67,7 @@
 	return true
 }
 
-// dropExpired forgets the copies that are no longer told.
+// dropExpired removes the copies that are older than copyTTL.
 func (l *copyLog) dropExpired(now time.Duration) {
 	for len(l.entries) > 0 && now-l.entries[0].at > copyTTL {
 		l.dropFirst()
@@ -78,19 +80,19 @@
 	l.dropped++
 }
 
-// end is the position after the last entry.
+// end returns the position after the last entry.
 func (l *copyLog) end() uint64 { return l.dropped + uint64(len(l.entries)) }
 
-// copyCursor is how far one receiver has been told: the ends of the log at the time of the
-// last lists to it, the latest first.
+// copyCursor records how far a receiver has been sent the log: the end of the log at each of the
+// last lists to it, latest first.
 type copyCursor struct {
 	ends   [copyRepeats]uint64
 	usedAt time.Duration
 }
 
-// next returns the copies for the next list to a receiver: those that came since the oldest
-// of the last copyRepeats lists, so that each copy is in as many lists. Where there are more
-// than most, the newest are told.
+// next returns the copies for the next list to a receiver: those added since the oldest of its last
+// copyRepeats lists, so that each copy is in as many lists. If more than limit match, it returns
+// the newest.
 func (l *copyLog) next(r *copyCursor, limit int, match func(copyEntry) bool) []Copy {
 	begin := max(r.ends[copyRepeats-1], l.dropped) - l.dropped
 	copy(r.ends[1:], r.ends[:])
@@ -104,7 +106,7 @@
 	return out
 }
 
-// addCopies takes in copies that were told, and returns those that are new.
+// addCopies adds received copies to the log and returns the new ones.
 func (e *Exchange) addCopies(now time.Duration, received []Copy, origin copyOrigin, from string) []Copy {
 	var fresh []Copy
 	for _, c := range received {
@@ -127,7 +129,7 @@
 	return e.copies.next(r, e.copiesPerList(), func(c copyEntry) bool { return carriesOrigin(kind, c.origin) && c.from != to })
 }
 
-// carriesOrigin carriesOrigin whether a kind of list carriesOrigin of copies that came in one way.
+// carriesOrigin reports whether lists of a kind announce copies of an origin.
 func carriesOrigin(kind Kind, origin copyOrigin) bool {
 	switch kind {
 	case Report:
@@ -140,18 +142,18 @@
 	return false
 }
 
-// copiesPerList bounds the copies in one list.
+// copiesPerList returns the maximum number of copies in one list.
 func (e *Exchange) copiesPerList() int {
 	return min(max(maxCopiesPerRound/(len(e.reports)+len(e.sums)+1), minCopiesPerList), maxCopiesPerList)
 }
 
-// dropCopies forgets old copies, and the receivers that are told nothing any more.
+// dropCopies removes expired copies, and the cursors of receivers that are no longer sent lists.
 func (e *Exchange) dropCopies(now time.Duration) {
 	e.copies.dropExpired(now)
 	maps.DeleteFunc(e.copyCursors, func(_ listKey, r *copyCursor) bool { return now-r.usedAt > copyTTL })
 }
 
-// listKey names the lists of one kind that are sent to one router.
+// listKey identifies the lists of one kind that are sent to one router.
 type listKey struct {
 	to   string
 	kind Kind
--- a/loads/copies_test.go
+++ b/loads/copies_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sentCopy is one copy in the lists from one router to another.
+// sentCopy is a copy in the lists from one router to another.
 type sentCopy struct {
 	from, to string
 	copy     Copy
 }
 
-// countCopies counts the lists, each once, that tell of each copy.
+// countCopies records the numbers of the lists that announce each copy.
 func (s *lossyNetwork) countCopies() map[sentCopy]map[uint64]bool {
 	lists := make(map[sentCopy]map[uint64]bool)
 	s.onSend = func(from string, f packet) {
@@ -27,7 +27,7 @@
 	return lists
 }
 
-// makeCopies has each router make a copy in each of some rounds, and returns who made which.
+// makeCopies makes a copy at each router in each round, and returns the router that made each copy.
 func (s *lossyNetwork) makeCopies(rounds int) map[Copy]Router {
 	made := make(map[Copy]Router)
 	for range rounds {
@@ -41,13 +41,14 @@
 	return made
 }
 
-// countArrived counts the routers of the makers' regions that were told of each copy, and those
-// that should have been; none is told twice, nor of its own or another region's copies.
+// countArrived returns how many announcements arrived and how many should have: one of each copy at
+// every other router of its maker's region. It fails if a router receives a copy twice, its own
+// copy, or one of another region.
 func (s *lossyNetwork) countArrived(t *testing.T, made map[Copy]Router) (received, all int) {
 	for one, maker := range made {
 		for _, r := range s.routers {
 			if r.Region != maker.Region || r.Address == maker.Address {
-				require.Zero(t, s.copies[r.Address][one], "%s is told of a copy of %s", r.Address, maker.Address)
+				require.Zero(t, s.copies[r.Address][one], "%s received a copy of %s", r.Address, maker.Address)
 				continue
 			}
 			all++
@@ -58,7 +59,7 @@
 	return received, all
 }
 
-// TestCopiesArriveWithin100ms has every router of a region know of a copy 100 ms after it was made.
+// TestCopiesArriveWithin100ms checks that every router of a region receives a copy within 100 ms.
 func TestCopiesArriveWithin100ms(t *testing.T) {
 	s := newLossyNetwork(1, "north/a", "north/a", "north/a", "north/b", "north/b", "north/c", "south/d")
 	s.run(20, nil)
@@ -68,8 +69,8 @@
 	require.Equal(t, all, told)
 }
 
-// TestCopiesUnderLoss has all but one in a hundred copies arrive where a tenth of all lists
-// is lost, and none be in more than three lists from one router to another.
+// TestCopiesUnderLoss loses a tenth of all lists. More than 99% of the copies must arrive, and none
+// may be in more than three lists from one router to another.
 func TestCopiesUnderLoss(t *testing.T) {
 	s := newLossyNetwork(1, append(threeRegions, "north/f", "north/f")...)
 	s.run(20, nil)
@@ -82,13 +83,13 @@
 	for one, numbers := range lists {
 		require.LessOrEqual(t, len(numbers), copyRepeats, "%+v", one)
 		if from := s.hallOf(one.from); from != s.hallOf(one.to) {
-			require.Equal(t, from, made[one.copy].Hall, "each hall tells others of its own copies")
+			require.Equal(t, from, made[one.copy].Hall, "a hall sends other halls only its own copies")
 		}
 	}
 }
 
-// TestCopiesWithinBudget makes more copies than lists may hold: each list holds no more than
-// it may, and tells the newest.
+// TestCopiesWithinBudget makes more copies than lists may hold. No list may exceed its limit, and
+// the newest copies must be sent.
 func TestCopiesWithinBudget(t *testing.T) {
 	s := newLossyNetwork(1, "north/a", "north/a", "north/a", "north/b", "north/b")
 	s.run(20, nil)
@@ -107,7 +108,8 @@
 	}
 }
 
-// TestExpiredCopiesAreSentAgain has a copy that is made again later be told again.
+// TestExpiredCopiesAreSentAgain checks that a copy that is made again after copyTTL is announced
+// again.
 func TestExpiredCopiesAreSentAgain(t *testing.T) {
 	s := newLossyNetwork(1, "north/a", "north/b")
 	s.run(20, nil)
--- a/loads/copy.go
+++ b/loads/copy.go
@@ -1,7 +1,7 @@
 package loads
 
-// Copy says that a server keeps a shared part of a prompt.
+// Copy announces that a server caches a shared part of a prompt.
 type Copy struct {
 	Part   uint64
-	Server uint32 // see Key
+	Server uint32 // see ServerKey
 }
--- a/loads/delta.go
+++ b/loads/delta.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// deltaThreshold is the number of servers above which digests are sent as deltas. A full
-	// digest of so many has 2.5 kB, which costs a hall's aggregator 100 kB a second for each
-	// router that reports to it.
+	// deltaThreshold is the number of servers above which digests are sent as deltas. A full digest
+	// of that many takes 2.5 kB, which costs a hall's aggregator 100 kB per second for each router
+	// that reports to it.
 	deltaThreshold = 256
-	// minDeltaRatio bounds the size of a delta: where more than one load in so many has changed,
-	// a full digest is sent, from which the next deltas are small again.
+	// minDeltaRatio is how many times as many loads a full digest must hold as a delta. If more
+	// loads have changed, a full digest is sent, and the deltas to it are small again.
 	minDeltaRatio = 4
 )
 
-// fullDigest is the last full digest that was sent to a router or that came from one. Its
-// checksum names it, so that a delta is applied only to the digest that it was taken from.
+// fullDigest is the last full digest sent to, or received from, a router. Its checksum identifies
+// it, so that a delta is applied only to the digest that it was computed from.
 type fullDigest struct {
 	loads    []Load
-	checksum uint64 // the checksum; 0: no delta is taken from it
+	checksum uint64 // 0: not a base for deltas
 }
 
-// newFullDigest returns a full digest; a small one is kept empty, without a checksum.
+// newFullDigest returns a full digest. One with at most deltaThreshold loads is left empty, without
+// a checksum.
 func newFullDigest(loads []Load) fullDigest {
 	if len(loads) <= deltaThreshold {
 		return fullDigest{}
@@ -31,8 +32,8 @@
 	return fullDigest{loads: loads, checksum: checksum(loads)}
 }
 
-// deltaFor returns the loads of a digest that answers a report: the delta to the full digest
-// that the router says it holds, with its base, or all loads and 0.
+// deltaFor returns the loads of a digest that answers a report: the delta to the full digest that
+// the report names, with the checksum of that digest, or all loads and 0.
 func (e *Exchange) deltaFor(report ListMsg, loads []Load) (send []Load, base uint64) {
 	if w := e.sentDigests[report.From]; w.checksum != 0 && w.checksum == report.Base {
 		if changed := diff(w.loads, loads); minDeltaRatio*len(changed) <= len(loads) {
@@ -43,8 +44,8 @@
 	return loads, 0
 }
 
-// applyDigest returns all loads of a digest; ok is false where the digest is a delta to one that
-// this router does not hold.
+// applyDigest returns all loads of a digest. ok is false if the digest is a delta to a full digest
+// that this router does not hold.
 func (e *Exchange) applyDigest(msg ListMsg) (loads []Load, ok bool) {
 	if msg.Base == 0 {
 		e.heldDigest = newFullDigest(msg.Loads)
@@ -56,7 +57,7 @@
 	return patch(e.heldDigest.loads, msg.Loads), true
 }
 
-// diff returns the loads that have changed; those that are gone are zero.
+// diff returns the loads that have changed. A load that was removed has zero counts.
 func diff(old, now []Load) []Load {
 	var out []Load
 	for len(old) > 0 || len(now) > 0 {
@@ -102,7 +103,7 @@
 		binary.LittleEndian.PutUint32(row[0:], l.Server)
 		binary.LittleEndian.PutUint32(row[4:], uint32(l.Running))
 		binary.LittleEndian.PutUint32(row[8:], uint32(l.Pending))
-		_, _ = digest.Write(row[:]) // a hash takes all
+		_, _ = digest.Write(row[:]) // a hash returns no error
 	}
 	return max(digest.Sum64(), 1)
 }
--- a/loads/delta_test.go
+++ b/loads/delta_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestDeltaRoundTrip has the old loads and what changed give the new ones.
+// TestDeltaRoundTrip checks that patch(old, diff(old, now)) is now.
 func TestDeltaRoundTrip(t *testing.T) {
 	draw := rapid.Custom(func(t *rapid.T) []Load {
 		loads := sum(rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Load {
@@ -21,9 +21,9 @@
 	})
 }
 
-// TestDeltasUnderFaults has routers with so many servers that digests tell changes,
-// while lists are lost, late and repeated, loads change and routers start anew: each soon
-// knows exactly what the others have.
+// TestDeltasUnderFaults uses so many servers that digests are sent as deltas, while lists are lost,
+// delayed and repeated, loads change and routers restart. Once the faults end, each router must
+// have exactly what the others have.
 func TestDeltasUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newLossyNetwork(seed, "north/a", "north/a", "north/a", "south/c")
@@ -48,7 +48,8 @@
 	}
 }
 
-// changeRandomRouter changes some of a router's loads, and starts it anew now and then.
+// changeRandomRouter changes some loads of a random router, which restarts first in one of ten
+// calls.
 func (s *lossyNetwork) changeRandomRouter() {
 	i := s.random.IntN(len(s.routers))
 	if s.random.IntN(10) == 0 {
--- a/loads/doc.go
+++ b/loads/doc.go
@@ -1,35 +1,36 @@
-// Package loads brings together what all routers have at each server, soon enough
-// for each of them to place the next request by it.
+// Package loads exchanges the loads that all routers put on each server, fast enough for each
+// router to place its next request by them.
 //
-// Every router reports to one aggregator, the most powerful router of its hall
-// that answers, and gets back what all the others have. Aggregators tell each
-// other the sums of those that report to them. A router thus exchanges a few
-// hundred bytes with one other per round, however many there are.
+// Every router reports to one aggregator, the most powerful live router of its data hall, and
+// receives a digest of what all other routers have. Aggregators send one another the sum of what
+// their routers reported. In each round a router thus exchanges a few hundred bytes with one other
+// router, whatever the number of routers.
 //
-// The same lists tell what routers see of teams, ten times a second: a router learns
-// what a team gets through all others from one of them, in place of hearing each. What
-// the routers of another hall see crosses between halls once for the hall. Reports of
-// roll-outs go with them.
+// Ten times a second, the same lists carry the routers' usage by team: a router receives the usage
+// through all other routers from its aggregator instead of from each of them. The usage that the
+// routers of another hall report crosses between the halls once per hall. Reports of rollouts are
+// sent along with it.
 //
-// Halls lie in regions. The best router of a region tells one of each other region, with
-// the lists that tell of teams, what its whole region has; that one passes it on to its
-// halls' aggregators, and they to their routers. So what a region has is sent to another
-// region once, not to each of its routers. That loads of far servers are then a tenth of a
-// second late does little harm: they matter only where near ones are full. Lists of one
-// region cover the same routers whoever sends them: each router counts one list of each
-// other region, never two.
+// Halls belong to regions. With the lists that carry team usage, the best router of a region sends
+// the totals of its region to one router of each other region, which forwards them to the
+// aggregators of its halls, and these to their routers. A region's totals are thus sent to another
+// region once, not to each of its routers. The loads of servers in other regions are a tenth of a
+// second older, which does little harm: they matter only when the servers of the own region are
+// full. All lists of a region cover the same routers, whoever sends them, so each router counts
+// exactly one list per other region.
 //
-// Copies of prompts' parts go with the lists within a region, each in a few lists to each
-// receiver. They do not cross between regions: a request goes to a far server only when its
-// own region is full, and then where there is room rather than where its prompt is kept.
+// Copies of prompt parts are announced in the lists within a region, each in a few lists to each
+// receiver. They are not sent to other regions: a request goes to another region only when its own
+// region is full, and then to a server with free capacity rather than to one that caches its
+// prompt.
 //
-// A digest that would name hundreds of servers is sent as a delta: what has changed since
-// the last full digest that the receiver, by its report, holds.
+// A digest that would list hundreds of servers is sent as a delta to the last full digest that the
+// receiver's report names.
 //
-// Nothing is agreed on and nothing lasts: each report holds all that its router has and
-// replaces the last, and what has not been renewed is dropped. Where routers differ about the
-// aggregator of their hall, each sum still counts every router once, but for the
-// moments after an aggregator is lost, while its last sum still holds.
+// There is no consensus and no durable state: each report holds everything that its router has and
+// replaces the previous one, and whatever is not renewed expires. Even when routers disagree about
+// the aggregator of their hall, each sum counts every router once, except shortly after an
+// aggregator is lost, until its last sum expires.
 //
-// Exchange decides; it knows no clock and no network.
+// Exchange makes the decisions; it uses neither clock nor network.
 package loads
--- a/loads/exchange.go
+++ b/loads/exchange.go
@@ -11,53 +11,54 @@
 const (
 	// RoundInterval is the time between two rounds.
 	RoundInterval = 25 * time.Millisecond
-	// LoadsTTL is how long a list counts that is not renewed.
+	// LoadsTTL is how long the loads of a list count without a newer list.
 	LoadsTTL = 300 * time.Millisecond
-	// idleReportInterval is the time between two reports of a router that has nothing.
+	// idleReportInterval is the time between two reports of a router without loads.
 	idleReportInterval = 250 * time.Millisecond
-	// aggregatorTimeout is how long an aggregator may leave reports unanswered; then it is
-	// avoided for some time.
+	// aggregatorTimeout is how long an aggregator may leave reports unanswered. After that it is
+	// avoided for avoidDuration.
 	aggregatorTimeout = 150 * time.Millisecond
 	avoidDuration     = 2 * time.Second
 )
 
-// list is the newest of a kind from one router.
+// list is the newest list of one kind from one router.
 type list struct {
 	receivedAt time.Duration
 	number     uint64
 	loads      []Load
 }
 
-// Exchange decides whom one router tells what it has. Make one with NewExchange.
+// Exchange decides which lists one router sends to which others. Create one with NewExchange.
 type Exchange struct {
 	self      Router
 	routers   []Router
-	byAddress map[string]Router // the same by address
+	byAddress map[string]Router // the same routers by address
 	reports   map[string]list   // of routers that report to this one
 	sums      map[string]list   // of other aggregators
 	digests   map[string]list   // answers of aggregators
 	own       []Load
-	// teamReports and teamSums are the lists of teams that came with reports and sums. They
-	// count for longer than the loads that they came with.
+	// teamReports and teamSums hold the team usage that came with reports and sums. It counts for
+	// longer than the loads that it came with.
 	teamReports map[string]teamList
 	teamSums    map[string]teamList
 	ownTeams    []TeamUse
 	ownRollouts []rollout.Report
-	regionLists map[regionKey]regionList // what other regions have
-	// regionTargets are the routers of other regions that this one tells, and since when.
+	regionLists map[regionKey]regionList // totals of other regions
+	// regionTargets are the routers of other regions that this one sends its region's totals to,
+	// and since when.
 	regionTargets map[string]time.Duration
-	sentDigests   map[string]fullDigest // the last full digests, by the router that each was sent to
-	heldDigest    fullDigest            // the last full digest that came
+	sentDigests   map[string]fullDigest // the last full digests sent, by receiver
+	heldDigest    fullDigest            // the last full digest received
 	copies        copyLog
-	newCopies     []Copy // of other routers, not yet handed on in an OthersCmd
+	newCopies     []Copy // of other routers, not yet returned in a PeerTotalsCmd
 	copyCursors   map[listKey]*copyCursor
-	// unansweredSince is when the first report was sent that the aggregator has not
-	// answered; 0: there is none.
+	// unansweredSince is when the first report was sent that the aggregator has not answered; 0:
+	// none.
 	unansweredSince time.Duration
 	aggregator      string
 	chosenAt        time.Duration
-	multiRegion     bool                     // there are other regions, or were
-	avoidedUntil    map[string]time.Duration // until when
+	multiRegion     bool                     // there are other regions, or have been
+	avoidedUntil    map[string]time.Duration // by address; the time until which a router is avoided
 	reportedAt      time.Duration
 	cmds            []Cmd
 }
@@ -74,8 +75,8 @@
 	}
 }
 
-// Update takes in what happened and returns what to do. The slice is valid until
-// the next call.
+// Update handles a message and returns the commands to execute. The slice is valid until the next
+// call.
 func (e *Exchange) Update(msg Msg) []Cmd {
 	e.cmds = e.cmds[:0]
 	switch msg := msg.(type) {
@@ -91,7 +92,7 @@
 
 func (e *Exchange) emit(c Cmd) { e.cmds = append(e.cmds, c) }
 
-// Aggregator returns the router that this one reports to; it may be itself.
+// Aggregator returns the address of the router that this one reports to, which may be itself.
 func (e *Exchange) Aggregator() string { return e.aggregator }
 
 func (e *Exchange) setRouters(msg RoutersMsg) {
@@ -123,7 +124,8 @@
 	}
 }
 
-// storeIfNewer keeps a list that is newer than the last of its router.
+// storeIfNewer stores a list if it is newer than the last one of its sender, and reports whether it
+// is.
 func storeIfNewer(lists map[string]list, msg ListMsg) bool {
 	if old, ok := lists[msg.From]; ok && msg.Number <= old.number {
 		return false
@@ -139,20 +141,20 @@
 	e.unansweredSince = 0
 	e.newCopies = append(e.newCopies, e.addCopies(msg.Now, msg.Copies, fromDigest, msg.From)...)
 	loads, ok := e.applyDigest(msg)
-	if !ok { // the next report says what this router holds
+	if !ok { // the next report names the digest that this router holds
 		return
 	}
 	e.emitOthers(msg.Now, PeerTotalsCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
 }
 
-// emitOthers says what all the others have, those of other regions too.
+// emitOthers emits what all other routers have, including those of other regions.
 func (e *Exchange) emitOthers(now time.Duration, inRegion PeerTotalsCmd) {
 	others := e.addOtherRegions(now, inRegion)
 	others.Copies, e.newCopies = e.newCopies, nil
 	e.emit(others)
 }
 
-// answerReport tells a router that has reported what all the others of the region have.
+// answerReport answers a report with what all other routers of the region have.
 func (e *Exchange) answerReport(report ListMsg) {
 	now, to := report.Now, report.From
 	digest := SendCmd{To: to, Kind: Digest, HasTeams: report.HasTeams, Copies: e.copiesFor(now, to, Digest)}
@@ -183,7 +185,7 @@
 	}
 }
 
-// othersInRegion is what all the others of the region have, as this aggregator knows it.
+// othersInRegion returns what all other routers of the region have, as this aggregator knows it.
 func (e *Exchange) othersInRegion(msg TickMsg) PeerTotalsCmd {
 	others := PeerTotalsCmd{Loads: e.loadsExcept(e.self.Address), HasTeams: msg.HasTeams}
 	if msg.HasTeams {
@@ -209,8 +211,8 @@
 	})
 }
 
-// sendSums sends the sum of those that report here to the aggregators of
-// the region's other halls, and to all that send theirs.
+// sendSums sends the sum of the reports to this router to the aggregators of the region's other
+// halls, and to all routers that send sums.
 func (e *Exchange) sendSums(msg TickMsg) {
 	if !e.aggregates() {
 		return
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -17,11 +17,11 @@
 	exchanges map[string]*Exchange
 	number    uint64
 	own       map[string][]Load
-	others    map[string][]Load // the last that each was told
+	others    map[string][]Load // by router; the last loads of its peers that it received
 	teams     map[string][]TeamUse
 	rollouts  map[string][]rollout.Report
-	copies    map[string]map[Copy]int // how often each was told of a copy
-	down      map[string]bool         // without power
+	copies    map[string]map[Copy]int // by router; how often it received each copy
+	down      map[string]bool         // powered off
 	inFlight  []packet
 }
 
@@ -30,8 +30,7 @@
 	msg ListMsg
 }
 
-// newNetwork makes routers in halls; the key of what a router has at a server is
-// its number.
+// newNetwork creates routers in halls. Each has a load at a server whose key is the router's index.
 func newNetwork(halls ...string) *network {
 	n := &network{exchanges: make(map[string]*Exchange), own: make(map[string][]Load), others: make(map[string][]Load), now: time.Second,
 		teams: make(map[string][]TeamUse), down: make(map[string]bool),
@@ -45,7 +44,7 @@
 	return n
 }
 
-// setRouters tells a router which others are there.
+// setRouters sets the routers that a router considers alive.
 func (n *network) setRouters(address string, alive func(Router) bool) {
 	var out []Router
 	for _, r := range n.routers {
@@ -99,14 +98,14 @@
 	return ""
 }
 
-// deliver brings the i-th list under way.
+// deliver delivers the i-th list in flight.
 func (n *network) deliver(i int) {
 	f := n.inFlight[i]
 	f.msg.Now = n.now
 	n.update(f.to, f.msg)
 }
 
-// round lets all tick and delivers what is under way as chosen.
+// round ticks all routers and delivers the lists in flight that arrives selects.
 func (n *network) round(arrives func(packet) bool) {
 	n.now += RoundInterval
 	for _, r := range n.routers {
@@ -122,14 +121,14 @@
 
 func always(packet) bool { return true }
 
-// requireConverged holds that every router knows exactly what all the others have.
+// requireConverged checks that every router has exactly what all the others have.
 func (n *network) requireConverged(t require.TestingT) {
 	for _, r := range n.routers {
 		n.requireKnowsAll(t, r)
 	}
 }
 
-// requireKnowsAll holds that a router knows exactly what all the others have.
+// requireKnowsAll checks that a router has received exactly what all the others have.
 func (n *network) requireKnowsAll(t require.TestingT, r Router) {
 	var lists [][]Load
 	for _, other := range n.routers {
@@ -137,11 +136,11 @@
 			lists = append(lists, n.own[other.Address])
 		}
 	}
-	require.Equal(t, sum(lists...), n.others[r.Address], "what %s knows", r.Address)
+	require.Equal(t, sum(lists...), n.others[r.Address], "received by %s", r.Address)
 }
 
-// recoverFaults runs as many rounds as it may take until old lists are dropped and avoided
-// aggregators are tried again.
+// recoverFaults connects all routers and runs enough rounds for old lists to expire and for avoided
+// aggregators to be tried again.
 func (n *network) recoverFaults() {
 	n.connectAll()
 	for range int((LoadsTTL+avoidDuration)/RoundInterval) + 20 {
@@ -149,7 +148,7 @@
 	}
 }
 
-// TestRoutersConverge has routers of three halls know within a few rounds what all the
+// TestRoutersConverge checks that routers of three halls receive within four rounds what all the
 // others have.
 func TestRoutersConverge(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b", "b", "c")
@@ -162,8 +161,9 @@
 	require.Equal(t, "r3", n.exchanges["r4"].Aggregator())
 }
 
-// TestNumberOfLists has a router send one list a round to one other, however many
-// there are, and an aggregator one answer to each and one sum to each hall.
+// TestNumberOfLists checks the number of lists per round, whatever the number of routers: a router
+// sends one list to one other router, and an aggregator one answer to each router and one sum to
+// each other hall.
 func TestNumberOfLists(t *testing.T) {
 	halls := make([]string, 60)
 	for i := range halls {
@@ -185,8 +185,8 @@
 	}
 }
 
-// TestSilentAggregatorIsReplaced cuts an aggregator off: the others of its hall
-// report to the next one, and come back after it has answered again.
+// TestSilentAggregatorIsReplaced isolates an aggregator. The others of its hall must report to the
+// next one, and return once the first answers again.
 func TestSilentAggregatorIsReplaced(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b")
 	n.connectAll()
@@ -204,20 +204,19 @@
 	n.requireConverged(t)
 }
 
-// TestEveryLoss goes through all ways in which three routers may lose each list
-// of two rounds, and each may not know one of the others: afterwards all is known
-// again, and meanwhile nobody counts itself or anybody twice who has not changed
-// its aggregator.
+// TestEveryLoss covers every pattern in which three routers lose lists in two rounds, and in which
+// one router may be unknown to others. Meanwhile no router that has kept its aggregator may count
+// itself, or another router twice; afterwards all routers must converge.
 func TestEveryLoss(t *testing.T) {
 	for _, halls := range [][]string{{"a", "a", "a"}, {"a", "a", "b"}, {"a", "b", "c"}} {
-		for unknown := range 4 { // 3: all are known
+		for unknown := range 4 { // 3: none is unknown
 			runLossPatterns(t, halls, unknown)
 		}
 	}
 }
 
-// runLossPatterns runs each pattern of losses: eight decisions, taken again in turn where
-// two rounds bring more lists.
+// runLossPatterns runs each pattern of eight losses, which repeats where two rounds have more
+// lists.
 func runLossPatterns(t *testing.T, halls []string, unknown int) {
 	const decisions = 8
 	for pattern := range 1 << decisions {
@@ -238,8 +237,8 @@
 	}
 }
 
-// requireNoDoubleCount holds that no router counts itself, nor more of another than it
-// has. It holds while no router has changed its aggregator lately.
+// requireNoDoubleCount checks that no router counts itself, or more of another router than that
+// has. This holds only while no router has recently changed its aggregator.
 func (n *network) requireNoDoubleCount(t require.TestingT) {
 	for i, r := range n.routers {
 		for _, l := range n.others[r.Address] {
@@ -253,9 +252,8 @@
 	}
 }
 
-// TestAnyTrouble loses, delays, repeats and reorders lists at random, restarts
-// routers without what they knew and changes who knows whom; afterwards all is
-// known again.
+// TestAnyTrouble loses, delays, repeats and reorders lists at random, restarts routers without
+// their state, and changes which routers know one another. Afterwards all routers must converge.
 func TestAnyTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 3, 6).Draw(t, "halls")
--- a/loads/expire.go
+++ b/loads/expire.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// dropExpired drops all that has not been renewed.
+// dropExpired removes everything that has not been renewed in time.
 func (e *Exchange) dropExpired(now time.Duration) {
 	e.dropLoads(now)
 	e.dropTeams(now)
@@ -13,8 +13,7 @@
 	e.dropCopies(now)
 }
 
-// dropLoads forgets the loads that have not been renewed, and the full digests of routers
-// that don't report here any more.
+// dropLoads removes expired loads, and the full digests of routers that no longer report here.
 func (e *Exchange) dropLoads(now time.Duration) {
 	maps.DeleteFunc(e.sentDigests, func(to string, _ fullDigest) bool {
 		_, reports := e.reports[to]
--- a/loads/load.go
+++ b/loads/load.go
@@ -6,18 +6,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is what some routers have at one server.
+// Load is what one or more routers have at a server.
 type Load struct {
-	Server  uint32 // see Key
+	Server  uint32 // see ServerKey
 	Running int32  // requests that were sent and have not ended
-	Pending int32  // tokens of prompts whose first event has not come
+	Pending int32  // prompt tokens of requests whose first event has not arrived
 }
 
-// ServerKey is the short name of a server in loads. Where two servers share one, their
-// loads are counted at both.
+// ServerKey returns the key of a server in loads, a hash of its ID. If two servers have the same
+// key, the loads of both count for each of them.
 func ServerKey(server string) uint32 { return uint32(xxhash.Sum64String(server)) }
 
-// sum adds lists of loads up, in the order of the keys.
+// sum adds up lists of loads. The result is sorted by server key.
 func sum(lists ...[]Load) []Load {
 	return merge(lists, byServer, func(a *Load, b Load) {
 		a.Running += b.Running
--- a/loads/merge.go
+++ b/loads/merge.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// merge puts lists together in one, in an order. Neighbours that are equal by it are added
-// up: add takes the second into the first.
+// merge merges lists into one sorted list. Entries that compare equal are combined: add adds the
+// second to the first.
 func merge[T any](lists [][]T, order func(a, b T) int, add func(a *T, b T)) []T {
 	all := slices.Concat(lists...)
 	slices.SortFunc(all, order)
--- a/loads/messages.go
+++ b/loads/messages.go
@@ -6,22 +6,22 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// Kind says what a list of loads covers.
+// Kind is the kind of a list: which routers it covers.
 type Kind uint8
 
-// The kinds of lists that routers send each other.
+// The kinds of lists that routers send to one another.
 const (
 	Report Kind = iota + 1 // what the sender has, for its aggregator
-	Digest                 // what all but the receiver have, in answer to a report
-	Sum                    // what those have that report to the sender
-	// The others cover all routers of one region.
-	RegionSum     // from the aggregator of the region to one of another, which tells its own
+	Digest                 // what all routers but the receiver have, in answer to a report
+	Sum                    // what the routers that report to the sender have
+	// The other kinds cover all routers of one region.
+	RegionSum     // from the aggregator of a region to one of another region, which distributes it there
 	RegionAnswer  // the same, in answer to a RegionSum
-	RegionForward // passed on by that one to the aggregators of its region's other halls
-	RegionDigest  // passed on by an aggregator to the routers that report to it
+	RegionForward // a region list forwarded to the aggregators of the region's other halls
+	RegionDigest  // a region list forwarded by an aggregator to the routers that report to it
 )
 
-// Router is another router that is there.
+// Router is a live router.
 type Router struct {
 	Address string
 	Hall    string
@@ -29,71 +29,71 @@
 	Power   float64 // cores
 }
 
-// Msg is anything that an Exchange can be told. Now is the time since the
-// process started, on its monotonic clock.
+// Msg is a message to an Exchange. Now is the time since the process started, on its monotonic
+// clock.
 type Msg interface{ isMsg() }
 
-// RoutersMsg says which other routers are there.
+// RoutersMsg holds the other routers that are alive.
 type RoutersMsg struct{ Routers []Router }
 
-// ListMsg brings a list from another router. Numbers of one router only rise; a
-// list that is not newer than the last of its kind is passed over.
+// ListMsg is a list from another router. The numbers of one router increase; a list that is not
+// newer than the last one of its kind is ignored.
 type ListMsg struct {
 	Now    time.Duration
 	From   string
-	Hall   string // of the sender; only where the list tells of teams
-	Region string // that the list covers; only where its kind covers one
+	Hall   string // of the sender; set only if the list carries team usage
+	Region string // covered by the list; set only for kinds that cover a region
 	Kind   Kind
 	Number uint64
-	// Base names a full digest: in a report the one that its sender holds, in a digest the
-	// one to which Loads are a delta; 0: none.
+	// Base identifies a full digest by its checksum: in a report the one that the sender holds, in
+	// a digest the one that Loads are a delta to. 0: none.
 	Base  uint64
 	Loads []Load
-	// HasTeams says that the list tells of teams too, as one in some does.
+	// HasTeams reports whether the list carries team usage, as only some lists do.
 	HasTeams bool
 	Teams    []TeamUse
-	Rollouts []rollout.Report // as Teams
+	Rollouts []rollout.Report // set only if HasTeams
 	Copies   []Copy
 }
 
-// TickMsg lets time pass, and tells what this router has; send it every Every, and with
-// teams every TeamsEvery.
+// TickMsg starts a round with what this router has. Send one every RoundInterval, and with teams
+// every TeamsInterval.
 type TickMsg struct {
 	Now      time.Duration
 	Own      []Load
 	HasTeams bool
-	Teams    []TeamUse        // as this router sees them
-	Rollouts []rollout.Report // as this router reports them; only with teams
-	Copies   []Copy           // that this router has made since the last round
+	Teams    []TeamUse        // as this router observes them
+	Rollouts []rollout.Report // reports of this router; set only if HasTeams
+	Copies   []Copy           // made through this router since the last round
 }
 
 func (RoutersMsg) isMsg() {}
 func (ListMsg) isMsg()    {}
 func (TickMsg) isMsg()    {}
 
-// Cmd is anything that an Exchange wants done.
+// Cmd is a command of an Exchange.
 type Cmd interface{ isCmd() }
 
 // SendCmd sends a list to another router.
 type SendCmd struct {
 	To       string
 	Kind     Kind
-	Region   string // that the list covers; only where its kind covers one
+	Region   string // covered by the list; set only for kinds that cover a region
 	Base     uint64 // see ListMsg
 	Loads    []Load
 	HasTeams bool
 	Teams    []TeamUse
-	Rollouts []rollout.Report // only with teams
+	Rollouts []rollout.Report // set only if HasTeams
 	Copies   []Copy
 }
 
-// PeerTotalsCmd says what all the others have, and now and then what they see of teams.
+// PeerTotalsCmd holds what all other routers have and, in some rounds, their team usage.
 type PeerTotalsCmd struct {
 	Loads    []Load
 	HasTeams bool
 	Teams    []TeamUse
-	Rollouts []rollout.Report // of all others; only with teams
-	Copies   []Copy           // that others have made, each told once or a few times
+	Rollouts []rollout.Report // of all other routers; set only if HasTeams
+	Copies   []Copy           // made through other routers; each is returned once or a few times
 }
 
 func (SendCmd) isCmd()       {}
--- a/loads/regions.go
+++ b/loads/regions.go
@@ -8,25 +8,24 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// RegionTTL is how long the list of another region counts that is not renewed: they come
-// with the lists that tell of teams, and a few may be lost.
+// RegionTTL is how long the loads of another region count without a newer list. Region lists come
+// with the lists that carry team usage, and a few may be lost.
 const RegionTTL = TeamsTTL
 
-// regionTimeout is how long a router of another region may leave lists unanswered before the
-// next one is told too, and how old its list may be before a worse sender's newer list counts
-// instead: time for three lists to be lost in a row.
+// regionTimeout is how long a router of another region may leave lists unanswered before the next
+// router is sent them too, and the age at which its list gives way to a newer list of a less
+// preferred sender: the time in which three lists in a row may be lost.
 const regionTimeout = 4 * TeamsInterval
 
-// maxRegionTargets bounds the routers of one region that are told while none of them answers: the
-// first of its halls' aggregators, the next one, and a router that may have taken over from
-// the first.
+// maxRegionTargets bounds the routers of one region that are sent lists while none of them answers:
+// the first of its halls' aggregators, the next one, and a router that may have replaced the first.
 const maxRegionTargets = 3
 
-// regionKey names the lists that one router tells of one region.
+// regionKey identifies the lists of one region from one sender.
 type regionKey struct{ region, from string }
 
-// regionList is what all routers of another region have. Lists of one region cover the
-// same routers, whoever tells them: one of them counts, never two.
+// regionList holds the totals of another region. All lists of a region cover the same routers,
+// whoever sends them, so exactly one of them counts.
 type regionList struct {
 	list
 	from     string
@@ -34,8 +33,8 @@
 	rollouts []rollout.Report
 }
 
-// handleRegion takes in what another region has and passes it on: a region's aggregator to
-// those of its halls, and these to the routers that report to them.
+// handleRegion stores the totals of another region and forwards them: the region's aggregator to
+// those of the other halls, and these to the routers that report to them.
 func (e *Exchange) handleRegion(msg ListMsg) {
 	if msg.Region == e.self.Region || !e.storeRegionIfNewer(msg) {
 		return
@@ -49,7 +48,8 @@
 	}
 }
 
-// storeRegionIfNewer keeps a list that is newer than the last of its region and sender.
+// storeRegionIfNewer stores a list if it is newer than the last one of its region and sender, and
+// reports whether it is.
 func (e *Exchange) storeRegionIfNewer(msg ListMsg) bool {
 	key := regionKey{msg.Region, msg.From}
 	if old, ok := e.regionLists[key]; ok && msg.Number <= old.number {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// forward hands another region's list one step down; no step leads back up, so none goes
-// round in a circle.
+// forward forwards another region's list one level down. No level forwards upwards, so no list
+// circulates.
 func (e *Exchange) forward(msg ListMsg) {
 	if !e.aggregates() {
 		return
@@ -85,16 +85,17 @@
 	}
 }
 
-// aggregates tells whether this router adds up what others have.
+// aggregates reports whether this router sums up the loads of others.
 func (e *Exchange) aggregates() bool { return e.aggregator == e.self.Address || len(e.reports) > 0 }
 
-// leadsRegion tells whether this router is the best of its region, which tells the others.
+// leadsRegion reports whether this router is the best of its region and thus sends its totals to
+// other regions.
 func (e *Exchange) leadsRegion() bool {
 	return !slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == e.self.Region && betterAggregator(r, e.self) })
 }
 
-// sendRegionSums sends what this region has to one router of each other region, or to a few
-// where the first do not answer.
+// sendRegionSums sends the totals of this region to one router of each other region, or to several
+// if the first ones do not answer.
 func (e *Exchange) sendRegionSums(now time.Duration) {
 	previous := e.regionTargets
 	e.regionTargets = make(map[string]time.Duration)
@@ -116,13 +117,14 @@
 	}
 }
 
-// answeredRecently tells whether a router of another region has told of it lately.
+// answeredRecently reports whether a router of another region has sent its region's totals within
+// regionTimeout.
 func (e *Exchange) answeredRecently(now time.Duration, r Router) bool {
 	l, ok := e.regionLists[regionKey{r.Region, r.Address}]
 	return ok && now-l.receivedAt <= regionTimeout
 }
 
-// regionSum is the list of all that this router's region has.
+// regionSum returns a list with the totals of this router's region.
 func (e *Exchange) regionSum(now time.Duration, to string, kind Kind) SendCmd {
 	return SendCmd{
 		To: to, Kind: kind, Region: e.self.Region, Loads: e.loadsExcept(""),
@@ -130,7 +132,7 @@
 	}
 }
 
-// otherRegions returns the regions of the routers that are there, but for this one's.
+// otherRegions returns the regions of the live routers, except for this router's own.
 func (e *Exchange) otherRegions() []string {
 	found := make(map[string]bool)
 	for _, r := range e.routers {
@@ -141,8 +143,8 @@
 	return sortedKeys(found)
 }
 
-// candidates returns the routers of a region that should know all that it has, the likeliest
-// first: the best of its halls, and then others, to which a hall may have turned.
+// candidates returns the routers of a region that should receive all lists of it, most likely
+// first: the best routers of its halls, and then others that a hall may have switched to.
 func (e *Exchange) candidates(region string) []Router {
 	leaders := e.hallLeaders()
 	var out []Router
@@ -163,8 +165,8 @@
 	return out[:min(len(out), maxRegionTargets)]
 }
 
-// bestRegionList returns the list of another region that counts: that of the bestRegionList sender which
-// still tells, or else the last one.
+// bestRegionList returns the list of another region that counts: that of the best sender that still
+// sends, or else the latest one.
 func (e *Exchange) bestRegionList(now time.Duration, region string) regionList {
 	var best regionList
 	for key, l := range e.regionLists {
@@ -175,7 +177,7 @@
 	return best
 }
 
-// betterRegionList tells whether a list of a region counts rather than another of the same region.
+// betterRegionList reports whether list a of a region counts rather than list b of the same region.
 func (e *Exchange) betterRegionList(now time.Duration, a, b regionList) bool {
 	freshA, freshB := now-a.receivedAt <= regionTimeout, now-b.receivedAt <= regionTimeout
 	switch {
@@ -187,7 +189,8 @@
 	return betterAggregator(e.router(a.from), e.router(b.from))
 }
 
-// router returns what is known of a router; one that is not there is no good aggregator.
+// router returns a router by address. One that is not alive has no power, which makes it the last
+// choice as an aggregator.
 func (e *Exchange) router(address string) Router {
 	if r, ok := e.byAddress[address]; ok {
 		return r
@@ -195,7 +198,7 @@
 	return Router{Address: address}
 }
 
-// bestRegionLists returns the list that counts of each region that was heard of.
+// bestRegionLists returns the list that counts for each region.
 func (e *Exchange) bestRegionLists(now time.Duration) map[string]regionList {
 	out := make(map[string]regionList)
 	for key := range e.regionLists {
@@ -206,7 +209,7 @@
 	return out
 }
 
-// addOtherRegions says what all addOtherRegions have: those of the region, and what is held of other regions.
+// addOtherRegions adds the totals of other regions to those of this region.
 func (e *Exchange) addOtherRegions(now time.Duration, inRegion PeerTotalsCmd) PeerTotalsCmd {
 	lists := e.bestRegionLists(now)
 	if len(lists) == 0 {
@@ -228,7 +231,7 @@
 	return inRegion
 }
 
-// countedRegionTeams returns what counts of the teams of another region: see counted.
+// countedRegionTeams returns the team usage of another region that counts; see countedTeams.
 func (e *Exchange) countedRegionTeams(now time.Duration, region string, l regionList) []TeamUse {
 	if now-l.receivedAt <= TeamsTTL {
 		return l.teams
@@ -239,7 +242,7 @@
 	return demandOnly(l.teams)
 }
 
-// dropRegions forgets the lists of which nothing counts any more.
+// dropRegions removes the lists that no longer count in any way.
 func (e *Exchange) dropRegions(now time.Duration) {
 	maps.DeleteFunc(e.regionLists, func(_ regionKey, l regionList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
 }
