--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -12,24 +12,25 @@
 	"pgregory.net/rapid"
 )
 
-// heartbeatTTL is how long the routers of a storm count one as there that they do not hear.
+// heartbeatTTL is how long the routers of a lossyNetwork consider another router alive without a
+// heartbeat.
 const heartbeatTTL = time.Second
 
-// lossyNetwork is a network with regions whose lists are lost, late, out of order and repeated.
+// lossyNetwork is a network with regions in which lists are lost, delayed, reordered and repeated.
 type lossyNetwork struct {
 	*network
 	random       *rand.Rand
-	faultRate    float64            // part of the lists that are lost, late or repeated
-	blocked      map[[2]string]bool // from, to: nothing passes
-	listsBlocked map[[2]string]bool // from, to: only heartbeats pass
+	faultRate    float64            // fraction of the lists that is lost; as many are delayed or repeated
+	blocked      map[[2]string]bool // by sender and receiver; nothing passes
+	listsBlocked map[[2]string]bool // by sender and receiver; only heartbeats pass
 	lastHeard    map[[2]string]time.Duration
 	delayed      map[time.Duration][]packet
 	rounds       int
-	newCopies    map[string][]Copy // for the next tick
+	newCopies    map[string][]Copy // by router; for its next tick
 	onSend       func(from string, f packet)
 }
 
-// newLossyNetwork makes routers at places like "north/a": a region and a hall.
+// newLossyNetwork creates routers at places like "north/a": a region and a hall.
 func newLossyNetwork(seed uint64, places ...string) *lossyNetwork {
 	s := &lossyNetwork{
 		network: newNetwork(places...), random: rand.New(rand.NewPCG(seed, 1)), blocked: make(map[[2]string]bool),
@@ -49,7 +50,7 @@
 	return !s.down[from] && !s.down[to] && !s.blocked[[2]string{from, to}]
 }
 
-// exchangeHeartbeats lets the routers exchangeHeartbeats of each other what passes between them.
+// exchangeHeartbeats updates the routers that a router considers alive.
 func (s *lossyNetwork) exchangeHeartbeats(r Router) {
 	s.setRouters(r.Address, func(other Router) bool {
 		pair := [2]string{other.Address, r.Address}
@@ -60,7 +61,7 @@
 	})
 }
 
-// run goes through some rounds and checks after each.
+// run runs rounds and calls check, unless nil, after each.
 func (s *lossyNetwork) run(rounds int, check func()) {
 	for range rounds {
 		s.now += RoundInterval
@@ -92,7 +93,7 @@
 	return tick
 }
 
-// rolloutsOf returns what a router reports: r2 has the lowest stage in force.
+// rolloutsOf returns the report of a router. r2 reports the lowest applied stage.
 func rolloutsOf(r Router) []rollout.Report {
 	report := rollout.Report{Service: "chat", Order: 7, Routers: 1, Known: rollout.Half, InForce: rollout.Half, Age: time.Second, OldRunning: 3}
 	if r.Address == "r2" {
@@ -102,7 +103,7 @@
 	return []rollout.Report{report}
 }
 
-// transmit delivers one list, if it is not lost, late, or cut off.
+// transmit delivers a list in flight, unless it is blocked, lost or delayed.
 func (s *lossyNetwork) transmit(i int) {
 	f := s.inFlight[i]
 	if s.onSend != nil {
@@ -128,8 +129,8 @@
 	s.delayed[due] = append(s.delayed[due], f)
 }
 
-// requireCountedAtMost holds that no router counts another more often than that, nor itself more than
-// once less.
+// requireCountedAtMost checks that no router counts another one more than the given number of
+// times, nor itself more than one time fewer.
 func (s *lossyNetwork) requireCountedAtMost(t require.TestingT, times int32) {
 	for i, r := range s.routers {
 		for _, l := range s.others[r.Address] {
@@ -145,8 +146,8 @@
 	}
 }
 
-// endAllFaults ends all trouble and waits until routers that were avoided are tried again, and
-// what was told meanwhile no longer holds.
+// endAllFaults ends all faults and waits until avoided routers are tried again and old lists have
+// expired.
 func (s *lossyNetwork) endAllFaults() {
 	clear(s.blocked)
 	clear(s.down)
@@ -155,7 +156,8 @@
 	s.run(int((heartbeatTTL+avoidDuration+RegionTTL+regionTimeout)/RoundInterval), nil)
 }
 
-// requireRolloutsMerged holds that each router is told of all others' roll-outs, each once.
+// requireRolloutsMerged checks that each router has received the rollout reports of all others,
+// each once.
 func (s *lossyNetwork) requireRolloutsMerged(t require.TestingT) {
 	for _, r := range s.routers {
 		var want []rollout.Report
@@ -165,7 +167,7 @@
 			}
 		}
 		if !s.down[r.Address] {
-			require.Equal(t, want, s.rollouts[r.Address], "what %s knows", r.Address)
+			require.Equal(t, want, s.rollouts[r.Address], "received by %s", r.Address)
 		}
 	}
 }
@@ -175,8 +177,8 @@
 	"east/c", "east/c", "east/d", "south/e", "south/e",
 }
 
-// TestRegionsConverge has routers of three regions know what all others have, each
-// counted once: loads, teams and roll-outs.
+// TestRegionsConverge checks that routers of three regions receive the loads, teams and rollout
+// reports of all others, each counted once.
 func TestRegionsConverge(t *testing.T) {
 	s := newLossyNetwork(1, threeRegions...)
 	s.run(24, func() { s.requireCountedAtMost(t, 1) })
@@ -187,8 +189,8 @@
 	}
 }
 
-// TestRegionListsAreFew has one router of each region send to one of each other, ten times
-// a second.
+// TestRegionListsAreFew checks that one router of each region sends lists to one router of each
+// other region, ten times per second.
 func TestRegionListsAreFew(t *testing.T) {
 	s := newLossyNetwork(1, threeRegions...)
 	s.run(40, nil)
@@ -212,8 +214,8 @@
 	return ""
 }
 
-// TestSingleRegionEqualsNoRegion has routers that are all in one region send what they send
-// without any.
+// TestSingleRegionEqualsNoRegion checks that routers that are all in one region send the same lists
+// as without regions.
 func TestSingleRegionEqualsNoRegion(t *testing.T) {
 	var all [2][]string
 	for i, region := range []string{"", "north"} {
@@ -229,8 +231,9 @@
 	require.Equal(t, all[0], all[1])
 }
 
-// TestRegionAggregatorLost takes the power from the aggregators of a region and of its
-// halls: its routers are known again, each once, before the others have missed a heartbeat.
+// TestRegionAggregatorLost powers off the aggregators of a region and of its halls in turn. The
+// remaining routers must be counted again, each once, before the other routers have missed a
+// heartbeat.
 func TestRegionAggregatorLost(t *testing.T) {
 	for _, lost := range []string{"r1", "r3", "r5", "r7", "r9"} {
 		s := newLossyNetwork(1, threeRegions...)
@@ -247,8 +250,9 @@
 	}
 }
 
-// TestRegionsCutOneWay cuts, for good, the lists of one region's aggregator to another's,
-// and all that it hears: the regions learn of each other through the next ones.
+// TestRegionsCutOneWay permanently blocks the lists from one region's aggregator to another's, or
+// everything that it receives. The regions must receive each other's lists through the next
+// aggregators.
 func TestRegionsCutOneWay(t *testing.T) {
 	for name, cut := range map[string]func(from, to string) bool{
 		"to another": func(from, to string) bool { return from == "r1" && to == "r5" },
@@ -266,7 +270,7 @@
 		s.run(200, func() {
 			s.requireCountedAtMost(t, 1)
 			require.Contains(t, s.others["r9"], Load{Server: 4, Running: 14}, name)
-			if name != "deaf" { // the next in its hall now and then tries the deaf one again
+			if name != "deaf" { // the next router of its hall retries r1 now and then
 				require.Contains(t, s.others["r9"], Load{Server: 0, Running: 10}, name)
 			}
 			require.Contains(t, s.others["r6"], Load{Server: 4, Running: 14}, name)
@@ -275,11 +279,11 @@
 	}
 }
 
-// TestRegionsEveryLoss goes through all ways in which three regions of a router each may
-// lose the lists of two rounds between regions, six times in turn: meanwhile nobody counts anybody twice, and
-// afterwards all is known.
+// TestRegionsEveryLoss covers every pattern in which three regions of one router each lose lists
+// between regions in two rounds, repeated six times. Meanwhile no router may be counted twice;
+// afterwards all must converge.
 func TestRegionsEveryLoss(t *testing.T) {
-	const decisions = 12 // six lists in each of two rounds, taken in turn
+	const decisions = 12 // six lists in each of two rounds; the pattern repeats
 	for pattern := range 1 << decisions {
 		s := newLossyNetwork(1, "north/a", "east/b", "south/c")
 		used := 0
@@ -296,8 +300,8 @@
 	}
 }
 
-// TestRegionOfOneCutOneWay cuts the lists of one region of a single router to another: those
-// the other way still come.
+// TestRegionOfOneCutOneWay blocks the lists from one single-router region to another. The lists in
+// the other direction must still arrive.
 func TestRegionOfOneCutOneWay(t *testing.T) {
 	s := newLossyNetwork(1, "north/a", "east/b")
 	s.run(20, nil)
@@ -308,8 +312,8 @@
 	require.Empty(t, s.others["r0"])
 }
 
-// TestRegionSeesHallThatSwitchedAggregator has a region's aggregator not answer its own hall, which
-// turns to another: other regions still know of the hall.
+// TestRegionSeesHallThatSwitchedAggregator has a region's aggregator leave its own hall unanswered,
+// so that the hall switches to another one. Other regions must still receive the loads of the hall.
 func TestRegionSeesHallThatSwitchedAggregator(t *testing.T) {
 	s := newLossyNetwork(1, threeRegions...)
 	s.run(20, nil)
@@ -321,8 +325,8 @@
 	})
 }
 
-// TestRegionCountsTheDeafTwiceAtMost has a router of a large hall hear none of the answers to
-// its reports, so that it turns from one aggregator to the next.
+// TestRegionCountsTheDeafTwiceAtMost has a router of a large hall receive no answers to its
+// reports, so that it switches from one aggregator to the next.
 func TestRegionCountsTheDeafTwiceAtMost(t *testing.T) {
 	s := newLossyNetwork(1, largeHall...)
 	s.run(20, nil)
@@ -332,8 +336,8 @@
 	s.run(200, func() { s.requireCountedAtMost(t, 2) })
 }
 
-// TestRegionCountsTheDeafBackTwiceAtMost has such a router hear nothing at all, and all again
-// after each time up to two seconds.
+// TestRegionCountsTheDeafBackTwiceAtMost has such a router receive nothing at all, and then
+// everything again, for each duration up to two seconds.
 func TestRegionCountsTheDeafBackTwiceAtMost(t *testing.T) {
 	for rounds := range int(2 * time.Second / RoundInterval) {
 		s := newLossyNetwork(uint64(rounds), largeHall...)
@@ -348,10 +352,11 @@
 	}
 }
 
-// largeHall is places with a hall that has many routers to turn to.
+// largeHall has a hall with many routers that can become its aggregator.
 var largeHall = []string{"north/a", "north/a", "north/a", "north/a", "north/a", "north/a", "north/b", "south/c"}
 
-// lossyRound is a round in which all tell of teams, and lists arrive as chosen.
+// lossyRound runs a round in which all routers report team usage, and delivers the lists that
+// arrives selects.
 func (s *lossyNetwork) lossyRound(arrives func(packet) bool) {
 	s.now += TeamsInterval
 	for _, r := range s.routers {
@@ -366,10 +371,10 @@
 	s.inFlight = s.inFlight[:0]
 }
 
-// TestRegionsUnderAnyTrouble cuts routers off one way, kills and restarts them, each time
-// after none is avoided any more for the last trouble, while a tenth of all lists is lost and
-// as many are late or repeated: no router counts more than twice at any time, and each
-// exactly once after all is quiet.
+// TestRegionsUnderAnyTrouble blocks routers in one direction, kills and restarts them, while a
+// tenth of all lists is lost and as many are delayed or repeated. Each fault begins after no router
+// is avoided any longer because of the previous one. No router may be counted more than twice at
+// any time, and each exactly once after all faults have ended.
 func TestRegionsUnderAnyTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		places := rapid.SliceOfN(rapid.SampledFrom(threeRegions), 1, 8).Draw(t, "places")
@@ -404,7 +409,7 @@
 	})
 }
 
-// endFault ends a trouble; a router that was without power starts anew.
+// endFault ends a fault. A router that was powered off restarts.
 func (s *lossyNetwork) endFault(one string) {
 	clear(s.blocked)
 	for _, r := range s.routers {
--- a/loads/rollouts.go
+++ b/loads/rollouts.go
@@ -7,13 +7,13 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// RolloutTTL is how long a list of roll-outs counts without a newer one. It is shorter than
-// TeamsHold: while a missing report only delays a roll-out for a moment, a router that counts
-// twice could hide another that has not reported yet.
+// RolloutTTL is how long a list of rollout reports counts without a newer one. It is shorter than
+// TeamsTTL: a missing report delays a rollout only for a moment, whereas a router that counts twice
+// could hide another one that has not reported yet.
 const RolloutTTL = 350 * time.Millisecond
 
-// reportedRollouts merges what the routers that report to this one, and this one where it
-// reports to itself, tell of roll-outs; but for one.
+// reportedRollouts merges the rollout reports of the routers that report to this one, which may
+// include itself, except for one router.
 func (e *Exchange) reportedRollouts(now time.Duration, except string) []rollout.Report {
 	var lists [][]rollout.Report
 	for from, l := range e.teamReports {
@@ -27,7 +27,7 @@
 	return mergeRollouts(lists...)
 }
 
-// rolloutsExcept merges what all routers of the region but one tell of roll-outs.
+// rolloutsExcept merges the rollout reports of all routers of the region except for one.
 func (e *Exchange) rolloutsExcept(now time.Duration, except string) []rollout.Report {
 	lists := [][]rollout.Report{e.reportedRollouts(now, except)}
 	for _, l := range e.teamSums {
@@ -38,8 +38,8 @@
 	return mergeRollouts(lists...)
 }
 
-// mergeRollouts merges the reports of each order, in the order of services. Merging does
-// not depend on the order of the lists.
+// mergeRollouts merges the reports of each order and sorts them by service. The result does not
+// depend on the order of the lists.
 func mergeRollouts(lists ...[]rollout.Report) []rollout.Report {
 	return merge(lists, byOrder, func(a *rollout.Report, b rollout.Report) { *a = rollout.Merge(*a, b) })
 }
--- a/loads/sums.go
+++ b/loads/sums.go
@@ -1,7 +1,7 @@
 package loads
 
-// reportedLoads adds up what those have that report here, without one of them. This
-// router counts where it is its own aggregator.
+// reportedLoads sums the loads of the routers that report to this one, which may include itself,
+// except for one router.
 func (e *Exchange) reportedLoads(except string) []Load {
 	var lists [][]Load
 	for _, from := range sortedKeys(e.reports) {
@@ -15,13 +15,13 @@
 	return sum(lists...)
 }
 
-// includesSelf tells whether what this router has belongs to what is reported here, without
-// one router: it reports to itself, and is not that one.
+// includesSelf reports whether this router is among the routers that report to it, except for one:
+// it is its own aggregator, and is not the exception.
 func (e *Exchange) includesSelf(except string) bool {
 	return e.aggregator == e.self.Address && except != e.self.Address
 }
 
-// loadsExcept adds up what all routers of the region have but one of those that report here.
+// loadsExcept sums the loads of all routers of the region except for one that reports to this one.
 func (e *Exchange) loadsExcept(except string) []Load {
 	lists := [][]Load{e.reportedLoads(except)}
 	for _, from := range sortedKeys(e.sums) {
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// TeamsInterval is the time between two lists that tell of teams: soon enough for the
-	// shares of a flood through many routers, at a few kB a second for each router.
+	// TeamsInterval is the time between two lists that carry team usage. It is short enough to
+	// adapt shares to a flood of requests through many routers, and costs a few kB per second and
+	// router.
 	TeamsInterval = 100 * time.Millisecond
-	// TeamsTTL is how long such a list counts in full without a newer one: a few may be
-	// lost.
+	// TeamsTTL is how long such a list counts in full without a newer one; a few may be lost.
 	TeamsTTL = 600 * time.Millisecond
-	// DemandTTL is how much longer the demand of a lost router's callers counts than what
-	// they got: about the time that they take to be served again by others.
+	// DemandTTL is how much longer the demand of a lost router's callers counts, after what they
+	// were served has expired. It is about the time in which other routers serve these callers
+	// again.
 	DemandTTL = 4 * time.Second
 )
 
-// TeamUse is what one router, or several together, saw of a team lately, in tokens a
-// second.
+// TeamUse is the recent usage of a team as observed by one or more routers, in tokens per second.
 type TeamUse struct {
 	Team    string
 	Offered float32
@@ -29,7 +29,7 @@
 	Served  float32
 }
 
-// teamList is the newest list of teams of one router.
+// teamList is the newest list of team usage from one router.
 type teamList struct {
 	receivedAt time.Duration
 	hall       string
@@ -37,15 +37,15 @@
 	rollouts   []rollout.Report
 }
 
-// storeTeams takes in what a router tells of teams.
+// storeTeams stores the team usage of a list, if it carries any.
 func storeTeams(lists map[string]teamList, msg ListMsg) {
 	if msg.HasTeams {
 		lists[msg.From] = teamList{receivedAt: msg.Now, hall: msg.Hall, uses: msg.Teams, rollouts: msg.Rollouts}
 	}
 }
 
-// reportedTeams returns what the routers that report to this one, and this one where it
-// reports to itself, see of teams; but for one.
+// reportedTeams returns the team usage of the routers that report to this one, which may include
+// itself, except for one router.
 func (e *Exchange) reportedTeams(now time.Duration, except string) []TeamUse {
 	var lists [][]TeamUse
 	for _, from := range sortedKeys(e.teamReports) {
@@ -59,7 +59,7 @@
 	return sumTeams(lists...)
 }
 
-// teamsExcept returns what all routers of the region but one see of teams.
+// teamsExcept returns the team usage of all routers of the region except for one.
 func (e *Exchange) teamsExcept(now time.Duration, except string) []TeamUse {
 	lists := [][]TeamUse{e.reportedTeams(now, except)}
 	for _, from := range sortedKeys(e.teamSums) {
@@ -69,10 +69,11 @@
 	return sumTeams(lists...)
 }
 
-// countedTeams returns what counts of a list: all of it while it is fresh, and then, for some
-// time, the demand alone, since the callers of a router that is lost are about to come back
-// through others. A router that is still there tells another aggregator, and one that was
-// replaced as its hall's aggregator has told its demand to the next.
+// countedTeams returns the part of a list that counts: all of it while it is fresh, and after that,
+// until it is dropped, only the demand, since the callers of a lost router are about to return
+// through other routers. A router that is still alive now reports to another aggregator, and one
+// that was replaced as its hall's aggregator has passed its demand on to the next one; neither list
+// counts any longer.
 func (e *Exchange) countedTeams(now time.Duration, from string, l teamList, replaced bool) []TeamUse {
 	if now-l.receivedAt <= TeamsTTL {
 		return l.uses
@@ -83,7 +84,7 @@
 	return demandOnly(l.uses)
 }
 
-// demandOnly returns what the callers of teams ask for, without what they get.
+// demandOnly returns what the callers of teams ask for, without what they are served.
 func demandOnly(uses []TeamUse) []TeamUse {
 	out := make([]TeamUse, 0, len(uses))
 	for _, u := range uses {
@@ -92,7 +93,7 @@
 	return out
 }
 
-// hasNewerSum tells whether another aggregator of a hall has told its teams lately.
+// hasNewerSum reports whether another aggregator of a hall has recently sent team usage.
 func (e *Exchange) hasNewerSum(now time.Duration, from, hall string) bool {
 	for other, l := range e.teamSums {
 		if other != from && l.hall == hall && now-l.receivedAt <= TeamsTTL {
@@ -107,14 +108,14 @@
 	return there
 }
 
-// dropTeams forgets the lists of which nothing counts any more.
+// dropTeams removes the lists that no longer count in any way.
 func (e *Exchange) dropTeams(now time.Duration) {
 	for _, lists := range []map[string]teamList{e.teamReports, e.teamSums} {
 		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
 	}
 }
 
-// sumTeams adds up lists, by team.
+// sumTeams adds up lists by team.
 func sumTeams(lists ...[]TeamUse) []TeamUse {
 	return merge(lists, byTeam, func(a *TeamUse, b TeamUse) {
 		a.Offered += b.Offered
--- a/loads/teams_test.go
+++ b/loads/teams_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// runTeamRounds plays rounds in which every router tells of one team that it alone sees, and
-// of one that all see, in every fourth.
+// runTeamRounds runs rounds. In every fourth, each router reports a team that it alone sees, and
+// one that all routers see.
 func (n *network) runTeamRounds(rounds int, arrives func(packet) bool) {
 	for i := range rounds {
 		n.now += RoundInterval
@@ -36,7 +36,7 @@
 	return []TeamUse{{Team: "all", Offered: 100, Recent: 50, Served: 10}, {Team: "of " + r.Address, Offered: 7, Recent: 7, Served: 7}}
 }
 
-// powerOff takes a router's power; the others no longer count it as there.
+// powerOff powers off a router. The other routers no longer consider it alive.
 func (n *network) powerOff(address string) {
 	n.down[address] = true
 	for _, r := range n.routers {
@@ -46,7 +46,7 @@
 	}
 }
 
-// lastTeam returns what a router was last told of a team.
+// lastTeam returns the usage of a team that a router received last.
 func (n *network) lastTeam(address, team string) TeamUse {
 	for _, u := range n.teams[address] {
 		if u.Team == team {
@@ -56,7 +56,8 @@
 	return TeamUse{Team: team}
 }
 
-// TestTeamsConverge has every router know what all others see, each counted once.
+// TestTeamsConverge checks that every router receives the team usage of all others, each counted
+// once.
 func TestTeamsConverge(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b", "b", "c")
 	n.connectAll()
@@ -72,8 +73,8 @@
 	}
 }
 
-// TestLostRoutersDemandStays loses a router, an aggregator, and a whole hall: what their
-// teams got stops counting at once, and what they asked for a while later.
+// TestLostRoutersDemandStays loses a router, or a whole hall with its aggregator. What their teams
+// were served must stop counting at once, and their demand some time later.
 func TestLostRoutersDemandStays(t *testing.T) {
 	for name, lost := range map[string][]string{"router": {"r0"}, "hall": {"r3", "r4"}} {
 		n := newNetwork("a", "a", "a", "b", "b", "c")
@@ -93,8 +94,8 @@
 	}
 }
 
-// TestNewAggregatorCountsOnce takes the power from an aggregator: its hall's teams are
-// counted twice for no longer than its last list holds.
+// TestNewAggregatorCountsOnce powers off an aggregator. The teams of its hall may count twice only
+// until its last list expires.
 func TestNewAggregatorCountsOnce(t *testing.T) {
 	n := newNetwork("a", "a", "a", "a", "b")
 	n.connectAll()
@@ -109,8 +110,8 @@
 	require.EqualValues(t, 300, n.lastTeam("r4", "all").Offered)
 }
 
-// TestTeamsUnderAnyTrouble loses, repeats and delays lists and restarts routers: soon after
-// all know all again, each router counted once.
+// TestTeamsUnderAnyTrouble loses, repeats and delays lists and restarts routers. Afterwards every
+// router must count each other router exactly once.
 func TestTeamsUnderAnyTrouble(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 3, 6).Draw(t, "halls")
@@ -138,8 +139,8 @@
 	})
 }
 
-// TestTeamsCostLittle counts what a router of a hall of 100 sends and gets of teams in a
-// second: 10 lists each way, whatever the number of routers.
+// TestTeamsCostLittle counts the lists with team usage that a router in a hall of 100 sends and
+// receives per second: 10 each way, whatever the number of routers.
 func TestTeamsCostLittle(t *testing.T) {
 	halls := make([]string, 100)
 	for i := range halls {
@@ -156,5 +157,5 @@
 		return true
 	})
 	require.Equal(t, 10, sent["r0"])
-	require.Equal(t, 10*99, sent["r1"], "the aggregator answers each")
+	require.Equal(t, 10*99, sent["r1"], "the aggregator answers each router")
 }
