--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -78,9 +78,9 @@
 	if h.rounds%farMembersEveryRounds == 1 {
 		far = near
 	}
-	seq, knows := h.seq.Add(1), h.deps.Feeds.Revisions()
-	near.Seq, near.Knows = seq, knows
-	far.Seq, far.Knows = seq, knows
+	seq, revisions := h.seq.Add(1), h.deps.Feeds.Revisions()
+	near.Seq, near.Knows = seq, revisions
+	far.Seq, far.Knows = seq, revisions
 	h.sendEach(targets, near, far)
 }
 
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -114,14 +114,14 @@
 // router always has a newer revision.
 func (p *Peers) stuck() bool {
 	now := p.deps.Decisions.Now()
-	knows := p.deps.Feeds.Revisions()
+	own := p.deps.Feeds.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if knows.Reaches(p.targetRevisions) {
+	if own.Reaches(p.targetRevisions) {
 		p.targetRevisions = p.newest(now)
 		p.behindSince = now
 	}
-	return !knows.Reaches(p.targetRevisions) && now-p.behindSince > stuckAfter
+	return !own.Reaches(p.targetRevisions) && now-p.behindSince > stuckAfter
 }
 
 // newest returns the newest revisions of live routers.
--- a/gateway/detector/detector_test.go
+++ b/gateway/detector/detector_test.go
@@ -69,8 +69,8 @@
 	falsePositives := 0
 	for range 120 {
 		f.run(f.now + 500*time.Millisecond)
-		_, falsely := f.detected()
-		falsePositives += falsely
+		_, wrongPairs := f.detected()
+		falsePositives += wrongPairs
 	}
 	t.Logf("%.1f datagrams and %.2f updates per second and router", float64(f.datagrams)/60/100, float64(f.updates)/60/100)
 	require.Zero(t, falsePositives)
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -65,8 +65,8 @@
 	}
 	p.shedFraction.Store(math.Float64bits(fraction))
 	var hall Hall
-	if known := p.hall.Load(); known != nil {
-		hall = *known
+	if h := p.hall.Load(); h != nil {
+		hall = *h
 	}
 	p.yields.Store(p.Without.Uses(direct.Yielding) && p.yielder.update(now, fraction, hall))
 	switch {
--- a/gateway/pressure/unreadconns.go
+++ b/gateway/pressure/unreadconns.go
@@ -39,33 +39,33 @@
 }
 
 // Add starts counting a connection.
-func (f *UnreadConns) Add(a *AcceptedConn) {
+func (c *UnreadConns) Add(a *AcceptedConn) {
 	a.counted = true
-	f.count++
-	f.queue = append(f.queue, a)
+	c.count++
+	c.queue = append(c.queue, a)
 }
 
 // Remove stops counting a connection whose first request has been read or that has been closed.
-func (f *UnreadConns) Remove(a *AcceptedConn) {
+func (c *UnreadConns) Remove(a *AcceptedConn) {
 	if a.counted {
 		a.counted = false
-		f.count--
+		c.count--
 	}
 }
 
 // Count returns the number of unread connections.
-func (f *UnreadConns) Count() int { return f.count }
+func (c *UnreadConns) Count() int { return c.count }
 
 // Full reports whether as many connections are unread as the router can read in about 50 ms.
-func (f *UnreadConns) Full(now time.Time) bool {
-	for len(f.queue) > 0 {
-		oldest := f.queue[0]
+func (c *UnreadConns) Full(now time.Time) bool {
+	for len(c.queue) > 0 {
+		oldest := c.queue[0]
 		if oldest.counted && now.Sub(oldest.At) < unreadConnTTL {
 			break
 		}
-		f.Remove(oldest)
-		f.queue[0] = nil
-		f.queue = f.queue[1:]
+		c.Remove(oldest)
+		c.queue[0] = nil
+		c.queue = c.queue[1:]
 	}
-	return f.limit > 0 && f.count >= f.limit
+	return c.limit > 0 && c.count >= c.limit
 }
--- a/loads/copies_test.go
+++ b/loads/copies_test.go
@@ -65,8 +65,8 @@
 	s.run(20, nil)
 	made := s.makeCopies(1)
 	s.run(3, nil)
-	told, all := s.countArrived(t, made)
-	require.Equal(t, all, told)
+	received, all := s.countArrived(t, made)
+	require.Equal(t, all, received)
 }
 
 // TestCopiesUnderLoss loses a tenth of all lists. More than 99% of the copies must arrive, and none
@@ -78,8 +78,8 @@
 	lists := s.countCopies()
 	made := s.makeCopies(100)
 	s.run(20, nil)
-	told, all := s.countArrived(t, made)
-	require.Greater(t, told, all*99/100, "of %d", all)
+	received, all := s.countArrived(t, made)
+	require.Greater(t, received, all*99/100, "of %d", all)
 	for one, numbers := range lists {
 		require.LessOrEqual(t, len(numbers), copyRepeats, "%+v", one)
 		if from := s.hallOf(one.from); from != s.hallOf(one.to) {
--- a/loads/delta.go
+++ b/loads/delta.go
@@ -35,9 +35,9 @@
 // deltaFor returns the loads of a digest that answers a report: the delta to the full digest that
 // the report names, with the checksum of that digest, or all loads and 0.
 func (e *Exchange) deltaFor(report ListMsg, loads []Load) (send []Load, base uint64) {
-	if w := e.sentDigests[report.From]; w.checksum != 0 && w.checksum == report.Base {
-		if changed := diff(w.loads, loads); minDeltaRatio*len(changed) <= len(loads) {
-			return changed, w.checksum
+	if full := e.sentDigests[report.From]; full.checksum != 0 && full.checksum == report.Base {
+		if changed := diff(full.loads, loads); minDeltaRatio*len(changed) <= len(loads) {
+			return changed, full.checksum
 		}
 	}
 	e.sentDigests[report.From] = newFullDigest(loads)
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-func (n *network) countReceivedCopies(address string, told []Copy) {
-	for _, c := range told {
+func (n *network) countReceivedCopies(address string, received []Copy) {
+	for _, c := range received {
 		if n.copies[address] == nil {
 			n.copies[address] = make(map[Copy]int)
 		}
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -131,13 +131,13 @@
 
 // requireCountedAtMost checks that no router counts another one more than the given number of
 // times, nor itself more than one time fewer.
-func (s *lossyNetwork) requireCountedAtMost(t require.TestingT, times int32) {
+func (s *lossyNetwork) requireCountedAtMost(t require.TestingT, limit int32) {
 	for i, r := range s.routers {
 		for _, l := range s.others[r.Address] {
 			if l.Server == 999 || s.down[r.Address] {
 				continue
 			}
-			most := times * int32(10+l.Server)
+			most := limit * int32(10+l.Server)
 			if l.Server == uint32(i) {
 				most -= int32(10 + l.Server)
 			}
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -104,8 +104,8 @@
 }
 
 func (e *Exchange) isAlive(address string) bool {
-	_, there := e.byAddress[address]
-	return there
+	_, ok := e.byAddress[address]
+	return ok
 }
 
 // dropTeams removes the lists that no longer count in any way.
