--- a/direct/evacuation.go
+++ b/direct/evacuation.go
@@ -9,44 +9,44 @@
 // evacuate puts a newer set of evacuated data halls in force. Servers of an evacuated
 // hall get no new requests; what runs there is left to run. The routers of the hall go
 // on: only its servers are out of use.
-func (m *Machine) evacuate(msg EvacuationsMsg) {
-	if msg.Evacuations.Revision < m.evacuationsAt {
+func (m *Machine) applyEvacuations(msg EvacuationsMsg) {
+	if msg.Evacuations.Revision < m.evacuationsRevision {
 		return
 	}
-	m.evacuationsAt = msg.Evacuations.Revision
+	m.evacuationsRevision = msg.Evacuations.Revision
 	halls := make(map[string]bool, len(msg.Evacuations.Halls))
 	for _, hall := range msg.Evacuations.Halls {
 		halls[hall] = true
 	}
-	was := m.evacuated
+	previous := m.evacuated
 	m.evacuated = halls
-	m.tellHalls(was)
+	m.emitHallChanges(previous)
 	for _, name := range m.poolNames() {
 		p := m.pools[name]
 		for _, s := range p.all {
 			s.evacuated = halls[s.Zone]
-			if was[s.Zone] && !s.evacuated {
-				m.returned(msg.Now, p, s)
+			if previous[s.Zone] && !s.evacuated {
+				m.markReturnedCold(msg.Now, p, s)
 			}
 		}
-		p.admit()
-		m.serve(msg.Now, p, maxQueued)
+		p.updateEligible()
+		m.serveQueue(msg.Now, p, maxQueued)
 	}
 }
 
 // returned takes a server for cold whose data hall has been taken back: it may have
 // turned cold shortly before, and its entry says so only after its next heartbeat. The
 // price is a few seconds at the cold rate where it has not.
-func (m *Machine) returned(now time.Duration, p *pool, s *server) {
-	m.noteCold(now, s, p.cold.Lasts, "its data hall was evacuated")
+func (m *Machine) markReturnedCold(now time.Duration, p *pool, s *server) {
+	m.markCold(now, s, p.cold.Lasts, "its data hall was evacuated")
 }
 
 // tellHalls emits what has changed since an earlier set of evacuated halls.
-func (m *Machine) tellHalls(was map[string]bool) {
-	all := maps.Clone(was)
+func (m *Machine) emitHallChanges(previous map[string]bool) {
+	all := maps.Clone(previous)
 	maps.Copy(all, m.evacuated)
 	for _, hall := range slices.Sorted(maps.Keys(all)) {
-		if was[hall] == m.evacuated[hall] {
+		if previous[hall] == m.evacuated[hall] {
 			continue
 		}
 		servers := 0
@@ -55,6 +55,6 @@
 				servers++
 			}
 		}
-		m.emit(HallCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsAt, Servers: servers})
+		m.emit(EvacuationCmd{Hall: hall, Evacuated: m.evacuated[hall], Revision: m.evacuationsRevision, Servers: servers})
 	}
 }
--- a/direct/gate_oracle_test.go
+++ b/direct/gate_oracle_test.go
@@ -12,33 +12,33 @@
 
 // site is several routers that share servers of three versions: v1 is in use, v2 is being
 // moved to, and v3 was never ordered. It counts what the servers themselves see.
-type site struct {
+type gateSim struct {
 	t        *rapid.T
 	now      time.Duration
 	gate     rollout.Gate
-	routers  []*siteRouter
+	routers  []*simRouter
 	revision uint64
 
-	all, target int             // requests that came to servers
-	parts       map[uint64]span // by shared part
+	all, target int                  // requests that came to servers
+	parts       map[uint64]partRange // by shared part
 }
 
 // span is at which parts of the gate requests of one shared part went to old servers, and
 // to the target's, by their side.
-type span struct{ old, target float64 }
+type partRange struct{ old, target float64 }
 
 // siteRouter is one router, in one life.
-type siteRouter struct {
-	m       *Machine
-	gate    rollout.Gate // in force
-	cut     bool         // it hears nothing new
-	next    RequestID
-	running []*siteRequest
-	waiting map[RequestID]Request
+type simRouter struct {
+	m        *Machine
+	gate     rollout.Gate // in force
+	isolated bool         // it hears nothing new
+	next     RequestID
+	running  []*simRequest
+	waiting  map[RequestID]Request
 }
 
 // siteRequest is a running attempt.
-type siteRequest struct {
+type simRequest struct {
 	Request
 	version   string
 	reached   bool
@@ -51,10 +51,10 @@
 // counts. By hand: go test ./direct -run TestRolloutRules -rapid.checks=3000 -rapid.steps=200
 func TestRolloutRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := &site{t: t, now: time.Second, parts: make(map[uint64]span), gate: rollout.Gate{
-			Service: "llm", InUse: []string{"v1"}, Target: "v2", Servers: 0.3,
-			Part:  rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
-			Limit: rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
+		s := &gateSim{t: t, now: time.Second, parts: make(map[uint64]partRange), gate: rollout.Gate{
+			Service: "llm", InUse: []string{"v1"}, Target: "v2", ServerFraction: 0.3,
+			Fraction: rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "part"),
+			Limit:    rapid.SampledFrom([]float64{0.02, 0.05, 0.3}).Draw(t, "limit"),
 		}}
 		for range 3 {
 			s.start()
@@ -68,7 +68,7 @@
 			"list":     func(*rapid.T) { s.list() },
 			"evacuate": func(*rapid.T) { s.evacuate() },
 			"restart":  func(*rapid.T) { s.restart() },
-			"cut":      func(*rapid.T) { r := s.any(); r.cut = !r.cut },
+			"cut":      func(*rapid.T) { r := s.drawRouter(); r.isolated = !r.isolated },
 			"stage":    func(*rapid.T) { s.stage() },
 			"":         func(*rapid.T) { s.check() },
 		})
@@ -76,9 +76,9 @@
 }
 
 // start adds a router; it knows the gate, or hears of it later.
-func (s *site) start() {
-	r := &siteRouter{waiting: make(map[RequestID]Request), m: NewMachine(Options{
-		Zone: "a", Gated: true, Budget: BudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
+func (s *gateSim) start() {
+	r := &simRouter{waiting: make(map[RequestID]Request), m: NewMachine(Options{
+		Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.5, Slack: 50, Window: 10 * time.Second},
 	})}
 	s.routers = append(s.routers, r)
 	s.update(r, ConfigMsg{Now: s.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 1e6}, Services: []Service{{
@@ -86,20 +86,20 @@
 	}}}})
 	s.update(r, ServersMsg{Now: s.now, Directory: s.directory()})
 	if rapid.Bool().Draw(s.t, "knows") {
-		s.tell(r)
+		s.sendGate(r)
 	}
 }
 
-func (s *site) tell(r *siteRouter) {
+func (s *gateSim) sendGate(r *simRouter) {
 	r.gate = s.gate
 	s.update(r, GateMsg{Now: s.now, Gate: s.gate})
 }
 
-func (s *site) any() *siteRouter {
+func (s *gateSim) drawRouter() *simRouter {
 	return s.routers[rapid.IntRange(0, len(s.routers)-1).Draw(s.t, "router")]
 }
 
-func (s *site) directory() Directory {
+func (s *gateSim) directory() Directory {
 	s.revision++
 	d := Directory{Revision: s.revision}
 	for _, version := range []string{"v1", "v2", "v3"} {
@@ -120,26 +120,26 @@
 	return d
 }
 
-func (s *site) list() {
+func (s *gateSim) list() {
 	d := s.directory()
 	for _, r := range s.routers {
-		if !r.cut {
+		if !r.isolated {
 			s.update(r, ServersMsg{Now: s.now, Directory: d})
 		}
 	}
 }
 
-func (s *site) evacuate() {
+func (s *gateSim) evacuate() {
 	s.revision++
 	halls := rapid.SampledFrom([][]string{nil, {"a"}, {"b", "c"}}).Draw(s.t, "halls")
 	for _, r := range s.routers {
-		if !r.cut {
+		if !r.isolated {
 			s.update(r, EvacuationsMsg{Now: s.now, Evacuations: Evacuations{Revision: s.revision, Halls: halls}})
 		}
 	}
 }
 
-func (s *site) restart() {
+func (s *gateSim) restart() {
 	i := rapid.IntRange(0, len(s.routers)-1).Draw(s.t, "restarts")
 	if rapid.Bool().Draw(s.t, "stays") && len(s.routers) > 2 {
 		s.routers = append(s.routers[:i], s.routers[i+1:]...)
@@ -148,36 +148,36 @@
 }
 
 // stage moves the gate on; routers that are not cut learn of it one by one.
-func (s *site) stage() {
+func (s *gateSim) stage() {
 	switch rapid.IntRange(0, 5).Draw(s.t, "stage") {
 	case 0:
-		s.gate.Part = max(s.gate.Part, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
+		s.gate.Fraction = max(s.gate.Fraction, rapid.SampledFrom([]float64{0.2, 0.6, 1}).Draw(s.t, "part"))
 	case 1:
-		s.gate.Part, s.gate.OldClosed, s.gate.Move = 1, true, true
+		s.gate.Fraction, s.gate.OldClosed, s.gate.MoveStreams = 1, true, true
 	}
 	for _, r := range s.routers {
-		if !r.cut && rapid.Bool().Draw(s.t, "hears") {
-			s.tell(r)
+		if !r.isolated && rapid.Bool().Draw(s.t, "hears") {
+			s.sendGate(r)
 		}
 	}
 }
 
-func (s *site) arrive() { s.arriveAt(s.any(), rapid.Bool().Draw(s.t, "shared")) }
+func (s *gateSim) arrive() { s.arriveAt(s.drawRouter(), rapid.Bool().Draw(s.t, "shared")) }
 
 // flood has many requests come to one router, and answers them.
-func (s *site) flood() {
-	r := s.any()
+func (s *gateSim) flood() {
+	r := s.drawRouter()
 	for range 30 {
 		s.arriveAt(r, true)
 		for len(r.running) > 0 {
 			s.endOf(r, 0, Done, false)
 		}
-		s.now += TickEvery
+		s.now += TickInterval
 		s.update(r, TickMsg{Now: s.now})
 	}
 }
 
-func (s *site) arriveAt(r *siteRouter, shared bool) {
+func (s *gateSim) arriveAt(r *simRouter, shared bool) {
 	r.next++
 	request := Request{
 		ID: r.next, Team: "red", Service: "llm", Kind: Stream, Route: rapid.SampledFrom([]string{"chat", "tag"}).Draw(s.t, "route"),
@@ -187,13 +187,13 @@
 	if shared {
 		// The first of them is hot.
 		part := max(rapid.IntRange(-6, 12).Draw(s.t, "part"), 1)
-		request.Parts = []Part{{ID: uint64(part), Tokens: 500}, {ID: uint64(request.ID) << 32, Tokens: 100}}
+		request.Parts = []PromptPart{{ID: uint64(part), Tokens: 500}, {ID: uint64(request.ID) << 32, Tokens: 100}}
 	}
 	r.waiting[request.ID] = request
-	s.update(r, ArriveMsg{Now: s.now, Request: request})
+	s.update(r, RequestMsg{Now: s.now, Request: request})
 }
 
-func (s *site) update(r *siteRouter, msg Msg) {
+func (s *gateSim) update(r *simRouter, msg Msg) {
 	for _, c := range r.m.Update(msg) {
 		switch c := c.(type) {
 		case SendCmd:
@@ -204,27 +204,27 @@
 			delete(r.waiting, c.ID)
 		case MoveCmd:
 			s.move(r, c)
-		case AnswerCmd:
-			require.NotEqual(s.t, c.Answer.Cohort, "", "evidence of no cohort")
+		case ResponseCmd:
+			require.NotEqual(s.t, c.Response.Cohort, "", "evidence of no cohort")
 		}
 	}
 }
 
-func (s *site) send(r *siteRouter, c SendCmd) {
+func (s *gateSim) send(r *simRouter, c SendCmd) {
 	require.NotEqual(s.t, "v3", c.Server.Version, "a version that was never ordered gets a request")
 	require.NotEmpty(s.t, r.gate.Service, "sent without a gate")
 	target := c.Server.Version == "v2"
-	require.Equal(s.t, target, c.Basis.Target)
-	require.False(s.t, target && r.gate.Part == 0, "no part of the requests is the target's")
+	require.Equal(s.t, target, c.PlacementBasis.Target)
+	require.False(s.t, target && r.gate.Fraction == 0, "no part of the requests is the target's")
 	require.False(s.t, !target && r.gate.OldClosed, "old versions are closed")
 	request := r.waiting[c.ID]
 	if part, shared := request.lastShared(); shared {
 		seen := s.parts[part.ID]
 		switch {
-		case c.Basis.Side == SideOld:
-			seen.old = max(seen.old, r.gate.Part)
-		case c.Basis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Part < seen.target):
-			seen.target = r.gate.Part
+		case c.PlacementBasis.Side == SideOld:
+			seen.old = max(seen.old, r.gate.Fraction)
+		case c.PlacementBasis.Side == SideTarget && c.Attempt == 1 && (seen.target == 0 || r.gate.Fraction < seen.target):
+			seen.target = r.gate.Fraction
 		}
 		s.parts[part.ID] = seen
 		require.False(s.t, seen.target > 0 && seen.old >= seen.target, "part %d is on both sides: %v", part.ID, seen)
@@ -236,10 +236,10 @@
 			s.target++
 		}
 	}
-	r.running = append(r.running, &siteRequest{Request: request, version: c.Server.Version, reached: reached, attempted: c.Attempt})
+	r.running = append(r.running, &simRequest{Request: request, version: c.Server.Version, reached: reached, attempted: c.Attempt})
 }
 
-func (s *site) move(r *siteRouter, c MoveCmd) {
+func (s *gateSim) move(r *simRouter, c MoveCmd) {
 	for _, q := range r.running {
 		if q.ID == c.ID {
 			require.Equal(s.t, "v1", q.version)
@@ -252,19 +252,19 @@
 	require.Fail(s.t, "what is moved does not run")
 }
 
-func (s *site) first() {
-	r := s.any()
+func (s *gateSim) first() {
+	r := s.drawRouter()
 	for _, q := range r.running {
 		if q.reached && !q.begun {
 			q.begun = true
-			s.update(r, FirstMsg{Now: s.now, ID: q.ID})
+			s.update(r, FirstEventMsg{Now: s.now, ID: q.ID})
 			return
 		}
 	}
 }
 
-func (s *site) end() {
-	r := s.any()
+func (s *gateSim) end() {
+	r := s.drawRouter()
 	if len(r.running) == 0 {
 		return
 	}
@@ -284,18 +284,18 @@
 	s.endOf(r, i, o, o != Done && o != GivenUp && rapid.Bool().Draw(s.t, "retry"))
 }
 
-func (s *site) endOf(r *siteRouter, i int, o Outcome, retry bool) {
+func (s *gateSim) endOf(r *simRouter, i int, o Outcome, retry bool) {
 	q := r.running[i]
 	if !q.reached && o == Done {
 		o = Broken
 	}
 	r.running = append(r.running[:i:i], r.running[i+1:]...)
-	s.update(r, EndMsg{Now: s.now, ID: q.ID, Outcome: o, Retry: retry})
+	s.update(r, AttemptEndMsg{Now: s.now, ID: q.ID, Outcome: o, Retry: retry})
 }
 
-func (s *site) tick() {
+func (s *gateSim) tick() {
 	for range rapid.IntRange(1, 20).Draw(s.t, "ticks") {
-		s.now += TickEvery
+		s.now += TickInterval
 		for _, r := range s.routers {
 			s.update(r, TickMsg{Now: s.now})
 		}
@@ -303,7 +303,7 @@
 }
 
 // check holds what must be so at any moment.
-func (s *site) check() {
+func (s *gateSim) check() {
 	require.LessOrEqual(s.t, float64(s.target), s.gate.Limit*float64(s.all), "the target got %d of %d", s.target, s.all)
 	for _, r := range s.routers {
 		old := 0
@@ -320,10 +320,10 @@
 
 // TestRolloutGateWithOneVersionIsNoGate plays random days against two routers, one with a
 // gate that lets the only version through: both decide alike.
-func TestRolloutGateWithOneVersionIsNoGate(t *testing.T) {
+func TestRolloutGateWithOneVersionChangesNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := BudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
-		plain, gated := NewMachine(Options{Zone: "a", Budget: budget}), NewMachine(Options{Zone: "a", Budget: budget, Gated: true})
+		budget := RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}
+		plain, gated := NewMachine(Options{Zone: "a", RetryBudget: budget}), NewMachine(Options{Zone: "a", RetryBudget: budget, Gated: true})
 		update := func(msg Msg) []Cmd {
 			cmds := append([]Cmd(nil), plain.Update(msg)...)
 			require.Equal(t, cmds, append([]Cmd(nil), gated.Update(msg)...))
@@ -333,25 +333,25 @@
 		update(ConfigMsg{Now: now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}}}})
 		gated.Update(GateMsg{Now: now, Gate: rollout.Gate{Service: "llm", InUse: []string{"v1"}}})
-		update(ServersMsg{Now: now, Directory: versions(1, 5, "v1")})
+		update(ServersMsg{Now: now, Directory: versionDirectory(1, 5, "v1")})
 		var running []RequestID
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			var cmds []Cmd
 			switch step := rapid.IntRange(0, 5).Draw(t, "step"); {
 			case step < 3:
 				next++
-				cmds = update(ArriveMsg{Now: now, Request: Request{
+				cmds = update(RequestMsg{Now: now, Request: Request{
 					ID: next, Team: "red", Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Objective: 300 * time.Millisecond,
-					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []Part{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
+					Deadline: now + 5*time.Second, PromptTokens: 5000, OutputTokens: 50, Parts: []PromptPart{{ID: uint64(next % 9), Tokens: 500}, {ID: uint64(next) + 100, Tokens: 10}},
 				}})
 			case step == 3 && len(running) > 0:
 				id := running[0]
 				running = running[1:]
-				update(FirstMsg{Now: now, ID: id})
+				update(FirstEventMsg{Now: now, ID: id})
 				o := rapid.SampledFrom([]Outcome{Done, Failed, Broken, NotRun, Unsent}).Draw(t, "outcome")
-				cmds = update(EndMsg{Now: now, ID: id, Outcome: o, Retry: o != Done})
+				cmds = update(AttemptEndMsg{Now: now, ID: id, Outcome: o, Retry: o != Done})
 			default:
-				now += TickEvery
+				now += TickInterval
 				cmds = update(TickMsg{Now: now})
 			}
 			for _, c := range cmds {
--- a/direct/move.go
+++ b/direct/move.go
@@ -10,23 +10,23 @@
 	// movesPart and movesLeast spread moves of streams over about a second: in each tick
 	// a part of those that are left, and some at the least. The prompts of streams that
 	// move are read anew, and callers wait behind them.
-	movesPart  = 0.125
-	movesLeast = 4
+	moveFraction    = 0.125
+	minMovesPerTick = 4
 )
 
 // move breaks off streams that run at old servers and may go on at the target's, a few
 // at a time. Each takes a retry from the budget; where there is none left, or no room at
 // the target's servers, they run on and are tried again later.
-func (m *Machine) move(now time.Duration, p *pool) {
+func (m *Machine) moveStreams(now time.Duration, p *pool) {
 	g := p.gate
 	if g == nil || !g.movePending || g.Target == "" {
 		return
 	}
-	left := m.movable(p)
-	most := max(int(movesPart*float64(len(left))), movesLeast)
-	most = min(most, len(left), g.room(now))
-	for _, r := range left[:most] {
-		if !p.budget.spend(now, m.options.Budget, m.routers) {
+	streams := m.movable(p)
+	limit := max(int(moveFraction*float64(len(streams))), minMovesPerTick)
+	limit = min(limit, len(streams), g.freeSlots(now))
+	for _, r := range streams[:limit] {
+		if !p.retryWindow.trySpend(now, m.options.RetryBudget, m.routers) {
 			return
 		}
 		r.placement.moving = true
@@ -35,29 +35,29 @@
 }
 
 // movable returns the requests at old servers that may go on elsewhere, by id.
-func (m *Machine) movable(p *pool) []*run {
-	var out []*run
-	for _, r := range m.runs {
-		if r.at == nil || r.Service != p.name || r.at.target || r.placement.moving {
+func (m *Machine) movable(p *pool) []*requestState {
+	var out []*requestState
+	for _, r := range m.requests {
+		if r.currentServer == nil || r.Service != p.name || r.currentServer.target || r.placement.moving {
 			continue
 		}
 		if r.MayRepeat && r.attempt < r.Attempts {
 			out = append(out, r)
 		}
 	}
-	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b *requestState) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // room counts the free slots of the target's servers.
-func (g *gate) room(now time.Duration) int {
-	room := 0
+func (g *gate) freeSlots(now time.Duration) int {
+	free := 0
 	for _, s := range g.target {
 		if s.usable(now) && !s.probation {
-			room += max(s.Slots-s.allRunning(), 0)
+			free += max(s.Slots-s.totalRunning(), 0)
 		}
 	}
-	return room
+	return free
 }
 
 // OldRunning counts this router's running requests of a service at servers of versions
@@ -76,13 +76,13 @@
 	return running
 }
 
-// AllAsked counts, for each service that moves to another version, the requests that have come to
+// RequestCounts counts, for each service that moves to another version, the requests that have come to
 // this router since then, whether or not they could be sent, and attempts after their first.
-func (m *Machine) AllAsked() map[string]int {
+func (m *Machine) RequestCounts() map[string]int {
 	out := make(map[string]int)
 	for name, p := range m.pools {
 		if p.gate != nil && p.gate.Target != "" {
-			out[name] = p.gate.exposure.asked
+			out[name] = p.gate.exposure.requests
 		}
 	}
 	return out
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -109,14 +109,14 @@
 		l.deps.Stats.LoadsAge.RecordDuration(now - l.lastReceived)
 	}
 	l.lastReceived = now
-	l.deps.Decisions.Update(direct.LoadsMsg{Now: now, Loads: others.Loads})
+	l.deps.Decisions.Update(direct.PeerLoadsMsg{Now: now, Loads: others.Loads})
 	if len(others.Copies) > 0 {
-		l.deps.Decisions.Update(direct.CopiesMsg{Now: now, Copies: others.Copies})
+		l.deps.Decisions.Update(direct.PeerCopiesMsg{Now: now, Copies: others.Copies})
 	}
 	if others.HasTeams {
-		l.deps.Decisions.Update(direct.TeamsMsg{Now: now, Teams: others.Teams})
+		l.deps.Decisions.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
 		if l.deps.Rollouts != nil {
-			l.deps.Rollouts.Tell(rollout.OthersMsg{Now: now, Reports: others.Rollouts})
+			l.deps.Rollouts.Tell(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
 		}
 	}
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -27,7 +27,7 @@
 	// startupWait is how long this router waits, as it starts, for its peers to send what it would
 	// otherwise read from the source.
 	startupWait     time.Duration
-	without         direct.Without // disabled mechanisms
+	without         direct.DisabledMechanisms // disabled mechanisms
 	mu              sync.Mutex
 	targetRevisions feed.Revisions // newest revisions of live peers at behindSince
 	behindSince     time.Duration  // when this router last had all revisions of its peers
@@ -120,9 +120,9 @@
 	if !p.deps.Pressure.Slow() {
 		p.deps.Pressure.SetHall(hall)
 	}
-	p.deps.Decisions.Update(direct.PeersMsg{
-		Now: now, Routers: max(len(alive)+1, p.seedCount), Hold: timeout,
-		Known: len(p.known) + 1, Rank: p.rank(), Quiet: p.silentHalls(now),
+	p.deps.Decisions.Update(direct.MembershipMsg{
+		Now: now, Routers: max(len(alive)+1, p.seedCount), ReportTTL: timeout,
+		Known: len(p.known) + 1, Rank: p.rank(), SilentHalls: p.silentHalls(now),
 	})
 	return targets, members
 }
@@ -162,7 +162,7 @@
 		cmds = append(cmds, p.detector.Update(detector.GossipMsg{Now: now, Updates: updates})...)
 	}
 	p.mu.Unlock()
-	p.deps.Decisions.Update(direct.PeerMsg{Now: now, Peer: b.Address, Report: b.report()})
+	p.deps.Decisions.Update(direct.PeerReportMsg{Now: now, Peer: b.Address, Report: b.report()})
 	if !p.deps.Feeds.Revisions().Reaches(b.Knows) {
 		notify(p.behind)
 	}
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -34,7 +34,7 @@
 // otherwise read from the source. Seeds do not wait, so that of the routers that start together
 // only the seeds read the source.
 func (p *Peers) Patience() time.Duration {
-	if p.isSeed || !p.without.Uses(direct.Followers) {
+	if p.isSeed || !p.without.Enabled(direct.StoreFollowers) {
 		return 0
 	}
 	return p.startupWait
@@ -62,7 +62,7 @@
 // Follows reports whether this router is one of the few that follow the source, or has been behind
 // another router for too long.
 func (p *Peers) Follows() bool {
-	if p.stuck() || !p.without.Uses(direct.Followers) {
+	if p.stuck() || !p.without.Enabled(direct.StoreFollowers) {
 		return true
 	}
 	if p.deps.Decisions.Now() < settleTime {
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -18,7 +18,7 @@
 	Loads      string   // address to listen on for loads
 	Seeds      []string // control addresses of some routers
 	FirstStart bool     // the whole fleet starts for the first time
-	Without    direct.Without
+	Without    direct.DisabledMechanisms
 	startNanos int64 // start of the router, in nanoseconds since 1970
 }
 
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -50,7 +50,7 @@
 	yields  atomic.Bool
 	hall    atomic.Pointer[Hall]
 	// Without holds the mechanisms that are disabled.
-	Without direct.Without
+	Without direct.DisabledMechanisms
 }
 
 // Observe records how late a tick came.
@@ -60,7 +60,7 @@
 	p.lag.Store(int64(lag))
 	p.tickDelay.Store(int64(late))
 	fraction := 0.0
-	if p.Without.Uses(direct.Shedding) {
+	if p.Without.Enabled(direct.LoadShedding) {
 		fraction = p.shedder.update(late)
 	}
 	p.shedFraction.Store(math.Float64bits(fraction))
@@ -68,10 +68,10 @@
 	if h := p.hall.Load(); h != nil {
 		hall = *h
 	}
-	p.yields.Store(p.Without.Uses(direct.Yielding) && p.yielder.update(now, fraction, hall))
+	p.yields.Store(p.Without.Enabled(direct.UnreadyUnderLoad) && p.yielder.update(now, fraction, hall))
 	switch {
 	case lag >= overloadLag:
-		p.score = min(p.score+lateScoreStep*max(1, float64(late)/float64(direct.TickEvery)), maxScore)
+		p.score = min(p.score+lateScoreStep*max(1, float64(late)/float64(direct.TickInterval)), maxScore)
 	case lag < keepsUpLag:
 		p.score = max(p.score-keepsUpScoreStep, 0)
 	}
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -12,17 +12,17 @@
 	// large fleet a list reaches only some routers. A content under which one server crashed,
 	// as most of its company have seen, is told by the router that saw it alone: where a second
 	// crash follows, some router has heard of both, and tells that on.
-	tellOwn   = 3
-	tellHeard = 1
+	ownSends   = 3
+	relaySends = 1
 	// repeatEvery is the least time between two times that all which are barred, or nearly, are
 	// told again, because another router knows others.
-	repeatEvery = 500 * time.Millisecond
+	resendInterval = 500 * time.Millisecond
 )
 
 // Report is what a router tells others of one content. Times are told as ages, since clocks
 // of hosts differ.
 type Report struct {
-	Content Content
+	Content Fingerprint
 	// Grave says that more than one server has crashed under it. Other reports needn't be told
 	// to other regions.
 	Grave    bool
@@ -46,34 +46,34 @@
 
 func (a Age) duration() time.Duration { return time.Duration(a) * time.Millisecond }
 
-// Tell returns what others have yet to be told, most at a time: first of the contents under which
+// TakeReports returns what others have yet to be told, most at a time: first of the contents under which
 // most servers crashed, then of those that were learned last.
-func (s *Suspects) Tell(now time.Duration, most int) []Report {
+func (s *Suspects) TakeReports(now time.Duration, limit int) []Report {
 	var due []*suspect
-	for _, x := range s.known {
-		if x.tell > 0 {
+	for _, x := range s.byFingerprint {
+		if x.sendsLeft > 0 {
 			due = append(due, x)
 		}
 	}
 	slices.SortFunc(due, func(a, b *suspect) int {
-		return cmp.Or(-cmp.Compare(len(a.crashes), len(b.crashes)), -cmp.Compare(a.lastAt(), b.lastAt()), cmp.Compare(a.content, b.content))
+		return cmp.Or(-cmp.Compare(len(a.crashes), len(b.crashes)), -cmp.Compare(a.lastUpdate(), b.lastUpdate()), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	var out []Report
-	for _, x := range due[:min(len(due), most)] {
-		x.tell--
-		x.askTold = x.asked
+	for _, x := range due[:min(len(due), limit)] {
+		x.sendsLeft--
+		x.refusedReported = x.refused
 		out = append(out, x.report(now))
 	}
 	return out
 }
 
 func (x *suspect) report(now time.Duration) Report {
-	r := Report{Content: x.content, Grave: x.grave, Cleared: x.cleared.known, Asked: x.asked.known}
+	r := Report{Content: x.fingerprint, Grave: x.multiCrash, Cleared: x.cleared.valid, Asked: x.refused.valid}
 	if r.Cleared {
 		r.ClearAge = ageOf(now - x.cleared.at)
 	}
 	if r.Asked {
-		r.AskAge = ageOf(now - x.asked.at)
+		r.AskAge = ageOf(now - x.refused.at)
 	}
 	for _, c := range x.crashes {
 		r.Crashes = append(r.Crashes, CrashReport{Server: c.server, Age: ageOf(now - c.at)})
@@ -81,56 +81,56 @@
 	return r
 }
 
-// Hear takes in what another router told. Reports may be late, lost, repeated and reordered:
+// ApplyReports takes in what another router told. Reports may be late, lost, repeated and reordered:
 // crashes are added up, and the newest clearing holds.
-func (s *Suspects) Hear(now time.Duration, reports []Report) {
+func (s *Suspects) ApplyReports(now time.Duration, reports []Report) {
 	for _, r := range reports {
-		s.hear(now, r)
+		s.applyReport(now, r)
 	}
 	if len(reports) > 0 {
-		s.judge()
+		s.updateBarred()
 	}
 }
 
-func (s *Suspects) hear(now time.Duration, r Report) {
-	if r.Content == 0 || r.old() {
+func (s *Suspects) applyReport(now time.Duration, r Report) {
+	if r.Content == 0 || r.expired() {
 		return
 	}
-	x := s.suspect(now, r.Content)
-	news := false
-	if at := now - r.ClearAge.duration(); r.Cleared && (!x.cleared.known || at > x.cleared.at+sameTime) {
+	x := s.getOrAdd(now, r.Content)
+	changed := false
+	if at := now - r.ClearAge.duration(); r.Cleared && (!x.cleared.valid || at > x.cleared.at+ageTolerance) {
 		s.clear(x, at)
-		news = true
+		changed = true
 	}
 	stale := len(r.Crashes) > 0
 	for _, c := range r.Crashes {
 		at := now - c.Age.duration()
-		stale = stale && x.void(at)
-		news = s.addCrash(x, crash{c.Server, at}) || news
+		stale = stale && x.clearedSince(at)
+		changed = s.addCrash(x, crash{c.Server, at}) || changed
 	}
 	if r.Asked {
-		x.asked.renew(now - r.AskAge.duration())
+		x.refused.advance(now - r.AskAge.duration())
 	}
-	x.grave = x.grave || r.Grave
-	if x.grave && (news || stale) {
+	x.multiCrash = x.multiCrash || r.Grave
+	if x.multiCrash && (changed || stale) {
 		// A teller of crashes that no longer count hasn't heard that they were cleared.
-		x.tell = max(x.tell, tellHeard)
+		x.sendsLeft = max(x.sendsLeft, relaySends)
 	}
 }
 
 // sameTime is how much the age of one event may differ between what two routers told: the time
 // that lists take.
-const sameTime = 100 * time.Millisecond
+const ageTolerance = 100 * time.Millisecond
 
 // old tells whether all that a report says is too old to be kept.
-func (r Report) old() bool {
-	hold := ageOf(Hold)
-	fresh := (r.Cleared && r.ClearAge <= hold) || (r.Asked && r.AskAge <= hold)
-	return !fresh && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= hold })
+func (r Report) expired() bool {
+	maxAge := ageOf(Retention)
+	recent := (r.Cleared && r.ClearAge <= maxAge) || (r.Asked && r.AskAge <= maxAge)
+	return !recent && !slices.ContainsFunc(r.Crashes, func(c CrashReport) bool { return c.Age <= maxAge })
 }
 
 // nearlyBarred tells whether one more crash may bar the content.
-func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashesMost-1 }
+func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashThreshold-1 }
 
 // Digest is short sums of contents, by which routers find out that they know others; 0 for none.
 type Digest struct {
@@ -142,25 +142,25 @@
 func (d *Digest) add(x *suspect) {
 	switch {
 	case x.barred:
-		d.Barred += uint64(x.content)
+		d.Barred += uint64(x.fingerprint)
 	case x.nearlyBarred():
-		d.NearlyBarred += uint64(x.content)
+		d.NearlyBarred += uint64(x.fingerprint)
 	}
 }
 
 // Digest sums up what all routers have to know.
 func (s *Suspects) Digest() Digest { return s.digest }
 
-// HearDigest takes in the digest of another router. Where it differs, what it stands for is told
+// CompareDigest takes in the digest of another router. Where it differs, what it stands for is told
 // again, so that also a router that was away or has just started learns of it.
-func (s *Suspects) HearDigest(now time.Duration, digest Digest) {
-	if digest == s.Digest() || now-s.repeated < repeatEvery {
+func (s *Suspects) CompareDigest(now time.Duration, digest Digest) {
+	if digest == s.Digest() || now-s.lastResend < resendInterval {
 		return
 	}
-	s.repeated = now
-	for _, x := range s.known {
+	s.lastResend = now
+	for _, x := range s.byFingerprint {
 		if x.barred || x.nearlyBarred() {
-			x.tell = max(x.tell, 1)
+			x.sendsLeft = max(x.sendsLeft, 1)
 		}
 	}
 }
