--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// awaitPeer waits for a heartbeat of another router, at most firstListDelay and maxPeerWait.
+// awaitPeer waits for firstListDelay and then, at most for maxPeerWait, for a heartbeat of another
+// router.
 func (m discovery) awaitPeer(ctx context.Context) {
 	wait.Sleep(ctx, firstListDelay)
 	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !m.heardAny() && time.Now().Before(end); {
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -20,7 +20,7 @@
 	for _, one := range p.known {
 		one.lastHeard = now - 2*silentAfter
 	}
-	require.Empty(t, p.silentHalls(now), "without any heartbeat, no single hall counts as quiet")
+	require.Empty(t, p.silentHalls(now), "without any heartbeat, no single hall counts as silent")
 	p.known["b1"].live, p.known["b2"].live = false, false
 	p.known["c1"].lastHeard = now
 	require.NotContains(t, p.silentHalls(now), "b", "routers that are no longer live do not count")
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -116,7 +116,7 @@
 	return body
 }
 
-// sendExtra sends a heartbeat with an extension outside the rounds.
+// sendExtra sends a heartbeat outside the rounds, such as a probe or the answer to one.
 func (h *heartbeats) sendExtra(address string, extension heartbeatExtension) {
 	last := h.lastSent.Load()
 	if last == nil || address == h.peers.self {
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -27,7 +27,7 @@
 	// startupWait is how long this router waits, as it starts, for its peers to send what it would
 	// otherwise read from the source.
 	startupWait     time.Duration
-	without         direct.DisabledMechanisms // disabled mechanisms
+	without         direct.DisabledMechanisms
 	mu              sync.Mutex
 	targetRevisions feed.Revisions // newest revisions of live peers at behindSince
 	behindSince     time.Duration  // when this router last had all revisions of its peers
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -34,7 +34,7 @@
 	return startupWait
 }
 
-// isSeed reports whether a router is one of its own seeds, or has none.
+// isSeed reports whether the router is one of its own seeds, or has none.
 func (s Settings) isSeed() bool {
 	for _, seed := range s.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil && host == s.Self.Address {
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -17,8 +17,8 @@
 const (
 	// receiveRetryDelay is the time until the next read after a failed one.
 	receiveRetryDelay = 100 * time.Millisecond
-	// maxLoggedSenders is the number of senders of unreadable datagrams that are logged. At any
-	// time, a fleet whose hosts are replaced one after the other has fewer.
+	// maxLoggedSenders is the number of senders of unreadable datagrams that are logged. A fleet
+	// whose hosts are replaced one after the other has fewer of them at any time.
 	maxLoggedSenders = 100
 )
 
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestYields checks that a router that sheds for a while yields, for twice as long when it has to
-// again, and is ready at once when it sheds no longer.
+// TestYields checks that a router that sheds for a while yields, for twice as long each time that
+// it soon has to again, and that it is ready after the yield if it sheds no longer.
 func TestYields(t *testing.T) {
 	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
