--- a/gateway/cluster/ahead.go
+++ b/gateway/cluster/ahead.go
@@ -2,17 +2,17 @@
 
 import "github.com/croftvale/croftvale/gateway/feed"
 
-// Ahead tells which live routers know something newer.
+// Ahead returns, by feed, the live routers that have a newer revision than this one.
 func (p *Peers) Ahead() feed.PeersAheadByFeed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	own := p.parts.Feeds.Revisions()
+	own := p.deps.Feeds.Revisions()
 	out := feed.NewPeersAheadByFeed(own)
-	now := p.parts.Decisions.Now()
-	lasts := p.lasts()
+	now := p.deps.Decisions.Now()
+	timeout := p.peerTimeoutLocked()
 	for address, peer := range p.known {
-		if p.there(peer, now, lasts) {
-			out.Add(own, address, p.place.PathTo(peer.place), peer.knows)
+		if p.isAlive(peer, now, timeout) {
+			out.Add(own, address, p.place.PathTo(peer.place), peer.revisions)
 		}
 	}
 	return out
--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configSource has a configuration, and counts how often it is asked for it.
+// configSource holds a configuration and counts the calls for it.
 type configSource struct {
 	feed.Source
 	reads, watches atomic.Int64
@@ -31,44 +31,44 @@
 	return nil, since, nil
 }
 
-// startConfig starts the follower of the configuration of a router that has just begun and knows
-// five others.
+// startConfig starts the configuration follower of a router that has just started and has five
+// peers.
 func startConfig(t *testing.T, source feed.Source, self string) *Peers {
 	var others []*peer
 	for i := range 5 {
 		others = append(others, &peer{address: fmt.Sprint("c", i)})
 	}
 	p := newTestPeers(self, others...)
-	p.parts.Decisions = newTestMachine()
-	p.patience = bringPatience
-	p.parts.Feeds = newTestFeeds(source, p.parts.Decisions)
-	follow(t, p, p.parts.Feeds.Config)
+	p.deps.Decisions = newTestMachine()
+	p.startupWait = startupWait
+	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	follow(t, p, p.deps.Feeds.Config)
 	return p
 }
 
-// TestConfigIsBrought has a router start beside others, whose followers have read the configuration a
-// second later: it takes it from them. Each router of a fleet that starts would ask the source
-// otherwise.
-func TestConfigIsBrought(t *testing.T) {
+// TestConfigComesFromPeers starts a router in a fleet whose followers have read the configuration
+// one second later. The router must take it from them: otherwise each router of a starting fleet
+// would call the source.
+func TestConfigComesFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &configSource{}
 		p := startConfig(t, source, "d")
 		time.Sleep(time.Second)
-		p.parts.Feeds.Config.Offer(&direct.Config{Version: 5}, "c0")
+		p.deps.Feeds.Config.Offer(&direct.Config{Version: 5}, "c0")
 		time.Sleep(20 * time.Second)
 		require.Zero(t, source.reads.Load())
 		require.Zero(t, source.watches.Load())
 	})
 }
 
-// TestStandbyAsksLessOften has routers follow the source while nothing changes: the first of them asks
-// once a second, those that stand by for it a quarter as often.
-func TestStandbyAsksLessOften(t *testing.T) {
+// TestStandbyPollsLessOften checks the calls for changes while nothing changes: the first follower
+// polls the source once a second, the standby followers a quarter as often.
+func TestStandbyPollsLessOften(t *testing.T) {
 	for self, atMost := range map[string]int64{"a": 21, "c0b": 7} {
 		synctest.Test(t, func(t *testing.T) {
 			source := &configSource{}
 			p := startConfig(t, source, self)
-			time.Sleep(settleTime + othersPatience())
+			time.Sleep(settleTime + maxPeerWaitAtStart())
 			require.Equal(t, self == "a", p.IsPrimary())
 			source.watches.Store(0)
 			time.Sleep(20 * time.Second)
@@ -78,5 +78,5 @@
 	}
 }
 
-// othersPatience is longer than a router that starts waits for others to bring what it lacks.
-func othersPatience() time.Duration { return 3 * time.Second }
+// maxPeerWaitAtStart is longer than a starting router waits for its peers to send what it lacks.
+func maxPeerWaitAtStart() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -11,11 +11,11 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Dependencies are what a Cluster stands on.
+// Dependencies are the components that a Cluster uses.
 type Dependencies struct {
 	Decisions Decisions
 	Feeds     *feed.Set
-	Rollouts  Rollouts // nil: they are not on
+	Rollouts  Rollouts // nil if rollouts are disabled
 	Pressure  *pressure.Gauge
 	Registry  Registry
 	Log       *eventlog.Log
@@ -23,46 +23,45 @@
 	Traffic   *traffic.Counter
 }
 
-// Cluster is a router's part in the fleet.
+// Cluster connects a router to the other routers of the fleet.
 type Cluster struct {
-	Peers      *Peers
-	beats      *transport
-	heartbeats *heartbeats
-	loads      *loadExchange
-	members    members
+	Peers         *Peers
+	heartbeatConn *transport
+	heartbeats    *heartbeats
+	loads         *loadExchange
+	discovery     discovery
 }
 
-// New opens the sockets for what other routers tell. Newer content of the feeds is told to
-// others from now on.
-func New(s Settings, parts Dependencies) (*Cluster, error) {
-	beats, err := openTransport(s.Peers, traffic.Heartbeats, parts)
+// New opens the sockets for datagrams from other routers. From now on, newer content of the feeds
+// is announced to them.
+func New(s Settings, deps Dependencies) (*Cluster, error) {
+	heartbeatConn, err := openTransport(s.Peers, traffic.Heartbeats, deps)
 	if err != nil {
 		return nil, err
 	}
-	lists, err := openTransport(s.Loads, traffic.Loads, parts)
+	loadConn, err := openTransport(s.Loads, traffic.Loads, deps)
 	if err != nil {
 		return nil, err
 	}
-	s.life = time.Now().UnixNano()
-	c := &Cluster{beats: beats, Peers: newPeers(s, parts), loads: newLoadExchange(s, lists, parts)}
-	c.Peers.heard = c.loads.routers
-	c.heartbeats = newHeartbeats(s, beats, c.Peers, parts)
-	c.members = members{
-		registry: parts.Registry, self: s.Self, found: func(m Member) { c.Peers.Add(m.Address) },
-		heard: c.Peers.HasLivePeers, firstStart: s.FirstStart, era: parts.Feeds.Era, called: parts.Stats.CountSourceCall,
+	s.startNanos = time.Now().UnixNano()
+	c := &Cluster{heartbeatConn: heartbeatConn, Peers: newPeers(s, deps), loads: newLoadExchange(s, loadConn, deps)}
+	c.Peers.onLive = c.loads.setRouters
+	c.heartbeats = newHeartbeats(s, heartbeatConn, c.Peers, deps)
+	c.discovery = discovery{
+		registry: deps.Registry, self: s.Self, onMember: func(m Member) { c.Peers.Add(m.Address) },
+		heardAny: c.Peers.HasLivePeers, firstStart: s.FirstStart, era: deps.Feeds.Era, countCall: deps.Stats.CountSourceCall,
 	}
-	parts.Feeds.OnChange = c.heartbeats.changed
+	deps.Feeds.OnChange = c.heartbeats.sendNow
 	return c, nil
 }
 
-// ReportNow tells some other routers at once what this one has to report, in place of the next
-// heartbeat.
-func (c *Cluster) ReportNow() { c.heartbeats.changed() }
+// ReportNow sends a heartbeat to some other routers at once, ahead of schedule.
+func (c *Cluster) ReportNow() { c.heartbeats.sendNow() }
 
-// Tasks returns what goes on until a context ends.
+// Tasks returns the tasks of the cluster, each of which runs until its context ends.
 func (c *Cluster) Tasks() []func(context.Context) error {
-	hear := func(ctx context.Context) error { return c.beats.receive(ctx, c.heartbeats.take) }
+	receive := func(ctx context.Context) error { return c.heartbeatConn.receive(ctx, c.heartbeats.receive) }
 	return []func(context.Context) error{
-		c.members.follow, c.heartbeats.send, hear, c.heartbeats.detect, c.loads.send, c.loads.receive,
+		c.discovery.run, c.heartbeats.send, receive, c.heartbeats.runDetector, c.loads.send, c.loads.receive,
 	}
 }
--- /dev/null
+++ b/gateway/cluster/discovery.go
@@ -0,0 +1,120 @@
+package cluster
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/croftvale/croftvale/internal/wait"
+)
+
+const (
+	// firstListDelay is the time from the start to the first list of routers. By then some
+	// heartbeats have arrived, if there are other routers.
+	firstListDelay = 500 * time.Millisecond
+	// maxPeerWait is how long after that a router waits for a heartbeat of another one. Once one
+	// has arrived, a list that may be some seconds old suffices, which costs the registry a tenth.
+	maxPeerWait = 2 * time.Second
+	// earlyListInterval is the time between the first earlyLists lists of routers, listInterval
+	// that between later ones: by then heartbeats name the other routers.
+	earlyListInterval = 6 * time.Second
+	earlyLists        = 3
+	listInterval      = 30 * time.Second
+	// registryTimeout bounds a call to the registry. registryRetryDelay is the time until the next
+	// call after a failed one.
+	registryTimeout    = 1500 * time.Millisecond
+	registryRetryDelay = time.Second
+	// eraPollInterval is how often a router checks whether the registry was restored from a backup.
+	// After that, all routers look for themselves in it, spread over reregisterSpread.
+	eraPollInterval  = 500 * time.Millisecond
+	reregisterSpread = 5 * time.Second
+)
+
+// discovery registers a router and finds the others through the registry.
+type discovery struct {
+	registry Registry
+	self     Member
+	onMember func(Member)
+	// heardAny reports whether a heartbeat of another router has arrived.
+	heardAny func() bool
+	// firstStart reports that the whole fleet starts for the first time, so that this router is not
+	// registered yet.
+	firstStart bool
+	// countCall counts a call to the registry.
+	countCall func(what string)
+	// era returns how often the registry was restored from a backup, which may lack this router.
+	era func() uint64
+}
+
+// run registers this router and finds the others, until ctx ends.
+func (m discovery) run(ctx context.Context) error {
+	registered, lists, restored := m.firstStart && m.register(ctx), 0, false
+	m.awaitPeer(ctx)
+	era := m.era()
+	for ctx.Err() == nil {
+		// Heartbeats name the routers that have joined since. Only a router that has received none,
+		// because its seeds are away, needs an up-to-date list.
+		listed, err := m.list(ctx, !restored && (lists > 0 || m.heardAny()))
+		registered = registered || listed || m.register(ctx)
+		if err != nil || !registered {
+			wait.Sleep(ctx, registryRetryDelay)
+			continue
+		}
+		lists++
+		pause := listInterval
+		if lists < earlyLists {
+			pause = earlyListInterval
+		}
+		restored = m.awaitNextList(ctx, pause, era)
+		era = m.era()
+		if restored || pause == listInterval {
+			registered = false // unless the next list names this router
+		}
+	}
+	return nil
+}
+
+// awaitPeer waits for firstListDelay and then, at most for maxPeerWait, for a heartbeat of another
+// router.
+func (m discovery) awaitPeer(ctx context.Context) {
+	wait.Sleep(ctx, firstListDelay)
+	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !m.heardAny() && time.Now().Before(end); {
+		wait.Sleep(ctx, firstListDelay/5)
+	}
+}
+
+// awaitNextList waits for a time limit, or until the registry is in a later era than the given one
+// and this router's turn has come. The turn depends on the address, so that routers that started
+// together do not call the registry together. It reports whether the era has changed.
+func (m discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
+	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
+		wait.Sleep(ctx, min(eraPollInterval, time.Until(end)))
+		if m.era() > era {
+			turn := time.Duration(xxhash.Sum64String(m.self.Address) % uint64(reregisterSpread))
+			wait.Sleep(ctx, turn)
+			return true
+		}
+	}
+	return false
+}
+
+// register registers this router and reports whether that succeeded.
+func (m discovery) register(ctx context.Context) bool {
+	call, cancel := context.WithTimeout(ctx, registryTimeout)
+	defer cancel()
+	m.countCall("registration")
+	return m.registry.Register(call, m.self) == nil
+}
+
+// list adds the routers that the registry lists, and reports whether this one is among them.
+func (m discovery) list(ctx context.Context, stale bool) (bool, error) {
+	call, cancel := context.WithTimeout(ctx, registryTimeout)
+	defer cancel()
+	m.countCall("list of routers")
+	listed, err := m.registry.Members(call, stale)
+	for _, one := range listed {
+		m.onMember(one)
+	}
+	return slices.Contains(listed, m.self), err
+}
--- a/gateway/cluster/members_test.go
+++ b/gateway/cluster/discovery_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memberSource lists routers and remembers which lists could be stale.
+// memberSource is a registry that records which lists were allowed to be stale.
 type memberSource struct {
 	mu         sync.Mutex
 	down       atomic.Bool
 	stale      []bool
 	registered []Member
-	during     func() // called in each list; nil: nothing is
+	during     func() // called during each list; may be nil
 }
 
 func (s *memberSource) Register(_ context.Context, m Member) error {
@@ -41,7 +41,7 @@
 	return append([]Member{{Name: "other", Address: "10.0.0.2"}}, s.registered...), nil
 }
 
-// taken returns the registrations and what was listed, and begins anew with neither.
+// taken returns the recorded registrations and lists, and clears both.
 func (s *memberSource) taken() (registered []Member, stale []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,24 +50,24 @@
 	return registered, stale
 }
 
-// TestMembersAreListedFreshFirst lists the routers anew until it has worked once,
-// and then takes lists that may be some seconds old.
+// TestMembersAreListedFreshFirst checks that a router requests up-to-date lists until one call has
+// succeeded, and then accepts lists that may be some seconds old.
 func TestMembersAreListedFreshFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		source := &memberSource{}
 		source.down.Store(true)
 		found := 0
-		m := members{registry: source, self: Member{Name: "self"}, heard: func() bool { return false }, era: func() uint64 { return 0 }, called: func(string) {}}
-		m.found = func(one Member) {
+		m := discovery{registry: source, self: Member{Name: "self"}, heardAny: func() bool { return false }, era: func() uint64 { return 0 }, countCall: func(string) {}}
+		m.onMember = func(one Member) {
 			if one.Name == "other" {
 				found++
 			}
 		}
-		go func() { _ = m.follow(ctx) }()
-		time.Sleep(registryRetry + registryRetry/2 + membersWait + membersPatience)
+		go func() { _ = m.run(ctx) }()
+		time.Sleep(registryRetryDelay + registryRetryDelay/2 + firstListDelay + maxPeerWait)
 		source.down.Store(false)
-		time.Sleep(3 * membersFirst)
+		time.Sleep(3 * earlyListInterval)
 		cancel()
 		synctest.Wait()
 		require.Equal(t, []bool{false, false, false, true, true}, source.stale)
@@ -75,19 +75,19 @@
 	})
 }
 
-// TestRegistersOnce has a router start three times: it registers where no list names it
-// with its address, and makes no call for it otherwise.
+// TestRegistersOnce starts a router three times. It must register only if no list names it with its
+// address.
 func TestRegistersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := &memberSource{}
 		start := func(address string, firstStart bool) {
 			ctx, cancel := context.WithCancel(t.Context())
-			m := members{
-				registry: source, self: Member{Name: "self", Address: address}, found: func(Member) {},
-				heard: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, called: func(string) {},
+			m := discovery{
+				registry: source, self: Member{Name: "self", Address: address}, onMember: func(Member) {},
+				heardAny: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, countCall: func(string) {},
 			}
-			go func() { _ = m.follow(ctx) }()
-			time.Sleep(membersFirst)
+			go func() { _ = m.run(ctx) }()
+			time.Sleep(earlyListInterval)
 			cancel()
 			synctest.Wait()
 		}
@@ -99,22 +99,22 @@
 	})
 }
 
-// TestRegistersAgain has the registry come back from a copy that lacks a router: it looks for itself
-// in a list that is up to date, registers once, and makes no other call for it.
+// TestRegistersAgain restores the registry from a backup that lacks a router. The router must look
+// for itself in an up-to-date list, register once, and make no other call because of it.
 func TestRegistersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, era := &memberSource{}, atomic.Uint64{}
 		ctx, cancel := context.WithCancel(t.Context())
-		m := members{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, found: func(Member) {},
-			heard: func() bool { return true }, firstStart: true, era: era.Load, called: func(string) {},
+		m := discovery{
+			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.follow(ctx) }()
+		go func() { _ = m.run(ctx) }()
 		time.Sleep(2 * time.Minute)
 		registered, _ := source.taken()
 		require.Len(t, registered, 1)
 		era.Store(1)
-		time.Sleep(eraPoll + registerOver)
+		time.Sleep(eraPollInterval + reregisterSpread)
 		registered, stale := source.taken()
 		require.Len(t, registered, 1)
 		require.Equal(t, []bool{false}, stale)
@@ -129,19 +129,19 @@
 	})
 }
 
-// TestEraDuringAList has the registry come back from a copy while it is being listed: the router looks
-// for itself in a fresh list soon after, and not at the next turn.
+// TestEraDuringAList restores the registry from a backup while it is being listed. The router must
+// look for itself in an up-to-date list soon after, not at the next interval.
 func TestEraDuringAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source, era := &memberSource{}, atomic.Uint64{}
 		source.during = func() { era.Store(1) }
 		ctx, cancel := context.WithCancel(t.Context())
-		m := members{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, found: func(Member) {},
-			heard: func() bool { return true }, firstStart: true, era: era.Load, called: func(string) {},
+		m := discovery{
+			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.follow(ctx) }()
-		time.Sleep(membersWait + eraPoll + registerOver)
+		go func() { _ = m.run(ctx) }()
+		time.Sleep(firstListDelay + eraPollInterval + reregisterSpread)
 		cancel()
 		synctest.Wait()
 		_, stale := source.taken()
--- a/gateway/cluster/halls.go
+++ b/gateway/cluster/halls.go
@@ -8,19 +8,18 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// PathTo returns the path to another router; one that has not been heard of counts as
-// being in another hall of the region.
+// PathTo returns the path to another router. A router without a heartbeat so far counts as being in
+// another hall of the region.
 func (p *Peers) PathTo(address string) traffic.Path {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if peer := p.known[address]; peer != nil && peer.heard > 0 {
+	if peer := p.known[address]; peer != nil && peer.lastHeard > 0 {
 		return p.place.PathTo(peer.place)
 	}
 	return traffic.BetweenHalls
 }
 
-// FirstOfHall tells whether this router is the first of its hall by address, among those
-// that are there.
+// FirstOfHall reports whether this router is the first by address of the live routers of its hall.
 func (p *Peers) FirstOfHall() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -32,8 +31,8 @@
 	return true
 }
 
-// addTo counts another router of the hall.
-func addTo(h *pressure.Hall, p *peer) {
+// countPeer adds another router of the hall to h.
+func countPeer(h *pressure.Hall, p *peer) {
 	h.Routers++
 	switch {
 	case p.yields:
@@ -43,27 +42,29 @@
 	}
 }
 
-// quietAfter is how long no router of a data hall is heard before the hall counts as
-// quiet: at the least two heartbeats of the only router of a hall, in a small fleet.
-const quietAfter = 450 * time.Millisecond
+// silentAfter is the time without a heartbeat from any router of a data hall after which the hall
+// counts as silent. It is at least two heartbeat intervals of a hall's only router in a small
+// fleet.
+const silentAfter = 450 * time.Millisecond
 
-// quietHalls returns the data halls of which routers were heard lately and none any
-// more, while others are. A late router has not read what it was told.
-func (p *Peers) quietHalls(now time.Duration) []string {
-	if p.parts.Pressure.Slow() {
+// silentHalls returns the data halls whose live routers have all been silent for silentAfter, while
+// a heartbeat of another hall has arrived. A late router returns none: it may not have read its
+// datagrams yet.
+func (p *Peers) silentHalls(now time.Duration) []string {
+	if p.deps.Pressure.Slow() {
 		return nil
 	}
 	last := make(map[string]time.Duration)
 	newest := time.Duration(0)
 	for _, peer := range p.known {
-		if peer.heard > 0 && peer.live {
-			last[peer.place.Hall] = max(last[peer.place.Hall], peer.heard)
-			newest = max(newest, peer.heard)
+		if peer.lastHeard > 0 && peer.live {
+			last[peer.place.Hall] = max(last[peer.place.Hall], peer.lastHeard)
+			newest = max(newest, peer.lastHeard)
 		}
 	}
 	var out []string
 	for hall, heard := range last {
-		if now-heard > quietAfter && newest-heard > quietAfter/2 {
+		if now-heard > silentAfter && newest-heard > silentAfter/2 {
 			out = append(out, hall)
 		}
 	}
--- a/gateway/cluster/loadlist_test.go
+++ b/gateway/cluster/loadlist_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestListsComeAsSent has all that a list tells come as it was sent.
+// TestListsComeAsSent checks that all fields of a list survive encoding and decoding.
 func TestListsComeAsSent(t *testing.T) {
 	cmd := loads.SendCmd{
 		To: "10.1.0.7", Kind: loads.RegionSum, Region: "north", Base: 1 << 60, Loads: []loads.Load{{Server: 1, Running: 2, Pending: 3}},
@@ -20,10 +20,10 @@
 	list.From, list.Hall, list.Number = "10.1.0.33", "a", 9
 	body, err := encode(&list)
 	require.NoError(t, err)
-	var came loadList
-	require.NoError(t, decode(body, &came))
+	var got loadList
+	require.NoError(t, decode(body, &got))
 	require.Equal(t, loads.ListMsg{
 		Now: time.Second, From: "10.1.0.33", Hall: "a", Number: 9, Kind: cmd.Kind, Region: cmd.Region, Base: cmd.Base, Loads: cmd.Loads,
 		HasTeams: true, Teams: cmd.Teams, Rollouts: cmd.Rollouts, Copies: cmd.Copies,
-	}, came.unpack(time.Second))
+	}, got.unpack(time.Second))
 }
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -8,47 +8,46 @@
 )
 
 const (
-	// watchersLeast is how many routers follow the source, in fleets of more than
-	// smallFleet one more. The others learn of changes from them.
-	watchersLeast = 3
-	smallFleet    = 8
+	// minFollowers is the number of routers that follow the source; in fleets of more than
+	// smallFleet routers there is one more. The other routers receive changes from them.
+	minFollowers = 3
+	smallFleet   = 8
 )
 
-// stuckAfter is how long a router may know less than another one before it asks
-// the source itself.
+// stuckAfter is how long a router may be behind another one before it calls the source itself.
 const stuckAfter = 500 * time.Millisecond
 
 const (
-	// settleTime is how long after its start a router leaves following to the
-	// seeds: until then it has not heard of enough others to know who is first.
+	// settleTime is the time after its start during which a router leaves following to the seeds:
+	// it has not received enough heartbeats yet to know which routers come first.
 	settleTime = 1500 * time.Millisecond
-	// bringPatience is how long a router that starts waits for another to bring the
-	// list of servers, before it reads it from the source: some calls to a seed that
-	// is there. Its callers wait too.
-	bringPatience = 50 * time.Millisecond
-	// firstStartPatience is the same where the whole fleet starts for the first time: it
-	// has no callers yet, and hosts start within 0.3 s of one another.
-	firstStartPatience = 400 * time.Millisecond
+	// startupWait is how long a starting router waits for a peer to send the list of servers before
+	// it reads the list from the source. It is the time of several calls to a live seed. The
+	// router's callers wait too.
+	startupWait = 50 * time.Millisecond
+	// firstStartupWait is the same if the whole fleet starts for the first time. It has no callers
+	// yet, and hosts start within 0.3 s of one another.
+	firstStartupWait = 400 * time.Millisecond
 )
 
-// StartupWait is how long this router waits, as it starts, for others to bring what it would
-// read from the source. Seeds read themselves, so that those that start together read a
-// few times and not once each.
+// StartupWait returns how long this router waits, as it starts, for its peers to send what it would
+// otherwise read from the source. Seeds do not wait, so that of the routers that start together
+// only the seeds read the source.
 func (p *Peers) StartupWait() time.Duration {
 	if p.isSeed || !p.without.Enabled(direct.StoreFollowers) {
 		return 0
 	}
-	return p.patience
+	return p.startupWait
 }
 
-// IsPrimary tells whether this router is the first of those that follow the source.
+// IsPrimary reports whether this router is the first of those that follow the source.
 func (p *Peers) IsPrimary() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.followersBefore() == 0
 }
 
-// HasLivePeers tells whether another router has been heard of.
+// HasLivePeers reports whether a heartbeat of another live router has arrived.
 func (p *Peers) HasLivePeers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,13 +59,13 @@
 	return false
 }
 
-// Follows tells whether this router is one of the few that follow the source, or
-// knows less than another for too long.
+// Follows reports whether this router is one of the few that follow the source, or has been behind
+// another router for too long.
 func (p *Peers) Follows() bool {
 	if p.stuck() || !p.without.Enabled(direct.StoreFollowers) {
 		return true
 	}
-	if p.parts.Decisions.Now() < settleTime {
+	if p.deps.Decisions.Now() < settleTime {
 		return p.isSeed
 	}
 	p.mu.Lock()
@@ -77,18 +76,19 @@
 			live++
 		}
 	}
-	followers := watchersLeast
+	followers := minFollowers
 	if live >= smallFleet {
 		followers++
 	}
 	return p.followersBefore() < followers
 }
 
-// followersBefore counts the routers that follow the source before this one, of those that are there and
-// reach it: first the strongest of each data hall, then the second of each, and so on. So the loss
-// of a hall leaves followers in others, and weak hosts have other work. p.mu is held.
+// followersBefore returns the number of routers that follow the source in preference to this one,
+// among those that are live and reach it. The most powerful router of each data hall comes first,
+// then the second of each, and so on: the loss of a hall leaves followers in other halls, and weak
+// hosts are spared. p.mu must be held.
 func (p *Peers) followersBefore() int {
-	own := 0 // place within the hall
+	own := 0 // rank within the hall
 	halls := make(map[string]int)
 	for address, peer := range p.known {
 		switch {
@@ -109,28 +109,28 @@
 	return before
 }
 
-// stuck tells whether this router has known less than another one for too long:
-// what that one knew at the beginning, since where things change all the time
-// somebody always knows more.
+// stuck reports whether this router has been behind another one for too long. It compares with the
+// revisions that the other router had at the beginning: where things change all the time, some
+// router always has a newer revision.
 func (p *Peers) stuck() bool {
-	now := p.parts.Decisions.Now()
-	knows := p.parts.Feeds.Revisions()
+	now := p.deps.Decisions.Now()
+	own := p.deps.Feeds.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if knows.AtLeast(p.wanted) {
-		p.wanted = p.newest(now)
+	if own.AtLeast(p.targetRevisions) {
+		p.targetRevisions = p.newest(now)
 		p.behindSince = now
 	}
-	return !knows.AtLeast(p.wanted) && now-p.behindSince > stuckAfter
+	return !own.AtLeast(p.targetRevisions) && now-p.behindSince > stuckAfter
 }
 
-// newest returns the newest revisions that live routers know.
+// newest returns the newest revisions of live routers.
 func (p *Peers) newest(now time.Duration) feed.Revisions {
 	var newest feed.Revisions
-	lasts := p.lasts()
+	timeout := p.peerTimeoutLocked()
 	for _, peer := range p.known {
-		if p.there(peer, now, lasts) {
-			newest = newest.Max(peer.knows)
+		if p.isAlive(peer, now, timeout) {
+			newest = newest.Max(peer.revisions)
 		}
 	}
 	return newest
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -8,32 +8,31 @@
 	"pgregory.net/rapid"
 )
 
-// TestYields has a router that passes requests on for a while ask for fewer
-// callers, twice as long each time that it happens again, and be ready at once
-// where it does not.
+// TestYields checks that a router that sheds for a while yields, for twice as long each time that
+// it soon has to again, and that it is ready after the yield if it sheds no longer.
 func TestYields(t *testing.T) {
 	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
 	var y yielder
-	pass := func(d time.Duration, part float64) (yielding time.Duration) {
+	shedFor := func(d time.Duration, fraction float64) (yielding time.Duration) {
 		for end := now + d; now < end; now += 25 * time.Millisecond {
-			if y.note(now, part, hall) {
+			if y.update(now, fraction, hall) {
 				yielding += 25 * time.Millisecond
 			}
 		}
 		return yielding
 	}
-	require.Zero(t, pass(time.Minute, yieldFrom/2))
-	require.Zero(t, pass(yieldAfter, 0.9), "a moment")
-	require.InDelta(t, yieldFirst.Seconds(), pass(yieldFirst, 0.9).Seconds(), 0.1)
-	pass(time.Second, 0.9)
-	require.InDelta(t, 2*yieldFirst.Seconds(), pass(40*time.Second, 0).Seconds(), 1.1)
-	pass(yieldAgain, 0)
-	require.InDelta(t, yieldFirst.Seconds(), pass(yieldFirst+time.Second, 0.9).Seconds(), 0.6)
+	require.Zero(t, shedFor(time.Minute, yieldShedFraction/2))
+	require.Zero(t, shedFor(yieldAfter, 0.9), "sheds too briefly")
+	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime, 0.9).Seconds(), 0.1)
+	shedFor(time.Second, 0.9)
+	require.InDelta(t, 2*minYieldTime.Seconds(), shedFor(40*time.Second, 0).Seconds(), 1.1)
+	shedFor(yieldBackoffWindow, 0)
+	require.InDelta(t, minYieldTime.Seconds(), shedFor(minYieldTime+time.Second, 0.9).Seconds(), 0.6)
 }
 
-// TestHalfStaysReady has no hall end up with less than half of its routers ready,
-// however many of them are out of processor time.
+// TestHalfStaysReady checks that at least half of the routers of a hall stay ready, however many of
+// them are short of CPU time.
 func TestHalfStaysReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := make([]yielder, rapid.IntRange(1, 9).Draw(t, "routers"))
@@ -48,7 +47,7 @@
 						hall.Yielding++
 					}
 				}
-				yields[i] = routers[i].note(now, 0.9, hall)
+				yields[i] = routers[i].update(now, 0.9, hall)
 			}
 			ready := 0
 			for _, y := range yields {
