--- a/gateway/feed/change.go
+++ b/gateway/feed/change.go
@@ -1,7 +1,7 @@
 package feed
 
-// Change is one change of the objects of one kind in their source.
+// Change is one change of an object in the source.
 type Change[T any] struct {
-	Object  T // where it is gone, only what names it is sure to be there
+	Object  T // if Deleted, only the identifying fields are set for certain
 	Deleted bool
 }
--- a/gateway/feed/config.go
+++ b/gateway/feed/config.go
@@ -8,22 +8,22 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// ConfigSource is where the configuration is found.
+// ConfigSource provides the configuration.
 type ConfigSource interface {
-	// ReadConfig returns the configuration, nil where there is none yet, and the
+	// ReadConfig returns the configuration, or nil if there is none yet, and the
 	// source's revision.
 	ReadConfig(ctx context.Context) (*direct.Config, uint64, error)
-	// WatchConfig waits for a change after a revision; it returns nil where
-	// there was none.
+	// WatchConfig waits for a change after the revision since; it returns nil if
+	// there is none within wait.
 	WatchConfig(ctx context.Context, since uint64, wait time.Duration) (*direct.Config, uint64, error)
 }
 
-// Config is the feed of the configuration. Its revision is the configuration's version.
+// Config is the feed of the configuration. Its revision is the version of the configuration.
 type Config struct {
 	Content[direct.Config]
 	o         Options
 	table     atomic.Pointer[direct.Table]
-	appliedAt atomic.Int64 // when the configuration came into force, on the router's clock
+	appliedAt atomic.Int64 // when the current configuration was applied, as time since the router's start
 }
 
 func newConfig(o Options, onChange func()) *Config {
@@ -36,21 +36,21 @@
 	return c
 }
 
-// Spec returns what is particular to the configuration: it has some 200 kB with 1,400
-// routes.
+// Spec returns the settings of the feed. The configuration is large: about 200 kB with
+// 1,400 routes.
 func (c *Config) Spec() Spec {
 	return Spec{Name: "config", SourceName: "source of configuration", Enabled: true, PeersFirst: true, Large: true}
 }
 
-// Table returns the configuration in force as requests look it up, nil where there is none.
+// Table returns the lookup table of the current configuration, or nil if there is none.
 func (c *Config) Table() *direct.Table { return c.table.Load() }
 
-// Age is how long the configuration has been in force.
+// Age returns the time since the current configuration was applied.
 func (c *Config) Age() time.Duration {
 	return c.o.StateMachine.Now() - time.Duration(c.appliedAt.Load())
 }
 
-// Read reads the configuration.
+// Read reads the configuration from the source.
 func (c *Config) Read(ctx context.Context) (uint64, error) {
 	config, revision, err := c.o.Source.ReadConfig(ctx)
 	if err == nil {
@@ -59,7 +59,7 @@
 	return revision, err
 }
 
-// Watch waits for another configuration.
+// Watch waits for a newer configuration.
 func (c *Config) Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	config, revision, err := c.o.Source.WatchConfig(ctx, since, wait)
 	if err == nil {
--- a/gateway/feed/content.go
+++ b/gateway/feed/content.go
@@ -10,22 +10,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Content is the newest content of one feed that this router knows, from whomever it came.
+// Content holds the newest content of one feed that this router has received, from the
+// source or from another router.
 type Content[T any] struct {
 	hooks    contentHooks[T]
-	onChange func() // newer content is in force
+	onChange func() // called after newer content is applied
 	mu       sync.Mutex
 	newest   atomic.Pointer[T]
-	loaded   chan struct{} // closed when the first content has come
+	loaded   chan struct{} // closed when the first content is applied
 }
 
-// kind is how content of one type is handled.
+// contentHooks holds the functions that handle content of one type.
 type contentHooks[T any] struct {
-	// revision tells how new content is.
+	// revision returns the revision of the content.
 	revision func(*T) uint64
-	// accept tells the decisions of newer content, before anybody else sees it.
+	// apply passes newer content to the state machine, before it becomes visible to others.
 	apply func(*T)
-	// log writes that newer content is in force, and who told it.
+	// log logs that newer content is in force and where it came from.
 	log func(newest *T, from string)
 }
 
@@ -33,13 +34,13 @@
 	c.hooks, c.onChange, c.loaded = hooks, onChange, make(chan struct{})
 }
 
-// Newest returns the newest content, nil where there is none.
+// Newest returns the newest content, or nil if there is none.
 func (c *Content[T]) Newest() *T { return c.newest.Load() }
 
-// HasContent tells whether any content has come.
+// HasContent reports whether there is any content.
 func (c *Content[T]) HasContent() bool { return c.newest.Load() != nil }
 
-// Revision tells how new the content is; 0 where there is none.
+// Revision returns the revision of the newest content, or 0 if there is none.
 func (c *Content[T]) Revision() uint64 {
 	if newest := c.newest.Load(); newest != nil {
 		return c.hooks.revision(newest)
@@ -47,15 +48,15 @@
 	return 0
 }
 
-// Offer puts content in force where it is newer than what is known, and tells whether it
-// is. It must hold every change up to its revision: older content is dropped, so what it
-// lacks would never come. Also what this router wrote to the source is offered so, for
-// the others to learn of it at once.
+// Offer applies content if it is newer than the current content, and reports whether it is.
+// The content must include every change up to its revision: older content is dropped, so a
+// change that is missing here would never be applied. Content that this router wrote to the
+// source is offered too, so that the other routers receive it at once.
 func (c *Content[T]) Offer(newer *T, from string) bool {
 	return c.offer(newer, from, func(*T) {})
 }
 
-// offer offers content, and calls taken with what was known before where it is newer.
+// offer is Offer, but calls onApplied with the previous content if the content is newer.
 func (c *Content[T]) offer(newer *T, from string, onApplied func(old *T)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +75,8 @@
 	return true
 }
 
-// Await waits until the first content has come, for some time at most, and tells whether
-// it has.
+// Await waits for the first content, at most for timeout, and reports whether there is
+// any content.
 func (c *Content[T]) Await(ctx context.Context, timeout time.Duration) bool {
 	if !c.HasContent() {
 		wait.Until(ctx, c.loaded, timeout)
@@ -83,10 +84,10 @@
 	return c.HasContent()
 }
 
-// ContentSince returns all content.
+// ContentSince returns the whole content.
 func (c *Content[T]) ContentSince(uint64) any { return c.newest.Load() }
 
-// ApplyPulled offers content that another router told.
+// ApplyPulled decodes and offers content that was pulled from another router.
 func (c *Content[T]) ApplyPulled(body []byte, from string) error {
 	var pulled T
 	if err := msgpack.Unmarshal(body, &pulled); err != nil {
--- a/gateway/feed/era_test.go
+++ b/gateway/feed/era_test.go
@@ -13,14 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// restorableSource has servers and evacuated halls, and comes back from copies of itself.
+// restorableSource is a source of servers and evacuated halls that can be restored from backups.
 type restorableSource struct {
 	Source
 	era, revision uint64
 	servers       map[string]direct.Server
 	halls         []string
-	changes       []Change[direct.Server] // since the last watch
-	hasHistory    bool                    // it has what a watch asks for
+	changes       []Change[direct.Server] // since the last call of WatchServers or ReadServers
+	hasHistory    bool                    // false after a restore until the next read
 }
 
 func newRestorableSource() *restorableSource {
@@ -41,7 +41,7 @@
 	delete(s.servers, name)
 }
 
-// restore goes back to an earlier state.
+// restore returns to an earlier state in a new era.
 func (s *restorableSource) restore(revision uint64, servers ...direct.Server) {
 	s.era++
 	s.revision, s.changes, s.hasHistory = revision, nil, false
@@ -73,7 +73,7 @@
 	return s.halls, s.currentRevision(), nil
 }
 
-// names returns the servers that are listed, by id.
+// serverIDs returns the sorted ids of the listed servers.
 func serverIDs(s *Servers) []string {
 	var out []string
 	for _, server := range s.Newest().Servers {
@@ -83,12 +83,12 @@
 	return out
 }
 
-// TestEraComesBeforeRevision has a later era win over any revision, and an answer from before it
-// never.
+// TestEraComesBeforeRevision checks that a later era is newer than any revision of an earlier one,
+// and that a list of an earlier era does not replace one of a later era.
 func TestEraComesBeforeRevision(t *testing.T) {
 	require.Greater(t, NewRevision(1, 5), NewRevision(0, 1<<40))
 	require.Greater(t, NewRevision(3, 0), NewRevision(2, 1<<40))
-	require.EqualValues(t, 7, NewRevision(0, 7), "a source that never came back from a copy counts as before")
+	require.EqualValues(t, 7, NewRevision(0, 7), "revision of a source that was never restored")
 	require.EqualValues(t, 3, EraOf(NewRevision(3, 9)))
 	require.EqualValues(t, 9, CounterOf(NewRevision(3, 9)))
 	s := newTestSet().Servers
@@ -97,9 +97,9 @@
 	require.Empty(t, serverIDs(s))
 }
 
-// TestServersAfterRestore has the source come back from a copy: a server that it lacks stays for a moment
-// and is then taken as gone unless it has entered itself again; one that drains still drains; and one
-// that went since the copy stays away.
+// TestServersAfterRestore restores the source from a backup. A server that the backup lacks stays listed
+// for a limited time and is then removed unless it has written its entry again. A draining server keeps
+// draining, and a server that was removed after the backup is not listed again.
 func TestServersAfterRestore(t *testing.T) {
 	source := newRestorableSource()
 	set := newTestSet()
@@ -126,7 +126,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"drains", "lost", "new", "stays"}, serverIDs(s))
 	require.True(t, s.Newest().Servers[0].Draining)
-	require.Greater(t, s.Revision(), before, "others take it, though the source's revision is lower")
+	require.Greater(t, s.Revision(), before, "the new list is newer although the source's counter is lower")
 
 	source.put(direct.Server{ID: "new"})
 	revision, err = s.Watch(t.Context(), revision, time.Second)
@@ -136,12 +136,12 @@
 	held := s.Revision()
 	_, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	require.Equal(t, []string{"drains", "new", "stays"}, serverIDs(s), "what has not come back is gone")
-	require.Greater(t, s.Revision(), held, "others take that too")
+	require.Equal(t, []string{"drains", "new", "stays"}, serverIDs(s), "a server without a new entry is removed")
+	require.Greater(t, s.Revision(), held, "the list without the missing server is newer")
 }
 
-// TestEvacuationsAfterRestore has a copy of the source lack an evacuation: it stays in force until the
-// source tells of a change.
+// TestEvacuationsAfterRestore restores the source from a backup that lacks an evacuation. The evacuation
+// stays in force until the source reports a later state.
 func TestEvacuationsAfterRestore(t *testing.T) {
 	source := newRestorableSource()
 	set := newTestSet()
@@ -158,12 +158,12 @@
 	source.revision++
 	_, err = e.Read(t.Context())
 	require.NoError(t, err)
-	require.Empty(t, e.Newest().Halls, "a later state of the same era is the source's word")
+	require.Empty(t, e.Newest().Halls, "a later state of the same era replaces the evacuations")
 }
 
-// TestServersAcrossRestores plays histories of servers that come and go while the source comes
-// back from earlier copies of itself, and one router that follows it. What its list holds beside the
-// source's is only ever what a copy lacked, and once the time for that is over nothing.
+// TestServersAcrossRestores generates histories in which servers are added and removed, the source is
+// restored from earlier backups, and a router follows the source. The router lists every server of the
+// source unless it was removed, and no other server once missingUntil has passed.
 func TestServersAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		source := newRestorableSource()
@@ -208,7 +208,7 @@
 	})
 }
 
-// ids returns the servers that the source has.
+// ids returns the ids of the servers in the source.
 func (s *restorableSource) ids() map[string]bool {
 	out := make(map[string]bool)
 	for _, server := range s.servers {
@@ -217,10 +217,10 @@
 	return out
 }
 
-// followOnce watches the source, or reads it where its history is gone, as a follower does.
+// followOnce watches the source, or reads it if the watch fails, as a follower does.
 func followOnce(t *rapid.T, s *Servers, revision uint64) uint64 {
 	canceled, cancel := context.WithCancel(context.Background())
-	cancel() // so that nothing pauses
+	cancel() // so that Watch does not pause
 	next, err := s.Watch(canceled, revision, time.Second)
 	if err != nil {
 		next, err = s.Read(canceled)
--- a/gateway/feed/evacuations.go
+++ b/gateway/feed/evacuations.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// maxEvacuationsWait is the most that one call waits for a change of the evacuated
-	// data halls: halls are evacuated seldom, and each call costs the source the same.
+	// maxEvacuationsWait is the longest that one call waits for a change of the evacuated
+	// data halls. Evacuations are rare, and each call costs the source the same.
 	maxEvacuationsWait = 2 * time.Second
-	// evacuationsWaitFraction is the part of the time until an evacuation must be in force that
-	// one call may take, so that one which goes unanswered leaves time for another.
+	// evacuationsWaitFraction is the fraction of the evacuation deadline that one call may
+	// take, so that a call without a response leaves time for another.
 	evacuationsWaitFraction = 0.4
 )
 
-// EvacuationSource is where the evacuated data halls are found.
+// EvacuationSource provides the evacuated data halls.
 type EvacuationSource interface {
-	// ReadEvacuations returns the data halls whose servers must get no requests.
+	// ReadEvacuations returns the data halls whose servers must receive no requests.
 	ReadEvacuations(ctx context.Context) ([]string, uint64, error)
 	// WatchEvacuations waits for changes after a revision; a hall that is no longer
-	// evacuated is gone.
+	// evacuated is reported as deleted.
 	WatchEvacuations(ctx context.Context, since uint64, wait time.Duration) ([]Change[string], uint64, error)
 }
 
-// Evacuations is the feed of the evacuated data halls: without knowing them, a router would
-// send requests into one.
+// Evacuations is the feed of the evacuated data halls. Without it, a router could send
+// requests to servers of an evacuated hall.
 type Evacuations struct {
 	Content[direct.Evacuations]
 	o        Options
@@ -48,8 +48,8 @@
 	return e
 }
 
-// Spec returns what is particular to the evacuated data halls, which must be out of use
-// within a time.
+// Spec returns the settings of the feed. Calls are short enough to meet the evacuation
+// deadline.
 func (e *Evacuations) Spec() Spec {
 	return Spec{
 		Name: "evacuations", SourceName: "source of evacuations", Enabled: e.o.EvacuationDeadline > 0, PeersFirst: true,
@@ -57,7 +57,7 @@
 	}
 }
 
-// Read reads which halls are evacuated.
+// Read reads the evacuated halls from the source.
 func (e *Evacuations) Read(ctx context.Context) (uint64, error) {
 	listed, revision, err := e.o.Source.ReadEvacuations(ctx)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return revision, nil
 }
 
-// Watch waits for a hall that is evacuated, or no longer.
+// Watch waits for a change of the evacuated halls.
 func (e *Evacuations) Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	changes, revision, err := e.o.Source.WatchEvacuations(ctx, since, wait)
 	if err != nil {
--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -7,58 +7,61 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// Feed is one kind of content. Content has most of its methods.
+// Feed is one kind of content that routers share. Content implements most of its methods.
 type Feed interface {
-	// Spec returns what is particular to the feed beside its content.
+	// Spec returns the settings of the feed.
 	Spec() Spec
-	// HasContent tells whether any content has come.
+	// HasContent reports whether there is any content.
 	HasContent() bool
-	// Revision tells how new the content is; 0 where there is none.
+	// Revision returns the revision of the newest content, or 0 if there is none.
 	Revision() uint64
-	// Await waits until the first content has come, for some time at most, and tells
-	// whether it has.
+	// Await waits for the first content, at most for timeout, and reports whether there
+	// is any content.
 	Await(ctx context.Context, most time.Duration) bool
 	// Read reads everything from the source, offers it, and returns the source's revision.
 	Read(ctx context.Context) (uint64, error)
-	// Watch waits for changes after a revision, offers what they lead to, and returns the
-	// source's revision. It follows a call of Read or Watch that returned since.
+	// Watch waits for changes after the revision since, offers the resulting content, and
+	// returns the source's revision. The previous call of Read or Watch must have returned
+	// since.
 	Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error)
-	// ContentSince returns what a router that knows a revision is told. There must be content.
+	// ContentSince returns the content to send to a router that has the revision since.
+	// HasContent must be true.
 	ContentSince(since uint64) any
-	// ApplyPulled takes in the encoding of what another router told.
+	// ApplyPulled decodes and applies content that was pulled from another router.
 	ApplyPulled(body []byte, from string) error
 }
 
-// Spec is what is particular to a feed beside its content.
+// Spec holds the settings of a feed.
 type Spec struct {
-	// Name names the feed in its pull path and its kind of traffic.
+	// Name is the feed's name in its pull path and its kind of traffic.
 	Name string
-	// SourceName names its source in logs and metrics.
+	// SourceName is the name of its source in logs and metrics.
 	SourceName string
-	// Enabled says that the feed is followed, and that a router serves nobody before it knows
-	// any content. What others know of a feed that is not on is pulled all the same.
+	// Enabled is set if the feed is followed. Unless the feed is Optional, a router serves no
+	// requests before it has content. The content of a feed that is not enabled is still
+	// pulled from other routers that have it.
 	Enabled bool
-	// MaxWait is the most that one call waits for a change; 0: defaultWatchWait.
+	// MaxWait is the longest that one call waits for a change; 0 means defaultWatchWait.
 	MaxWait time.Duration
-	// PeersFirst says that a router which starts waits a moment for others to bring the
-	// content, before it reads it from the source.
+	// PeersFirst is set if a starting router waits briefly to get the content from other
+	// routers before it reads it from the source.
 	PeersFirst bool
-	// Optional says that a router serves callers before it knows any content. Where others bring the
-	// content, it waits for optionalStartupWait before it reads it itself.
+	// Optional is set if a router serves requests before it has any content. With PeersFirst,
+	// the router waits for optionalStartupWait before it reads the content itself.
 	Optional bool
-	// Blocking says that a pull is answered when the first content has come, for some time
-	// at most: routers that start together wait for the first to have read it.
+	// Blocking is set if a pull waits a limited time for the first content. Routers that
+	// start together thus wait for the first of them to read the source.
 	Blocking bool
-	// Incremental says that another router is told what has changed since the revision that it
-	// knows, not everything.
+	// Incremental is set if a pull returns only the changes since the caller's revision, not
+	// the whole content.
 	Incremental bool
-	// Large says that the content has many bytes: one router of each hall brings it over
-	// from other halls, and the others pull it there.
+	// Large is set if the content is large. One router of each hall then pulls it from other
+	// halls, and the rest of the hall pulls it from that router.
 	Large bool
 }
 
-// path is where other routers pull the feed.
+// path returns the URL path at which other routers pull the feed.
 func (a Spec) path() string { return "/v1/" + a.Name }
 
-// trafficKind is the feed's kind of traffic.
+// trafficKind returns the kind of traffic that the feed's pulls count as.
 func (a Spec) trafficKind() traffic.Kind { return traffic.Kind(a.Name) }
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -15,22 +15,23 @@
 
 const (
 	defaultWatchWait = time.Second
-	// roleCheckInterval is how often a router that does not follow the source looks
+	// roleCheckInterval is how often a router that does not follow the source checks
 	// whether it should.
 	roleCheckInterval  = 100 * time.Millisecond
-	watchTimeoutMargin = 700 * time.Millisecond // over defaultWatchWait, then the call is given up
+	watchTimeoutMargin = 700 * time.Millisecond // added to the wait of a call to get its timeout
 	readTimeout        = 1500 * time.Millisecond
-	// optionalStartupWait is time for a router that has just started to hear the others and to
-	// pull what they know.
+	// optionalStartupWait gives a starting router time to receive heartbeats of the others and
+	// to pull their content.
 	optionalStartupWait = 2 * time.Second
-	// peerReadWait is how long a router that has heard of others, and has no content yet, leaves
-	// it to them to read the source: those that follow it have read it by then, and tell what they
-	// know. Without it each router of a fleet that starts together reads what the first few don't
-	// bring in time.
+	// peerReadWait is how much longer a starting router without content waits if it has live
+	// peers. By then the routers that follow the source have read it and announce their
+	// revisions. Without this wait, every router of a fleet that starts at once would read the
+	// source if the first few routers are not quick enough.
 	peerReadWait = 2 * time.Second
-	// Routers that stand by for the first of those that follow ask less often: a change still
-	// ends their calls at once. Only a call that goes unanswered, or changes that come all the
-	// time, keep them behind, for some seconds and half a second.
+	// Standby followers call the source less often than the primary: their calls wait
+	// standbyWaitFactor times as long, and they pause for standbyPause after each change. A
+	// change still ends a call at once. A standby lags by some seconds if a call gets no
+	// response, and by half a second if changes are constant.
 	standbyWaitFactor = 4
 	standbyPause      = 500 * time.Millisecond
 	minRetryInterval  = 100 * time.Millisecond
@@ -43,13 +44,13 @@
 	spec       Spec
 	log        *eventlog.Log
 	stats      *stats.Stats
-	sourceLost bool
+	sourceLost bool        // the loss of the source was logged
 	failing    atomic.Bool // the last call to the source failed
 }
 
-// run reads, then watches, until ctx ends. Every failure leads back to reading. A
-// router that does not follow the source reads at most once, and again after a
-// failure; when it comes to follow, it goes on from what it read.
+// run reads the source, then watches it, until ctx ends. After a failure it reads again. A
+// router that does not follow the source reads at most once, and again after a failure. When
+// it becomes a follower, it watches from the revision that it read.
 func (f *follower) run(ctx context.Context, r Role) error {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval = minRetryInterval
@@ -82,8 +83,8 @@
 	return nil
 }
 
-// brought waits a moment, as the router starts, for others to bring what it would read
-// from the source, and tells whether they have.
+// awaitPeers waits briefly at startup for content from other routers, and reports whether it
+// arrived. If so, the source need not be read.
 func (f *follower) awaitPeers(ctx context.Context, r Role) bool {
 	if !f.spec.PeersFirst {
 		return false
@@ -98,18 +99,19 @@
 	return f.feed.Await(ctx, startupWait) || r.HasLivePeers() && f.feed.Await(ctx, peerReadWait)
 }
 
-// follows tells whether this router follows the source: one whose last call failed goes on
-// until one succeeds.
+// shouldFollow reports whether this router follows the source. A router whose last call failed
+// continues until a call succeeds.
 func (f *follower) shouldFollow(r Role) bool { return f.failing.Load() || r.Follows() }
 
-// rest waits until this router follows the source, or ctx ends.
+// waitUntilFollowing waits until this router should follow the source, or ctx ends.
 func (f *follower) waitUntilFollowing(ctx context.Context, r Role) {
 	for ctx.Err() == nil && !f.shouldFollow(r) {
 		wait.Sleep(ctx, roleCheckInterval)
 	}
 }
 
-// call watches the source where its revision is known, and else reads everything.
+// readOrWatch watches the source for changes after since if hasRevision is set, and otherwise
+// reads everything.
 func (f *follower) readOrWatch(ctx context.Context, since uint64, hasRevision bool, r Role) (uint64, error) {
 	if !hasRevision {
 		return f.callWithTimeout(ctx, readTimeout, f.feed.Read)
@@ -121,6 +123,7 @@
 	return f.callWithTimeout(ctx, maxWait+watchTimeoutMargin, func(c context.Context) (uint64, error) { return f.feed.Watch(c, since, maxWait) })
 }
 
+// callWithTimeout calls the source with a timeout and records the duration and the result.
 func (f *follower) callWithTimeout(ctx context.Context, timeout time.Duration, call func(context.Context) (uint64, error)) (uint64, error) {
 	c, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -130,7 +133,7 @@
 	return revision, err
 }
 
-// note logs a lost or regained source.
+// logSourceState records the result of a call and logs when the source is lost or regained.
 func (f *follower) logSourceState(err error) {
 	f.failing.Store(err != nil && !errors.Is(err, ErrHistoryGone))
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
--- a/gateway/feed/incarnation_test.go
+++ b/gateway/feed/incarnation_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestListsFollowIncarnations plays servers that come, go, and start again under the names that
-// they had. A router that takes what has changed from another one, now and then, has the same
-// list: of each name the incarnation that was entered last, and no earlier one.
+// TestListsFollowIncarnations generates servers that are added, removed, and restarted under the same
+// names. A router that pulls updates from another one at random times has the same list, with only the
+// latest incarnation of each name.
 func TestListsFollowIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sender, receiver := newTestSet().Servers, newTestSet().Servers
--- a/gateway/feed/objectfeed.go
+++ b/gateway/feed/objectfeed.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Listing is all objects of one kind at one revision of their source.
+// Listing holds all objects of one kind at one revision of the source.
 type Listing[T any] struct {
 	Revision uint64
-	All      []T // by name
+	All      []T // sorted by name
 }
 
-// objectFeed is a feed of objects of one kind, each with a name of its own.
+// objectFeed is a feed of objects of one kind, each with a unique name.
 type objectFeed[T any] struct {
 	Content[Listing[T]]
 	spec     Spec
@@ -20,15 +20,16 @@
 	lastRead readRevision
 }
 
-// objectSource says how the objects of one kind are read and watched.
+// objectSource holds the functions that read and watch the objects of one kind.
 type objectSource[T any] struct {
 	read  func(ctx context.Context) ([]T, uint64, error)
 	watch func(ctx context.Context, since uint64, wait time.Duration) ([]Change[T], uint64, error)
 	name  func(T) string
-	// plural is what logs call them.
+	// plural is the log key of the number of objects.
 	plural string
-	// same tells whether two listings hold the same, so that the newer isn't offered: every
-	// router would pull it. nil: each is offered.
+	// equal reports whether two listings hold the same objects. A listing that is equal to the
+	// current one is not offered, because every router would pull it. If equal is nil, every
+	// listing is offered.
 	equal func(a, b []T) bool
 }
 
@@ -44,10 +45,10 @@
 	return f
 }
 
-// Spec returns what is particular to the kind.
+// Spec returns the settings of the feed.
 func (f *objectFeed[T]) Spec() Spec { return f.spec }
 
-// Read reads all objects.
+// Read reads all objects from the source.
 func (f *objectFeed[T]) Read(ctx context.Context) (uint64, error) {
 	all, revision, err := f.source.read(ctx)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return revision, nil
 }
 
-// Watch waits for changed objects.
+// Watch waits for changes of the objects.
 func (f *objectFeed[T]) Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error) {
 	changes, revision, err := f.source.watch(ctx, since, wait)
 	if err != nil {
@@ -76,7 +77,8 @@
 
 func (f *objectFeed[T]) offerListed(revision uint64) {
 	all := f.listed.all()
-	// A newer era is told also where it brought nothing new: others would compare with the old one.
+	// An equal listing of a newer era is offered nevertheless: other routers would otherwise
+	// keep comparing with the old era.
 	newest := f.Newest()
 	if newest != nil && EraOf(newest.Revision) == EraOf(revision) && f.source.equal != nil && f.source.equal(newest.All, all) {
 		return
--- a/gateway/feed/objectfeed_test.go
+++ b/gateway/feed/objectfeed_test.go
@@ -13,7 +13,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// recordedRollouts keeps what feeds tell last.
+// recordedRollouts records the latest data from the feeds.
 type recordedRollouts struct {
 	orders   Listing[rollout.Order]
 	records  Listing[rollout.Record]
@@ -24,7 +24,7 @@
 func (r *recordedRollouts) SetRecords(l Listing[rollout.Record])     { r.records = l }
 func (r *recordedRollouts) SetVersions(versions map[string][]string) { r.versions = versions }
 
-// orderSource has two orders, of which one goes and one changes.
+// orderSource has two orders. The first watch reports one as deleted and the other as changed.
 type orderSource struct{ Source }
 
 func (orderSource) ReadOrders(context.Context) ([]rollout.Order, uint64, error) {
@@ -52,8 +52,8 @@
 	return NewSet(o), recorded
 }
 
-// TestRolloutFeeds has orders and records read and watched where roll-outs are on: changes
-// are told as the whole that they lead to, and a router knows both before it serves.
+// TestRolloutFeeds reads and watches orders and records with rollouts enabled. A change results in a
+// complete listing, and the set is complete only with both orders and records.
 func TestRolloutFeeds(t *testing.T) {
 	s, recorded := newRolloutSet(orderSource{})
 	s.Config.Offer(&direct.Config{Version: 1}, fromSource)
@@ -65,7 +65,7 @@
 	revision, err := s.Orders.Read(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, []rollout.Order{{Service: "app", Target: "v5", Revision: 3}, {Service: "llm", Target: "v2", Revision: 4}}, recorded.orders.All)
-	require.False(t, s.Complete(), "the records are not known")
+	require.False(t, s.Complete(), "there are no records yet")
 	_, err = s.Records.Read(t.Context())
 	require.NoError(t, err)
 	require.True(t, s.Complete())
@@ -74,11 +74,11 @@
 	require.Equal(t, Listing[rollout.Order]{Revision: 9, All: []rollout.Order{{Service: "llm", Target: "v3", Revision: 9}}}, recorded.orders)
 	_, err = s.Orders.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	require.EqualValues(t, 9, s.Orders.Revision(), "nothing has changed")
+	require.EqualValues(t, 9, s.Orders.Revision(), "a watch without changes offers nothing")
 }
 
-// TestRolloutFeedsArePulled has a router bring orders and records from another one, which
-// counts as traffic of their own.
+// TestRolloutFeedsArePulled pulls orders and records from another router. The bytes count as traffic of
+// their own kinds.
 func TestRolloutFeedsArePulled(t *testing.T) {
 	sender, _ := newRolloutSet(orderSource{})
 	order := rollout.Order{Service: "llm", Target: "v2", Within: time.Minute, Made: "3", Revision: 4, State: rollout.Completed, StateTarget: "v2"}
--- a/gateway/feed/objectset.go
+++ b/gateway/feed/objectset.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// objects are those of one kind as the source alone tells them.
+// objectSet holds the objects of one kind as read from the source.
 type objectSet[T any] struct {
 	name   func(T) string
-	byName map[string]T // by name
+	byName map[string]T
 }
 
 func newObjectSet[T any](name func(T) string) objectSet[T] {
 	return objectSet[T]{name: name, byName: make(map[string]T)}
 }
 
-// reset begins anew with all objects that there are.
+// reset replaces the contents of the set.
 func (o *objectSet[T]) reset(all []T) {
 	clear(o.byName)
 	for _, object := range all {
@@ -23,16 +23,16 @@
 	}
 }
 
-// keep holds on to what was known before the source came back from a copy. What the copy lacks or has
-// an earlier state of was lost and not taken back: it stays until the source tells of a change, since
-// whoever wrote it writes it again.
+// retain puts back the objects that were in force before the source was restored from a backup. Objects
+// that are missing or older in the backup were lost, not deleted or reverted on purpose. They stay until
+// the source reports a change of them, because their writers write them again.
 func (o *objectSet[T]) retain(previous []T) {
 	for _, object := range previous {
 		o.byName[o.name(object)] = object
 	}
 }
 
-// apply takes changes in.
+// apply applies changes from the source.
 func (o *objectSet[T]) apply(changes []Change[T]) {
 	for _, c := range changes {
 		if c.Deleted {
@@ -43,7 +43,7 @@
 	}
 }
 
-// all returns the objects by name.
+// all returns the objects sorted by name.
 func (o *objectSet[T]) all() []T {
 	var out []T
 	for _, name := range slices.Sorted(maps.Keys(o.byName)) {
--- a/gateway/feed/orders.go
+++ b/gateway/feed/orders.go
@@ -7,11 +7,11 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// maxOrdersWait is the most that one call waits for a change of the orders. A change ends the
-// wait at once; but a call that goes unanswered must not take long out of an order's time.
+// maxOrdersWait is the longest that one call waits for a change of the orders. A change ends the
+// wait at once, but a call without a response must not use up much of an order's deadline.
 const maxOrdersWait = 2 * time.Second
 
-// OrderSource is where the orders of roll-outs are found.
+// OrderSource provides the orders of rollouts.
 type OrderSource interface {
 	// ReadOrders returns all orders.
 	ReadOrders(ctx context.Context) ([]rollout.Order, uint64, error)
@@ -19,8 +19,8 @@
 	WatchOrders(ctx context.Context, since uint64, wait time.Duration) ([]Change[rollout.Order], uint64, error)
 }
 
-// Orders is the feed of the orders of roll-outs, with what has become of them: without
-// knowing them, a router could send requests to a version that was rolled back.
+// Orders is the feed of the orders of rollouts and their states. Without it, a router could
+// send requests to a version that was rolled back.
 type Orders struct{ *objectFeed[rollout.Order] }
 
 func newOrders(o Options, onChange func()) *Orders {
--- a/gateway/feed/peers.go
+++ b/gateway/feed/peers.go
@@ -2,17 +2,17 @@
 
 import "github.com/croftvale/croftvale/gateway/traffic"
 
-// Peers are the other routers, as a Puller needs to know them.
+// Peers provides what a Puller needs to know about the other routers.
 type Peers interface {
-	// Add makes a router known.
+	// Add adds the address of a router.
 	Add(address string)
-	// Behind is sent on when another router knows something newer.
+	// Behind returns a channel that receives a value when another router has newer content.
 	Behind() <-chan struct{}
-	// Ahead tells which routers know something newer.
+	// Ahead returns the routers that have newer content.
 	Ahead() PeersAheadByFeed
-	// FirstOfHall tells whether this router is the first of its hall, among those that
-	// are there.
+	// FirstOfHall reports whether this router is the first of the live routers of its
+	// hall.
 	FirstOfHall() bool
-	// PathTo returns the path to a router.
+	// PathTo returns the network path to a router.
 	PathTo(address string) traffic.Path
 }
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -17,41 +17,41 @@
 )
 
 const (
-	// pullDelay is how long the source may bring a change by itself before
-	// it is pulled from a peer.
+	// pullDelay gives the source time to deliver a change before it is pulled from
+	// a peer.
 	pullDelay   = 100 * time.Millisecond
 	pullTimeout = 500 * time.Millisecond
-	// hallPullDelay is how long a router leaves it to the first of its hall to pull what
-	// only other halls know: a pull from another hall and two heartbeats. Bytes between
-	// halls are priced.
+	// hallPullDelay is how long a router waits for the first router of its hall to pull
+	// content that only other halls have. It covers one pull from another hall and two
+	// heartbeats. Traffic between halls is billed.
 	hallPullDelay = 200 * time.Millisecond
-	// pullDialTimeout bounds opening a connection: a host without power says nothing, and
-	// between regions a connection takes some 40 ms.
+	// pullDialTimeout bounds connection setup, because a host without power does not respond.
+	// A connection between regions takes about 40 ms.
 	pullDialTimeout = 100 * time.Millisecond
 	maxPullBytes    = 32 << 20
 )
 
-// PullOptions are what a Puller is started with.
+// PullOptions configures a Puller.
 type PullOptions struct {
-	Address string   // of this host, without a port
-	Control string   // address of pulls; the port is the same on all hosts
+	Address string   // address of this host, without a port
+	Control string   // control address (host:port) that serves pulls; all hosts use the same port
 	Seeds   []string // control addresses of some routers
 	Peers   Peers
 	Traffic *traffic.Counter
 }
 
-// Puller brings newer content from other routers.
+// Puller pulls newer content from other routers.
 type Puller struct {
 	o      PullOptions
 	client *http.Client
 	port   string
 	set    *Set
 	meters []*traffic.Meter // by feed
-	// failing says that the last pull from a seed failed.
+	// seedFailing is set if the last pull from a seed failed.
 	seedFailing bool
 }
 
-// NewPuller returns what brings newer content to a set.
+// NewPuller returns a Puller that pulls newer content into a set.
 func NewPuller(set *Set, o PullOptions) (*Puller, error) {
 	_, port, err := net.SplitHostPort(o.Control)
 	if err != nil {
@@ -69,14 +69,14 @@
 	return p, nil
 }
 
-// Run pulls whenever a peer is ahead, until ctx ends. Until enough is known to serve, it
-// asks the seeds.
+// Run pulls whenever a peer has newer content, until ctx ends. While the set lacks content that
+// is needed to serve requests, it pulls from the seeds.
 func (p *Puller) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !p.set.Complete() {
 			p.pullFromSeeds(ctx)
 			if !p.set.Complete() {
-				p.pullFromPeers(ctx) // the seeds may all be away
+				p.pullFromPeers(ctx) // all seeds may be down
 			}
 			wait.Sleep(ctx, pullDelay)
 			continue
@@ -92,11 +92,11 @@
 	return nil
 }
 
-// pullFromPeers pulls what other routers know newer.
+// pullFromPeers pulls newer content from other routers.
 func (p *Puller) pullFromPeers(ctx context.Context) {
 	ahead := p.o.Peers.Ahead()
 	if p.largeOnlyInOtherHalls(ahead) && !p.o.Peers.FirstOfHall() {
-		// Another router of the hall brings it over, and this one pulls it there.
+		// The first router of the hall pulls the content, and this one pulls it from there.
 		wait.Sleep(ctx, hallPullDelay)
 		ahead = p.o.Peers.Ahead()
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-// largeOnlyInOtherHalls tells whether only other halls know the newest content of a large feed.
+// largeOnlyInOtherHalls reports whether only other halls have newer content of a large feed.
 func (p *Puller) largeOnlyInOtherHalls(ahead PeersAheadByFeed) bool {
 	for i, f := range p.set.feeds {
 		if f.Spec().Large && ahead[i].OnlyInOtherHalls() {
@@ -115,7 +115,7 @@
 	return false
 }
 
-// first asks routers in turn for a feed until one has answered.
+// pullFromFirst pulls a feed from the first of several routers that responds.
 func (p *Puller) pullFromFirst(ctx context.Context, feedIndex int, addresses []string) {
 	for _, address := range addresses {
 		if p.pull(ctx, feedIndex, net.JoinHostPort(address, p.port)) == nil {
@@ -124,12 +124,12 @@
 	}
 }
 
-// pullFromSeeds asks the seeds for what is missing.
+// pullFromSeeds pulls missing content from the seeds.
 func (p *Puller) pullFromSeeds(ctx context.Context) {
 	for _, seed := range p.seedOrder() {
 		p.o.Peers.Add(hostOf(seed))
-		// A seed that has just started answers for an awaited feed when it has read that;
-		// by then it mostly has the others too.
+		// A seed that has just started responds for a blocking feed once it has read it.
+		// By then it usually has the other feeds too.
 		p.pullMissing(ctx, seed, true)
 		p.pullMissing(ctx, seed, false)
 		if p.set.Complete() {
@@ -138,9 +138,9 @@
 	}
 }
 
-// seedOrder returns the seeds other than this router: the nearest first, by what has been
-// heard of them so far, and of those at one distance beginning with another one at each
-// router, so that they have the same to do.
+// seedOrder returns the seeds other than this router, the nearest first as far as their
+// distance is known. Among seeds at the same distance, each router begins with a different
+// one to spread the load.
 func (p *Puller) seedOrder() []string {
 	var order []string
 	first := xxhash.Sum64String(p.o.Address)
@@ -156,7 +156,7 @@
 	return order
 }
 
-// hostOf returns the host of an address, or nothing where it has no port.
+// hostOf returns the host of an address, or an empty string if it has no port.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -165,7 +165,8 @@
 	return host
 }
 
-// missing asks a seed for the feeds without content that are awaited, or are not.
+// pullMissing pulls from a seed the enabled feeds that have no content. It pulls only blocking
+// or only non-blocking feeds.
 func (p *Puller) pullMissing(ctx context.Context, seed string, blocking bool) {
 	for i, f := range p.set.feeds {
 		if spec := f.Spec(); spec.Enabled && spec.Blocking == blocking && !f.HasContent() {
@@ -174,7 +175,7 @@
 	}
 }
 
-// note logs that a seed had nothing to give, once until one has.
+// logSeedResult logs the first of several consecutive failures to pull from a seed.
 func (p *Puller) logSeedResult(err error, seed string) {
 	if err != nil && !p.seedFailing {
 		p.set.log.Event("pull_failed").Str("from", seed).Err(err).Msg("")
@@ -182,7 +183,7 @@
 	p.seedFailing = err != nil
 }
 
-// pull brings the content of a feed from another router.
+// pull pulls the content of a feed from another router and applies it.
 func (p *Puller) pull(ctx context.Context, feedIndex int, address string) error {
 	f := p.set.feeds[feedIndex]
 	spec := f.Spec()
@@ -197,6 +198,7 @@
 	return f.ApplyPulled(body, address)
 }
 
+// get returns the body of a response and counts it as traffic.
 func (p *Puller) get(ctx context.Context, meter *traffic.Meter, address, target string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
--- a/gateway/feed/pull_test.go
+++ b/gateway/feed/pull_test.go
@@ -12,13 +12,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// otherHallPeers are routers of other halls.
+// otherHallPeers treats all routers as members of other halls.
 type otherHallPeers struct{ Peers }
 
 func (otherHallPeers) PathTo(string) traffic.Path { return traffic.BetweenHalls }
 
-// TestEachFeedIsPulled has a router that knows nothing pull each feed from one that knows
-// it: then it can serve, and the bytes count as the feed's own traffic.
+// TestEachFeedIsPulled has a router without content pull each feed from another one. It is complete
+// afterwards, and the bytes count as traffic of the feed's own kind.
 func TestEachFeedIsPulled(t *testing.T) {
 	sender := newTestSet()
 	sender.Config.Offer(&direct.Config{Version: 3}, fromSource)
@@ -42,8 +42,8 @@
 	require.Equal(t, "i-1", receiver.Servers.Newest().Servers[0].ID)
 }
 
-// TestPullRequests has a router ask another for each feed: only for the list of servers
-// does it say what it knows.
+// TestPullRequests checks the request URI of each feed's pull. Only the request for the list of servers
+// carries the revision of the caller.
 func TestPullRequests(t *testing.T) {
 	var requestURIs []string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -62,8 +62,8 @@
 	require.Equal(t, []string{"/v1/config", "/v1/servers?since=9", "/v1/evacuations", "/v1/quarantine"}, requestURIs)
 }
 
-// TestFollowedFeeds has a fleet whose halls are never evacuated follow no
-// evacuations, and serve without knowing of them and of what is quarantined.
+// TestFollowedFeeds checks that a router does not follow evacuations if halls are never evacuated,
+// and that it is complete without evacuations and without the quarantine.
 func TestFollowedFeeds(t *testing.T) {
 	feedNames := func(s *Set) (out []string) {
 		for _, f := range s.Followed() {
@@ -81,7 +81,7 @@
 	require.True(t, set.Complete())
 }
 
-// peersWithPaths are routers of which each has been heard.
+// peersWithPaths are routers with known paths.
 type peersWithPaths struct {
 	Peers
 	paths map[string]traffic.Path
@@ -89,8 +89,8 @@
 
 func (p peersWithPaths) PathTo(address string) traffic.Path { return p.paths[address] }
 
-// TestNearestSeedsFirst has seeds in the router's hall, its region and another one, and the
-// router itself among them: it asks the nearest first.
+// TestNearestSeedsFirst orders seeds in the router's hall, its region and another region, among them
+// the router itself and an address without a port. The nearest seed comes first.
 func TestNearestSeedsFirst(t *testing.T) {
 	peers := peersWithPaths{paths: map[string]traffic.Path{"far": traffic.BetweenRegions, "near": traffic.BetweenHalls, "next": traffic.WithinHall}}
 	for _, self := range []string{"a", "b", "c", "d"} {
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -9,22 +9,22 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// maxQuarantineWait is the most that one call waits for a change of the quarantine. Routers tell one
-// another what is barred; the source only tells those that all start anew, and operators'
-// releases, which a waiting call brings at once. Each call costs the source the same.
+// maxQuarantineWait is the longest that one call waits for a change of the quarantine. Routers tell one
+// another which requests are barred. The source is needed only after a restart of all routers, and for
+// releases by operators, which end a waiting call at once. Each call costs the source the same.
 const maxQuarantineWait = 30 * time.Second
 
-// QuarantineSource is where the contents are found that are barred.
+// QuarantineSource provides the fingerprints of barred requests.
 type QuarantineSource interface {
-	// ReadQuarantine returns the contents of which requests are refused.
+	// ReadQuarantine returns the fingerprints whose requests are refused.
 	ReadQuarantine(ctx context.Context) ([]quarantine.Fingerprint, uint64, error)
-	// WatchQuarantine waits for changes after a revision; a content that is no longer barred is
-	// gone.
+	// WatchQuarantine waits for changes after a revision; a fingerprint that is no longer
+	// barred is reported as deleted.
 	WatchQuarantine(ctx context.Context, since uint64, wait time.Duration) ([]Change[quarantine.Fingerprint], uint64, error)
 }
 
-// Quarantine is the feed of the contents that are barred: without knowing them, routers that have
-// lost what they knew would have servers crash anew.
+// Quarantine is the feed of the fingerprints of barred requests. Without it, routers that lost
+// their state would let these requests crash servers again.
 type Quarantine struct {
 	*objectFeed[quarantine.Fingerprint]
 }
--- a/gateway/feed/quarantine_test.go
+++ b/gateway/feed/quarantine_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// quarantineSource has some contents at a revision.
+// quarantineSource has fingerprints at a revision.
 type quarantineSource struct {
 	Source
 	fingerprints []quarantine.Fingerprint
@@ -24,8 +24,8 @@
 	return []Change[quarantine.Fingerprint]{{Object: 7}}, s.revision, nil
 }
 
-// TestUnchangedQuarantineIsNotOffered reads the source again while nothing changes in the quarantine: no
-// other router is told of something newer, which each would pull.
+// TestUnchangedQuarantineIsNotOffered reads the source again while the quarantine does not change. The
+// revision stays, because every other router would pull a newer one.
 func TestUnchangedQuarantineIsNotOffered(t *testing.T) {
 	source, offered := &quarantineSource{revision: 5}, 0
 	o := newTestSet().Evacuations.o
--- a/gateway/feed/records.go
+++ b/gateway/feed/records.go
@@ -7,11 +7,11 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// maxRecordsWait is the most that one call waits for a change of the records. A change ends
-// the wait at once, few routers write them, and each call costs the source the same.
+// maxRecordsWait is the longest that one call waits for a change of the records. A change ends
+// the wait at once, few routers write records, and each call costs the source the same.
 const maxRecordsWait = 10 * time.Second
 
-// RecordSource is where the records of services' versions are found.
+// RecordSource provides the records of the versions in use.
 type RecordSource interface {
 	// ReadRecords returns all records.
 	ReadRecords(ctx context.Context) ([]rollout.Record, uint64, error)
@@ -19,9 +19,9 @@
 	WatchRecords(ctx context.Context, since uint64, wait time.Duration) ([]Change[rollout.Record], uint64, error)
 }
 
-// Records is the feed of the records of which versions of each service are in use: without
-// knowing them, a router would take versions that nobody has ordered for those in use. Its name, in logs, metrics
-// and pulls, is what records tell of: versions.
+// Records is the feed of the records that state which versions of each service are in use.
+// Without it, a router would treat versions that nobody ordered as in use. In logs, metrics and
+// pulls the feed is called "versions".
 type Records struct{ *objectFeed[rollout.Record] }
 
 func newRecords(o Options, onChange func()) *Records {
--- a/gateway/feed/revisions.go
+++ b/gateway/feed/revisions.go
@@ -1,10 +1,10 @@
 package feed
 
-// Revisions are those of the content of each feed that a router knows, in the order
-// of Set; 0: it knows no content. Routers of another release may know more feeds, or fewer.
+// Revisions holds the revision of each feed's content at one router, in the order of Set;
+// 0 means no content. Routers of another release may have more feeds or fewer.
 type Revisions []uint64
 
-// of returns the revision of one feed.
+// get returns the revision of feed i, or 0 if r does not have the feed.
 func (r Revisions) get(i int) uint64 {
 	if i < len(r) {
 		return r[i]
@@ -12,7 +12,8 @@
 	return 0
 }
 
-// AtLeast tells whether nothing in r is older than in other, of the feeds that r has.
+// AtLeast reports whether no feed in r has an older revision than in other. Feeds that r
+// lacks are ignored.
 func (r Revisions) AtLeast(other Revisions) bool {
 	for i, revision := range r {
 		if revision < other.get(i) {
@@ -22,7 +23,7 @@
 	return true
 }
 
-// Max returns the newer of each of two revisions.
+// Max returns, for each feed, the newer revision of r and other.
 func (r Revisions) Max(other Revisions) Revisions {
 	out := make(Revisions, max(len(r), len(other)))
 	for i := range out {
--- a/gateway/feed/revisions_test.go
+++ b/gateway/feed/revisions_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRevisionsAcrossReleases has routers of releases with more and with fewer feeds compare what
-// they know: only of feeds that both have can one be behind.
+// TestRevisionsAcrossReleases compares revisions of routers whose releases have different numbers of
+// feeds. A router is behind only in feeds that both have.
 func TestRevisionsAcrossReleases(t *testing.T) {
 	older, newer := Revisions{3, 9}, Revisions{3, 9, 4}
-	require.True(t, older.AtLeast(newer), "it can't take in what it does not know")
+	require.True(t, older.AtLeast(newer), "a feed that only the newer release has is ignored")
 	require.True(t, newer.AtLeast(older))
 	require.False(t, older.AtLeast(Revisions{3, 10, 4}))
 	require.Equal(t, newer, older.Max(newer))
--- a/gateway/feed/role.go
+++ b/gateway/feed/role.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Role is this router's place among those that could follow the source.
+// Role reports this router's role among the routers that can follow the source.
 type Role interface {
-	// Follows tells whether this router is one of the few that follow the source.
+	// Follows reports whether this router is one of the few that follow the source.
 	Follows() bool
-	// IsPrimary tells whether it is the first of them; the others stand by for it.
+	// IsPrimary reports whether it is the primary follower; the others are standbys.
 	IsPrimary() bool
-	// HasLivePeers tells whether another router has been heard of.
+	// HasLivePeers reports whether another router is live.
 	HasLivePeers() bool
-	// StartupWait is how long this router waits, as it starts, for others to bring what
-	// it would read from the source; 0: it reads at once.
+	// StartupWait returns how long this router waits at startup for content from other
+	// routers before it reads the source; 0 means that it reads at once.
 	StartupWait() time.Duration
 }
--- a/gateway/feed/rollouts.go
+++ b/gateway/feed/rollouts.go
@@ -7,12 +7,12 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// Rollouts takes in what roll-outs are decided on. Its methods must not block.
+// Rollouts receives the data that rollout decisions depend on. Its methods must not block.
 type Rollouts interface {
-	// SetOrders brings newer orders, SetRecords newer records.
+	// SetOrders and SetRecords replace the orders and the records by newer ones.
 	SetOrders(Listing[rollout.Order])
 	SetRecords(Listing[rollout.Record])
-	// SetVersions tells which versions the listed servers of each service have, sorted.
+	// SetVersions replaces the sorted versions of the listed servers, by service.
 	SetVersions(map[string][]string)
 }
 
@@ -25,7 +25,7 @@
 	return out
 }
 
-// insert adds a version to sorted ones, once.
+// insertVersion inserts a version into a sorted list, unless it is already there.
 func insertVersion(versions []string, version string) []string {
 	i, found := slices.BinarySearch(versions, version)
 	if found {
--- a/gateway/feed/serve.go
+++ b/gateway/feed/serve.go
@@ -7,10 +7,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// sinceParam is the revision that the caller knows of a feed which tells what has changed.
+// sinceParam is the query parameter with the caller's revision in pulls of incremental feeds.
 const sinceParam = "since"
 
-// Handler answers the pulls of other routers.
+// Handler returns the handler of pulls from other routers.
 func (s *Set) Handler() http.Handler {
 	mux := http.NewServeMux()
 	for _, f := range s.feeds {
@@ -28,7 +28,7 @@
 		http.Error(w, "no "+f.Spec().Name+" yet", http.StatusServiceUnavailable)
 		return
 	}
-	// Without a revision, or with one that is no number, everything is told.
+	// Without a valid revision, the whole content is sent.
 	since, _ := strconv.ParseUint(r.URL.Query().Get(sinceParam), 10, 64)
 	body, err := msgpack.Marshal(f.ContentSince(since))
 	if err != nil {
@@ -36,5 +36,5 @@
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	_, _ = w.Write(body) // a router that has left asks again
+	_, _ = w.Write(body) // a caller that has disconnected pulls again
 }
--- a/gateway/feed/serve_test.go
+++ b/gateway/feed/serve_test.go
@@ -14,8 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestNotCompleteWithoutEvacuations has a router that knows everything else serve nobody
-// until it knows which halls are evacuated.
+// TestNotCompleteWithoutEvacuations checks that a router with all other content is not complete until it
+// has the evacuated halls. Otherwise it could send requests into an evacuated hall.
 func TestNotCompleteWithoutEvacuations(t *testing.T) {
 	s := newTestSet()
 	s.Config.Offer(&direct.Config{Version: 1}, "a")
@@ -25,11 +25,11 @@
 	require.True(t, s.Complete())
 	s.Evacuations.Offer(&direct.Evacuations{Revision: 4, Halls: []string{"b"}}, "b")
 	s.Evacuations.Offer(&direct.Evacuations{Revision: 3, Halls: []string{"b"}}, "b")
-	require.Empty(t, s.Evacuations.Newest().Halls, "only a newer set is taken")
+	require.Empty(t, s.Evacuations.Newest().Halls, "a set that is not newer is dropped")
 }
 
-// TestListsAgeBeforeTheyArePulled has a router hand on a list of servers some time after it
-// came: a server is cold for so much less.
+// TestListsAgeBeforeTheyArePulled pulls a list of servers some time after the router received it. The
+// remaining cold time of each server is reduced by that time.
 func TestListsAgeBeforeTheyArePulled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestSet()
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -10,12 +10,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// serverChangesPause is the time between two calls for changes of servers: they come
-// in groups, and each call costs the source the same. It is small beside the
-// seconds within which a change must be in force.
+// serverChangesPause is the pause between two calls for changes of servers. Changes
+// come in bursts, and each call costs the source the same. The pause is short compared
+// with the seconds within which a change must be in force.
 const serverChangesPause = 100 * time.Millisecond
 
-// ServerSource is where the servers are found.
+// ServerSource provides the servers.
 type ServerSource interface {
 	// ReadServers returns all servers.
 	ReadServers(ctx context.Context) ([]direct.Server, uint64, error)
@@ -23,8 +23,8 @@
 	WatchServers(ctx context.Context, since uint64, wait time.Duration) ([]Change[direct.Server], uint64, error)
 }
 
-// Servers is the feed of the list of servers. Routers tell each other what has changed in
-// it, where they can.
+// Servers is the feed of the list of servers. Routers send each other only the changes
+// where possible.
 type Servers struct {
 	Content[serverlist.List]
 	o        Options
@@ -43,12 +43,12 @@
 	return s
 }
 
-// Spec returns what is particular to the list of servers.
+// Spec returns the settings of the feed.
 func (s *Servers) Spec() Spec {
 	return Spec{Name: "servers", SourceName: "source of servers", Enabled: true, PeersFirst: true, Blocking: true, Incremental: true}
 }
 
-// Read reads all servers.
+// Read reads all servers from the source.
 func (s *Servers) Read(ctx context.Context) (uint64, error) {
 	servers, revision, err := s.o.Source.ReadServers(ctx)
 	if err != nil {
@@ -64,9 +64,9 @@
 	return revision, nil
 }
 
-// told is the revision under which the list is told to others. While it holds servers that the source
-// lacks, it is one less than the source's: the list without them is newer, though nothing changed in
-// the source.
+// publishedRevision returns the revision under which other routers receive the list. While the list
+// holds servers that the source lacks after a restore, it is one less than the source's revision. The
+// list without these servers is then newer, even if nothing else changes in the source.
 func (s *Servers) publishedRevision(revision uint64) uint64 {
 	if s.listed.restoring() && CounterOf(revision) > 0 {
 		return revision - 1
@@ -74,7 +74,7 @@
 	return revision
 }
 
-// Watch waits for changes in the list.
+// Watch waits for changes of the list.
 func (s *Servers) Watch(ctx context.Context, since uint64, maxWait time.Duration) (uint64, error) {
 	if s.listed.restoring() {
 		maxWait = min(maxWait, missingTTL)
@@ -92,13 +92,13 @@
 	return revision, nil
 }
 
-// OfferAll takes a whole list where it is newer.
+// OfferAll applies a whole list if it is newer.
 func (s *Servers) OfferAll(d *direct.Directory, from string) {
 	s.offer(s.newList(d), from, func(*serverlist.List) { s.history.Forget() })
 }
 
-// OfferChanged takes a list where it is newer. All servers that were touched since the
-// list that is known are among ids.
+// OfferChanged applies a list if it is newer. ids must include every server that changed since
+// the current list.
 func (s *Servers) OfferChanged(d *direct.Directory, ids []string, from string) {
 	s.offer(s.newList(d), from, func(old *serverlist.List) {
 		if old != nil {
@@ -107,7 +107,7 @@
 	})
 }
 
-// offerUpdate takes what has changed in the list, where that leads to a newer one.
+// offerUpdate applies an update if it results in a newer list.
 func (s *Servers) offerUpdate(u *serverlist.Update, from string) {
 	d := u.Apply(s.Newest(), s.o.StateMachine.Now())
 	switch {
@@ -119,8 +119,8 @@
 	}
 }
 
-// since returns what has changed in the list since a revision, or the whole list where
-// that is not known. There must be a list.
+// since returns the changes of the list since a revision, or the whole list if the history
+// does not reach back that far. There must be a list.
 func (s *Servers) since(revision uint64) serverlist.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,10 +131,10 @@
 	return serverlist.Update{Revision: d.Revision, Servers: d.Servers}
 }
 
-// ContentSince returns what has changed since a revision.
+// ContentSince returns the changes since a revision, or the whole list.
 func (s *Servers) ContentSince(revision uint64) any { return s.since(revision) }
 
-// ApplyPulled takes in what another router told to have changed.
+// ApplyPulled decodes and applies an update that was pulled from another router.
 func (s *Servers) ApplyPulled(body []byte, from string) error {
 	var u serverlist.Update
 	if err := msgpack.Unmarshal(body, &u); err != nil {
@@ -144,6 +144,7 @@
 	return nil
 }
 
+// newList returns the directory as a list that is valid from now.
 func (s *Servers) newList(d *direct.Directory) *serverlist.List {
 	return &serverlist.List{Directory: *d, At: s.o.StateMachine.Now()}
 }
--- a/gateway/feed/servers_test.go
+++ b/gateway/feed/servers_test.go
@@ -13,10 +13,10 @@
 	"pgregory.net/rapid"
 )
 
-// versionedServers is the list of servers at each revision of its source.
+// versionedServers holds the list of servers at each revision of the source.
 type versionedServers struct {
 	lists      []direct.Directory
-	changedIDs []string // by the step to each list
+	changedIDs []string // id of the server that changed in each list
 }
 
 func (s *versionedServers) change(t *rapid.T) {
@@ -46,9 +46,9 @@
 	s.changedIDs = append(s.changedIDs, id)
 }
 
-// TestUpdatesLeadToTheList plays routers that take lists from the source now and then, each
-// at other revisions, and updates from one another, lost, late and twice: what each holds
-// is always the source's list at the revision that it names.
+// TestUpdatesLeadToTheList generates routers that get lists from the source at different revisions,
+// and updates from one another that are lost, late or duplicated. Each router's list is always the
+// source's list at the same revision.
 func TestUpdatesLeadToTheList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var source versionedServers
@@ -57,7 +57,7 @@
 		for i := range routers {
 			routers[i] = newTestSet().Servers
 		}
-		watched := make([]int, len(routers)) // how many lists each has seen by watching; 0: it reads
+		watched := make([]int, len(routers)) // number of lists that each router has seen; 0: it reads the whole list next
 		var updates []serverlist.Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
@@ -98,18 +98,18 @@
 	})
 }
 
-// holds requires that a router's list is the source's at its revision.
+// requireConsistent requires that a router's list is the source's list at the same revision.
 func (s *versionedServers) requireConsistent(t *rapid.T, r *Servers) {
 	known := r.Newest()
 	if known == nil {
 		return
 	}
 	i := slices.IndexFunc(s.lists, func(d direct.Directory) bool { return d.Revision == known.Revision })
-	require.GreaterOrEqual(t, i, 0, "a revision that the source never had")
+	require.GreaterOrEqual(t, i, 0, "the source never had this revision")
 	require.ElementsMatch(t, s.lists[i].Servers, known.Servers)
 }
 
-// TestUpdatesAreSmall changes one of 3,000 servers: what another router pulls is that one.
+// TestUpdatesAreSmall changes one of 3,000 servers and checks that another router pulls only that one.
 func TestUpdatesAreSmall(t *testing.T) {
 	s := newTestSet().Servers
 	d := direct.Directory{Revision: 1}
@@ -129,5 +129,5 @@
 		return body.Len()
 	}
 	require.Less(t, size(1), 100)
-	require.Greater(t, size(0), 100000, "the whole list, to a router that knows none")
+	require.Greater(t, size(0), 100000, "a router without a list gets the whole list")
 }
--- a/gateway/feed/set.go
+++ b/gateway/feed/set.go
@@ -9,35 +9,38 @@
 	"github.com/croftvale/croftvale/gateway/stats"
 )
 
-// fromSource says in logs that content came from the source, not from another router.
+// fromSource is the origin in logs of content that came from the source, not from another
+// router.
 const fromSource = "source"
 
-// Options are what feeds stand on.
+// Options holds the dependencies and settings of feeds.
 type Options struct {
 	Source       Source
 	StateMachine StateMachine
 	Log          *eventlog.Log
 	Stats        *stats.Stats
-	// EvacuationDeadline is the most that may pass between the word that a data hall is
-	// evacuated and the last request to its servers; 0: no hall is ever evacuated.
+	// EvacuationDeadline is the longest allowed time between the evacuation of a data hall
+	// in the source and the last request to its servers; 0 means that halls are never
+	// evacuated.
 	EvacuationDeadline time.Duration
-	// Rollouts decides on roll-outs; nil: they are not on, and their feeds don't exist.
+	// Rollouts decides on rollouts. If it is nil, rollouts are disabled and their feeds do
+	// not exist.
 	Rollouts Rollouts
 }
 
-// Set is the feeds of a router.
+// Set holds the feeds of a router.
 type Set struct {
 	Config      *Config
 	Servers     *Servers
 	Evacuations *Evacuations
-	// Orders and Records are nil where roll-outs are not on.
+	// Orders and Records are nil if rollouts are disabled.
 	Orders     *Orders
 	Records    *Records
 	Quarantine *Quarantine
-	// OnChange is called when newer content is in force; set it before the feeds are used.
+	// OnChange is called after newer content is applied. Set it before the feeds are used.
 	OnChange  func()
 	log       *eventlog.Log
-	feeds     []Feed // in the order of Revisions: new ones come last
+	feeds     []Feed // in the order of Revisions: append new feeds at the end
 	followers []*follower
 }
 
@@ -61,7 +64,7 @@
 	return s
 }
 
-// Revisions returns how new what this router knows is.
+// Revisions returns the revision of each feed's content.
 func (s *Set) Revisions() Revisions {
 	out := make(Revisions, len(s.feeds))
 	for i, f := range s.feeds {
@@ -70,19 +73,19 @@
 	return out
 }
 
-// Era is that of the source, as far as this router knows: it rises each time the source comes back
-// from a copy.
+// Era returns the latest era of the source that this router has seen. Each restore of the source from
+// a backup starts a new era.
 func (s *Set) Era() uint64 {
 	era := uint64(0)
 	for i, revision := range s.Revisions() {
-		if s.feeds[i] != s.Config { // whose revisions are the operator's
+		if s.feeds[i] != s.Config { // its revisions are versions that the operator assigns
 			era = max(era, EraOf(revision))
 		}
 	}
 	return era
 }
 
-// Complete tells whether enough is known to serve requests at all.
+// Complete reports whether the router has all content that it needs to serve requests.
 func (s *Set) Complete() bool {
 	for _, f := range s.followers {
 		if f.spec.Enabled && !f.spec.Optional && !f.feed.HasContent() {
@@ -92,7 +95,7 @@
 	return true
 }
 
-// SourceFailing tells whether the last call to the source for any feed failed.
+// SourceFailing reports whether the last call to the source failed for any feed.
 func (s *Set) SourceFailing() bool {
 	return slices.ContainsFunc(s.followers, func(f *follower) bool { return f.failing.Load() })
 }
--- a/gateway/feed/set_test.go
+++ b/gateway/feed/set_test.go
@@ -11,10 +11,10 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// discardLog is for tests that make many sets; it is never closed.
+// discardLog drops all events. It is shared by tests that create many sets and is never closed.
 var discardLog = eventlog.New(io.Discard, "test")
 
-// lockedMachine is decisions that tests tell of newer content.
+// lockedMachine is a StateMachine that guards a direct.Machine with a mutex.
 type lockedMachine struct {
 	mu      sync.Mutex
 	machine *direct.Machine
@@ -29,7 +29,7 @@
 	m.machine.Update(msg)
 }
 
-// newTestSet returns feeds without a source, of a fleet whose halls may be evacuated.
+// newTestSet returns feeds without a source. Evacuations are enabled.
 func newTestSet() *Set {
 	return NewSet(Options{
 		StateMachine: &lockedMachine{machine: direct.NewMachine(direct.Options{}), start: time.Now()},
--- a/gateway/feed/source.go
+++ b/gateway/feed/source.go
@@ -2,12 +2,12 @@
 
 import "github.com/cockroachdb/errors"
 
-// ErrHistoryGone says that a Source cannot tell what changed since a revision;
-// the remedy is to read everything again.
-var ErrHistoryGone = errors.New("the history since that revision is gone")
+// ErrHistoryGone reports that a Source no longer has the changes since a revision.
+// The caller must read everything again.
+var ErrHistoryGone = errors.New("changes since this revision are no longer available")
 
-// Source is where the content of all feeds is found. Calls fail with ErrHistoryGone, or
-// with an error that tells what the source lacked.
+// Source provides the content of all feeds. Calls fail with ErrHistoryGone, or with an
+// error that describes what is missing.
 type Source interface {
 	ConfigSource
 	ServerSource
--- a/gateway/feed/sourcelist.go
+++ b/gateway/feed/sourcelist.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// missingTTL is how long a server stays listed whose entry is missing since the source came
-	// back from a copy: servers that live write their entries again within about two seconds.
+	// missingTTL is how long a server stays listed if its entry is missing after the source was
+	// restored from a backup. Live servers write their entries again within about two seconds.
 	missingTTL = 3 * time.Second
-	// removalTTL is how long it is remembered that a server has gone: a copy is seconds old, and
-	// may list it again.
+	// removalTTL is how long removals of servers are remembered. A backup is some seconds old
+	// and may list a removed server again.
 	removalTTL = 2 * time.Minute
 )
 
-// sourceList is the list of servers as the source alone tells it.
+// sourceList is the list of servers as read from the source.
 type sourceList struct {
 	servers map[string]listedServer // by name
-	removed map[string]time.Time    // when servers went, by id
-	// lost are the names of servers that a copy of the source lacks and that are still listed,
+	removed map[string]time.Time    // times of removal, by id
+	// missing holds the names of servers that the restored source lacks. They stay listed
 	// until missingUntil.
 	missing      map[string]bool
 	missingUntil time.Time
 }
 
-// listedServer is a server and when it ceases to be cold. Its entry counts from its
-// last heartbeat, a list of servers from when the list was made.
+// listedServer is a server and the time at which it is no longer cold. The ColdFor of an entry
+// counts from the server's last heartbeat, the ColdFor in a list from the list's creation.
 type listedServer struct {
 	direct.Server
 	coldUntil time.Time
 }
 
-// reset begins anew with a whole list.
+// reset replaces the whole list.
 func (l *sourceList) reset(servers []direct.Server) {
 	l.servers = make(map[string]listedServer, len(servers))
 	for _, s := range servers {
@@ -42,9 +42,10 @@
 	}
 }
 
-// restore begins anew with what a copy of the source holds. Servers that it lacks stay for a
-// moment, since those that live enter themselves again; what drained still drains; and what has gone
-// since does not come back by the copy, but by an entry that is written after it.
+// restore replaces the list after the source was restored from a backup. Servers that the backup lacks
+// stay for missingTTL, because live servers write their entries again. Servers that were draining keep
+// draining. Servers that were removed after the backup return only with an entry that is written after
+// the restore.
 func (l *sourceList) restore(restored, previous []direct.Server, now time.Time) {
 	l.servers = make(map[string]listedServer, len(restored))
 	for _, s := range restored {
@@ -66,10 +67,10 @@
 	}
 }
 
-// restoring tells whether servers are listed that a copy of the source lacks.
+// restoring reports whether the list holds servers that the restored source lacks.
 func (l *sourceList) restoring() bool { return len(l.missing) > 0 }
 
-// dropMissing takes out what the source still lacks once it has had the time, and returns the ids.
+// dropMissing removes the servers that are still missing at missingUntil, and returns their ids.
 func (l *sourceList) dropMissing(now time.Time) []string {
 	if now.Before(l.missingUntil) {
 		return nil
@@ -83,8 +84,8 @@
 	return ids
 }
 
-// apply takes changes in, and returns the ids of the servers that they concern: of what was
-// listed under their names, and of what is now.
+// apply applies changes, and returns the ids of the servers that were or are now listed under the
+// changed names.
 func (l *sourceList) apply(changes []Change[direct.Server]) []string {
 	ids := make([]string, 0, len(changes))
 	for _, c := range changes {
@@ -103,7 +104,7 @@
 	return ids
 }
 
-// went remembers that a server has gone, and forgets those that went long ago.
+// recordRemoval records that a server was removed, and drops records older than removalTTL.
 func (l *sourceList) recordRemoval(id string) {
 	now := time.Now()
 	if l.removed == nil {
@@ -113,12 +114,12 @@
 	l.removed[id] = now
 }
 
-// set takes in a server's entry that has just been read.
+// set stores a server's entry that has just been read.
 func (l *sourceList) set(s direct.Server) {
 	l.servers[s.Name()] = listedServer{Server: s, coldUntil: time.Now().Add(s.ColdFor)}
 }
 
-// directory returns the list as it is now, by name.
+// directory returns the current list, sorted by name.
 func (l *sourceList) directory(revision uint64) *direct.Directory {
 	d := &direct.Directory{Revision: revision, Servers: make([]direct.Server, 0, len(l.servers))}
 	for _, name := range slices.Sorted(maps.Keys(l.servers)) {
--- a/gateway/feed/statemachine.go
+++ b/gateway/feed/statemachine.go
@@ -6,10 +6,10 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// StateMachine is the state machine that is told of newer content.
+// StateMachine receives newer content and decides on requests.
 type StateMachine interface {
-	// Now is the time since the router's start.
+	// Now returns the time since the router's start.
 	Now() time.Duration
-	// Update tells the machine something.
+	// Update applies a message to the state machine.
 	Update(msg direct.Msg)
 }
