--- a/gateway/feed/era_test.go
+++ b/gateway/feed/era_test.go
@@ -117,7 +117,7 @@
 	source.put(direct.Server{ID: "lost"})
 	revision, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
-	before := s.Revision()
+	beforeRestore := s.Revision()
 
 	source.restore(3, earlier...)
 	_, err = s.Watch(t.Context(), revision, time.Second)
@@ -126,18 +126,18 @@
 	require.NoError(t, err)
 	require.Equal(t, []string{"drains", "lost", "new", "stays"}, serverIDs(s))
 	require.True(t, s.Newest().Servers[0].Draining)
-	require.Greater(t, s.Revision(), before, "the new list is newer although the source's counter is lower")
+	require.Greater(t, s.Revision(), beforeRestore, "the new list is newer although the source's counter is lower")
 
 	source.put(direct.Server{ID: "new"})
 	revision, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, []string{"drains", "lost", "new", "stays"}, serverIDs(s))
 	s.listed.missingUntil = time.Now()
-	held := s.Revision()
+	beforeRemoval := s.Revision()
 	_, err = s.Watch(t.Context(), revision, time.Second)
 	require.NoError(t, err)
 	require.Equal(t, []string{"drains", "new", "stays"}, serverIDs(s), "a server without a new entry is removed")
-	require.Greater(t, s.Revision(), held, "the list without the missing server is newer")
+	require.Greater(t, s.Revision(), beforeRemoval, "the list without the missing server is newer")
 }
 
 // TestEvacuationsAfterRestore restores the source from a backup that lacks an evacuation. The evacuation
--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -17,7 +17,7 @@
 	Revision() uint64
 	// Await waits for the first content, at most for timeout, and reports whether there
 	// is any content.
-	Await(ctx context.Context, most time.Duration) bool
+	Await(ctx context.Context, timeout time.Duration) bool
 	// Read reads everything from the source, offers it, and returns the source's revision.
 	Read(ctx context.Context) (uint64, error)
 	// Watch waits for changes after the revision since, offers the resulting content, and
@@ -61,7 +61,7 @@
 }
 
 // path returns the URL path at which other routers pull the feed.
-func (a Spec) path() string { return "/v1/" + a.Name }
+func (s Spec) path() string { return "/v1/" + s.Name }
 
 // trafficKind returns the kind of traffic that the feed's pulls count as.
-func (a Spec) trafficKind() traffic.Kind { return traffic.Kind(a.Name) }
+func (s Spec) trafficKind() traffic.Kind { return traffic.Kind(s.Name) }
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		revision, err := f.readOrWatch(ctx, since, hasRevision, r)
-		f.logSourceState(err)
+		f.recordResult(err)
 		if err == nil {
 			if hasRevision && revision != since && !r.IsPrimary() {
 				wait.Sleep(ctx, standbyPause)
@@ -133,8 +133,8 @@
 	return revision, err
 }
 
-// logSourceState records the result of a call and logs when the source is lost or regained.
-func (f *follower) logSourceState(err error) {
+// recordResult records the result of a call and logs when the source is lost or regained.
+func (f *follower) recordResult(err error) {
 	f.failing.Store(err != nil && !errors.Is(err, ErrHistoryGone))
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
 		if !f.sourceLost {
--- a/gateway/feed/incarnation_test.go
+++ b/gateway/feed/incarnation_test.go
@@ -29,7 +29,7 @@
 			ids := sender.listed.apply([]Change[direct.Server]{change})
 			sender.OfferChanged(sender.listed.directory(revision+1), ids, fromSource)
 			if rapid.Bool().Draw(t, "pulls") {
-				u := sender.since(receiver.Revision())
+				u := sender.updateSince(receiver.Revision())
 				receiver.offerUpdate(&u, "a")
 				require.ElementsMatch(t, sender.Newest().Servers, receiver.Newest().Servers)
 			}
--- a/gateway/feed/objectfeed.go
+++ b/gateway/feed/objectfeed.go
@@ -25,8 +25,8 @@
 	read  func(ctx context.Context) ([]T, uint64, error)
 	watch func(ctx context.Context, since uint64, wait time.Duration) ([]Change[T], uint64, error)
 	name  func(T) string
-	// plural is the log key of the number of objects.
-	plural string
+	// countKey is the log key of the number of objects.
+	countKey string
 	// equal reports whether two listings hold the same objects. A listing that is equal to the
 	// current one is not offered, because every router would pull it. If equal is nil, every
 	// listing is offered.
@@ -39,7 +39,7 @@
 		revision: func(l *Listing[T]) uint64 { return l.Revision },
 		apply:    func(l *Listing[T]) { apply(*l) },
 		log: func(l *Listing[T], from string) {
-			o.Log.Event(spec.Name+"_listed").Uint64("revision", l.Revision).Str("from", from).Int(source.plural, len(l.All)).Msg("")
+			o.Log.Event(spec.Name+"_listed").Uint64("revision", l.Revision).Str("from", from).Int(source.countKey, len(l.All)).Msg("")
 		},
 	}, onChange)
 	return f
--- a/gateway/feed/orders.go
+++ b/gateway/feed/orders.go
@@ -26,7 +26,7 @@
 func newOrders(o Options, onChange func()) *Orders {
 	spec := Spec{Name: "orders", SourceName: "source of orders", Enabled: true, PeersFirst: true, MaxWait: maxOrdersWait}
 	return &Orders{newObjectFeed(o, spec, objectSource[rollout.Order]{
-		read: o.Source.ReadOrders, watch: o.Source.WatchOrders, plural: "services",
+		read: o.Source.ReadOrders, watch: o.Source.WatchOrders, countKey: "services",
 		name: func(order rollout.Order) string { return order.Service },
 	}, o.Rollouts.SetOrders, onChange)}
 }
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -41,6 +41,6 @@
 		watch: func(ctx context.Context, since uint64, wait time.Duration) ([]Change[quarantine.Fingerprint], uint64, error) {
 			return o.Source.WatchQuarantine(ctx, since, wait)
 		},
-		name: quarantine.Fingerprint.String, plural: "contents", equal: slices.Equal[[]quarantine.Fingerprint],
+		name: quarantine.Fingerprint.String, countKey: "contents", equal: slices.Equal[[]quarantine.Fingerprint],
 	}, apply, onChange)}
 }
--- a/gateway/feed/records.go
+++ b/gateway/feed/records.go
@@ -27,7 +27,7 @@
 func newRecords(o Options, onChange func()) *Records {
 	spec := Spec{Name: "versions", SourceName: "source of versions", Enabled: true, PeersFirst: true, MaxWait: maxRecordsWait}
 	return &Records{newObjectFeed(o, spec, objectSource[rollout.Record]{
-		read: o.Source.ReadRecords, watch: o.Source.WatchRecords, plural: "services",
+		read: o.Source.ReadRecords, watch: o.Source.WatchRecords, countKey: "services",
 		name: func(record rollout.Record) string { return record.Service },
 	}, o.Rollouts.SetRecords, onChange)}
 }
--- a/gateway/feed/serve.go
+++ b/gateway/feed/serve.go
@@ -20,11 +20,11 @@
 }
 
 func serve(f Feed, w http.ResponseWriter, r *http.Request) {
-	known := f.HasContent()
+	ready := f.HasContent()
 	if f.Spec().Blocking {
-		known = f.Await(r.Context(), pullTimeout/2)
+		ready = f.Await(r.Context(), pullTimeout/2)
 	}
-	if !known {
+	if !ready {
 		http.Error(w, "no "+f.Spec().Name+" yet", http.StatusServiceUnavailable)
 		return
 	}
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -119,20 +119,20 @@
 	}
 }
 
-// since returns the changes of the list since a revision, or the whole list if the history
+// updateSince returns the changes of the list since a revision, or the whole list if the history
 // does not reach back that far. There must be a list.
-func (s *Servers) since(revision uint64) serverlist.Update {
+func (s *Servers) updateSince(revision uint64) serverlist.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := s.Newest().Aged(s.o.StateMachine.Now())
-	if u, known := s.history.Since(revision, &d); known {
+	if u, ok := s.history.Since(revision, &d); ok {
 		return u
 	}
 	return serverlist.Update{Revision: d.Revision, Servers: d.Servers}
 }
 
 // ContentSince returns the changes since a revision, or the whole list.
-func (s *Servers) ContentSince(revision uint64) any { return s.since(revision) }
+func (s *Servers) ContentSince(revision uint64) any { return s.updateSince(revision) }
 
 // ApplyPulled decodes and applies an update that was pulled from another router.
 func (s *Servers) ApplyPulled(body []byte, from string) error {
--- a/gateway/feed/servers_test.go
+++ b/gateway/feed/servers_test.go
@@ -26,7 +26,7 @@
 		next.Servers = slices.Clone(s.lists[n-1].Servers)
 	}
 	id := fmt.Sprint("i-", rapid.IntRange(0, 9).Draw(t, "server"))
-	at, found := slices.BinarySearchFunc(next.Servers, id, func(a direct.Server, b string) int {
+	index, found := slices.BinarySearchFunc(next.Servers, id, func(a direct.Server, b string) int {
 		if a.ID < b {
 			return -1
 		} else if a.ID > b {
@@ -36,11 +36,11 @@
 	})
 	switch {
 	case !found:
-		next.Servers = slices.Insert(next.Servers, at, direct.Server{ID: id})
+		next.Servers = slices.Insert(next.Servers, index, direct.Server{ID: id})
 	case rapid.Bool().Draw(t, "goes"):
-		next.Servers = slices.Delete(next.Servers, at, at+1)
+		next.Servers = slices.Delete(next.Servers, index, index+1)
 	default:
-		next.Servers[at].Draining = !next.Servers[at].Draining
+		next.Servers[index].Draining = !next.Servers[index].Draining
 	}
 	s.lists = append(s.lists, next)
 	s.changedIDs = append(s.changedIDs, id)
@@ -57,7 +57,7 @@
 		for i := range routers {
 			routers[i] = newTestSet().Servers
 		}
-		watched := make([]int, len(routers)) // number of lists that each router has seen; 0: it reads the whole list next
+		seen := make([]int, len(routers)) // number of lists that each router has seen; 0: it reads the whole list next
 		var updates []serverlist.Update
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
@@ -67,20 +67,20 @@
 				source.change(t)
 			case 2:
 				d := source.lists[len(source.lists)-1]
-				if watched[i] == 0 {
+				if seen[i] == 0 {
 					router.OfferAll(&d, "source")
 				} else {
-					router.OfferChanged(&d, source.changedIDs[watched[i]:], "source")
+					router.OfferChanged(&d, source.changedIDs[seen[i]:], "source")
 				}
-				watched[i] = len(source.lists)
+				seen[i] = len(source.lists)
 			case 5:
-				watched[i] = 0
+				seen[i] = 0
 			case 3:
 				other := rapid.SampledFrom(routers).Draw(t, "other")
 				if !other.HasContent() {
 					continue
 				}
-				u := other.since(router.Revision())
+				u := other.updateSince(router.Revision())
 				updates = append(updates, u)
 				if rapid.Bool().Draw(t, "arrives") {
 					router.offerUpdate(&u, "other")
@@ -100,13 +100,13 @@
 
 // requireConsistent requires that a router's list is the source's list at the same revision.
 func (s *versionedServers) requireConsistent(t *rapid.T, r *Servers) {
-	known := r.Newest()
-	if known == nil {
+	newest := r.Newest()
+	if newest == nil {
 		return
 	}
-	i := slices.IndexFunc(s.lists, func(d direct.Directory) bool { return d.Revision == known.Revision })
+	i := slices.IndexFunc(s.lists, func(d direct.Directory) bool { return d.Revision == newest.Revision })
 	require.GreaterOrEqual(t, i, 0, "the source never had this revision")
-	require.ElementsMatch(t, s.lists[i].Servers, known.Servers)
+	require.ElementsMatch(t, s.lists[i].Servers, newest.Servers)
 }
 
 // TestUpdatesAreSmall changes one of 3,000 servers and checks that another router pulls only that one.
