--- a/gateway/feed/change.go
+++ b/gateway/feed/change.go
@@ -2,6 +2,6 @@
 
 // Change is one change of an object in the source.
 type Change[T any] struct {
-	Object  T // if Deleted, only the identifying fields are set for certain
+	Object  T // if Deleted, only its identifying fields are guaranteed to be set
 	Deleted bool
 }
--- a/gateway/feed/content.go
+++ b/gateway/feed/content.go
@@ -26,7 +26,7 @@
 	revision func(*T) uint64
 	// apply passes newer content to the state machine, before it becomes visible to others.
 	apply func(*T)
-	// log logs that newer content is in force and where it came from.
+	// log logs that newer content was applied and where it came from.
 	log func(newest *T, from string)
 }
 
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -18,7 +18,7 @@
 	// roleCheckInterval is how often a router that does not follow the source checks
 	// whether it should.
 	roleCheckInterval  = 100 * time.Millisecond
-	watchTimeoutMargin = 700 * time.Millisecond // added to the wait of a call to get its timeout
+	watchTimeoutMargin = 700 * time.Millisecond // added to a call's wait to get its timeout
 	readTimeout        = 1500 * time.Millisecond
 	// optionalStartupWait gives a starting router time to receive heartbeats of the others and
 	// to pull their content.
@@ -49,8 +49,8 @@
 }
 
 // run reads the source, then watches it, until ctx ends. After a failure it reads again. A
-// router that does not follow the source reads at most once, and again after a failure. When
-// it becomes a follower, it watches from the revision that it read.
+// router that does not follow the source reads at most once, and again after a failure. When it
+// starts to follow the source, it watches from the revision that it read.
 func (f *follower) run(ctx context.Context, r Role) error {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval = minRetryInterval
@@ -84,7 +84,7 @@
 }
 
 // awaitPeers waits briefly at startup for content from other routers, and reports whether it
-// arrived. If so, the source need not be read.
+// arrived. If so, the router reads the source only once it follows it.
 func (f *follower) awaitPeers(ctx context.Context, r Role) bool {
 	if !f.spec.PeersFirst {
 		return false
--- a/gateway/feed/objectset.go
+++ b/gateway/feed/objectset.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// retain puts back the objects that were in force before the source was restored from a backup. Objects
+// retain puts back the objects that were current before the source was restored from a backup. Objects
 // that are missing or older in the backup were lost, not deleted or reverted on purpose. They stay until
-// the source reports a change of them, because their writers write them again.
+// the source reports a change of them or is read again, because their writers write them again.
 func (o *objectSet[T]) retain(previous []T) {
 	for _, object := range previous {
 		o.byName[o.name(object)] = object
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// maxQuarantineWait is the longest that one call waits for a change of the quarantine. Routers tell one
-// another which requests are barred. The source is needed only after a restart of all routers, and for
+// maxQuarantineWait is the longest that one call waits for a change of the quarantine. Routers report
+// barred requests to one another. The source is needed only after a restart of all routers, and for
 // releases by operators, which end a waiting call at once. Each call costs the source the same.
 const maxQuarantineWait = 30 * time.Second
 
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -12,7 +12,7 @@
 
 // serverChangesPause is the pause between two calls for changes of servers. Changes
 // come in bursts, and each call costs the source the same. The pause is short compared
-// with the seconds within which a change must be in force.
+// with the seconds within which a change must take effect.
 const serverChangesPause = 100 * time.Millisecond
 
 // ServerSource provides the servers.
@@ -119,8 +119,8 @@
 	}
 }
 
-// updateSince returns the changes of the list since a revision, or the whole list if the history
-// does not reach back that far. There must be a list.
+// updateSince returns the changes of the list since a revision, or the whole list if the
+// history does not go back that far. There must be a list.
 func (s *Servers) updateSince(revision uint64) serverlist.Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// newList returns the directory as a list that is valid from now.
+// newList returns the directory as a list with the current time.
 func (s *Servers) newList(d *direct.Directory) *serverlist.List {
 	return &serverlist.List{Directory: *d, At: s.o.StateMachine.Now()}
 }
