--- a/explain/story.go
+++ b/explain/story.go
@@ -26,8 +26,8 @@
 	"start": "life", "reload": "settings", "evacuations_listed": "evacuated data halls",
 }
 
-// Story is all that logs say of one request.
-type Story struct {
+// Timeline is all that logs say of one request.
+type Timeline struct {
 	Request string
 	steps   []step
 	// dropped is how many lines each router had dropped by the end of its log.
@@ -41,7 +41,7 @@
 }
 
 // Read reads logs, in any order, and keeps what tells of the request.
-func Read(request string, logs ...io.Reader) (*Story, error) {
+func Read(request string, logs ...io.Reader) (*Timeline, error) {
 	var lines []line
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
@@ -56,7 +56,7 @@
 		}
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return a.Time.Compare(b.Time) })
-	story := &Story{Request: request, dropped: make(map[string]float64)}
+	story := &Timeline{Request: request, dropped: make(map[string]float64)}
 	latest := make(map[string]map[string]line) // by process and subject
 	for _, l := range lines {
 		if dropped, ok := l.fields["lines_dropped"].(float64); ok {
@@ -91,7 +91,7 @@
 
 // believed picks what mattered for a line: its router's configuration, servers,
 // shares and process, the server that it names, its service's versions, and what is lost.
-func (s *Story) believed(l line, latest map[string]line) []line {
+func (s *Timeline) believed(l line, latest map[string]line) []line {
 	var out []line
 	for _, subject := range slices.Sorted(maps.Keys(latest)) {
 		b := latest[subject]
@@ -109,7 +109,7 @@
 }
 
 // Write prints the story: in a sentence, then line by line, then what may be missing.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", s.summary()+s.versions(), len(s.steps))
 	begin := s.steps[0].Time
 	for _, step := range s.steps {
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -40,7 +40,7 @@
 }
 
 // summary says in a sentence how the request ended, where, and why.
-func (s *Story) summary() string {
+func (s *Timeline) summary() string {
 	last := s.steps[len(s.steps)-1]
 	outcome := outcomes[last.Event]
 	if outcome == "" {
@@ -62,7 +62,7 @@
 }
 
 // doubts say what may be missing from the story.
-func (s *Story) doubts() []string {
+func (s *Timeline) doubts() []string {
 	var out []string
 	told := make(map[string]bool)
 	for _, step := range s.steps {
--- a/explain/versions.go
+++ b/explain/versions.go
@@ -19,7 +19,7 @@
 
 // versions says in sentences, each on a line of its own, to which versions the request went
 // and why, and whether its stream was moved; empty where its service was not being moved.
-func (s *Story) versions() string {
+func (s *Timeline) versions() string {
 	out := ""
 	version, side := "", ""
 	for _, step := range s.steps {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -144,13 +144,13 @@
 		return // it is another server's word
 	}
 	if v.Unreadable != nil {
-		a.x.front.log.Unreadable(a.cmd.Server, v.Unreadable)
+		a.x.front.log.UnreadableNotice(a.cmd.Server, v.Unreadable)
 	}
 	if v.Notice.IsZero() {
 		return
 	}
 	a.x.notice = v.Notice
-	a.x.front.stats.Notice(v.Notice)
+	a.x.front.stats.ServerNotice(v.Notice)
 	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: v.Notice})
 }
 
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -64,7 +64,7 @@
 // readBody reads the caller's body, of at most most bytes, within the request's time.
 func (x *exchange) readBody(most int) *refusal {
 	if x.r.ContentLength == 0 {
-		x.memory.Kept = true
+		x.memory.Pinned = true
 	} else if err := x.takeBody(int64(most)); err != nil {
 		// What is left of the body, or a late dropBody, would meet the next request.
 		x.w.Header().Set("Connection", "close")
@@ -80,7 +80,7 @@
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
 	body, err := x.receive(most)
-	if !x.front.queues.Keep(&x.memory) {
+	if !x.front.queues.Pin(&x.memory) {
 		return errNoMemory
 	}
 	if err != nil {
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -96,7 +96,7 @@
 // stalled is for how long the caller has neither read what waits for it nor sent more of the body
 // that is being read.
 func (c *callerConn) stalled() time.Duration {
-	stalled := c.Stalled()
+	stalled := c.StalledFor()
 	if at := c.bodyAt.Load(); at != 0 {
 		stalled = max(stalled, c.callers.queues.Now()-time.Duration(at))
 	}
@@ -180,7 +180,7 @@
 	if found == nil {
 		return false
 	}
-	found.Drop(sendqueue.ErrStalled)
+	found.Abort(sendqueue.ErrStalled)
 	return len(c.places) < cap(c.places)
 }
 
@@ -217,7 +217,7 @@
 	defer c.mu.Unlock()
 	var out []*callerConn
 	for caller := range c.open {
-		old := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > rest && !caller.Waits()
+		old := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > rest && !caller.HasPending()
 		if old && socket.Look(caller.Conn) != socket.Bytes {
 			caller.closed = true
 			out = append(out, caller)
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -20,7 +20,7 @@
 
 // newTestQueues returns queues that share so many bytes of memory.
 func newTestQueues(most int64) *sendqueue.Queues {
-	return sendqueue.NewQueues(memory.NewBudget(most), func(sendqueue.Loss) {})
+	return sendqueue.NewQueues(memory.NewBudget(most), func(sendqueue.UnreadResponse) {})
 }
 
 // TestSweepLeavesUnreadRequests has a late router close connections at rest: one
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -116,7 +116,7 @@
 	if others.HasTeams {
 		l.parts.Decisions.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
 		if l.parts.Rollouts != nil {
-			l.parts.Rollouts.Tell(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
+			l.parts.Rollouts.Enqueue(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
 		}
 	}
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -141,7 +141,7 @@
 	}
 	now := p.parts.Decisions.Now()
 	if peer.heard > 0 {
-		p.parts.Stats.Silence.RecordDuration(now - peer.heard)
+		p.parts.Stats.RouterSilence.RecordDuration(now - peer.heard)
 	}
 	if peer.life > 0 && b.Life > peer.life {
 		peer.restarted = now
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -6,8 +6,8 @@
 type Rollouts interface {
 	// Reports returns this router's reports of the roll-outs under way.
 	Reports() []rollout.Report
-	// Tell brings the reports of the other routers. It must not block.
-	Tell(msg rollout.Msg)
+	// Enqueue brings the reports of the other routers. It must not block.
+	Enqueue(msg rollout.Msg)
 }
 
 // Leads tells whether this router is the one that moves roll-outs on and writes what the routers
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -51,7 +51,7 @@
 	}
 	port, err := strconv.Atoi(text)
 	return &transport{
-		conn: conn, port: port, kind: k, stats: parts.Stats, meter: parts.Traffic.Of(k), log: parts.Log, unreadable: make(map[string]bool),
+		conn: conn, port: port, kind: k, stats: parts.Stats, meter: parts.Traffic.Meter(k), log: parts.Log, unreadable: make(map[string]bool),
 	}, err
 }
 
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -70,11 +70,11 @@
 		case direct.FailCmd:
 			c.deliver(cmd.ID, cmd)
 		case direct.ServerStatusCmd:
-			c.log.Belief(cmd)
+			c.log.ServerStatus(cmd)
 		case direct.EvacuationCmd:
-			c.log.Hall(cmd)
+			c.log.Evacuation(cmd)
 		case direct.HallReachabilityCmd:
-			c.log.Reach(cmd)
+			c.log.HallReachability(cmd)
 		case direct.CrashCmd:
 			c.log.Crash(cmd)
 		case direct.QuarantineCmd:
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -72,8 +72,8 @@
 	return c.machine.AllOldRunning()
 }
 
-// AllAsked counts the requests that came since services began to move, by service.
-func (c *core) AllAsked() map[string]int {
+// RequestCounts counts the requests that came since services began to move, by service.
+func (c *core) RequestCounts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.RequestCounts()
--- a/gateway/eventlog/beliefs.go
+++ b/gateway/eventlog/beliefs.go
@@ -5,8 +5,8 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// Hall logs that a data hall is evacuated, or no longer.
-func (l *Log) Hall(c direct.EvacuationCmd) {
+// Evacuation logs that a data hall is evacuated, or no longer.
+func (l *Log) Evacuation(c direct.EvacuationCmd) {
 	name := "hall_returned"
 	if c.Evacuated {
 		name = "hall_evacuated"
@@ -14,8 +14,8 @@
 	l.Event(name).Str("hall", c.Hall).Uint64("revision", c.Revision).Int("servers", c.Servers).Msg("")
 }
 
-// Reach logs that the servers of a data hall can't be reached, or can again.
-func (l *Log) Reach(c direct.HallReachabilityCmd) {
+// HallReachability logs that the servers of a data hall can't be reached, or can again.
+func (l *Log) HallReachability(c direct.HallReachabilityCmd) {
 	name := "hall_reached"
 	if c.Lost {
 		name = "hall_lost"
@@ -23,17 +23,17 @@
 	l.Event(name).Str("hall", c.Hall).Int("unreached", c.Unreached).Int("servers", c.Servers).Msg("")
 }
 
-// Belief logs what the router takes a server to be.
-func (l *Log) Belief(b direct.ServerStatusCmd) {
-	if l.AllowBelief() {
+// ServerStatus logs what the router takes a server to be.
+func (l *Log) ServerStatus(b direct.ServerStatusCmd) {
+	if l.AllowServerStatus() {
 		l.Event("server_"+string(b.Status)).Str("server", b.Server.ID).Str("service", b.Server.Service).
 			Str("address", b.Server.Address).Str("cause", b.Cause).Dur("for", b.For).Msg("")
 	}
 }
 
-// Unreadable logs that a server said something of itself that can't be read.
-func (l *Log) Unreadable(s direct.Server, err error) {
-	if l.AllowBelief() {
+// UnreadableNotice logs that a server said something of itself that can't be read.
+func (l *Log) UnreadableNotice(s direct.Server, err error) {
+	if l.AllowServerStatus() {
 		l.Event("answer_unreadable").Str("server", s.ID).Str("service", s.Service).Str("address", s.Address).
 			Str("error", err.Error()).Msg("")
 	}
@@ -44,7 +44,7 @@
 
 // Crash logs that a server has crashed, and some of the contents that it had just begun to run.
 func (l *Log) Crash(c direct.CrashCmd) {
-	if !l.AllowBelief() {
+	if !l.AllowServerStatus() {
 		return
 	}
 	named := make([]string, 0, suspectsNamed)
--- a/gateway/eventlog/log.go
+++ b/gateway/eventlog/log.go
@@ -55,7 +55,7 @@
 	select {
 	case l.lines <- append([]byte(nil), line...):
 	default:
-		l.Drop()
+		l.CountDropped()
 	}
 	return len(line), nil
 }
@@ -92,22 +92,22 @@
 // Dropped returns how many lines were dropped.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// Drop counts a line that is not written.
-func (l *Log) Drop() { l.dropped.Add(1) }
+// CountDropped counts a line that is not written.
+func (l *Log) CountDropped() { l.dropped.Add(1) }
 
 // AllowFailure tells whether one more line on a failure or refusal of a request may be
 // written now. Where it may not, the line counts as dropped.
 func (l *Log) AllowFailure() bool {
 	if !l.failures.Allow() {
-		l.Drop()
+		l.CountDropped()
 		return false
 	}
 	return true
 }
 
-// AllowBelief tells whether one more line on what the router believes of servers may be
+// AllowServerStatus tells whether one more line on what the router believes of servers may be
 // written now.
-func (l *Log) AllowBelief() bool { return l.beliefs.Allow() }
+func (l *Log) AllowServerStatus() bool { return l.beliefs.Allow() }
 
 // Sampled tells whether an ordinary request is logged, by its id.
 func Sampled(id string) bool { return xxhash.Sum64String(id)%sampleOneIn == 0 }
@@ -117,10 +117,10 @@
 	l.Event("dependency_"+what).Str("dependency", name).Err(err).Msg("")
 }
 
-// Unread logs that an answer was not read to its end.
-func (l *Log) Unread(loss sendqueue.Loss) {
+// UnreadResponse logs that an answer was not read to its end.
+func (l *Log) UnreadResponse(loss sendqueue.UnreadResponse) {
 	if l.AllowFailure() {
-		l.Event("answer_unread").Str("team", loss.Team).Int("bytes_left", loss.Bytes).Dur("stalled", loss.Stalled).Err(loss.Err).Msg("")
+		l.Event("answer_unread").Str("team", loss.Team).Int("bytes_left", loss.BytesLeft).Dur("stalled", loss.Stalled).Err(loss.Err).Msg("")
 	}
 }
 
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -198,12 +198,12 @@
 func (x *exchange) count(result, reason string) {
 	stats := x.front.stats
 	stats.Request(result, reason)
-	stats.Total.RecordDuration(x.front.core.Now() - x.start)
+	stats.RequestTime.RecordDuration(x.front.core.Now() - x.start)
 	if x.attempts > 0 {
-		stats.Wait.RecordDuration(x.last.PlacementBasis.QueueWait)
+		stats.QueueWait.RecordDuration(x.last.PlacementBasis.QueueWait)
 	}
 	if x.firstAt > 0 {
-		stats.First.RecordDuration(x.firstAt - x.start)
+		stats.FirstEvent.RecordDuration(x.firstAt - x.start)
 	}
 }
 
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -126,7 +126,7 @@
 	defer cancel()
 	began := time.Now()
 	at, err := call(c)
-	f.stats.SourceCall(f.about.SourceName, time.Since(began), err)
+	f.stats.RecordSourceCall(f.about.SourceName, time.Since(began), err)
 	return at, err
 }
 
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -64,7 +64,7 @@
 	}
 	p := &Puller{o: o, client: &http.Client{Transport: transport}, port: port, set: set}
 	for _, f := range set.feeds {
-		p.meters = append(p.meters, o.Traffic.Of(f.About().trafficKind()))
+		p.meters = append(p.meters, o.Traffic.Meter(f.About().trafficKind()))
 	}
 	return p, nil
 }
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -94,7 +94,7 @@
 
 // OfferAll takes a whole list where it is newer.
 func (s *Servers) OfferAll(d *direct.Directory, from string) {
-	s.offer(s.list(d), from, func(*serverlist.List) { s.history.Forget() })
+	s.offer(s.list(d), from, func(*serverlist.List) { s.history.Reset() })
 }
 
 // OfferChanged takes a list where it is newer. All servers that were touched since the
@@ -102,7 +102,7 @@
 func (s *Servers) OfferChanged(d *direct.Directory, ids []string, from string) {
 	s.offer(s.list(d), from, func(old *serverlist.List) {
 		if old != nil {
-			s.history.Note(old.Revision, ids)
+			s.history.Record(old.Revision, ids)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 }
 
 func (s *Servers) log(list *serverlist.List, from string) {
-	if s.o.Log.AllowBelief() {
+	if s.o.Log.AllowServerStatus() {
 		s.o.Log.Event("servers_listed").Uint64("revision", list.Revision).Str("from", from).Int("servers", len(list.Servers)).Msg("")
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -73,12 +73,12 @@
 	if err := g.join(); err != nil {
 		return nil, err
 	}
-	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldShare), g.log.Unread)
+	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldShare), g.log.UnreadResponse)
 	g.front = &front{
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
 		pool:   backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: silentPeer, MaxIdle: maxIdle}),
 		queues: queues, callers: newCallers(callersMost(s.Descriptors), s.Power, queues), eventDelay: s.EventDelay,
-		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.Rollout.Enabled(),
+		hall: s.Zone, traffic: g.traffic.Meter(traffic.Requests), movable: s.Rollout.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
@@ -97,9 +97,9 @@
 	}
 	if s.Rollout.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
-			Bounds: s.Rollout, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
+			Bounds: s.Rollout, Decisions: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
-		g.core.answers = g.rollouts.Tell
+		g.core.answers = g.rollouts.Enqueue
 		feeds.Rollouts, parts.Rollouts = g.rollouts, g.rollouts
 	}
 	g.feeds = feed.NewSet(feeds)
--- a/gateway/memory/account.go
+++ b/gateway/memory/account.go
@@ -5,10 +5,10 @@
 type Account struct {
 	// Team is whose memory it is. It must not change while the account holds anything.
 	Team string
-	// Kept says that what it holds can't be dropped before it is done with: the body of a request
+	// Pinned says that what it holds can't be dropped before it is done with: the body of a request
 	// that servers may run, or an answer on its way from one. Bodies that still come and
 	// answers that wait for their readers can.
-	Kept bool
+	Pinned bool
 
 	bytes  int64
 	number uint64 // in the order in which accounts began to hold something
--- a/gateway/memory/budget.go
+++ b/gateway/memory/budget.go
@@ -22,8 +22,8 @@
 	return &Budget{most: most, teams: make(map[string]*holdings)}
 }
 
-// Most is how many bytes may be held.
-func (b *Budget) Most() int64 { return b.most }
+// Capacity is how many bytes may be held.
+func (b *Budget) Capacity() int64 { return b.most }
 
 // Held is how many bytes are held.
 func (b *Budget) Held() int64 { return b.held }
@@ -104,7 +104,7 @@
 	switch {
 	case own == nil:
 		return a
-	case a.Kept:
+	case a.Pinned:
 		return own.largest(nil, 0)
 	}
 	return own.largest(a, a.bytes+n)
@@ -113,7 +113,7 @@
 // droppable tells whether an account can give way.
 func (h *holdings) droppable() bool {
 	for a := range h.accounts {
-		if !a.Kept {
+		if !a.Pinned {
 			return true
 		}
 	}
@@ -126,7 +126,7 @@
 	found, most := first, bytes
 	for a := range h.accounts {
 		older := found != nil && found != first && a.number < found.number
-		if !a.Kept && a != first && (a.bytes > most || a.bytes == most && older) {
+		if !a.Pinned && a != first && (a.bytes > most || a.bytes == most && older) {
 			found, most = a, a.bytes
 		}
 	}
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -18,7 +18,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			if len(all) == 0 || rapid.IntRange(0, 3).Draw(t, "new") == 0 {
 				all = append(all, &Account{
-					Team: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")), Kept: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
+					Team: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")), Pinned: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
 				})
 			}
 			a := rapid.SampledFrom(all).Draw(t, "account")
@@ -37,7 +37,7 @@
 				require.False(t, one.Closed() && one.Bytes() > 0)
 			}
 			require.Equal(t, sum, b.Held())
-			require.LessOrEqual(t, b.Held(), b.Most())
+			require.LessOrEqual(t, b.Held(), b.Capacity())
 		}
 	})
 }
@@ -49,18 +49,18 @@
 	}
 	held := b.Held()
 	dropped, ok := b.Grow(a, n)
-	if held+int64(n) <= b.Most() {
+	if held+int64(n) <= b.Capacity() {
 		require.Equal(t, !a.Closed(), ok, "there is room")
 		require.Empty(t, dropped)
 	}
 	for _, victim := range dropped {
-		require.False(t, victim.Kept)
+		require.False(t, victim.Pinned)
 		require.NotSame(t, a, victim)
 		teams := make(map[string]int64)
 		droppable := make(map[string]bool)
 		for one, bytes := range before {
 			teams[one.Team] += bytes
-			droppable[one.Team] = droppable[one.Team] || !one.Kept && bytes > 0
+			droppable[one.Team] = droppable[one.Team] || !one.Pinned && bytes > 0
 		}
 		teams[a.Team] += int64(n)
 		for team, bytes := range teams {
@@ -109,10 +109,10 @@
 // taken, and another team's unread answers stay.
 func TestKeptGivesNoWay(t *testing.T) {
 	b := NewBudget(100)
-	body, other := &Account{Team: "red", Kept: true}, &Account{Team: "blue"}
+	body, other := &Account{Team: "red", Pinned: true}, &Account{Team: "blue"}
 	mustGrow(t, b, body, 70)
 	mustGrow(t, b, other, 30)
-	for _, a := range []*Account{{Team: "red"}, {Team: "red", Kept: true}, body} {
+	for _, a := range []*Account{{Team: "red"}, {Team: "red", Pinned: true}, body} {
 		dropped, ok := b.Grow(a, 5)
 		require.False(t, ok)
 		require.Empty(t, dropped)
--- a/gateway/requestlog.go
+++ b/gateway/requestlog.go
@@ -64,7 +64,7 @@
 func (f *front) logRejected(r *http.Request, refused refusal) {
 	// Under pressure there are too many to be told one by one.
 	if refused.reason == reasonPressure && !eventlog.Sampled(f.dialect.ID(r.Header)) {
-		f.log.Drop()
+		f.log.CountDropped()
 		return
 	}
 	if !f.log.AllowFailure() {
--- a/gateway/rollouts/log.go
+++ b/gateway/rollouts/log.go
@@ -36,7 +36,7 @@
 // logDropped counts and logs answers that were dropped; lines come at a bounded rate.
 func (r *Runner) logDropped(n int64) {
 	if n > 0 {
-		r.o.Stats.RolloutAnswersDropped(n)
+		r.o.Stats.RolloutResponsesDropped(n)
 	}
 	r.dropped += n
 	if r.dropped > 0 && r.lines.Allow() {
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -17,16 +17,16 @@
 // droppedEvery is the time between two lines on answers that were dropped.
 const droppedEvery = time.Second
 
-// Core is the decisions on requests, which the gates bind.
-type Core interface {
+// Decisions is the decisions on requests, which the gates bind.
+type Decisions interface {
 	// Now is the time since the router's start.
 	Now() time.Duration
 	// Update tells them something, such as a gate.
 	Update(msg direct.Msg)
 	// AllOldRunning counts the requests at servers of old versions, by service.
 	AllOldRunning() map[string]int
-	// AllAsked counts the requests that came since services began to move, by service.
-	AllAsked() map[string]int
+	// RequestCounts counts the requests that came since services began to move, by service.
+	RequestCounts() map[string]int
 }
 
 // Peers are the other routers.
@@ -39,11 +39,11 @@
 
 // Options are what a Runner stands on.
 type Options struct {
-	Bounds rollout.Bounds
-	Core   Core
-	Store  Store
-	Log    *eventlog.Log
-	Stats  *stats.Stats
+	Bounds    rollout.Bounds
+	Decisions Decisions
+	Store     Store
+	Log       *eventlog.Log
+	Stats     *stats.Stats
 }
 
 // Runner runs the decisions on roll-outs. Feeds, requests and the other routers put messages
@@ -81,26 +81,26 @@
 	}
 }
 
-// Tell tells the machine something. It never waits.
-func (r *Runner) Tell(msg rollout.Msg) { r.queue.put(msg) }
+// Enqueue tells the machine something. It never waits.
+func (r *Runner) Enqueue(msg rollout.Msg) { r.queue.put(msg) }
 
 // TakeOrders takes newer orders in.
 func (r *Runner) TakeOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Core.Now(), Orders: r.orders.list(l)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.list(l)})
 }
 
 // TakeRecords takes newer records in.
 func (r *Runner) TakeRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Core.Now(), Wall: time.Now(), Records: r.records.list(l)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.list(l)})
 }
 
 // TakeVersions takes in which versions the listed servers have.
 func (r *Runner) TakeVersions(services map[string][]string) {
-	r.queue.put(rollout.VersionsMsg{Now: r.o.Core.Now(), Services: services})
+	r.queue.put(rollout.VersionsMsg{Now: r.o.Decisions.Now(), Services: services})
 }
 
 // Complete tells whether every service that had servers when this router came to know
@@ -134,8 +134,8 @@
 		case <-ticker.C:
 			r.takeQueued(ctx)
 			r.update(ctx, rollout.TickMsg{
-				Now: r.o.Core.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
-				OldRunning: r.o.Core.AllOldRunning(), Requests: r.o.Core.AllAsked(),
+				Now: r.o.Decisions.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
+				OldRunning: r.o.Decisions.AllOldRunning(), Requests: r.o.Decisions.RequestCounts(),
 			})
 		}
 	}
@@ -145,7 +145,7 @@
 	waiting, dropped := r.queue.take()
 	for _, msg := range waiting {
 		if answer, ok := msg.(rollout.ResponseMsg); ok {
-			r.o.Stats.RolloutAnswer(answer.Target, answer.Bad)
+			r.o.Stats.RolloutResponse(answer.Target, answer.Bad)
 		}
 		r.update(ctx, msg)
 	}
@@ -160,7 +160,7 @@
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case rollout.GateCmd:
-			r.o.Core.Update(direct.GateMsg{Now: r.o.Core.Now(), Gate: cmd.Gate})
+			r.o.Decisions.Update(direct.GateMsg{Now: r.o.Decisions.Now(), Gate: cmd.Gate})
 			r.readiness.gate(cmd.Gate.Service)
 		case rollout.WriteCmd:
 			go r.write(ctx, cmd)
--- a/gateway/rollouts/store.go
+++ b/gateway/rollouts/store.go
@@ -39,7 +39,7 @@
 		}
 	}
 	r.logWrite(cmd, result, err)
-	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Core.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
+	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Decisions.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
 }
 
 // orderWritten takes in an order as it is after a write. Other routers learn of it from the
@@ -47,12 +47,12 @@
 func (r *Runner) orderWritten(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Core.Now(), Orders: r.orders.write(order)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.write(order)})
 }
 
 // recordWritten takes in a record as it is after a write.
 func (r *Runner) recordWritten(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Core.Now(), Wall: time.Now(), Records: r.records.write(record)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.write(record)})
 }
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -113,9 +113,9 @@
 	return sent, failed
 }
 
-// Stalled is for how long the caller has taken nothing of what waits for it; 0 where nothing
+// StalledFor is for how long the caller has taken nothing of what waits for it; 0 where nothing
 // does.
-func (c *Conn) Stalled() time.Duration {
+func (c *Conn) StalledFor() time.Duration {
 	moved := c.moved.Load()
 	if moved == 0 {
 		return 0
@@ -123,11 +123,11 @@
 	return c.queues.Now() - time.Duration(moved)
 }
 
-// Waits tells whether something waits to be sent.
-func (c *Conn) Waits() bool { return c.moved.Load() != 0 }
+// HasPending tells whether something waits to be sent.
+func (c *Conn) HasPending() bool { return c.moved.Load() != 0 }
 
 // Drop closes the connection without sending what waits, for a cause that is logged.
-func (c *Conn) Drop(cause error) {
+func (c *Conn) Abort(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fail(cause)
@@ -150,7 +150,7 @@
 // fail ends the connection with an error; c.mu is held.
 func (c *Conn) fail(err error) {
 	first := c.err == nil
-	loss := Loss{Team: c.account.Team, Bytes: len(c.queue), Stalled: c.Stalled(), Err: err}
+	loss := UnreadResponse{Team: c.account.Team, BytesLeft: len(c.queue), Stalled: c.StalledFor(), Err: err}
 	if first {
 		c.err = err
 	}
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -24,20 +24,20 @@
 	conn   *Conn
 	reader *net.TCPConn
 	closed atomic.Int32
-	losses chan Loss
+	losses chan UnreadResponse
 	queues *Queues
 }
 
 // newLine returns a line whose losses can be received from its channel.
 func newLine(t *testing.T, most int64) *line {
-	losses := make(chan Loss, 10)
-	l := newLineWith(t, most, func(loss Loss) { losses <- loss })
+	losses := make(chan UnreadResponse, 10)
+	l := newLineWith(t, most, func(loss UnreadResponse) { losses <- loss })
 	l.losses = losses
 	return l
 }
 
 // newLineWith returns a line whose losses are told to a function.
-func newLineWith(t *testing.T, most int64, lost func(Loss)) *line {
+func newLineWith(t *testing.T, most int64, lost func(UnreadResponse)) *line {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -68,7 +68,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 8<<10, n)
 	}
-	require.True(t, l.conn.Waits())
+	require.True(t, l.conn.HasPending())
 	require.Positive(t, l.queues.Held())
 	require.NoError(t, l.conn.Close())
 	require.Zero(t, l.closed.Load(), "it has not been sent")
@@ -105,7 +105,7 @@
 	require.NoError(t, err)
 	loss := <-l.losses
 	require.Error(t, loss.Err)
-	require.Positive(t, loss.Bytes)
+	require.Positive(t, loss.BytesLeft)
 	require.Zero(t, l.queues.Held())
 }
 
@@ -116,7 +116,7 @@
 func TestLossIsToldWithItsMemoryFree(t *testing.T) {
 	held := make(chan int64, 1)
 	var l *line
-	l = newLineWith(t, 8<<20, func(Loss) { held <- l.queues.Held() })
+	l = newLineWith(t, 8<<20, func(UnreadResponse) { held <- l.queues.Held() })
 	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
 	_, err := l.conn.Write(make([]byte, 600<<10))
 	require.NoError(t, err)
@@ -152,7 +152,7 @@
 	l.conn.SetTeam("red")
 	_, err := l.conn.Write(make([]byte, 500<<10))
 	require.NoError(t, err)
-	other := &memory.Account{Team: "blue", Kept: true}
+	other := &memory.Account{Team: "blue", Pinned: true}
 	require.True(t, l.queues.Grow(other, 300<<10, func() { t.Error("it is kept") }))
 	loss := <-l.losses
 	require.Equal(t, "red", loss.Team)
--- a/gateway/sendqueue/queue.go
+++ b/gateway/sendqueue/queue.go
@@ -18,7 +18,7 @@
 // keep appends to the queue what has not been sent; c.mu is held.
 func (c *Conn) keep(p []byte, sent int) (int, error) {
 	rest := p[sent:]
-	if !c.queues.Grow(c.account, len(rest), func() { c.Drop(ErrNoMemory) }) {
+	if !c.queues.Grow(c.account, len(rest), func() { c.Abort(ErrNoMemory) }) {
 		c.queues.dropped.Add(1)
 		c.fail(ErrNoMemory)
 		return sent, c.err
@@ -39,7 +39,7 @@
 func (c *Conn) awaitRoom(more int) {
 	end := time.Now().Add(roomWait)
 	for c.sending && c.err == nil && len(c.queue)+more > softLimit && len(c.queue) > 0 {
-		left := min(time.Until(end), roomWait-c.Stalled())
+		left := min(time.Until(end), roomWait-c.StalledFor())
 		if left <= 0 {
 			return
 		}
--- a/gateway/sendqueue/queues.go
+++ b/gateway/sendqueue/queues.go
@@ -18,20 +18,20 @@
 	dropped atomic.Int64
 	waiting atomic.Int64
 	start   time.Time
-	lost    func(Loss)
+	lost    func(UnreadResponse)
 }
 
-// Loss is an answer that its caller did not read to the end.
-type Loss struct {
-	Team    string
-	Bytes   int           // that were not sent
-	Stalled time.Duration // since the caller last took something
-	Err     error
+// UnreadResponse is an answer that its caller did not read to the end.
+type UnreadResponse struct {
+	Team      string
+	BytesLeft int           // that were not sent
+	Stalled   time.Duration // since the caller last took something
+	Err       error
 }
 
 // NewQueues returns the queues of a budget, which nobody else may use then. lost is told of each
 // answer that was not read, once its connection is closed and its memory is free; it must not block.
-func NewQueues(budget *memory.Budget, lost func(Loss)) *Queues {
+func NewQueues(budget *memory.Budget, lost func(UnreadResponse)) *Queues {
 	return &Queues{budget: budget, drops: make(map[*memory.Account]func()), start: time.Now(), lost: lost}
 }
 
@@ -62,11 +62,11 @@
 	return ok
 }
 
-// Keep has an account give no way any more, and tells whether it has not done so already.
-func (q *Queues) Keep(a *memory.Account) bool {
+// Pin has an account give no way any more, and tells whether it has not done so already.
+func (q *Queues) Pin(a *memory.Account) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	a.Kept = true
+	a.Pinned = true
 	return !a.Closed()
 }
 
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -22,17 +22,17 @@
 	ids  []string // all that were touched
 }
 
-// Note takes in that a list was replaced by a newer one, and which servers were touched
+// Record takes in that a list was replaced by a newer one, and which servers were touched
 // since.
-func (h *History) Note(from uint64, ids []string) {
+func (h *History) Record(from uint64, ids []string) {
 	if len(h.steps) == historyLength {
 		h.steps = slices.Delete(h.steps, 0, 1)
 	}
 	h.steps = append(h.steps, historyStep{from: from, ids: ids})
 }
 
-// Forget begins anew, after a list of which nobody knows what happened before it.
-func (h *History) Forget() { h.steps = nil }
+// Reset begins anew, after a list of which nobody knows what happened before it.
+func (h *History) Reset() { h.steps = nil }
 
 // Since returns what has changed since a revision, as an update to the list that is known
 // now, and whether the history goes back so far. It begins at the newest list that was not
--- a/gateway/serverlist/history_test.go
+++ b/gateway/serverlist/history_test.go
@@ -11,7 +11,7 @@
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for i := uint64(1); i < 3*historyLength; i++ {
-		h.Note(i, []string{"i-1"})
+		h.Record(i, []string{"i-1"})
 	}
 	require.Len(t, h.steps, historyLength)
 	now := &direct.Directory{Revision: 3 * historyLength}
--- a/gateway/stats/stats.go
+++ b/gateway/stats/stats.go
@@ -11,18 +11,18 @@
 
 // Stats is the metrics of one router.
 type Stats struct {
-	scope     tally.Scope
-	attempts  map[direct.Outcome]tally.Counter
-	calls     sync.Map        // of *atomic.Int64, the calls to the source by what they are for
-	counters  sync.Map        // of counterKey: looking one up by its labels costs more than a refusal
-	Wait      tally.Histogram // in the queue, of a request that was sent
-	First     tally.Histogram // event of an answer, from the start of its request
-	Total     tally.Histogram // a request, from its start to its end
-	Pause     tally.Histogram // between events of a stream, as they are forwarded
-	server    tally.Histogram // an attempt, from its start to its end
-	Silence   tally.Histogram // of another router, when it is heard again
-	LoadsAge  tally.Histogram // of the others' loads, when newer ones come
-	ConfigAge tally.Histogram // of the configuration in force, every few seconds
+	scope         tally.Scope
+	attempts      map[direct.Outcome]tally.Counter
+	calls         sync.Map        // of *atomic.Int64, the calls to the source by what they are for
+	counters      sync.Map        // of counterKey: looking one up by its labels costs more than a refusal
+	QueueWait     tally.Histogram // in the queue, of a request that was sent
+	FirstEvent    tally.Histogram // event of an answer, from the start of its request
+	RequestTime   tally.Histogram // a request, from its start to its end
+	EventPause    tally.Histogram // between events of a stream, as they are forwarded
+	server        tally.Histogram // an attempt, from its start to its end
+	RouterSilence tally.Histogram // of another router, when it is heard again
+	LoadsAge      tally.Histogram // of the others' loads, when newer ones come
+	ConfigAge     tally.Histogram // of the configuration in force, every few seconds
 }
 
 // durations are the bounds of the histograms.
@@ -34,16 +34,16 @@
 // New returns metrics that are registered at a scope.
 func New(scope tally.Scope) *Stats {
 	s := &Stats{
-		scope:     scope,
-		attempts:  make(map[direct.Outcome]tally.Counter),
-		Wait:      scope.Histogram("queue_wait", durations),
-		First:     scope.Histogram("first_event", durations),
-		Total:     scope.Histogram("request", durations),
-		Pause:     scope.Histogram("event_pause", durations),
-		server:    scope.Histogram("server_time", durations),
-		Silence:   scope.Histogram("router_silence", durations),
-		LoadsAge:  scope.Histogram("loads_age", durations),
-		ConfigAge: scope.Histogram("config_age", ages),
+		scope:         scope,
+		attempts:      make(map[direct.Outcome]tally.Counter),
+		QueueWait:     scope.Histogram("queue_wait", durations),
+		FirstEvent:    scope.Histogram("first_event", durations),
+		RequestTime:   scope.Histogram("request", durations),
+		EventPause:    scope.Histogram("event_pause", durations),
+		server:        scope.Histogram("server_time", durations),
+		RouterSilence: scope.Histogram("router_silence", durations),
+		LoadsAge:      scope.Histogram("loads_age", durations),
+		ConfigAge:     scope.Histogram("config_age", ages),
 	}
 	for o := direct.Done; o <= direct.Withheld; o++ {
 		s.attempts[o] = scope.Tagged(map[string]string{"outcome": o.String()}).Counter("attempts")
@@ -83,8 +83,8 @@
 	s.counter(counterKey{"rejected", "", reason}).Inc(1)
 }
 
-// Notice counts what a server said of itself in an answer.
-func (s *Stats) Notice(n direct.Notice) {
+// ServerNotice counts what a server said of itself in an answer.
+func (s *Stats) ServerNotice(n direct.Notice) {
 	if n.Leaving {
 		s.counter(counterKey{"server_notices", "", "leaving"}).Inc(1)
 	}
@@ -96,9 +96,9 @@
 // RolloutStep counts a step of a roll-out, by what happened.
 func (s *Stats) RolloutStep(step string) { s.counter(counterKey{"rollout_steps", "", step}).Inc(1) }
 
-// RolloutAnswer counts an answer that says something of a version, by the side of its
+// RolloutResponse counts an answer that says something of a version, by the side of its
 // server and whether it was bad.
-func (s *Stats) RolloutAnswer(target, bad bool) {
+func (s *Stats) RolloutResponse(target, bad bool) {
 	side, result := "old", "good"
 	if target {
 		side = "target"
@@ -109,8 +109,8 @@
 	s.counter(counterKey{"rollout_answers", result, side}).Inc(1)
 }
 
-// RolloutAnswersDropped counts answers that nobody came to judge.
-func (s *Stats) RolloutAnswersDropped(n int64) {
+// RolloutResponsesDropped counts answers that nobody came to judge.
+func (s *Stats) RolloutResponsesDropped(n int64) {
 	s.counter(counterKey{"rollout_answers_dropped", "", ""}).Inc(n)
 }
 
@@ -136,8 +136,8 @@
 // DatagramUnreadable counts a datagram of another router that could not be read.
 func (s *Stats) DatagramUnreadable() { s.counter(counterKey{"datagrams_unreadable", "", ""}).Inc(1) }
 
-// SourceCall takes in one call to the source.
-func (s *Stats) SourceCall(feed string, took time.Duration, err error) {
+// RecordSourceCall takes in one call to the source.
+func (s *Stats) RecordSourceCall(feed string, took time.Duration, err error) {
 	s.CountSourceCall(feed)
 	result := "done"
 	if err != nil {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -114,7 +114,7 @@
 	}
 	now := a.x.front.core.Now()
 	if a.x.passedAt > 0 {
-		a.x.front.stats.Pause.RecordDuration(now - a.x.passedAt)
+		a.x.front.stats.EventPause.RecordDuration(now - a.x.passedAt)
 	}
 	a.x.passedAt = now
 	return a.x.front.flush(a.x.w)
--- a/gateway/traffic/counter.go
+++ b/gateway/traffic/counter.go
@@ -28,8 +28,8 @@
 	return &Counter{scope: scope, meters: make(map[Kind]*Meter)}
 }
 
-// Of returns the meter of one kind.
-func (c *Counter) Of(k Kind) *Meter {
+// Meter returns the meter of one kind.
+func (c *Counter) Meter(k Kind) *Meter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.meters[k] == nil {
--- a/gateway/traffic/path_test.go
+++ b/gateway/traffic/path_test.go
@@ -10,7 +10,7 @@
 // TestPaths counts bytes to places in the three tiers, and with regions that are not known.
 func TestPaths(t *testing.T) {
 	own := Place{Hall: "a", Region: "north"}
-	meter := NewCounter(tally.NoopScope).Of(Loads)
+	meter := NewCounter(tally.NoopScope).Meter(Loads)
 	for path, to := range []Place{{"a", "north"}, {"b", "north"}, {"c", "south"}} {
 		require.Equal(t, Path(path), own.PathTo(to))
 		meter.Add(own.PathTo(to), 10+path)
