--- a/explain/fields.go
+++ b/explain/fields.go
@@ -10,14 +10,14 @@
 )
 
 // durations are the fields that hold a number of milliseconds.
-var durations = map[string]bool{
+var durationFields = map[string]bool{
 	"took": true, "first_after": true, "waited": true, "estimate": true, "after": true,
 	"config_age": true, "lag": true, "age": true, "left": true, "for": true, "idle_timeout": true,
 	"within": true,
 }
 
-// units are the units of other fields.
-var units = map[string]string{
+// fieldUnits are the units of other fields.
+var fieldUnits = map[string]string{
 	"pending_tokens": " tokens", "miss_tokens": " tokens",
 	"level": " tokens/s", "even": " tokens/s", "body_bytes": " bytes", "heap_bytes": " bytes", "stack_bytes": " bytes",
 }
@@ -36,10 +36,10 @@
 func valueText(name string, value any) string {
 	switch value := value.(type) {
 	case float64:
-		if durations[name] {
+		if durationFields[name] {
 			return milliseconds(value)
 		}
-		return numberText(value) + units[name]
+		return numberText(value) + fieldUnits[name]
 	case []any:
 		items := make([]string, len(value))
 		for i, item := range value {
@@ -62,15 +62,15 @@
 }
 
 const (
-	// wholeFrom is the figure from which decimals tell nothing.
-	wholeFrom = 100
-	decimals  = 3
+	// wholeNumberMin is the figure from which decimals tell nothing.
+	wholeNumberMin = 100
+	maxDecimals    = 3
 )
 
 // numberText prints a figure with no more digits than it is worth.
 func numberText(number float64) string {
-	if math.Abs(number) >= wholeFrom || number == math.Trunc(number) {
+	if math.Abs(number) >= wholeNumberMin || number == math.Trunc(number) {
 		return strconv.FormatFloat(number, 'f', 0, 64)
 	}
-	return strconv.FormatFloat(number, 'f', decimals, 64)
+	return strconv.FormatFloat(number, 'f', maxDecimals, 64)
 }
--- a/explain/line.go
+++ b/explain/line.go
@@ -7,7 +7,7 @@
 )
 
 // line is one line of a router's log.
-type line struct {
+type logLine struct {
 	Time    time.Time
 	Process string
 	Event   string
@@ -16,32 +16,32 @@
 	fields  map[string]any
 }
 
-// parse reads a line. What stands before the JSON object (a time, a host's name)
+// parseLine reads a line. What stands before the JSON object (a time, a host's name)
 // is passed over; ok is false where there is no such object.
-func parse(text []byte) (l line, ok bool) {
+func parseLine(text []byte) (l logLine, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
-		return line{}, false
+		return logLine{}, false
 	}
 	var fields map[string]any
 	if json.Unmarshal(text[start:], &fields) != nil {
-		return line{}, false
+		return logLine{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, word(fields, "time"))
-	if err != nil || word(fields, "event") == "" {
-		return line{}, false
+	at, err := time.Parse(time.RFC3339Nano, stringField(fields, "time"))
+	if err != nil || stringField(fields, "event") == "" {
+		return logLine{}, false
 	}
-	l = line{
-		Time: at, Process: word(fields, "process"), Event: word(fields, "event"),
-		Request: word(fields, "request"), Server: word(fields, "server"), fields: fields,
+	l = logLine{
+		Time: at, Process: stringField(fields, "process"), Event: stringField(fields, "event"),
+		Request: stringField(fields, "request"), Server: stringField(fields, "server"), fields: fields,
 	}
-	for _, known := range []string{"time", "level", "process", "event", "request"} {
-		delete(fields, known)
+	for _, name := range []string{"time", "level", "process", "event", "request"} {
+		delete(fields, name)
 	}
 	return l, true
 }
 
-func word(fields map[string]any, name string) string {
+func stringField(fields map[string]any, name string) string {
 	s, _ := fields[name].(string)
 	return s
 }
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// outcomes say how a request ended, by the event of its last line.
-var outcomes = map[string]string{
+// outcomeTexts say how a request ended, by the event of its last line.
+var outcomeTexts = map[string]string{
 	"request_served":      "was served",
 	"request_refused":     "was refused and has not run",
 	"request_rejected":    "was not admitted and has not run",
@@ -16,8 +16,8 @@
 	"attempt_ended":       "went on after an attempt; its end is not in these logs",
 }
 
-// reasons say why, by the reason of the last line.
-var reasons = map[string]string{
+// reasonTexts say why, by the reason of the last line.
+var reasonTexts = map[string]string{
 	"over_share":    "its team had had what it may have for the moment",
 	"overload":      "no server would have met its objective",
 	"backoff":       "every server of its service that could get requests had turned one away and asked this router to send it none for some time",
@@ -42,7 +42,7 @@
 // summary says in a sentence how the request ended, where, and why.
 func (s *Timeline) summary() string {
 	last := s.steps[len(s.steps)-1]
-	outcome := outcomes[last.Event]
+	outcome := outcomeTexts[last.Event]
 	if outcome == "" {
 		outcome = "was last heard of as " + last.Event
 	}
@@ -50,8 +50,8 @@
 	if took, ok := last.fields["took"].(float64); ok {
 		text += fmt.Sprintf(", %s after it came", milliseconds(took))
 	}
-	if why := reasons[word(last.fields, "reason")]; why != "" {
-		text += ": " + why
+	if reason := reasonTexts[stringField(last.fields, "reason")]; reason != "" {
+		text += ": " + reason
 	}
 	return text + "."
 }
@@ -61,13 +61,13 @@
 	return time.Duration(ms * float64(time.Millisecond)).Round(10 * time.Microsecond).String()
 }
 
-// doubts say what may be missing from the story.
-func (s *Timeline) doubts() []string {
+// warnings say what may be missing from the story.
+func (s *Timeline) warnings() []string {
 	var out []string
-	told := make(map[string]bool)
+	reported := make(map[string]bool)
 	for _, step := range s.steps {
-		if n := s.dropped[step.Process]; n > 0 && !told[step.Process] {
-			told[step.Process] = true
+		if n := s.dropped[step.Process]; n > 0 && !reported[step.Process] {
+			reported[step.Process] = true
 			out = append(out, fmt.Sprintf(
 				"%s had dropped %.0f lines by the end of its log, for their number: some on this request may be missing.", step.Process, n))
 		}
--- a/explain/story.go
+++ b/explain/timeline.go
@@ -16,12 +16,12 @@
 // successes are sampled, so that need not be a fault.
 var ErrUnknownRequest = errors.New("no line on this request: ordinary successes are logged for one id in 32 only; give the logs of all routers of the caller's hall")
 
-// longestLine bounds one line of a log.
-const longestLine = 1 << 20
+// maxLineBytes bounds one line of a log.
+const maxLineBytes = 1 << 20
 
 // beliefs are the events that tell what a router takes to be true, by what they
 // are about.
-var beliefs = map[string]string{
+var stateSubjects = map[string]string{
 	"config_in_force": "configuration", "servers_listed": "servers", "vitals": "process", "shares": "shares",
 	"start": "life", "reload": "settings", "evacuations_listed": "evacuated data halls",
 }
@@ -36,18 +36,18 @@
 
 // step is a line on the request, with what its router believed at the time.
 type step struct {
-	line
-	believed []line
+	logLine
+	state []logLine
 }
 
 // Read reads logs, in any order, and keeps what tells of the request.
 func Read(request string, logs ...io.Reader) (*Timeline, error) {
-	var lines []line
+	var lines []logLine
 	for _, log := range logs {
 		scanner := bufio.NewScanner(log)
-		scanner.Buffer(make([]byte, 64<<10), longestLine)
+		scanner.Buffer(make([]byte, 64<<10), maxLineBytes)
 		for scanner.Scan() {
-			if l, ok := parse(scanner.Bytes()); ok {
+			if l, ok := parseLine(scanner.Bytes()); ok {
 				lines = append(lines, l)
 			}
 		}
@@ -55,51 +55,51 @@
 			return nil, errors.Wrap(err, "reading a log")
 		}
 	}
-	slices.SortStableFunc(lines, func(a, b line) int { return a.Time.Compare(b.Time) })
-	story := &Timeline{Request: request, dropped: make(map[string]float64)}
-	latest := make(map[string]map[string]line) // by process and subject
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
+	timeline := &Timeline{Request: request, dropped: make(map[string]float64)}
+	latest := make(map[string]map[string]logLine) // by process and subject
 	for _, l := range lines {
 		if dropped, ok := l.fields["lines_dropped"].(float64); ok {
-			story.dropped[l.Process] = dropped
+			timeline.dropped[l.Process] = dropped
 		}
 		if latest[l.Process] == nil {
-			latest[l.Process] = make(map[string]line)
+			latest[l.Process] = make(map[string]logLine)
 		}
 		switch {
 		case l.Request == request:
-			story.steps = append(story.steps, step{line: l, believed: story.believed(l, latest[l.Process])})
+			timeline.steps = append(timeline.steps, step{logLine: l, state: timeline.stateFor(l, latest[l.Process])})
 		case l.Request != "":
-		case beliefs[l.Event] != "":
-			latest[l.Process][beliefs[l.Event]] = l
+		case stateSubjects[l.Event] != "":
+			latest[l.Process][stateSubjects[l.Event]] = l
 		case l.Server != "":
 			latest[l.Process]["server "+l.Server] = l
 		case l.Event == "routers_lost" || l.Event == "routers_heard":
 			latest[l.Process]["other routers"] = l
 		case strings.HasPrefix(l.Event, "hall_"):
-			latest[l.Process]["hall "+word(l.fields, "hall")] = l
-		case aboutVersions(l):
-			noteVersions(l, latest[l.Process])
+			latest[l.Process]["hall "+stringField(l.fields, "hall")] = l
+		case isVersionEvent(l):
+			recordVersions(l, latest[l.Process])
 		case strings.HasPrefix(l.Event, "dependency_"):
-			latest[l.Process]["dependency "+word(l.fields, "dependency")] = l
+			latest[l.Process]["dependency "+stringField(l.fields, "dependency")] = l
 		}
 	}
-	if len(story.steps) == 0 {
+	if len(timeline.steps) == 0 {
 		return nil, ErrUnknownRequest
 	}
-	return story, nil
+	return timeline, nil
 }
 
-// believed picks what mattered for a line: its router's configuration, servers,
+// stateFor picks what mattered for a line: its router's configuration, servers,
 // shares and process, the server that it names, its service's versions, and what is lost.
-func (s *Timeline) believed(l line, latest map[string]line) []line {
-	var out []line
+func (s *Timeline) stateFor(l logLine, latest map[string]logLine) []logLine {
+	var out []logLine
 	for _, subject := range slices.Sorted(maps.Keys(latest)) {
 		b := latest[subject]
 		switch {
 		case strings.HasPrefix(subject, "server ") && subject != "server "+l.Server:
 		case strings.HasPrefix(subject, "dependency ") && b.Event != "dependency_lost":
 		case strings.HasPrefix(subject, "hall ") && b.Event != "hall_lost" && b.Event != "hall_evacuated":
-		case aboutVersions(b) && word(b.fields, "service") != word(l.fields, "service"):
+		case isVersionEvent(b) && stringField(b.fields, "service") != stringField(l.fields, "service"):
 		case subject == "other routers" && b.Event != "routers_lost":
 		default:
 			out = append(out, b)
@@ -110,22 +110,22 @@
 
 // Write prints the story: in a sentence, then line by line, then what may be missing.
 func (s *Timeline) Write(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", s.summary()+s.versions(), len(s.steps))
+	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", s.summary()+s.versionSummary(), len(s.steps))
 	begin := s.steps[0].Time
 	for _, step := range s.steps {
 		if err == nil {
 			_, err = fmt.Fprintf(w, "\n%s (+%s) %s: %s\n    %s\n", step.Time.Format(time.RFC3339Nano),
 				step.Time.Sub(begin).Round(time.Microsecond), step.Process, step.Event, fieldText(step.fields))
 		}
-		for _, b := range step.believed {
+		for _, b := range step.state {
 			if err == nil {
 				_, err = fmt.Fprintf(w, "    %s ago: %s %s\n", step.Time.Sub(b.Time).Round(time.Millisecond), b.Event, fieldText(b.fields))
 			}
 		}
 	}
-	for _, doubt := range s.doubts() {
+	for _, warning := range s.warnings() {
 		if err == nil {
-			_, err = fmt.Fprintf(w, "\n%s\n", doubt)
+			_, err = fmt.Fprintf(w, "\n%s\n", warning)
 		}
 	}
 	return err
--- a/explain/story_test.go
+++ b/explain/timeline_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const oneHost = `  8.1 edge-1 {"time":"2026-03-23T10:33:08.000Z","level":"info","process":"edge-1","event":"config_in_force","version":7,"from":"source"}
+const firstHostLog = `  8.1 edge-1 {"time":"2026-03-23T10:33:08.000Z","level":"info","process":"edge-1","event":"config_in_force","version":7,"from":"source"}
 {"time":"2026-03-23T10:33:08.100Z","level":"info","process":"edge-1","event":"server_ejected","server":"i-2","cause":"hung","for":1000}
 {"time":"2026-03-23T10:33:08.200Z","level":"info","process":"edge-1","event":"server_ejected","server":"i-3","cause":"hung","for":1000}
 {"time":"2026-03-23T10:33:08.400Z","level":"info","process":"edge-1","event":"request_refused","request":"abc","server":"i-2","reason":"over_share","share":1.7}
@@ -16,16 +16,16 @@
 {"time":"2026-03-23T10:33:08.500Z","level":"info","process":"edge-1","event":"request_refused","request":"other","reason":"overload"}
 `
 
-const otherHost = `{"time":"2026-03-23T10:33:08.300Z","level":"info","process":"edge-2","event":"attempt_ended","request":"abc","outcome":"hung"}
+const secondHostLog = `{"time":"2026-03-23T10:33:08.300Z","level":"info","process":"edge-2","event":"attempt_ended","request":"abc","outcome":"hung"}
 {"time":"2026-03-23T10:33:08.250Z","level":"info","process":"edge-2","event":"dependency_lost","dependency":"source of servers"}
 {"time":"2026-03-23T10:33:08.260Z","level":"info","process":"edge-2","event":"routers_lost","count":3,"first":["10.0.0.1"]}
 `
 
-func TestStory(t *testing.T) {
-	story, err := Read("abc", strings.NewReader(oneHost), strings.NewReader(otherHost))
+func TestTimeline(t *testing.T) {
+	timeline, err := Read("abc", strings.NewReader(firstHostLog), strings.NewReader(secondHostLog))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.NoError(t, story.Write(&out))
+	require.NoError(t, timeline.Write(&out))
 	text := out.String()
 	require.True(t, strings.HasPrefix(text, "request abc was refused and has not run at edge-1: its team had had what it may have for the moment.\nlines on it: 2\n"), text)
 	require.Less(t, strings.Index(text, "edge-2: attempt_ended"), strings.Index(text, "edge-1: request_refused"), "in order of time")
@@ -38,11 +38,11 @@
 }
 
 func TestUnknownRequest(t *testing.T) {
-	_, err := Read("nobody", strings.NewReader(oneHost))
+	_, err := Read("nobody", strings.NewReader(firstHostLog))
 	require.ErrorIs(t, err, ErrUnknownRequest)
 }
 
-const longStory = `{"time":"2026-03-23T10:33:08.000Z","level":"info","process":"edge-1","event":"vitals","lag":0.76,"lines_dropped":4}
+const plainTextLog = `{"time":"2026-03-23T10:33:08.000Z","level":"info","process":"edge-1","event":"vitals","lag":0.76,"lines_dropped":4}
 {"time":"2026-03-23T10:33:08.400Z","level":"info","process":"edge-1","event":"request_failed","request":"abc","server":"i-2","reason":"timeout","took":399.87214,"estimate":46.8,"pending_tokens":4234,"share":1.0191234}
 {"time":"2026-03-23T10:33:08.300Z","level":"info","process":"edge-1","event":"shares","headroom":1,"even":566340.3,"most":[{"Team":"red","Offered":1849088.4,"Served":12.5}]}
 {"time":"2026-03-23T10:33:10.000Z","level":"info","process":"edge-1","event":"vitals","lag":0.76,"lines_dropped":21}
@@ -51,10 +51,10 @@
 // TestStoryIsPlain begins with what happened and why, gives figures with their units,
 // and says that lines were dropped.
 func TestStoryIsPlain(t *testing.T) {
-	story, err := Read("abc", strings.NewReader(longStory))
+	timeline, err := Read("abc", strings.NewReader(plainTextLog))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.NoError(t, story.Write(&out))
+	require.NoError(t, timeline.Write(&out))
 	text := out.String()
 	require.True(t, strings.HasPrefix(text,
 		"request abc failed and may have run at edge-1, 399.87ms after it came: its time was over before a server had answered.\n"), text)
@@ -70,23 +70,23 @@
 		direct.ReasonNoServers, direct.ReasonOverload, direct.ReasonOverShare, direct.ReasonAttempts,
 		direct.ReasonRetryBudget, direct.ReasonAtMostOnce, direct.ReasonDeadline, direct.ReasonRegion,
 	} {
-		require.NotEmpty(t, reasons[string(reason)], reason)
+		require.NotEmpty(t, reasonTexts[string(reason)], reason)
 	}
 }
 
-const hallStory = `{"time":"2026-03-23T10:33:07.000Z","level":"info","process":"edge-1","event":"hall_lost","hall":"a","unreached":3}
+const hallLog = `{"time":"2026-03-23T10:33:07.000Z","level":"info","process":"edge-1","event":"hall_lost","hall":"a","unreached":3}
 {"time":"2026-03-23T10:33:07.500Z","level":"info","process":"edge-1","event":"hall_reached","hall":"a"}
 {"time":"2026-03-23T10:33:08.000Z","level":"info","process":"edge-1","event":"hall_evacuated","hall":"b","revision":71,"servers":14}
 {"time":"2026-03-23T10:33:08.400Z","level":"info","process":"edge-1","event":"request_refused","request":"abc","reason":"no_servers","age":1200.5,"left":9000}
 `
 
-// TestStoryNamesHallsOutOfUse names the halls that were evacuated or lost, and not those
+// TestTimelineShowsUnusableHalls names the halls that were evacuated or lost, and not those
 // that are in use again.
-func TestStoryNamesHallsOutOfUse(t *testing.T) {
-	story, err := Read("abc", strings.NewReader(hallStory))
+func TestTimelineShowsUnusableHalls(t *testing.T) {
+	timeline, err := Read("abc", strings.NewReader(hallLog))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.NoError(t, story.Write(&out))
+	require.NoError(t, timeline.Write(&out))
 	require.Contains(t, out.String(), "all were out of use")
 	require.Contains(t, out.String(), "400ms ago: hall_evacuated hall=b")
 	require.NotContains(t, out.String(), "hall=a")
--- a/explain/versions_test.go
+++ b/explain/versions_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const movedStory = `{"time":"2026-03-23T10:33:01.000Z","level":"info","process":"edge-1","event":"version_not_ordered","service":"llm","version":"v2"}
+const movedStreamLog = `{"time":"2026-03-23T10:33:01.000Z","level":"info","process":"edge-1","event":"version_not_ordered","service":"llm","version":"v2"}
 {"time":"2026-03-23T10:33:02.000Z","level":"info","process":"edge-1","event":"rollout_step","service":"llm","target":"v2","step":"began","stage":"waiting"}
 {"time":"2026-03-23T10:33:03.000Z","level":"info","process":"edge-1","event":"version_not_ordered","service":"llm","version":"v3"}
 {"time":"2026-03-23T10:33:03.500Z","level":"info","process":"edge-1","event":"rollout_step","service":"app","target":"v7","step":"began"}
@@ -20,7 +20,7 @@
 // TestStoryOfMovedStream says to which versions a request went and why, that its stream
 // was moved, and how far the roll-out of its service was; of other services it says nothing.
 func TestStoryOfMovedStream(t *testing.T) {
-	text := storyText(t, movedStory)
+	text := timelineText(t, movedStreamLog)
 	require.True(t, strings.HasPrefix(text, `request abc was served at edge-1, 900ms after it came.
 It went to version v1: the requests that share its prompt's parts had not been moved yet.
 Its stream was broken off there by edge-1, to go on at a server of the new version.
@@ -35,7 +35,7 @@
 
 // TestStoryOfBoundRequest says that a request was refused for its regions.
 func TestStoryOfBoundRequest(t *testing.T) {
-	text := storyText(t, `{"time":"2026-03-23T10:33:04.400Z","process":"edge-1","event":"request_refused","request":"abc","service":"llm","reason":"region","took":1}`)
+	text := timelineText(t, `{"time":"2026-03-23T10:33:04.400Z","process":"edge-1","event":"request_refused","request":"abc","service":"llm","reason":"region","took":1}`)
 	require.Contains(t, text, "was refused and has not run at edge-1, 1ms after it came: no server of the regions that its route and its team may use")
 	require.NotContains(t, text, "It went to version")
 }
@@ -45,14 +45,14 @@
 	for _, side := range []direct.Side{
 		direct.SideOld, direct.SideTarget, direct.SideSample, direct.SideLimit, direct.SideFull, direct.SideRetry, direct.SideMoved,
 	} {
-		require.NotEmpty(t, sides[string(side)], side)
+		require.NotEmpty(t, sideTexts[string(side)], side)
 	}
 }
 
-func storyText(t *testing.T, log string) string {
-	story, err := Read("abc", strings.NewReader(log))
+func timelineText(t *testing.T, log string) string {
+	timeline, err := Read("abc", strings.NewReader(log))
 	require.NoError(t, err)
 	var out strings.Builder
-	require.NoError(t, story.Write(&out))
+	require.NoError(t, timeline.Write(&out))
 	return out.String()
 }
--- a/gateway/eventlog/beliefs.go
+++ b/gateway/eventlog/events.go
@@ -39,17 +39,17 @@
 	}
 }
 
-// suspectsNamed bounds the contents that one line names.
-const suspectsNamed = 8
+// maxNamedSuspects bounds the contents that one line names.
+const maxNamedSuspects = 8
 
 // Crash logs that a server has crashed, and some of the contents that it had just begun to run.
 func (l *Log) Crash(c direct.CrashCmd) {
 	if !l.AllowServerStatus() {
 		return
 	}
-	named := make([]string, 0, suspectsNamed)
-	for _, content := range c.Suspects[:min(len(c.Suspects), suspectsNamed)] {
-		named = append(named, content.String())
+	named := make([]string, 0, maxNamedSuspects)
+	for _, fingerprint := range c.Suspects[:min(len(c.Suspects), maxNamedSuspects)] {
+		named = append(named, fingerprint.String())
 	}
 	l.Event("server_crashed").Str("server", c.Server.ID).Str("service", c.Server.Service).Str("address", c.Server.Address).
 		Int("suspects", len(c.Suspects)).Strs("contents", named).Msg("")
--- a/gateway/eventlog/log.go
+++ b/gateway/eventlog/log.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	queuedLines  = 2048 // that wait to be written
-	sampleOneIn  = 32   // ordinary successes; the same ids on every host
-	failureLines = 60   // a second, failures and refusals of requests
-	beliefLines  = 40   // a second
-	routersNamed = 4    // routers that one line on many names
+	maxQueuedLines       = 2048 // that wait to be written
+	successSampling      = 32   // ordinary successes; the same ids on every host
+	maxFailureLines      = 60   // a second, failures and refusals of requests
+	maxServerStatusLines = 40   // a second
+	maxNamedRouters      = 4    // routers that one line on many names
 )
 
 // Log writes JSON lines. What does not fit into its queue is counted and dropped.
 type Log struct {
-	logger   log.Logger
-	lines    chan []byte
-	dropped  atomic.Uint64
-	failures *rate.Limiter
-	beliefs  *rate.Limiter
-	end      chan struct{} // closed to have what is left written
-	done     chan struct{} // closed when it is
+	logger       log.Logger
+	lines        chan []byte
+	dropped      atomic.Uint64
+	failures     *rate.Limiter
+	serverStatus *rate.Limiter
+	closing      chan struct{} // closed to have what is left written
+	done         chan struct{} // closed when it is
 }
 
 // New returns a log of a process that writes to out.
 func New(out io.Writer, process string) *Log {
 	l := &Log{
-		lines:    make(chan []byte, queuedLines),
-		failures: rate.NewLimiter(failureLines, failureLines),
-		beliefs:  rate.NewLimiter(beliefLines, 4*beliefLines),
-		end:      make(chan struct{}),
-		done:     make(chan struct{}),
+		lines:        make(chan []byte, maxQueuedLines),
+		failures:     rate.NewLimiter(maxFailureLines, maxFailureLines),
+		serverStatus: rate.NewLimiter(maxServerStatusLines, 4*maxServerStatusLines),
+		closing:      make(chan struct{}),
+		done:         make(chan struct{}),
 	}
 	l.logger = log.Logger{
 		Level:      log.InfoLevel,
@@ -66,7 +66,7 @@
 		select {
 		case line := <-l.lines:
 			_, _ = out.Write(line) // there is nowhere else to say that the log fails
-		case <-l.end:
+		case <-l.closing:
 			for len(l.lines) > 0 {
 				_, _ = out.Write(<-l.lines)
 			}
@@ -80,7 +80,7 @@
 	if n := l.dropped.Load(); n > 0 {
 		l.logger.Warn().Str("event", "log_dropped").Uint64("lines", n).Msg("")
 	}
-	close(l.end)
+	close(l.closing)
 	<-l.done
 }
 
@@ -107,14 +107,14 @@
 
 // AllowServerStatus tells whether one more line on what the router believes of servers may be
 // written now.
-func (l *Log) AllowServerStatus() bool { return l.beliefs.Allow() }
+func (l *Log) AllowServerStatus() bool { return l.serverStatus.Allow() }
 
 // Sampled tells whether an ordinary request is logged, by its id.
-func Sampled(id string) bool { return xxhash.Sum64String(id)%sampleOneIn == 0 }
+func Sampled(id string) bool { return xxhash.Sum64String(id)%successSampling == 0 }
 
 // Dependency logs that something the router depends on was lost, or regained.
-func (l *Log) Dependency(name, what string, err error) {
-	l.Event("dependency_"+what).Str("dependency", name).Err(err).Msg("")
+func (l *Log) Dependency(name, change string, err error) {
+	l.Event("dependency_"+change).Str("dependency", name).Err(err).Msg("")
 }
 
 // UnreadResponse logs that an answer was not read to its end.
@@ -131,5 +131,5 @@
 		return
 	}
 	slices.Sort(addresses)
-	l.Event(event).Int("count", len(addresses)).Strs("first", addresses[:min(len(addresses), routersNamed)]).Msg("")
+	l.Event(event).Int("count", len(addresses)).Strs("first", addresses[:min(len(addresses), maxNamedRouters)]).Msg("")
 }
--- a/gateway/eventlog/log_test.go
+++ b/gateway/eventlog/log_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blocked is a standard output that takes nothing.
-type blocked struct{ release chan struct{} }
+// blockedWriter is a standard output that takes nothing.
+type blockedWriter struct{ release chan struct{} }
 
-func (b blocked) Write(p []byte) (int, error) {
+func (b blockedWriter) Write(p []byte) (int, error) {
 	<-b.release
 	return len(p), nil
 }
@@ -17,12 +17,12 @@
 // TestBlockedOutput has a router whose standard output takes nothing go on: what
 // does not fit is counted.
 func TestBlockedOutput(t *testing.T) {
-	out := blocked{release: make(chan struct{})}
-	j := New(out, "router")
-	for range 3 * queuedLines {
-		j.Event("vitals").Msg("")
+	out := blockedWriter{release: make(chan struct{})}
+	l := New(out, "router")
+	for range 3 * maxQueuedLines {
+		l.Event("vitals").Msg("")
 	}
-	require.GreaterOrEqual(t, j.Dropped(), uint64(2*queuedLines-1))
+	require.GreaterOrEqual(t, l.Dropped(), uint64(2*maxQueuedLines-1))
 	close(out.release)
-	j.Close()
+	l.Close()
 }
--- a/gateway/memory/account.go
+++ b/gateway/memory/account.go
@@ -10,9 +10,9 @@
 	// answers that wait for their readers can.
 	Pinned bool
 
-	bytes  int64
-	number uint64 // in the order in which accounts began to hold something
-	closed bool
+	bytes    int64
+	sequence uint64 // in the order in which accounts began to hold something
+	closed   bool
 }
 
 // Bytes is what the account holds.
--- a/gateway/memory/budget.go
+++ b/gateway/memory/budget.go
@@ -5,25 +5,25 @@
 // no other asks for, and none can take all of it ("longest queue drop"). Make one with NewBudget; it is
 // not safe for concurrent use.
 type Budget struct {
-	most  int64
-	held  int64
-	teams map[string]*holdings
-	next  uint64
+	capacity     int64
+	held         int64
+	teams        map[string]*teamAccounts
+	lastSequence uint64
 }
 
-// holdings are the accounts of one team that hold something.
-type holdings struct {
+// teamAccounts are the accounts of one team that hold something.
+type teamAccounts struct {
 	bytes    int64
 	accounts map[*Account]bool
 }
 
 // NewBudget returns a budget of so many bytes.
-func NewBudget(most int64) *Budget {
-	return &Budget{most: most, teams: make(map[string]*holdings)}
+func NewBudget(capacity int64) *Budget {
+	return &Budget{capacity: capacity, teams: make(map[string]*teamAccounts)}
 }
 
 // Capacity is how many bytes may be held.
-func (b *Budget) Capacity() int64 { return b.most }
+func (b *Budget) Capacity() int64 { return b.capacity }
 
 // Held is how many bytes are held.
 func (b *Budget) Held() int64 { return b.held }
@@ -32,11 +32,11 @@
 // given way and are closed: their connections are to be closed. An account that may not grow
 // keeps what it has.
 func (b *Budget) Grow(a *Account, n int) (dropped []*Account, ok bool) {
-	if a.closed || int64(n) > b.most {
+	if a.closed || int64(n) > b.capacity {
 		return nil, false
 	}
-	for b.held+int64(n) > b.most {
-		victim := b.victim(a, int64(n))
+	for b.held+int64(n) > b.capacity {
+		victim := b.selectVictim(a, int64(n))
 		if victim == nil || victim == a {
 			return dropped, false
 		}
@@ -66,12 +66,12 @@
 	}
 	team := b.teams[a.Team]
 	if team == nil {
-		team = &holdings{accounts: make(map[*Account]bool)}
+		team = &teamAccounts{accounts: make(map[*Account]bool)}
 		b.teams[a.Team] = team
 	}
 	if a.bytes == 0 {
-		b.next++
-		a.number = b.next
+		b.lastSequence++
+		a.sequence = b.lastSequence
 		team.accounts[a] = true
 	}
 	a.bytes += n
@@ -85,16 +85,16 @@
 	}
 }
 
-// victim returns the account that gives way for n more bytes of another one: nil where none can,
+// selectVictim returns the account that gives way for n more bytes of another one: nil where none can,
 // the other one itself where its own team holds most and it is the largest there.
-func (b *Budget) victim(a *Account, n int64) *Account {
-	team, most := a.Team, n
+func (b *Budget) selectVictim(a *Account, n int64) *Account {
+	team, maxBytes := a.Team, n
 	if own := b.teams[a.Team]; own != nil {
-		most += own.bytes
+		maxBytes += own.bytes
 	}
 	for name, t := range b.teams {
-		if name != a.Team && t.droppable() && (t.bytes > most || t.bytes == most && name < team) {
-			team, most = name, t.bytes
+		if name != a.Team && t.droppable() && (t.bytes > maxBytes || t.bytes == maxBytes && name < team) {
+			team, maxBytes = name, t.bytes
 		}
 	}
 	if team != a.Team {
@@ -111,7 +111,7 @@
 }
 
 // droppable tells whether an account can give way.
-func (h *holdings) droppable() bool {
+func (h *teamAccounts) droppable() bool {
 	for a := range h.accounts {
 		if !a.Pinned {
 			return true
@@ -122,12 +122,12 @@
 
 // largest returns the account that holds most, of those that can give way: of equal ones the
 // oldest. It is first where none holds more than that many bytes.
-func (h *holdings) largest(first *Account, bytes int64) *Account {
-	found, most := first, bytes
+func (h *teamAccounts) largest(fallback *Account, minBytes int64) *Account {
+	found, maxBytes := fallback, minBytes
 	for a := range h.accounts {
-		older := found != nil && found != first && a.number < found.number
-		if !a.Pinned && a != first && (a.bytes > most || a.bytes == most && older) {
-			found, most = a, a.bytes
+		older := found != nil && found != fallback && a.sequence < found.sequence
+		if !a.Pinned && a != fallback && (a.bytes > maxBytes || a.bytes == maxBytes && older) {
+			found, maxBytes = a, a.bytes
 		}
 	}
 	return found
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -29,12 +29,12 @@
 			case 1:
 				b.Close(a)
 			default:
-				grow(t, b, all, a, n)
+				growAndCheck(t, b, all, a, n)
 			}
 			sum := int64(0)
-			for _, one := range all {
-				sum += one.Bytes()
-				require.False(t, one.Closed() && one.Bytes() > 0)
+			for _, account := range all {
+				sum += account.Bytes()
+				require.False(t, account.Closed() && account.Bytes() > 0)
 			}
 			require.Equal(t, sum, b.Held())
 			require.LessOrEqual(t, b.Held(), b.Capacity())
@@ -42,7 +42,7 @@
 	})
 }
 
-func grow(t *rapid.T, b *Budget, all []*Account, a *Account, n int) {
+func growAndCheck(t *rapid.T, b *Budget, all []*Account, a *Account, n int) {
 	before := make(map[*Account]int64)
 	for _, one := range all {
 		before[one] = one.Bytes()
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestLargestOfTheHeaviestGivesWay fills the budget with one team's unread answers; the answers of
+// TestLargestAccountOfHeaviestTeamIsDropped fills the budget with one team's unread answers; the answers of
 // another team find room, and the first team's largest ones give way.
-func TestLargestOfTheHeaviestGivesWay(t *testing.T) {
+func TestLargestAccountOfHeaviestTeamIsDropped(t *testing.T) {
 	b := NewBudget(100)
 	small, large := &Account{Team: "red"}, &Account{Team: "red"}
 	mustGrow(t, b, small, 30)
@@ -89,9 +89,9 @@
 	require.False(t, ok, "it has given way")
 }
 
-// TestTeamThatHoldsMostGivesWayItself has a team that holds most ask for more: its own largest
+// TestHeaviestTeamDropsItsOwnAccounts has a team that holds most ask for more: its own largest
 // gives way, which may be what asks.
-func TestTeamThatHoldsMostGivesWayItself(t *testing.T) {
+func TestHeaviestTeamDropsItsOwnAccounts(t *testing.T) {
 	b := NewBudget(100)
 	answer, other := &Account{Team: "red"}, &Account{Team: "blue"}
 	mustGrow(t, b, answer, 70)
@@ -105,9 +105,9 @@
 	require.Equal(t, []*Account{answer}, dropped)
 }
 
-// TestKeptGivesNoWay has a team hold all memory with what can't be dropped: nothing more of it is
+// TestPinnedAccountsAreNotDropped has a team hold all memory with what can't be dropped: nothing more of it is
 // taken, and another team's unread answers stay.
-func TestKeptGivesNoWay(t *testing.T) {
+func TestPinnedAccountsAreNotDropped(t *testing.T) {
 	b := NewBudget(100)
 	body, other := &Account{Team: "red", Pinned: true}, &Account{Team: "blue"}
 	mustGrow(t, b, body, 70)
--- a/gateway/rollouts/log.go
+++ b/gateway/rollouts/log.go
@@ -17,14 +17,14 @@
 
 // writeNames and resultNames are the words of logs.
 var (
-	writeNames  = map[rollout.WriteKind]string{rollout.WriteStatus: "status", rollout.WriteRecord: "record"}
-	resultNames = map[rollout.WriteResult]string{
+	writeKindNames = map[rollout.WriteKind]string{rollout.WriteStatus: "status", rollout.WriteRecord: "record"}
+	resultNames    = map[rollout.WriteResult]string{
 		rollout.Written: "written", rollout.Conflict: "conflict", rollout.Refused: "refused", rollout.Unknown: "unknown",
 	}
 )
 
 func (r *Runner) logWrite(c rollout.WriteCmd, result rollout.WriteResult, err error) {
-	e := r.o.Log.Event("rollout_write").Str("service", c.Service).Str("kind", writeNames[c.Kind]).Str("result", resultNames[result])
+	e := r.o.Log.Event("rollout_write").Str("service", c.Service).Str("kind", writeKindNames[c.Kind]).Str("result", resultNames[result])
 	if c.Kind == rollout.WriteStatus {
 		e.Str("target", c.Status.Target).Str("state", c.Status.State.String()).Uint64("revision", c.Status.Revision)
 	} else {
@@ -38,9 +38,9 @@
 	if n > 0 {
 		r.o.Stats.RolloutResponsesDropped(n)
 	}
-	r.dropped += n
-	if r.dropped > 0 && r.lines.Allow() {
-		r.o.Log.Event("rollout_answers_dropped").Int64("answers", r.dropped).Msg("")
-		r.dropped = 0
+	r.unloggedDrops += n
+	if r.unloggedDrops > 0 && r.dropLogLimiter.Allow() {
+		r.o.Log.Event("rollout_answers_dropped").Int64("answers", r.unloggedDrops).Msg("")
+		r.unloggedDrops = 0
 	}
 }
--- a/gateway/rollouts/known_test.go
+++ b/gateway/rollouts/objectview_test.go
@@ -12,51 +12,51 @@
 	"pgregory.net/rapid"
 )
 
-func newKnown() known[rollout.Order] {
-	return known[rollout.Order]{
+func newOrderView() objectView[rollout.Order] {
+	return objectView[rollout.Order]{
 		service:  func(o rollout.Order) string { return o.Service },
 		revision: func(o rollout.Order) uint64 { return o.Revision },
 	}
 }
 
-// TestRolloutKnown plays a store whose objects change, come and go, and tells listings in
+// TestRolloutObjectView plays a store whose objects change, come and go, and tells listings in
 // their order and written objects late and twice: of what was told, the newest state of
 // each service is known, and no object comes back that a newer listing lacks.
-func TestRolloutKnown(t *testing.T) {
+func TestRolloutObjectView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newKnown()
-		revision, listed := uint64(0), uint64(0)
-		now := map[string]rollout.Order{} // in the store
-		told := map[string]rollout.Order{}
+		view := newOrderView()
+		revision, listedRevision := uint64(0), uint64(0)
+		stored := map[string]rollout.Order{} // in the store
+		want := map[string]rollout.Order{}
 		var written []rollout.Order
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			service := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "service"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				revision++
-				now[service] = rollout.Order{Service: service, Revision: revision}
-				written = append(written, now[service])
+				stored[service] = rollout.Order{Service: service, Revision: revision}
+				written = append(written, stored[service])
 			case 1:
 				revision++
-				delete(now, service)
+				delete(stored, service)
 			case 2:
-				listed = revision
-				clear(told)
+				listedRevision = revision
+				clear(want)
 				l := feed.Listing[rollout.Order]{Revision: revision}
-				for name, o := range now {
-					told[name] = o
+				for name, o := range stored {
+					want[name] = o
 					l.All = append(l.All, o)
 				}
-				require.Equal(t, sortedOrders(told), sorted(k.list(l)))
+				require.Equal(t, sortedOrders(want), sorted(view.applyListing(l)))
 			case 3:
 				if len(written) == 0 {
 					continue
 				}
 				o := rapid.SampledFrom(written).Draw(t, "written")
-				if o.Revision > listed && o.Revision > told[o.Service].Revision {
-					told[o.Service] = o
+				if o.Revision > listedRevision && o.Revision > want[o.Service].Revision {
+					want[o.Service] = o
 				}
-				require.Equal(t, sortedOrders(told), sorted(k.write(o)))
+				require.Equal(t, sortedOrders(want), sorted(view.applyWrite(o)))
 			}
 		}
 	})
--- a/gateway/rollouts/queue.go
+++ b/gateway/rollouts/queue.go
@@ -6,18 +6,18 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// answersMost bounds the answers that wait for the next tick, a tenth of a second: 40,000 a
+// maxQueuedResponses bounds the answers that wait for the next tick, a tenth of a second: 40,000 a
 // second is far more than a router serves.
-const answersMost = 4096
+const maxQueuedResponses = 4096
 
 // queue holds messages until its owner takes them. Any message but an answer wakes the
 // owner; answers, which are many, wait for the next tick.
 type queue struct {
-	mu      sync.Mutex
-	waiting []rollout.Msg
-	answers int           // among waiting
-	dropped int64         // answers, since the last take
-	wake    chan struct{} // a message other than an answer waits
+	mu        sync.Mutex
+	waiting   []rollout.Msg
+	responses int           // among waiting
+	dropped   int64         // answers, since the last take
+	wake      chan struct{} // a message other than an answer waits
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
@@ -27,12 +27,12 @@
 func (q *queue) put(msg rollout.Msg) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, answer := msg.(rollout.ResponseMsg); answer {
-		if q.answers == answersMost {
+	if _, isResponse := msg.(rollout.ResponseMsg); isResponse {
+		if q.responses == maxQueuedResponses {
 			q.dropped++
 			return
 		}
-		q.answers++
+		q.responses++
 		q.waiting = append(q.waiting, msg)
 		return
 	}
@@ -49,6 +49,6 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	out, dropped := q.waiting, q.dropped
-	q.waiting, q.answers, q.dropped = nil, 0, 0
+	q.waiting, q.responses, q.dropped = nil, 0, 0
 	return out, dropped
 }
--- a/gateway/rollouts/queue_test.go
+++ b/gateway/rollouts/queue_test.go
@@ -10,19 +10,19 @@
 // TestRolloutQueue fills a queue with answers: it drops and counts what finds no room,
 // and still takes other messages, for which alone its owner is woken.
 func TestRolloutQueue(t *testing.T) {
-	b := newQueue()
-	for range answersMost + 3 {
-		b.put(rollout.ResponseMsg{})
+	q := newQueue()
+	for range maxQueuedResponses + 3 {
+		q.put(rollout.ResponseMsg{})
 	}
-	require.Empty(t, b.wake)
-	b.put(rollout.OrdersMsg{})
-	require.Len(t, b.wake, 1)
-	waiting, dropped := b.take()
-	require.Len(t, waiting, answersMost+1)
-	require.Equal(t, rollout.OrdersMsg{}, waiting[answersMost])
+	require.Empty(t, q.wake)
+	q.put(rollout.OrdersMsg{})
+	require.Len(t, q.wake, 1)
+	waiting, dropped := q.take()
+	require.Len(t, waiting, maxQueuedResponses+1)
+	require.Equal(t, rollout.OrdersMsg{}, waiting[maxQueuedResponses])
 	require.EqualValues(t, 3, dropped)
-	b.put(rollout.ResponseMsg{})
-	waiting, dropped = b.take()
+	q.put(rollout.ResponseMsg{})
+	waiting, dropped = q.take()
 	require.Len(t, waiting, 1)
 	require.Zero(t, dropped)
 }
--- a/gateway/rollouts/readiness.go
+++ b/gateway/rollouts/readiness.go
@@ -10,8 +10,8 @@
 	gated                     map[string]bool // services of which a gate is in force
 }
 
-// note takes in that the machine was told something.
-func (s *readiness) note(msg rollout.Msg) {
+// observe takes in that the machine was told something.
+func (s *readiness) observe(msg rollout.Msg) {
 	switch msg := msg.(type) {
 	case rollout.OrdersMsg:
 		s.orders = true
@@ -26,8 +26,8 @@
 	}
 }
 
-// gate takes in that a gate is in force.
-func (s *readiness) gate(service string) {
+// recordGate takes in that a gate is in force.
+func (s *readiness) recordGate(service string) {
 	if s.gated == nil {
 		s.gated = make(map[string]bool)
 	}
--- a/gateway/rollouts/readiness_test.go
+++ b/gateway/rollouts/readiness_test.go
@@ -15,13 +15,13 @@
 		rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}, "app": {"v1"}}}, rollout.OrdersMsg{}, rollout.RecordsMsg{},
 	} {
 		require.False(t, s.complete())
-		s.note(msg)
+		s.observe(msg)
 	}
-	s.gate("llm")
-	s.gate("other")
+	s.recordGate("llm")
+	s.recordGate("other")
 	require.False(t, s.complete(), "a service has servers and no gate")
-	s.gate("app")
+	s.recordGate("app")
 	require.True(t, s.complete())
-	s.note(rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}}})
+	s.observe(rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}}})
 	require.True(t, s.complete())
 }
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -14,8 +14,8 @@
 	"golang.org/x/time/rate"
 )
 
-// droppedEvery is the time between two lines on answers that were dropped.
-const droppedEvery = time.Second
+// droppedLogInterval is the time between two lines on answers that were dropped.
+const droppedLogInterval = time.Second
 
 // Decisions is the decisions on requests, which the gates bind.
 type Decisions interface {
@@ -53,13 +53,13 @@
 	queue *queue
 	// mu guards the machine, orders and records. It is held while these are put into the
 	// queue, so that the machine is told of them in the order in which they came.
-	mu        sync.Mutex
-	machine   *rollout.Machine
-	orders    known[rollout.Order]
-	records   known[rollout.Record]
-	readiness readiness
-	dropped   int64         // answers, since the last line
-	lines     *rate.Limiter // on dropped answers
+	mu             sync.Mutex
+	machine        *rollout.Machine
+	orders         objectView[rollout.Order]
+	records        objectView[rollout.Record]
+	readiness      readiness
+	unloggedDrops  int64         // answers, since the last line
+	dropLogLimiter *rate.Limiter // on dropped answers
 	// complete is the result of readiness once it is true, for other goroutines.
 	complete atomic.Bool
 }
@@ -69,15 +69,15 @@
 	return &Runner{
 		o: o, queue: newQueue(),
 		machine: rollout.NewMachine(o.Bounds),
-		orders: known[rollout.Order]{
+		orders: objectView[rollout.Order]{
 			service:  func(order rollout.Order) string { return order.Service },
 			revision: func(order rollout.Order) uint64 { return order.Revision },
 		},
-		records: known[rollout.Record]{
+		records: objectView[rollout.Record]{
 			service:  func(record rollout.Record) string { return record.Service },
 			revision: func(record rollout.Record) uint64 { return record.Revision },
 		},
-		lines: rate.NewLimiter(rate.Every(droppedEvery), 1),
+		dropLogLimiter: rate.NewLimiter(rate.Every(droppedLogInterval), 1),
 	}
 }
 
@@ -88,14 +88,14 @@
 func (r *Runner) TakeOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.list(l)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyListing(l)})
 }
 
 // TakeRecords takes newer records in.
 func (r *Runner) TakeRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.list(l)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyListing(l)})
 }
 
 // TakeVersions takes in which versions the listed servers have.
@@ -130,9 +130,9 @@
 		case <-ctx.Done():
 			return nil
 		case <-r.queue.wake:
-			r.takeQueued(ctx)
+			r.handleQueued(ctx)
 		case <-ticker.C:
-			r.takeQueued(ctx)
+			r.handleQueued(ctx)
 			r.update(ctx, rollout.TickMsg{
 				Now: r.o.Decisions.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
 				OldRunning: r.o.Decisions.AllOldRunning(), Requests: r.o.Decisions.RequestCounts(),
@@ -141,11 +141,11 @@
 	}
 }
 
-func (r *Runner) takeQueued(ctx context.Context) {
+func (r *Runner) handleQueued(ctx context.Context) {
 	waiting, dropped := r.queue.take()
 	for _, msg := range waiting {
-		if answer, ok := msg.(rollout.ResponseMsg); ok {
-			r.o.Stats.RolloutResponse(answer.Target, answer.Bad)
+		if response, ok := msg.(rollout.ResponseMsg); ok {
+			r.o.Stats.RolloutResponse(response.Target, response.Bad)
 		}
 		r.update(ctx, msg)
 	}
@@ -161,7 +161,7 @@
 		switch cmd := cmd.(type) {
 		case rollout.GateCmd:
 			r.o.Decisions.Update(direct.GateMsg{Now: r.o.Decisions.Now(), Gate: cmd.Gate})
-			r.readiness.gate(cmd.Gate.Service)
+			r.readiness.recordGate(cmd.Gate.Service)
 		case rollout.WriteCmd:
 			go r.write(ctx, cmd)
 		case rollout.StepCmd:
@@ -169,7 +169,7 @@
 			r.logStep(cmd)
 		}
 	}
-	r.readiness.note(msg)
+	r.readiness.observe(msg)
 	if !r.complete.Load() && r.readiness.complete() {
 		r.complete.Store(true)
 	}
--- a/gateway/rollouts/store.go
+++ b/gateway/rollouts/store.go
@@ -28,31 +28,31 @@
 	var err error
 	switch cmd.Kind {
 	case rollout.WriteStatus:
-		var now *rollout.Order
-		if result, now, err = r.o.Store.WriteStatus(ctx, cmd.Service, cmd.Status); now != nil {
-			r.orderWritten(*now)
+		var current *rollout.Order
+		if result, current, err = r.o.Store.WriteStatus(ctx, cmd.Service, cmd.Status); current != nil {
+			r.applyWrittenOrder(*current)
 		}
 	case rollout.WriteRecord:
-		var now *rollout.Record
-		if result, now, err = r.o.Store.WriteRecord(ctx, cmd.Record); now != nil {
-			r.recordWritten(*now)
+		var current *rollout.Record
+		if result, current, err = r.o.Store.WriteRecord(ctx, cmd.Record); current != nil {
+			r.applyWrittenRecord(*current)
 		}
 	}
 	r.logWrite(cmd, result, err)
 	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Decisions.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
 }
 
-// orderWritten takes in an order as it is after a write. Other routers learn of it from the
+// applyWrittenOrder takes in an order as it is after a write. Other routers learn of it from the
 // feed of orders.
-func (r *Runner) orderWritten(order rollout.Order) {
+func (r *Runner) applyWrittenOrder(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.write(order)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyWrite(order)})
 }
 
-// recordWritten takes in a record as it is after a write.
-func (r *Runner) recordWritten(record rollout.Record) {
+// applyWrittenRecord takes in a record as it is after a write.
+func (r *Runner) applyWrittenRecord(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.write(record)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyWrite(record)})
 }
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerMost is how long a closed connection without a deadline sends what still waits.
-const lingerMost = 10 * time.Second
+// closeTimeout is how long a closed connection without a deadline sends what still waits.
+const closeTimeout = 10 * time.Second
 
 // Why a connection was closed before its caller had read everything.
 var (
@@ -31,19 +31,19 @@
 	net.Conn
 	queues  *Queues
 	account *memory.Account
-	closed  func()
+	onClose func()
 
 	mu       sync.Mutex
 	queue    []byte // what waits to be sent, in order
 	sending  bool   // send runs
 	closing  bool   // Close was called
-	ended    bool   // the connection below is closed
+	closed   bool   // the connection below is closed
 	err      error  // of all further writes
 	deadline time.Time
-	room     chan struct{} // sent on when the caller takes something
+	progress chan struct{} // sent on when the caller takes something
 	// moved is when the caller last took something of what waits, in nanoseconds since the
 	// queues were made; 0: nothing waits.
-	moved atomic.Int64
+	lastProgress atomic.Int64
 }
 
 // SetTeam says whose requests come over the connection from now on. What waits of earlier ones
@@ -84,11 +84,11 @@
 	if c.err != nil || sent == len(p) {
 		return sent, c.err
 	}
-	c.awaitRoom(len(p) - sent)
+	c.waitForSpace(len(p) - sent)
 	if c.err != nil {
 		return sent, c.err
 	}
-	return c.keep(p, sent)
+	return c.enqueue(p, sent)
 }
 
 // sendNow sends what the socket takes without waiting.
@@ -98,33 +98,33 @@
 		return 0, nil // send does it
 	}
 	sent := 0
-	var failed error
+	var writeErr error
 	err = raw.Write(func(fd uintptr) bool {
-		sent, failed = unix.Write(int(fd), p)
+		sent, writeErr = unix.Write(int(fd), p)
 		return true
 	})
 	sent = max(sent, 0)
 	switch {
 	case err != nil:
 		return sent, err
-	case failed == unix.EAGAIN || failed == unix.EINTR:
+	case writeErr == unix.EAGAIN || writeErr == unix.EINTR:
 		return sent, nil
 	}
-	return sent, failed
+	return sent, writeErr
 }
 
 // StalledFor is for how long the caller has taken nothing of what waits for it; 0 where nothing
 // does.
 func (c *Conn) StalledFor() time.Duration {
-	moved := c.moved.Load()
-	if moved == 0 {
+	last := c.lastProgress.Load()
+	if last == 0 {
 		return 0
 	}
-	return c.queues.Now() - time.Duration(moved)
+	return c.queues.Now() - time.Duration(last)
 }
 
 // HasPending tells whether something waits to be sent.
-func (c *Conn) HasPending() bool { return c.moved.Load() != 0 }
+func (c *Conn) HasPending() bool { return c.lastProgress.Load() != 0 }
 
 // Drop closes the connection without sending what waits, for a cause that is logged.
 func (c *Conn) Abort(cause error) {
@@ -139,10 +139,10 @@
 	defer c.mu.Unlock()
 	c.closing = true
 	if !c.sending || c.err != nil {
-		return c.end()
+		return c.closeNow()
 	}
 	if c.deadline.IsZero() {
-		return c.Conn.SetWriteDeadline(time.Now().Add(lingerMost))
+		return c.Conn.SetWriteDeadline(time.Now().Add(closeTimeout))
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 // fail ends the connection with an error; c.mu is held.
 func (c *Conn) fail(err error) {
 	first := c.err == nil
-	loss := UnreadResponse{Team: c.account.Team, BytesLeft: len(c.queue), Stalled: c.StalledFor(), Err: err}
+	unread := UnreadResponse{Team: c.account.Team, BytesLeft: len(c.queue), Stalled: c.StalledFor(), Err: err}
 	if first {
 		c.err = err
 	}
@@ -159,21 +159,21 @@
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // the connection is closed anyway
 	}
-	_ = c.end() // err says why it ends
+	_ = c.closeNow() // err says why it ends
 	if first {
 		// Told last, so that whoever is told finds the memory of the answer free.
-		c.queues.lost(loss)
+		c.queues.onUnread(unread)
 	}
 }
 
 // end closes the connection below; c.mu is held.
-func (c *Conn) end() error {
-	if c.ended {
+func (c *Conn) closeNow() error {
+	if c.closed {
 		return nil
 	}
-	c.ended = true
+	c.closed = true
 	c.queues.Close(c.account)
 	err := c.Conn.Close()
-	c.closed()
+	c.onClose()
 	return err
 }
--- a/gateway/sendqueue/queue.go
+++ b/gateway/sendqueue/queue.go
@@ -6,17 +6,17 @@
 	// softLimit is how much of an answer waits, in bytes, before its writer does: a caller that reads
 	// well is only behind by the pace of its line, and the backend server goes at that pace.
 	softLimit = 256 << 10
-	// roomWait is how long a writer waits for a caller that takes nothing. Backend servers cut an
+	// progressTimeout is how long a writer waits for a caller that takes nothing. Backend servers cut an
 	// answer that stays unread for some seconds, so the router reads on before; a caller that
 	// reads well has taken something by then even where a packet was lost.
-	roomWait = 500 * time.Millisecond
-	// pieceSize is how much is sent at once of what waits: small enough to tell a caller that
+	progressTimeout = 500 * time.Millisecond
+	// chunkSize is how much is sent at once of what waits: small enough to tell a caller that
 	// reads slowly from one that does not read.
-	pieceSize = 16 << 10
+	chunkSize = 16 << 10
 )
 
-// keep appends to the queue what has not been sent; c.mu is held.
-func (c *Conn) keep(p []byte, sent int) (int, error) {
+// enqueue appends to the queue what has not been sent; c.mu is held.
+func (c *Conn) enqueue(p []byte, sent int) (int, error) {
 	rest := p[sent:]
 	if !c.queues.Grow(c.account, len(rest), func() { c.Abort(ErrNoMemory) }) {
 		c.queues.dropped.Add(1)
@@ -26,28 +26,28 @@
 	c.queue = append(c.queue, rest...)
 	if !c.sending {
 		c.sending = true
-		c.moved.Store(int64(c.queues.Now()))
+		c.lastProgress.Store(int64(c.queues.Now()))
 		c.queues.waiting.Add(1)
-		c.room = make(chan struct{}, 1)
+		c.progress = make(chan struct{}, 1)
 		go c.send()
 	}
 	return len(p), nil
 }
 
-// awaitRoom waits for a caller that reads while much waits already, but not for one that has
+// waitForSpace waits for a caller that reads while much waits already, but not for one that has
 // stopped; c.mu is held but for the waiting.
-func (c *Conn) awaitRoom(more int) {
-	end := time.Now().Add(roomWait)
-	for c.sending && c.err == nil && len(c.queue)+more > softLimit && len(c.queue) > 0 {
-		left := min(time.Until(end), roomWait-c.StalledFor())
-		if left <= 0 {
+func (c *Conn) waitForSpace(n int) {
+	end := time.Now().Add(progressTimeout)
+	for c.sending && c.err == nil && len(c.queue)+n > softLimit && len(c.queue) > 0 {
+		remaining := min(time.Until(end), progressTimeout-c.StalledFor())
+		if remaining <= 0 {
 			return
 		}
-		room := c.room
+		progress := c.progress
 		c.mu.Unlock()
-		timer := time.NewTimer(left)
+		timer := time.NewTimer(remaining)
 		select {
-		case <-room:
+		case <-progress:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -61,27 +61,27 @@
 	defer c.mu.Unlock()
 	defer c.queues.waiting.Add(-1)
 	for len(c.queue) > 0 && c.err == nil {
-		piece := c.queue[:min(len(c.queue), pieceSize)]
+		chunk := c.queue[:min(len(c.queue), chunkSize)]
 		c.mu.Unlock()
-		n, err := c.Conn.Write(piece)
+		n, err := c.Conn.Write(chunk)
 		c.mu.Lock()
 		if c.err != nil {
 			break
 		}
-		c.taken(n)
+		c.markSent(n)
 		if err != nil {
 			c.fail(err)
 		}
 	}
 	c.sending = false
-	c.moved.Store(0)
+	c.lastProgress.Store(0)
 	if c.closing {
-		c.end()
+		c.closeNow()
 	}
 }
 
-// taken notes that the caller has taken n bytes of what waits; c.mu is held.
-func (c *Conn) taken(n int) {
+// markSent notes that the caller has taken n bytes of what waits; c.mu is held.
+func (c *Conn) markSent(n int) {
 	if n == 0 {
 		return
 	}
@@ -89,10 +89,10 @@
 	if len(c.queue) == 0 {
 		c.queue = nil
 	}
-	c.moved.Store(int64(c.queues.Now()))
+	c.lastProgress.Store(int64(c.queues.Now()))
 	c.queues.shrink(c.account, n)
 	select {
-	case c.room <- struct{}{}:
+	case c.progress <- struct{}{}:
 	default:
 	}
 }
--- a/gateway/sendqueue/queues.go
+++ b/gateway/sendqueue/queues.go
@@ -12,13 +12,13 @@
 // Queues are the send queues of all callers of a router, which share one budget of memory with the
 // bodies of its requests. Make them with NewQueues.
 type Queues struct {
-	mu      sync.Mutex
-	budget  *memory.Budget
-	drops   map[*memory.Account]func() // of those that hold something
-	dropped atomic.Int64
-	waiting atomic.Int64
-	start   time.Time
-	lost    func(UnreadResponse)
+	mu       sync.Mutex
+	budget   *memory.Budget
+	onDrop   map[*memory.Account]func() // of those that hold something
+	dropped  atomic.Int64
+	waiting  atomic.Int64
+	start    time.Time
+	onUnread func(UnreadResponse)
 }
 
 // UnreadResponse is an answer that its caller did not read to the end.
@@ -31,8 +31,8 @@
 
 // NewQueues returns the queues of a budget, which nobody else may use then. lost is told of each
 // answer that was not read, once its connection is closed and its memory is free; it must not block.
-func NewQueues(budget *memory.Budget, lost func(UnreadResponse)) *Queues {
-	return &Queues{budget: budget, drops: make(map[*memory.Account]func()), start: time.Now(), lost: lost}
+func NewQueues(budget *memory.Budget, onUnread func(UnreadResponse)) *Queues {
+	return &Queues{budget: budget, onDrop: make(map[*memory.Account]func()), start: time.Now(), onUnread: onUnread}
 }
 
 // Now is the time since the queues were made, on a clock that steps of the time of day don't touch.
@@ -40,24 +40,24 @@
 
 // Wrap returns a connection whose writes wait for no reader. closed is called once, when the
 // connection has been closed and nothing waits to be sent any more.
-func (q *Queues) Wrap(inner net.Conn, closed func()) *Conn {
-	return &Conn{Conn: inner, queues: q, closed: closed, account: &memory.Account{}}
+func (q *Queues) Wrap(inner net.Conn, onClose func()) *Conn {
+	return &Conn{Conn: inner, queues: q, onClose: onClose, account: &memory.Account{}}
 }
 
 // Grow has an account hold n bytes more, and tells whether it may. drop is called, once at the
 // most, where the account must give way later; it is closed then.
-func (q *Queues) Grow(a *memory.Account, n int, drop func()) bool {
+func (q *Queues) Grow(a *memory.Account, n int, onDrop func()) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	victims, ok := q.budget.Grow(a, n)
 	for _, v := range victims {
 		q.dropped.Add(1)
 		// What drops it may wait for a lock whose holder waits for this one's.
-		go q.drops[v]()
-		delete(q.drops, v)
+		go q.onDrop[v]()
+		delete(q.onDrop, v)
 	}
 	if ok {
-		q.drops[a] = drop
+		q.onDrop[a] = onDrop
 	}
 	return ok
 }
@@ -75,7 +75,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.budget.Close(a)
-	delete(q.drops, a)
+	delete(q.onDrop, a)
 }
 
 // Held is how many bytes are held.
@@ -97,6 +97,6 @@
 	defer q.mu.Unlock()
 	q.budget.Shrink(a, n)
 	if a.Bytes() == 0 {
-		delete(q.drops, a)
+		delete(q.onDrop, a)
 	}
 }
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -37,7 +37,7 @@
 // Since returns what has changed since a revision, as an update to the list that is known
 // now, and whether the history goes back so far. It begins at the newest list that was not
 // newer than the revision: what changed between is told again, which does no harm.
-func (h *History) Since(revision uint64, now *direct.Directory) (Update, bool) {
+func (h *History) Since(revision uint64, current *direct.Directory) (Update, bool) {
 	first := -1
 	for i, step := range h.steps {
 		if step.from <= revision {
@@ -53,8 +53,8 @@
 			changed[id] = true
 		}
 	}
-	u := Update{From: h.steps[first].from, Revision: now.Revision}
-	for _, s := range now.Servers {
+	u := Update{From: h.steps[first].from, Revision: current.Revision}
+	for _, s := range current.Servers {
 		if changed[s.ID] {
 			u.Servers = append(u.Servers, s)
 			delete(changed, s.ID)
--- a/gateway/serverlist/update.go
+++ b/gateway/serverlist/update.go
@@ -20,15 +20,15 @@
 
 // Apply returns the list that an update leads to. It returns nil where the update says
 // nothing new or does not start from what is known.
-func (u *Update) Apply(known *List, now time.Duration) *direct.Directory {
+func (u *Update) Apply(current *List, now time.Duration) *direct.Directory {
 	if u.From == 0 {
 		return &direct.Directory{Revision: u.Revision, Servers: u.Servers}
 	}
-	if known == nil || known.Revision < u.From || known.Revision >= u.Revision {
+	if current == nil || current.Revision < u.From || current.Revision >= u.Revision {
 		return nil
 	}
-	servers := make(map[string]direct.Server, len(known.Servers))
-	for _, s := range known.Aged(now).Servers {
+	servers := make(map[string]direct.Server, len(current.Servers))
+	for _, s := range current.Aged(now).Servers {
 		servers[s.ID] = s
 	}
 	for _, id := range u.Gone {
--- a/gateway/stats/stats.go
+++ b/gateway/stats/stats.go
@@ -13,37 +13,37 @@
 type Stats struct {
 	scope         tally.Scope
 	attempts      map[direct.Outcome]tally.Counter
-	calls         sync.Map        // of *atomic.Int64, the calls to the source by what they are for
+	sourceCalls   sync.Map        // of *atomic.Int64, the calls to the source by what they are for
 	counters      sync.Map        // of counterKey: looking one up by its labels costs more than a refusal
 	QueueWait     tally.Histogram // in the queue, of a request that was sent
 	FirstEvent    tally.Histogram // event of an answer, from the start of its request
 	RequestTime   tally.Histogram // a request, from its start to its end
 	EventPause    tally.Histogram // between events of a stream, as they are forwarded
-	server        tally.Histogram // an attempt, from its start to its end
+	serverTime    tally.Histogram // an attempt, from its start to its end
 	RouterSilence tally.Histogram // of another router, when it is heard again
 	LoadsAge      tally.Histogram // of the others' loads, when newer ones come
 	ConfigAge     tally.Histogram // of the configuration in force, every few seconds
 }
 
-// durations are the bounds of the histograms.
-var durations = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
+// durationBuckets are the bounds of the histograms.
+var durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// ages are the bounds of histograms of what may be old.
-var ages = tally.MustMakeExponentialDurationBuckets(time.Second, 2, 18)
+// ageBuckets are the bounds of histograms of what may be old.
+var ageBuckets = tally.MustMakeExponentialDurationBuckets(time.Second, 2, 18)
 
 // New returns metrics that are registered at a scope.
 func New(scope tally.Scope) *Stats {
 	s := &Stats{
 		scope:         scope,
 		attempts:      make(map[direct.Outcome]tally.Counter),
-		QueueWait:     scope.Histogram("queue_wait", durations),
-		FirstEvent:    scope.Histogram("first_event", durations),
-		RequestTime:   scope.Histogram("request", durations),
-		EventPause:    scope.Histogram("event_pause", durations),
-		server:        scope.Histogram("server_time", durations),
-		RouterSilence: scope.Histogram("router_silence", durations),
-		LoadsAge:      scope.Histogram("loads_age", durations),
-		ConfigAge:     scope.Histogram("config_age", ages),
+		QueueWait:     scope.Histogram("queue_wait", durationBuckets),
+		FirstEvent:    scope.Histogram("first_event", durationBuckets),
+		RequestTime:   scope.Histogram("request", durationBuckets),
+		EventPause:    scope.Histogram("event_pause", durationBuckets),
+		serverTime:    scope.Histogram("server_time", durationBuckets),
+		RouterSilence: scope.Histogram("router_silence", durationBuckets),
+		LoadsAge:      scope.Histogram("loads_age", durationBuckets),
+		ConfigAge:     scope.Histogram("config_age", ageBuckets),
 	}
 	for o := direct.Done; o <= direct.Withheld; o++ {
 		s.attempts[o] = scope.Tagged(map[string]string{"outcome": o.String()}).Counter("attempts")
@@ -70,7 +70,7 @@
 // Attempt takes in one attempt at a server.
 func (s *Stats) Attempt(o direct.Outcome, took time.Duration) {
 	s.attempts[o].Inc(1)
-	s.server.RecordDuration(took)
+	s.serverTime.RecordDuration(took)
 }
 
 // Request counts a request that ended.
@@ -119,14 +119,14 @@
 
 // CountSourceCall counts a call to the source by what it is for.
 func (s *Stats) CountSourceCall(what string) {
-	count, _ := s.calls.LoadOrStore(what, &atomic.Int64{})
+	count, _ := s.sourceCalls.LoadOrStore(what, &atomic.Int64{})
 	count.(*atomic.Int64).Add(1)
 }
 
 // SourceCalls returns how many calls to the source were made since the start, by what they were for.
 func (s *Stats) SourceCalls() map[string]int64 {
 	out := make(map[string]int64)
-	s.calls.Range(func(what, count any) bool {
+	s.sourceCalls.Range(func(what, count any) bool {
 		out[what.(string)] = count.(*atomic.Int64).Load()
 		return true
 	})
@@ -144,5 +144,5 @@
 		result = "failed"
 	}
 	labels := map[string]string{"feed": feed, "result": result}
-	s.scope.Tagged(labels).Histogram("source_call", durations).RecordDuration(took)
+	s.scope.Tagged(labels).Histogram("source_call", durationBuckets).RecordDuration(took)
 }
--- a/gateway/traffic/meter.go
+++ b/gateway/traffic/meter.go
@@ -8,13 +8,13 @@
 
 // Meter counts the bytes of one kind, without what TCP and IP add.
 type Meter struct {
-	bytes    [paths]atomic.Int64
-	counters [paths]tally.Counter
+	bytes    [numPaths]atomic.Int64
+	counters [numPaths]tally.Counter
 }
 
 func newMeter(k Kind, scope tally.Scope) *Meter {
 	m := &Meter{}
-	for p := range paths {
+	for p := range numPaths {
 		m.counters[p] = scope.Tagged(map[string]string{"kind": string(k), "path": p.String()}).Counter("traffic_bytes")
 	}
 	return m
--- a/gateway/traffic/path.go
+++ b/gateway/traffic/path.go
@@ -8,7 +8,7 @@
 	WithinHall   Path = iota
 	BetweenHalls      // of one region
 	BetweenRegions
-	paths
+	numPaths
 )
 
 // String names the path for logs and metrics.
