--- a/explain/summary.go
+++ b/explain/summary.go
@@ -40,13 +40,13 @@
 }
 
 // summary says in a sentence how the request ended, where, and why.
-func (s *Timeline) summary() string {
-	last := s.steps[len(s.steps)-1]
+func (t *Timeline) summary() string {
+	last := t.steps[len(t.steps)-1]
 	outcome := outcomeTexts[last.Event]
 	if outcome == "" {
 		outcome = "was last heard of as " + last.Event
 	}
-	text := fmt.Sprintf("request %s %s at %s", s.Request, outcome, last.Process)
+	text := fmt.Sprintf("request %s %s at %s", t.Request, outcome, last.Process)
 	if took, ok := last.fields["took"].(float64); ok {
 		text += fmt.Sprintf(", %s after it came", milliseconds(took))
 	}
@@ -62,11 +62,11 @@
 }
 
 // warnings say what may be missing from the story.
-func (s *Timeline) warnings() []string {
+func (t *Timeline) warnings() []string {
 	var out []string
 	reported := make(map[string]bool)
-	for _, step := range s.steps {
-		if n := s.dropped[step.Process]; n > 0 && !reported[step.Process] {
+	for _, step := range t.steps {
+		if n := t.dropped[step.Process]; n > 0 && !reported[step.Process] {
 			reported[step.Process] = true
 			out = append(out, fmt.Sprintf(
 				"%s had dropped %.0f lines by the end of its log, for their number: some on this request may be missing.", step.Process, n))
--- a/explain/timeline.go
+++ b/explain/timeline.go
@@ -91,39 +91,39 @@
 
 // stateFor picks what mattered for a line: its router's configuration, servers,
 // shares and process, the server that it names, its service's versions, and what is lost.
-func (s *Timeline) stateFor(l logLine, latest map[string]logLine) []logLine {
+func (t *Timeline) stateFor(l logLine, latest map[string]logLine) []logLine {
 	var out []logLine
 	for _, subject := range slices.Sorted(maps.Keys(latest)) {
-		b := latest[subject]
+		entry := latest[subject]
 		switch {
 		case strings.HasPrefix(subject, "server ") && subject != "server "+l.Server:
-		case strings.HasPrefix(subject, "dependency ") && b.Event != "dependency_lost":
-		case strings.HasPrefix(subject, "hall ") && b.Event != "hall_lost" && b.Event != "hall_evacuated":
-		case isVersionEvent(b) && stringField(b.fields, "service") != stringField(l.fields, "service"):
-		case subject == "other routers" && b.Event != "routers_lost":
+		case strings.HasPrefix(subject, "dependency ") && entry.Event != "dependency_lost":
+		case strings.HasPrefix(subject, "hall ") && entry.Event != "hall_lost" && entry.Event != "hall_evacuated":
+		case isVersionEvent(entry) && stringField(entry.fields, "service") != stringField(l.fields, "service"):
+		case subject == "other routers" && entry.Event != "routers_lost":
 		default:
-			out = append(out, b)
+			out = append(out, entry)
 		}
 	}
 	return out
 }
 
 // Write prints the story: in a sentence, then line by line, then what may be missing.
-func (s *Timeline) Write(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", s.summary()+s.versionSummary(), len(s.steps))
-	begin := s.steps[0].Time
-	for _, step := range s.steps {
+func (t *Timeline) Write(w io.Writer) error {
+	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", t.summary()+t.versionSummary(), len(t.steps))
+	begin := t.steps[0].Time
+	for _, step := range t.steps {
 		if err == nil {
 			_, err = fmt.Fprintf(w, "\n%s (+%s) %s: %s\n    %s\n", step.Time.Format(time.RFC3339Nano),
 				step.Time.Sub(begin).Round(time.Microsecond), step.Process, step.Event, fieldText(step.fields))
 		}
-		for _, b := range step.state {
+		for _, entry := range step.state {
 			if err == nil {
-				_, err = fmt.Fprintf(w, "    %s ago: %s %s\n", step.Time.Sub(b.Time).Round(time.Millisecond), b.Event, fieldText(b.fields))
+				_, err = fmt.Fprintf(w, "    %s ago: %s %s\n", step.Time.Sub(entry.Time).Round(time.Millisecond), entry.Event, fieldText(entry.fields))
 			}
 		}
 	}
-	for _, warning := range s.warnings() {
+	for _, warning := range t.warnings() {
 		if err == nil {
 			_, err = fmt.Fprintf(w, "\n%s\n", warning)
 		}
--- a/explain/versions.go
+++ b/explain/versions.go
@@ -19,10 +19,10 @@
 
 // versionSummary says in sentences, each on a line of its own, to which versions the request went
 // and why, and whether its stream was moved; empty where its service was not being moved.
-func (s *Timeline) versionSummary() string {
+func (t *Timeline) versionSummary() string {
 	out := ""
 	version, side := "", ""
-	for _, step := range s.steps {
+	for _, step := range t.steps {
 		nextVersion, nextSide := stringField(step.fields, "version"), stringField(step.fields, "side")
 		if sideTexts[nextSide] != "" && (nextVersion != version || nextSide != side) {
 			out += fmt.Sprintf("\nIt went to version %s: %s.", nextVersion, sideTexts[nextSide])
--- a/gateway/eventlog/log.go
+++ b/gateway/eventlog/log.go
@@ -118,9 +118,9 @@
 }
 
 // UnreadResponse logs that an answer was not read to its end.
-func (l *Log) UnreadResponse(loss sendqueue.UnreadResponse) {
+func (l *Log) UnreadResponse(unread sendqueue.UnreadResponse) {
 	if l.AllowFailure() {
-		l.Event("answer_unread").Str("team", loss.Team).Int("bytes_left", loss.BytesLeft).Dur("stalled", loss.Stalled).Err(loss.Err).Msg("")
+		l.Event("answer_unread").Str("team", unread.Team).Int("bytes_left", unread.BytesLeft).Dur("stalled", unread.Stalled).Err(unread.Err).Msg("")
 	}
 }
 
--- a/gateway/rollouts/objectview.go
+++ b/gateway/rollouts/objectview.go
@@ -13,38 +13,38 @@
 }
 
 // applyListing takes a newer listing, and returns all objects.
-func (k *objectView[T]) applyListing(l feed.Listing[T]) []T {
-	k.listing = l
-	for service, object := range k.written {
-		if k.revision(object) <= l.Revision {
-			delete(k.written, service)
+func (v *objectView[T]) applyListing(l feed.Listing[T]) []T {
+	v.listing = l
+	for service, object := range v.written {
+		if v.revision(object) <= l.Revision {
+			delete(v.written, service)
 		}
 	}
-	return k.all()
+	return v.all()
 }
 
 // applyWrite takes one object as the store had it after a write, and returns all objects.
-func (k *objectView[T]) applyWrite(object T) []T {
-	service := k.service(object)
-	before, had := k.written[service]
-	if k.revision(object) > k.listing.Revision && (!had || k.revision(object) > k.revision(before)) {
-		if k.written == nil {
-			k.written = make(map[string]T)
+func (v *objectView[T]) applyWrite(object T) []T {
+	service := v.service(object)
+	before, had := v.written[service]
+	if v.revision(object) > v.listing.Revision && (!had || v.revision(object) > v.revision(before)) {
+		if v.written == nil {
+			v.written = make(map[string]T)
 		}
-		k.written[service] = object
+		v.written[service] = object
 	}
-	return k.all()
+	return v.all()
 }
 
 // all returns the objects; for each service there is one at most.
-func (k *objectView[T]) all() []T {
-	out := make([]T, 0, len(k.listing.All)+len(k.written))
-	for _, object := range k.listing.All {
-		if _, newer := k.written[k.service(object)]; !newer {
+func (v *objectView[T]) all() []T {
+	out := make([]T, 0, len(v.listing.All)+len(v.written))
+	for _, object := range v.listing.All {
+		if _, newer := v.written[v.service(object)]; !newer {
 			out = append(out, object)
 		}
 	}
-	for _, object := range k.written {
+	for _, object := range v.written {
 		out = append(out, object)
 	}
 	return out
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -31,7 +31,7 @@
 // newTestConn returns a line whose losses can be received from its channel.
 func newTestConn(t *testing.T, capacity int64) *testConn {
 	unread := make(chan UnreadResponse, 10)
-	l := newTestConnFunc(t, capacity, func(loss UnreadResponse) { unread <- loss })
+	l := newTestConnFunc(t, capacity, func(response UnreadResponse) { unread <- response })
 	l.unread = unread
 	return l
 }
