--- a/explain/fields.go
+++ b/explain/fields.go
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// durations are the fields that hold a number of milliseconds.
+// durationFields are the log fields that hold a duration in milliseconds.
 var durationFields = map[string]bool{
 	"took": true, "first_after": true, "waited": true, "estimate": true, "after": true,
 	"config_age": true, "lag": true, "age": true, "left": true, "for": true, "idle_timeout": true,
 	"within": true,
 }
 
-// fieldUnits are the units of other fields.
+// fieldUnits holds the unit suffixes of the other numeric fields.
 var fieldUnits = map[string]string{
 	"pending_tokens": " tokens", "miss_tokens": " tokens",
 	"level": " tokens/s", "even": " tokens/s", "body_bytes": " bytes", "heap_bytes": " bytes", "stack_bytes": " bytes",
 }
 
-// fieldText prints fields by name, with their units.
+// fieldText formats the non-empty fields in the order of their names, with units.
 func fieldText(fields map[string]any) string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
@@ -50,7 +50,7 @@
 	return fmt.Sprint(value)
 }
 
-// itemText prints an item of a list: a team's rates, or a plain value.
+// itemText formats an item of a list: a team's rates or a plain value.
 func itemText(item any) string {
 	team, ok := item.(map[string]any)
 	if !ok {
@@ -62,12 +62,12 @@
 }
 
 const (
-	// wholeNumberMin is the figure from which decimals tell nothing.
+	// wholeNumberMin is the magnitude from which numbers are printed without decimals.
 	wholeNumberMin = 100
 	maxDecimals    = 3
 )
 
-// numberText prints a figure with no more digits than it is worth.
+// numberText formats a number, with decimals only if it is a small fraction.
 func numberText(number float64) string {
 	if math.Abs(number) >= wholeNumberMin || number == math.Trunc(number) {
 		return strconv.FormatFloat(number, 'f', 0, 64)
--- a/explain/line.go
+++ b/explain/line.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// line is one line of a router's log.
+// logLine is a parsed line of a router's log.
 type logLine struct {
 	Time    time.Time
 	Process string
@@ -16,8 +16,8 @@
 	fields  map[string]any
 }
 
-// parseLine reads a line. What stands before the JSON object (a time, a host's name)
-// is passed over; ok is false where there is no such object.
+// parseLine parses a line and skips any text before the JSON object, such as a time or
+// a host name. ok is false if the line holds no JSON object with a time and an event.
 func parseLine(text []byte) (l logLine, ok bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
--- a/explain/timeline.go
+++ b/explain/timeline.go
@@ -12,35 +12,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnknownRequest says that no log has a line on the request. Ordinary
-// successes are sampled, so that need not be a fault.
-var ErrUnknownRequest = errors.New("no line on this request: ordinary successes are logged for one id in 32 only; give the logs of all routers of the caller's hall")
+// ErrUnknownRequest means that no log has a line on the request. Ordinary
+// successes are sampled, so this is not necessarily a fault.
+var ErrUnknownRequest = errors.New("no log line on this request: ordinary successes are logged for only one id in 32; pass the logs of all routers in the caller's hall")
 
-// maxLineBytes bounds one line of a log.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// beliefs are the events that tell what a router takes to be true, by what they
-// are about.
+// stateSubjects maps each event that reports a router's state to the subject of that state.
+// A later event on the same subject replaces the earlier one.
 var stateSubjects = map[string]string{
 	"config_in_force": "configuration", "servers_listed": "servers", "vitals": "process", "shares": "shares",
 	"start": "life", "reload": "settings", "evacuations_listed": "evacuated data halls",
 }
 
-// Timeline is all that logs say of one request.
+// Timeline holds the log lines on one request, with the routers' state at the time of each.
 type Timeline struct {
 	Request string
 	steps   []step
-	// dropped is how many lines each router had dropped by the end of its log.
+	// dropped counts the lines that each router had dropped by the end of its log.
 	dropped map[string]float64
 }
 
-// step is a line on the request, with what its router believed at the time.
+// step is a line on the request, with the latest lines on the router's state before it.
 type step struct {
 	logLine
 	state []logLine
 }
 
-// Read reads logs, in any order, and keeps what tells of the request.
+// Read reads the logs, given in any order, and returns the timeline of the request.
 func Read(request string, logs ...io.Reader) (*Timeline, error) {
 	var lines []logLine
 	for _, log := range logs {
@@ -89,8 +89,9 @@
 	return timeline, nil
 }
 
-// stateFor picks what mattered for a line: its router's configuration, servers,
-// shares and process, the server that it names, its service's versions, and what is lost.
+// stateFor returns the state that is relevant to a line: its router's configuration, servers,
+// shares and process, the server that it names, the versions of its service, and the data halls,
+// dependencies and routers that are out of use.
 func (t *Timeline) stateFor(l logLine, latest map[string]logLine) []logLine {
 	var out []logLine
 	for _, subject := range slices.Sorted(maps.Keys(latest)) {
@@ -108,7 +109,7 @@
 	return out
 }
 
-// Write prints the story: in a sentence, then line by line, then what may be missing.
+// Write writes a summary, then the lines in order of time, then warnings of missing lines.
 func (t *Timeline) Write(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", t.summary()+t.versionSummary(), len(t.steps))
 	begin := t.steps[0].Time
--- a/explain/timeline_test.go
+++ b/explain/timeline_test.go
@@ -27,8 +27,8 @@
 	var out strings.Builder
 	require.NoError(t, timeline.Write(&out))
 	text := out.String()
-	require.True(t, strings.HasPrefix(text, "request abc was refused and has not run at edge-1: its team had had what it may have for the moment.\nlines on it: 2\n"), text)
-	require.Less(t, strings.Index(text, "edge-2: attempt_ended"), strings.Index(text, "edge-1: request_refused"), "in order of time")
+	require.True(t, strings.HasPrefix(text, "request abc was refused and has not run at edge-1: its team had used its share for the moment.\nlines on it: 2\n"), text)
+	require.Less(t, strings.Index(text, "edge-2: attempt_ended"), strings.Index(text, "edge-1: request_refused"), "the steps are in order of time")
 	require.Contains(t, text, "400ms ago: config_in_force from=source version=7")
 	require.Contains(t, text, "300ms ago: server_ejected cause=hung for=1s server=i-2")
 	require.Contains(t, text, "50ms ago: dependency_lost dependency=source of servers")
@@ -48,8 +48,8 @@
 {"time":"2026-03-23T10:33:10.000Z","level":"info","process":"edge-1","event":"vitals","lag":0.76,"lines_dropped":21}
 `
 
-// TestStoryIsPlain begins with what happened and why, gives figures with their units,
-// and says that lines were dropped.
+// TestStoryIsPlain checks that the text begins with the outcome and its reason, prints numbers
+// with their units, and warns of dropped lines.
 func TestStoryIsPlain(t *testing.T) {
 	timeline, err := Read("abc", strings.NewReader(plainTextLog))
 	require.NoError(t, err)
@@ -57,14 +57,14 @@
 	require.NoError(t, timeline.Write(&out))
 	text := out.String()
 	require.True(t, strings.HasPrefix(text,
-		"request abc failed and may have run at edge-1, 399.87ms after it came: its time was over before a server had answered.\n"), text)
+		"request abc failed and may have run at edge-1, 399.87ms after it arrived: its deadline passed before a server responded.\n"), text)
 	require.Contains(t, text, "estimate=46.8ms pending_tokens=4234 tokens reason=timeout server=i-2 share=1.019 took=399.87ms")
 	require.Contains(t, text, "shares even=566340 tokens/s headroom=1 most=[red asks for 1849088, gets 12.500 tokens/s]")
 	require.Contains(t, text, "lag=760\u00b5s")
 	require.Contains(t, text, "edge-1 had dropped 21 lines by the end of its log")
 }
 
-// TestEveryReasonIsExplained has a sentence for each reason of the decisions.
+// TestEveryReasonIsExplained checks that each reason of package direct has a text.
 func TestEveryReasonIsExplained(t *testing.T) {
 	for _, reason := range []direct.Reason{
 		direct.ReasonNoServers, direct.ReasonOverload, direct.ReasonOverShare, direct.ReasonAttempts,
@@ -80,8 +80,8 @@
 {"time":"2026-03-23T10:33:08.400Z","level":"info","process":"edge-1","event":"request_refused","request":"abc","reason":"no_servers","age":1200.5,"left":9000}
 `
 
-// TestTimelineShowsUnusableHalls names the halls that were evacuated or lost, and not those
-// that are in use again.
+// TestTimelineShowsUnusableHalls checks that the timeline shows the halls that are evacuated or
+// lost, but not those that are in use again.
 func TestTimelineShowsUnusableHalls(t *testing.T) {
 	timeline, err := Read("abc", strings.NewReader(hallLog))
 	require.NoError(t, err)
--- a/explain/versions.go
+++ b/explain/versions.go
@@ -2,23 +2,24 @@
 
 import "fmt"
 
-// sideTexts say why a request went to a version while its service moved from one to another,
-// by the side of a line.
+// sideTexts explains why a request went to a version during a rollout of its service, by the
+// side of a line.
 var sideTexts = map[string]string{
-	"old":          "the requests that share its prompt's parts had not been moved yet",
-	"target":       "the requests that share its prompt's parts had been moved to it",
-	"sample":       "a small part of its route's requests goes to the target, and too few had",
-	"limit":        "it was to go to the target, but its router could send no more there at the time",
-	"no_place":     "it was to go to the target, but no server there would have served it in time",
-	"after_target": "an attempt at the target had brought no answer",
-	"moved":        "it had been broken off at a server of the old version, to go on at one of the target",
+	"old":          "requests that share parts of its prompt had not been moved to the target yet",
+	"target":       "requests that share parts of its prompt had been moved to the target",
+	"sample":       "it was part of the sample of its route's requests that goes to the target",
+	"limit":        "it was meant for the target, but its router had reached its limit there",
+	"no_place":     "it was meant for the target, but no server there would have served it in time",
+	"after_target": "an attempt at the target had brought no response",
+	"moved":        "it had been broken off at a server of the old version to continue on one of the target",
 }
 
-// outcomeMoved is that of an attempt which the router broke off to go on at another version.
+// outcomeMoved is the outcome of an attempt that the router broke off to continue it on another
+// version.
 const outcomeMoved = "moved"
 
-// versionSummary says in sentences, each on a line of its own, to which versions the request went
-// and why, and whether its stream was moved; empty where its service was not being moved.
+// versionSummary returns sentences, one a line, on the versions that the request went to and why,
+// and whether its stream was moved. It returns "" if its service was not in a rollout.
 func (t *Timeline) versionSummary() string {
 	out := ""
 	version, side := "", ""
@@ -29,19 +30,19 @@
 			version, side = nextVersion, nextSide
 		}
 		if stringField(step.fields, "outcome") == outcomeMoved {
-			out += fmt.Sprintf("\nIts stream was broken off there by %s, to go on at a server of the new version.", step.Process)
+			out += fmt.Sprintf("\nIts stream was broken off there by %s, to continue on a server of the new version.", step.Process)
 		}
 	}
 	return out
 }
 
-// isVersionEvent tells whether a line is on a service's versions.
+// isVersionEvent reports whether a line is on a service's versions.
 func isVersionEvent(l logLine) bool {
 	return l.Event == "rollout_step" || l.Event == "version_not_ordered"
 }
 
-// recordVersions takes in what a line tells of versions: the newest step of a service's
-// roll-out, and the versions that nobody has ordered. A version that is moved to has been.
+// recordVersions records a line on versions in latest: the newest step of a service's rollout,
+// and the versions without an order. The target of a rollout has an order.
 func recordVersions(l logLine, latest map[string]logLine) {
 	service := stringField(l.fields, "service")
 	if l.Event == "version_not_ordered" {
--- a/explain/versions_test.go
+++ b/explain/versions_test.go
@@ -17,30 +17,30 @@
 {"time":"2026-03-23T10:33:04.400Z","level":"info","process":"edge-1","event":"request_served","request":"abc","service":"llm","server":"i-2","version":"v2","side":"moved","took":900}
 `
 
-// TestStoryOfMovedStream says to which versions a request went and why, that its stream
-// was moved, and how far the roll-out of its service was; of other services it says nothing.
+// TestStoryOfMovedStream checks that the text names the versions that a request went to and why,
+// that its stream was moved, and the state of the rollout of its service, but of no other service.
 func TestStoryOfMovedStream(t *testing.T) {
 	text := timelineText(t, movedStreamLog)
-	require.True(t, strings.HasPrefix(text, `request abc was served at edge-1, 900ms after it came.
-It went to version v1: the requests that share its prompt's parts had not been moved yet.
-Its stream was broken off there by edge-1, to go on at a server of the new version.
-It went to version v2: it had been broken off at a server of the old version, to go on at one of the target.
+	require.True(t, strings.HasPrefix(text, `request abc was served at edge-1, 900ms after it arrived.
+It went to version v1: requests that share parts of its prompt had not been moved to the target yet.
+Its stream was broken off there by edge-1, to continue on a server of the new version.
+It went to version v2: it had been broken off at a server of the old version to continue on one of the target.
 lines on it: 2
 `), text)
 	require.Contains(t, text, "400ms ago: rollout_step age=2s cause=time new_good=40 service=llm stage=all step=raised target=v2 within=10s")
 	require.Contains(t, text, "1.4s ago: version_not_ordered service=llm version=v3")
-	require.NotContains(t, text, "version_not_ordered service=llm version=v2", "it was ordered since")
+	require.NotContains(t, text, "version_not_ordered service=llm version=v2", "it has been ordered since")
 	require.NotContains(t, text, "service=app")
 }
 
-// TestStoryOfBoundRequest says that a request was refused for its regions.
+// TestStoryOfBoundRequest checks the text on a request that was refused because of its regions.
 func TestStoryOfBoundRequest(t *testing.T) {
 	text := timelineText(t, `{"time":"2026-03-23T10:33:04.400Z","process":"edge-1","event":"request_refused","request":"abc","service":"llm","reason":"region","took":1}`)
-	require.Contains(t, text, "was refused and has not run at edge-1, 1ms after it came: no server of the regions that its route and its team may use")
+	require.Contains(t, text, "was refused and has not run at edge-1, 1ms after it arrived: no server of the regions that its route and its team may use")
 	require.NotContains(t, text, "It went to version")
 }
 
-// TestEverySideIsExplained has a sentence for each reason of going to a version.
+// TestEverySideIsExplained checks that each side of package direct has a text.
 func TestEverySideIsExplained(t *testing.T) {
 	for _, side := range []direct.Side{
 		direct.SideOld, direct.SideTarget, direct.SideSample, direct.SideLimit, direct.SideFull, direct.SideRetry, direct.SideMoved,
--- a/gateway/eventlog/events.go
+++ b/gateway/eventlog/events.go
@@ -5,7 +5,7 @@
 	"github.com/croftvale/croftvale/quarantine"
 )
 
-// Evacuation logs that a data hall is evacuated, or no longer.
+// Evacuation logs the start or the end of the evacuation of a data hall.
 func (l *Log) Evacuation(c direct.EvacuationCmd) {
 	name := "hall_returned"
 	if c.Evacuated {
@@ -14,7 +14,7 @@
 	l.Event(name).Str("hall", c.Hall).Uint64("revision", c.Revision).Int("servers", c.Servers).Msg("")
 }
 
-// HallReachability logs that the servers of a data hall can't be reached, or can again.
+// HallReachability logs that the servers of a data hall became unreachable, or reachable again.
 func (l *Log) HallReachability(c direct.HallReachabilityCmd) {
 	name := "hall_reached"
 	if c.Lost {
@@ -23,7 +23,7 @@
 	l.Event(name).Str("hall", c.Hall).Int("unreached", c.Unreached).Int("servers", c.Servers).Msg("")
 }
 
-// ServerStatus logs what the router takes a server to be.
+// ServerStatus logs a change of the status of a server in this router.
 func (l *Log) ServerStatus(b direct.ServerStatusCmd) {
 	if l.AllowServerStatus() {
 		l.Event("server_"+string(b.Status)).Str("server", b.Server.ID).Str("service", b.Server.Service).
@@ -31,7 +31,7 @@
 	}
 }
 
-// UnreadableNotice logs that a server said something of itself that can't be read.
+// UnreadableNotice logs that the notice in a server's response could not be parsed.
 func (l *Log) UnreadableNotice(s direct.Server, err error) {
 	if l.AllowServerStatus() {
 		l.Event("answer_unreadable").Str("server", s.ID).Str("service", s.Service).Str("address", s.Address).
@@ -39,10 +39,11 @@
 	}
 }
 
-// maxNamedSuspects bounds the contents that one line names.
+// maxNamedSuspects is the maximum number of fingerprints named on one line.
 const maxNamedSuspects = 8
 
-// Crash logs that a server has crashed, and some of the contents that it had just begun to run.
+// Crash logs that a server has crashed, with the fingerprints of some requests that it had just
+// begun to run.
 func (l *Log) Crash(c direct.CrashCmd) {
 	if !l.AllowServerStatus() {
 		return
@@ -55,7 +56,7 @@
 		Int("suspects", len(c.Suspects)).Strs("contents", named).Msg("")
 }
 
-// Quarantine logs that requests of a content are refused from now on, or no longer.
+// Quarantine logs that requests with a fingerprint are refused from now on, or no longer.
 func (l *Log) Quarantine(c quarantine.Change) {
 	name := "quarantine_ended"
 	if c.Barred {
@@ -64,7 +65,7 @@
 	l.Event(name).Str("content", c.Fingerprint.String()).Int("crashes", c.Crashes).Msg("")
 }
 
-// Shares logs what the teams that ask for most get.
+// Shares logs the capacity shares and the teams with the highest demand.
 func (l *Log) Shares(s direct.Shares) {
 	e := l.Event("shares").Float64("level", s.Level).Float64("headroom", s.Headroom).Float64("busy", s.Busy)
 	if s.Even > 0 {
--- a/gateway/eventlog/log.go
+++ b/gateway/eventlog/log.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	maxQueuedLines       = 2048 // that wait to be written
-	successSampling      = 32   // ordinary successes; the same ids on every host
-	maxFailureLines      = 60   // a second, failures and refusals of requests
-	maxServerStatusLines = 40   // a second
-	maxNamedRouters      = 4    // routers that one line on many names
+	maxQueuedLines       = 2048 // waiting to be written
+	successSampling      = 32   // one in so many ordinary successes is logged; the same ids on every host
+	maxFailureLines      = 60   // per second, for failed and refused requests
+	maxServerStatusLines = 40   // per second
+	maxNamedRouters      = 4    // in one line on many routers
 )
 
-// Log writes JSON lines. What does not fit into its queue is counted and dropped.
+// Log writes JSON lines. Lines that do not fit into its queue are dropped and counted.
 type Log struct {
 	logger       log.Logger
 	lines        chan []byte
 	dropped      atomic.Uint64
 	failures     *rate.Limiter
 	serverStatus *rate.Limiter
-	closing      chan struct{} // closed to have what is left written
-	done         chan struct{} // closed when it is
+	closing      chan struct{} // closed to make write drain the queue and return
+	done         chan struct{} // closed when write has returned
 }
 
-// New returns a log of a process that writes to out.
+// New returns a log that writes to out, with process as the name of the process on each line.
 func New(out io.Writer, process string) *Log {
 	l := &Log{
 		lines:        make(chan []byte, maxQueuedLines),
@@ -50,7 +50,7 @@
 	return l
 }
 
-// Write takes one line, or drops it.
+// Write queues one line, or drops it if the queue is full. It never blocks.
 func (l *Log) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
@@ -65,7 +65,7 @@
 	for {
 		select {
 		case line := <-l.lines:
-			_, _ = out.Write(line) // there is nowhere else to say that the log fails
+			_, _ = out.Write(line) // there is nowhere else to report a failing log
 		case <-l.closing:
 			for len(l.lines) > 0 {
 				_, _ = out.Write(<-l.lines)
@@ -75,7 +75,7 @@
 	}
 }
 
-// Close writes what is left. What is logged after it is not written.
+// Close writes the queued lines. Lines that are logged later are not written.
 func (l *Log) Close() {
 	if n := l.dropped.Load(); n > 0 {
 		l.logger.Warn().Str("event", "log_dropped").Uint64("lines", n).Msg("")
@@ -84,19 +84,19 @@
 	<-l.done
 }
 
-// Event begins a line.
+// Event starts a line for the named event.
 func (l *Log) Event(name string) *log.Entry {
 	return l.logger.Info().Str("event", name)
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (l *Log) Dropped() uint64 { return l.dropped.Load() }
 
-// CountDropped counts a line that is not written.
+// CountDropped counts a line as dropped.
 func (l *Log) CountDropped() { l.dropped.Add(1) }
 
-// AllowFailure tells whether one more line on a failure or refusal of a request may be
-// written now. Where it may not, the line counts as dropped.
+// AllowFailure reports whether the rate limit allows another line on a failed or refused
+// request. If it does not, the line counts as dropped.
 func (l *Log) AllowFailure() bool {
 	if !l.failures.Allow() {
 		l.CountDropped()
@@ -105,27 +105,27 @@
 	return true
 }
 
-// AllowServerStatus tells whether one more line on what the router believes of servers may be
-// written now.
+// AllowServerStatus reports whether the rate limit allows another line on the status of a
+// server. Lines that it does not allow are not counted as dropped.
 func (l *Log) AllowServerStatus() bool { return l.serverStatus.Allow() }
 
-// Sampled tells whether an ordinary request is logged, by its id.
+// Sampled reports whether an ordinary success with this request id is logged.
 func Sampled(id string) bool { return xxhash.Sum64String(id)%successSampling == 0 }
 
-// Dependency logs that something the router depends on was lost, or regained.
+// Dependency logs a change of a dependency of the router: it was lost or regained.
 func (l *Log) Dependency(name, change string, err error) {
 	l.Event("dependency_"+change).Str("dependency", name).Err(err).Msg("")
 }
 
-// UnreadResponse logs that an answer was not read to its end.
+// UnreadResponse logs that a response was not read to its end.
 func (l *Log) UnreadResponse(unread sendqueue.UnreadResponse) {
 	if l.AllowFailure() {
 		l.Event("answer_unread").Str("team", unread.Team).Int("bytes_left", unread.BytesLeft).Dur("stalled", unread.Stalled).Err(unread.Err).Msg("")
 	}
 }
 
-// Routers logs that other routers came or went, all of one round in one line: a
-// fleet that starts would otherwise log a line for each pair of its routers.
+// Routers logs an event of several other routers in one line. With a line for each router, a
+// starting fleet would log a line for each pair of its routers.
 func (l *Log) Routers(event string, addresses []string) {
 	if len(addresses) == 0 {
 		return
--- a/gateway/eventlog/log_test.go
+++ b/gateway/eventlog/log_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockedWriter is a standard output that takes nothing.
+// blockedWriter is a standard output whose writes block until release is closed.
 type blockedWriter struct{ release chan struct{} }
 
 func (b blockedWriter) Write(p []byte) (int, error) {
@@ -14,8 +14,8 @@
 	return len(p), nil
 }
 
-// TestBlockedOutput has a router whose standard output takes nothing go on: what
-// does not fit is counted.
+// TestBlockedOutput checks that logging does not block while writes to standard output block,
+// and that lines beyond the queue are counted as dropped.
 func TestBlockedOutput(t *testing.T) {
 	out := blockedWriter{release: make(chan struct{})}
 	l := New(out, "router")
--- a/gateway/memory/account.go
+++ b/gateway/memory/account.go
@@ -1,22 +1,22 @@
 package memory
 
-// Account is what a router holds for one connection of a caller, or for one request's body. The
-// zero value holds nothing, for callers without a team.
+// Account tracks the memory held for one connection of a caller or for one request body. The zero
+// value is an empty account for callers without a team.
 type Account struct {
-	// Team is whose memory it is. It must not change while the account holds anything.
+	// Team is the team that the memory counts for. It must not change while the account holds any.
 	Team string
-	// Pinned says that what it holds can't be dropped before it is done with: the body of a request
-	// that servers may run, or an answer on its way from one. Bodies that still come and
-	// answers that wait for their readers can.
+	// Pinned marks an account whose data must not be dropped: the body of a request that may be sent
+	// to servers, or a response still being received from one. Bodies still being received, and
+	// responses waiting for their callers to read, are not pinned.
 	Pinned bool
 
 	bytes    int64
-	sequence uint64 // in the order in which accounts began to hold something
+	sequence uint64 // order in which accounts began to hold memory
 	closed   bool
 }
 
-// Bytes is what the account holds.
+// Bytes returns the number of bytes held.
 func (a *Account) Bytes() int64 { return a.bytes }
 
-// Closed tells whether the budget has dropped the account, or it was closed.
+// Closed reports whether the account was dropped by the budget or closed by its owner.
 func (a *Account) Closed() bool { return a.closed }
--- a/gateway/memory/budget.go
+++ b/gateway/memory/budget.go
@@ -1,9 +1,9 @@
 package memory
 
-// Budget bounds what a router holds for its callers. Where it is full, the team that holds most
-// gives way, and of what it has that can be dropped the largest: so a team gets the memory that
-// no other asks for, and none can take all of it ("longest queue drop"). Make one with NewBudget; it is
-// not safe for concurrent use.
+// Budget bounds the memory that a router holds for its callers. When it is full, the largest
+// unpinned account of the team that holds the most is dropped ("longest queue drop"). So a team can
+// use memory that no other team needs, but cannot keep it from the others. Create one with
+// NewBudget; it is not safe for concurrent use.
 type Budget struct {
 	capacity     int64
 	held         int64
@@ -11,26 +11,26 @@
 	lastSequence uint64
 }
 
-// teamAccounts are the accounts of one team that hold something.
+// teamAccounts holds the non-empty accounts of one team and their total size.
 type teamAccounts struct {
 	bytes    int64
 	accounts map[*Account]bool
 }
 
-// NewBudget returns a budget of so many bytes.
+// NewBudget returns a budget with a capacity in bytes.
 func NewBudget(capacity int64) *Budget {
 	return &Budget{capacity: capacity, teams: make(map[string]*teamAccounts)}
 }
 
-// Capacity is how many bytes may be held.
+// Capacity returns the maximum number of bytes held.
 func (b *Budget) Capacity() int64 { return b.capacity }
 
-// Held is how many bytes are held.
+// Held returns the number of bytes held.
 func (b *Budget) Held() int64 { return b.held }
 
-// Grow has an account hold n bytes more, and tells whether it may. The accounts it returns have
-// given way and are closed: their connections are to be closed. An account that may not grow
-// keeps what it has.
+// Grow adds n bytes to an account and reports whether the budget allows it. The accounts that it
+// returns were closed to make room; the caller must close their connections. An account that may
+// not grow keeps what it holds.
 func (b *Budget) Grow(a *Account, n int) (dropped []*Account, ok bool) {
 	if a.closed || int64(n) > b.capacity {
 		return nil, false
@@ -47,14 +47,14 @@
 	return dropped, true
 }
 
-// Shrink has an account hold n bytes less.
+// Shrink releases n bytes of an account.
 func (b *Budget) Shrink(a *Account, n int) {
 	if !a.closed {
 		b.add(a, -min(int64(n), a.bytes))
 	}
 }
 
-// Close ends an account; it holds nothing any more.
+// Close closes an account and releases all that it holds.
 func (b *Budget) Close(a *Account) {
 	b.Shrink(a, int(a.bytes))
 	a.closed = true
@@ -85,8 +85,8 @@
 	}
 }
 
-// selectVictim returns the account that gives way for n more bytes of another one: nil where none can,
-// the other one itself where its own team holds most and it is the largest there.
+// selectVictim returns the account to drop so that a can grow by n bytes. It returns nil if none can
+// be dropped, and a itself if its team would hold the most and a would be the largest there.
 func (b *Budget) selectVictim(a *Account, n int64) *Account {
 	team, maxBytes := a.Team, n
 	if own := b.teams[a.Team]; own != nil {
@@ -110,7 +110,7 @@
 	return own.largest(a, a.bytes+n)
 }
 
-// droppable tells whether an account can give way.
+// droppable reports whether any account of the team may be dropped.
 func (h *teamAccounts) droppable() bool {
 	for a := range h.accounts {
 		if !a.Pinned {
@@ -120,8 +120,8 @@
 	return false
 }
 
-// largest returns the account that holds most, of those that can give way: of equal ones the
-// oldest. It is first where none holds more than that many bytes.
+// largest returns the unpinned account that holds the most; of equal ones, the oldest. It returns
+// fallback if no other account holds more than minBytes.
 func (h *teamAccounts) largest(fallback *Account, minBytes int64) *Account {
 	found, maxBytes := fallback, minBytes
 	for a := range h.accounts {
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetIsBounded has teams hold, release and end accounts at random. Never is more held than
-// the budget allows; what is held is the sum of what is not closed; and a team gives way only
-// while no other team with unread answers holds more.
+// TestBudgetIsBounded grows, shrinks and closes accounts at random. The total never exceeds the
+// capacity and equals the sum of the open accounts. An account is dropped only if no other team with
+// droppable accounts holds more than its team.
 func TestBudgetIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(100)
@@ -50,7 +50,7 @@
 	held := b.Held()
 	dropped, ok := b.Grow(a, n)
 	if held+int64(n) <= b.Capacity() {
-		require.Equal(t, !a.Closed(), ok, "there is room")
+		require.Equal(t, !a.Closed(), ok, "the budget has room")
 		require.Empty(t, dropped)
 	}
 	for _, victim := range dropped {
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestLargestAccountOfHeaviestTeamIsDropped fills the budget with one team's unread answers; the answers of
-// another team find room, and the first team's largest ones give way.
+// TestLargestAccountOfHeaviestTeamIsDropped fills the budget with one team's unread responses. The
+// growth of another team's account drops the first team's largest one.
 func TestLargestAccountOfHeaviestTeamIsDropped(t *testing.T) {
 	b := NewBudget(100)
 	small, large := &Account{Team: "red"}, &Account{Team: "red"}
@@ -86,27 +86,27 @@
 	require.Equal(t, []*Account{large}, dropped)
 	require.True(t, large.Closed())
 	_, ok = b.Grow(large, 1)
-	require.False(t, ok, "it has given way")
+	require.False(t, ok, "the account was dropped")
 }
 
-// TestHeaviestTeamDropsItsOwnAccounts has a team that holds most ask for more: its own largest
-// gives way, which may be what asks.
+// TestHeaviestTeamDropsItsOwnAccounts grows an account of the team that holds the most. The team's
+// own largest account is dropped; if that is the growing one, it is refused instead.
 func TestHeaviestTeamDropsItsOwnAccounts(t *testing.T) {
 	b := NewBudget(100)
 	answer, other := &Account{Team: "red"}, &Account{Team: "blue"}
 	mustGrow(t, b, answer, 70)
 	mustGrow(t, b, other, 30)
 	_, ok := b.Grow(answer, 5)
-	require.False(t, ok, "it is the largest itself")
-	require.EqualValues(t, 70, answer.Bytes(), "it keeps what it has")
+	require.False(t, ok, "the growing account is the largest")
+	require.EqualValues(t, 70, answer.Bytes(), "a refused account keeps what it holds")
 	one := &Account{Team: "red"}
 	dropped, ok := b.Grow(one, 5)
 	require.True(t, ok)
 	require.Equal(t, []*Account{answer}, dropped)
 }
 
-// TestPinnedAccountsAreNotDropped has a team hold all memory with what can't be dropped: nothing more of it is
-// taken, and another team's unread answers stay.
+// TestPinnedAccountsAreNotDropped has the team that holds the most hold only a pinned account. Further
+// growth of the team is refused, and another team's unread response is not dropped for it.
 func TestPinnedAccountsAreNotDropped(t *testing.T) {
 	b := NewBudget(100)
 	body, other := &Account{Team: "red", Pinned: true}, &Account{Team: "blue"}
--- a/gateway/memory/doc.go
+++ b/gateway/memory/doc.go
@@ -1,9 +1,9 @@
-// Package memory decides what a router holds for its callers: the bodies of their requests, and
-// answers that they have yet to read. It does no I/O; package sendqueue and the front ask it
-// before they hold more, and drop what it gives up.
+// Package memory accounts for the memory that a router holds for its callers: request bodies and
+// responses that callers have not read yet. It does no I/O. Package sendqueue and the front grow an
+// account before they hold more, and drop the data of accounts that the budget closes.
 //
 //	b := memory.NewBudget(16 << 20)
 //	a := &memory.Account{Team: "red"}
-//	given, ok := b.Grow(a, len(body))
+//	dropped, ok := b.Grow(a, len(body))
 //	defer b.Close(a)
 package memory
--- a/gateway/rollouts/doc.go
+++ b/gateway/rollouts/doc.go
@@ -1,8 +1,7 @@
-// Package rollouts runs the decisions on roll-outs in a router: it tells rollout.Machine
-// of orders, records, versions, answers and time, puts its gates in force, and carries out
-// its writes to the store.
+// Package rollouts runs a router's rollouts: it passes orders, records, versions, responses
+// and ticks to rollout.Machine, applies the machine's gates, and carries out its writes to
+// the store.
 //
-// Locks: the requests' decisions tell of answers under their lock, so nothing here that
-// they call waits for anything; and no lock of this package is held while they are told
-// of a gate.
+// Locks: the request state machine reports responses under its own lock, so the methods that
+// it calls here never block. No lock of this package is held while a gate is passed to it.
 package rollouts
--- a/gateway/rollouts/log.go
+++ b/gateway/rollouts/log.go
@@ -2,8 +2,7 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// logStep logs that a roll-out has moved on, or that a version has servers which nobody
-// ordered.
+// logStep logs a step of a rollout, or that a version without an order has servers.
 func (r *Runner) logStep(c rollout.StepCmd) {
 	if c.Step == rollout.StepUnordered {
 		r.o.Log.Event("version_not_ordered").Str("service", c.Service).Str("version", c.Cause).Msg("")
@@ -15,7 +14,7 @@
 		Uint32("old_good", c.Old.Good).Uint32("old_bad", c.Old.Bad).Msg("")
 }
 
-// writeNames and resultNames are the words of logs.
+// writeKindNames and resultNames are the names used in logs.
 var (
 	writeKindNames = map[rollout.WriteKind]string{rollout.WriteStatus: "status", rollout.WriteRecord: "record"}
 	resultNames    = map[rollout.WriteResult]string{
@@ -33,7 +32,7 @@
 	e.Err(err).Msg("")
 }
 
-// logDropped counts and logs answers that were dropped; lines come at a bounded rate.
+// logDropped counts dropped responses and logs them at a limited rate.
 func (r *Runner) logDropped(n int64) {
 	if n > 0 {
 		r.o.Stats.RolloutResponsesDropped(n)
--- a/gateway/rollouts/objectview.go
+++ b/gateway/rollouts/objectview.go
@@ -2,9 +2,9 @@
 
 import "github.com/croftvale/croftvale/gateway/feed"
 
-// known is the objects of one kind: those of the newest listing, and over them the newer
-// ones that the store's answers to this router's writes have shown. A listing holds every
-// change up to its revision, so it replaces all objects that are not newer.
+// objectView merges the newest listing of one kind of object with newer objects that the
+// store returned for this router's writes. A listing holds every change up to its revision,
+// so it replaces all objects that are not newer.
 type objectView[T any] struct {
 	listing  feed.Listing[T]
 	written  map[string]T
@@ -12,7 +12,7 @@
 	revision func(T) uint64
 }
 
-// applyListing takes a newer listing, and returns all objects.
+// applyListing replaces the listing by a newer one and returns all objects.
 func (v *objectView[T]) applyListing(l feed.Listing[T]) []T {
 	v.listing = l
 	for service, object := range v.written {
@@ -23,7 +23,8 @@
 	return v.all()
 }
 
-// applyWrite takes one object as the store had it after a write, and returns all objects.
+// applyWrite applies an object that the store returned for a write, unless a newer one is
+// already there, and returns all objects.
 func (v *objectView[T]) applyWrite(object T) []T {
 	service := v.service(object)
 	before, had := v.written[service]
@@ -36,7 +37,7 @@
 	return v.all()
 }
 
-// all returns the objects; for each service there is one at most.
+// all returns the merged objects, at most one for each service.
 func (v *objectView[T]) all() []T {
 	out := make([]T, 0, len(v.listing.All)+len(v.written))
 	for _, object := range v.listing.All {
--- a/gateway/rollouts/objectview_test.go
+++ b/gateway/rollouts/objectview_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// TestRolloutObjectView plays a store whose objects change, come and go, and tells listings in
-// their order and written objects late and twice: of what was told, the newest state of
-// each service is known, and no object comes back that a newer listing lacks.
+// TestRolloutObjectView simulates a store whose objects are added, changed and deleted. It applies
+// listings in order, and written objects late and more than once. The view holds the newest
+// object of each service that it has received, and no object that a newer listing lacks.
 func TestRolloutObjectView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := newOrderView()
--- a/gateway/rollouts/queue.go
+++ b/gateway/rollouts/queue.go
@@ -6,24 +6,24 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// maxQueuedResponses bounds the answers that wait for the next tick, a tenth of a second: 40,000 a
-// second is far more than a router serves.
+// maxQueuedResponses is the maximum number of responses that wait for the next tick, a tenth of a
+// second later. It allows 40,000 responses per second, far more than a router serves.
 const maxQueuedResponses = 4096
 
-// queue holds messages until its owner takes them. Any message but an answer wakes the
-// owner; answers, which are many, wait for the next tick.
+// queue holds messages until the runner takes them. Responses, of which there are many, wait
+// for the next tick; any other message wakes the runner.
 type queue struct {
 	mu        sync.Mutex
 	waiting   []rollout.Msg
-	responses int           // among waiting
-	dropped   int64         // answers, since the last take
-	wake      chan struct{} // a message other than an answer waits
+	responses int           // number of responses in waiting
+	dropped   int64         // responses dropped since the last take
+	wake      chan struct{} // holds a value while a message other than a response waits
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
 
-// put adds a message. It never waits: answers that find no room are dropped, since they
-// are many and each says little.
+// put adds a message and never blocks. Responses beyond the limit are dropped: there are
+// many, and each adds little evidence.
 func (q *queue) put(msg rollout.Msg) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -43,8 +43,8 @@
 	}
 }
 
-// take returns the messages in the order in which they came, and how many answers were
-// dropped.
+// take removes and returns the messages in order of arrival, and the number of responses that
+// were dropped since the last take.
 func (q *queue) take() ([]rollout.Msg, int64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/gateway/rollouts/queue_test.go
+++ b/gateway/rollouts/queue_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutQueue fills a queue with answers: it drops and counts what finds no room,
-// and still takes other messages, for which alone its owner is woken.
+// TestRolloutQueue fills a queue with responses: the queue drops and counts those beyond its
+// limit, still accepts other messages, and wakes the runner for those only.
 func TestRolloutQueue(t *testing.T) {
 	q := newQueue()
 	for range maxQueuedResponses + 3 {
--- a/gateway/rollouts/readiness.go
+++ b/gateway/rollouts/readiness.go
@@ -2,15 +2,15 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// readiness is how far a router that starts is from serving every service that has servers:
-// a gate lets nothing through before the versions in use are known.
+// readiness tracks whether a starting router can serve every service that has servers. A gate
+// lets no request through until the versions in use are known.
 type readiness struct {
-	orders, records, versions bool            // the machine has been told of them
-	services                  []string        // that have servers
-	gated                     map[string]bool // services of which a gate is in force
+	orders, records, versions bool            // the machine has received them
+	services                  []string        // services that have servers
+	gated                     map[string]bool // services with a gate applied
 }
 
-// observe takes in that the machine was told something.
+// observe records a message that the machine has received.
 func (s *readiness) observe(msg rollout.Msg) {
 	switch msg := msg.(type) {
 	case rollout.OrdersMsg:
@@ -26,7 +26,7 @@
 	}
 }
 
-// recordGate takes in that a gate is in force.
+// recordGate records that a gate of the service is applied.
 func (s *readiness) recordGate(service string) {
 	if s.gated == nil {
 		s.gated = make(map[string]bool)
@@ -34,7 +34,7 @@
 	s.gated[service] = true
 }
 
-// complete tells whether every service that has servers can be served.
+// complete reports whether every service that has servers can be served.
 func (s *readiness) complete() bool {
 	if !s.orders || !s.records || !s.versions {
 		return false
--- a/gateway/rollouts/readiness_test.go
+++ b/gateway/rollouts/readiness_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutReadiness has a router that starts lack something until orders, records and
-// servers have come and each service with servers has a gate.
+// TestRolloutReadiness checks that a starting router is not complete until it has received
+// orders, records and versions and each service with servers has a gate.
 func TestRolloutReadiness(t *testing.T) {
 	var s readiness
 	for _, msg := range []rollout.Msg{
@@ -19,7 +19,7 @@
 	}
 	s.recordGate("llm")
 	s.recordGate("other")
-	require.False(t, s.complete(), "a service has servers and no gate")
+	require.False(t, s.complete(), "one service has servers but no gate")
 	s.recordGate("app")
 	require.True(t, s.complete())
 	s.observe(rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}}})
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -14,30 +14,31 @@
 	"golang.org/x/time/rate"
 )
 
-// droppedLogInterval is the time between two lines on answers that were dropped.
+// droppedLogInterval is the minimum time between two log lines on dropped responses.
 const droppedLogInterval = time.Second
 
-// Decisions is the decisions on requests, which the gates bind.
+// Decisions is the state machine that routes requests, to which the gates apply.
 type Decisions interface {
-	// Now is the time since the router's start.
+	// Now returns the time since the router started.
 	Now() time.Duration
-	// Update tells them something, such as a gate.
+	// Update passes a message, such as a gate, to the state machine.
 	Update(msg direct.Msg)
-	// AllOldRunning counts the requests at servers of old versions, by service.
+	// AllOldRunning returns the number of requests running at servers of old versions, by service.
 	AllOldRunning() map[string]int
-	// RequestCounts counts the requests that came since services began to move, by service.
+	// RequestCounts returns the number of requests since the start of each rollout, by service.
 	RequestCounts() map[string]int
 }
 
 // Peers are the other routers.
 type Peers interface {
-	// Leads tells whether this router is the one that raises stages and writes.
+	// Leads reports whether this router is the leader, which raises stages and writes to the
+	// store.
 	Leads() bool
-	// Routers counts the routers that are there, this one included.
+	// Routers returns the number of live routers, this one included.
 	Routers() int
 }
 
-// Options are what a Runner stands on.
+// Options holds the bounds and dependencies of a Runner.
 type Options struct {
 	Bounds    rollout.Bounds
 	Decisions Decisions
@@ -46,25 +47,25 @@
 	Stats     *stats.Stats
 }
 
-// Runner runs the decisions on roll-outs. Feeds, requests and the other routers put messages
-// into its queue; one goroutine alone hands them to the machine.
+// Runner runs the rollout state machine. Feeds, requests and peers put messages into its queue;
+// a single goroutine passes them to the machine.
 type Runner struct {
 	o     Options
 	queue *queue
-	// mu guards the machine, orders and records. It is held while these are put into the
-	// queue, so that the machine is told of them in the order in which they came.
+	// mu guards the machine, orders and records. It is held while orders and records are put
+	// into the queue, so that the machine receives them in the order of arrival.
 	mu             sync.Mutex
 	machine        *rollout.Machine
 	orders         objectView[rollout.Order]
 	records        objectView[rollout.Record]
 	readiness      readiness
-	unloggedDrops  int64         // answers, since the last line
-	dropLogLimiter *rate.Limiter // on dropped answers
-	// complete is the result of readiness once it is true, for other goroutines.
+	unloggedDrops  int64         // dropped responses since the last log line
+	dropLogLimiter *rate.Limiter // limits log lines on dropped responses
+	// complete is set once readiness is complete, for use by other goroutines.
 	complete atomic.Bool
 }
 
-// NewRunner returns a runner that knows nothing yet.
+// NewRunner returns a runner without orders, records or versions.
 func NewRunner(o Options) *Runner {
 	return &Runner{
 		o: o, queue: newQueue(),
@@ -81,47 +82,47 @@
 	}
 }
 
-// Enqueue tells the machine something. It never waits.
+// Enqueue queues a message for the machine. It never blocks.
 func (r *Runner) Enqueue(msg rollout.Msg) { r.queue.put(msg) }
 
-// TakeOrders takes newer orders in.
+// TakeOrders applies a newer listing of orders.
 func (r *Runner) TakeOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyListing(l)})
 }
 
-// TakeRecords takes newer records in.
+// TakeRecords applies a newer listing of records.
 func (r *Runner) TakeRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyListing(l)})
 }
 
-// TakeVersions takes in which versions the listed servers have.
+// TakeVersions passes on the versions of the listed servers, by service.
 func (r *Runner) TakeVersions(services map[string][]string) {
 	r.queue.put(rollout.VersionsMsg{Now: r.o.Decisions.Now(), Services: services})
 }
 
-// Complete tells whether every service that had servers when this router came to know
-// orders and records has had a gate: before that, some would serve nobody.
+// Complete reports whether orders, records and versions have arrived and every service with
+// servers has a gate. Before that, some services would serve no request. Once true, it stays true.
 func (r *Runner) Complete() bool { return r.complete.Load() }
 
-// Reports returns what this router tells the others of roll-outs under way.
+// Reports returns this router's reports to its peers on the rollouts in progress.
 func (r *Runner) Reports() []rollout.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Reports()
 }
 
-// Snapshots returns what this router knows of versions and roll-outs, for dumps.
+// Snapshots returns the state of versions and rollouts in this router, for dumps.
 func (r *Runner) Snapshots() []rollout.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Snapshots()
 }
 
-// Run hands queued messages and ticks to the machine, until ctx ends.
+// Run passes queued messages and ticks to the machine until ctx ends.
 func (r *Runner) Run(ctx context.Context, peers Peers) error {
 	ticker := time.NewTicker(rollout.TickInterval)
 	defer ticker.Stop()
@@ -152,7 +153,7 @@
 	r.logDropped(dropped)
 }
 
-// update tells the machine something and carries out its commands.
+// update passes a message to the machine and carries out the commands that it returns.
 func (r *Runner) update(ctx context.Context, msg rollout.Msg) {
 	r.mu.Lock()
 	cmds := r.machine.Update(msg)
--- a/gateway/rollouts/store.go
+++ b/gateway/rollouts/store.go
@@ -7,20 +7,21 @@
 	"github.com/croftvale/croftvale/rollout"
 )
 
-// writeTimeout bounds a call that writes: a healthy store answers far sooner, and a write
-// without an answer must be repeated before the order's deadline.
+// writeTimeout bounds a write to the store. A healthy store responds far sooner, and a write
+// without a response must be repeated before the order's deadline.
 const writeTimeout = 1500 * time.Millisecond
 
-// Store is where states of orders and records are written, each on the condition that the
-// object is still as it was.
+// Store writes the status of orders, and records. Each write is conditional: it succeeds only
+// if the object is unchanged.
 type Store interface {
-	// WriteStatus and WriteRecord return the object as it is now, where the store told.
+	// WriteStatus and WriteRecord return the current object, or nil if the store did not return
+	// it.
 	WriteStatus(ctx context.Context, service string, status rollout.Status) (rollout.WriteResult, *rollout.Order, error)
 	WriteRecord(ctx context.Context, r rollout.Record) (rollout.WriteResult, *rollout.Record, error)
 }
 
-// write carries out one write. It tells the machine of the object that the store answered
-// before it tells how the write ended.
+// write carries out one write. It queues the object that the store returned before the result
+// of the write.
 func (r *Runner) write(ctx context.Context, cmd rollout.WriteCmd) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -42,15 +43,15 @@
 	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Decisions.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
 }
 
-// applyWrittenOrder takes in an order as it is after a write. Other routers learn of it from the
-// feed of orders.
+// applyWrittenOrder applies an order that the store returned for a write. Other routers receive
+// it from the feed of orders.
 func (r *Runner) applyWrittenOrder(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyWrite(order)})
 }
 
-// applyWrittenRecord takes in a record as it is after a write.
+// applyWrittenRecord applies a record that the store returned for a write.
 func (r *Runner) applyWrittenRecord(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -12,21 +12,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// closeTimeout is how long a closed connection without a deadline sends what still waits.
+// closeTimeout bounds how long a closed connection without a deadline goes on sending its queue.
 const closeTimeout = 10 * time.Second
 
-// Why a connection was closed before its caller had read everything.
+// Reasons for closing a connection before its caller has read everything.
 var (
-	// ErrNoMemory means that the memory for unread answers is used up, and that this caller's
-	// team holds most of it.
+	// ErrNoMemory means that the memory budget is used up and that this caller's team holds the
+	// most of it.
 	ErrNoMemory = errors.New("the caller does not read, and the memory for unread answers is used up")
-	// ErrStalled means that the caller neither read nor sent for a while, and that a new one needed
-	// its place.
+	// ErrStalled means that the caller neither read nor sent for a while and that a new caller
+	// needed its slot.
 	ErrStalled = errors.New("the caller neither reads nor sends, and another one needs its place")
 )
 
-// Conn is a caller's connection whose writes wait for no reader. Its reads are those of the
-// connection below.
+// Conn is a caller's connection whose writes are queued, so that they do not block on a caller that
+// does not read. Reads go to the underlying connection.
 type Conn struct {
 	net.Conn
 	queues  *Queues
@@ -34,20 +34,20 @@
 	onClose func()
 
 	mu       sync.Mutex
-	queue    []byte // what waits to be sent, in order
-	sending  bool   // send runs
+	queue    []byte // data to send, in order
+	sending  bool   // the goroutine that runs send is active
 	closing  bool   // Close was called
-	closed   bool   // the connection below is closed
-	err      error  // of all further writes
+	closed   bool   // the underlying connection is closed
+	err      error  // returned by all further writes
 	deadline time.Time
-	progress chan struct{} // sent on when the caller takes something
-	// moved is when the caller last took something of what waits, in nanoseconds since the
-	// queues were made; 0: nothing waits.
+	progress chan struct{} // receives a value when the caller accepts data
+	// lastProgress is when the caller last accepted queued data, in nanoseconds since the creation
+	// of the Queues; 0 if the queue is empty.
 	lastProgress atomic.Int64
 }
 
-// SetTeam says whose requests come over the connection from now on. What waits of earlier ones
-// stays with their team.
+// SetTeam sets the team whose requests arrive on the connection from now on. While data of earlier
+// requests is queued, the connection stays with their team.
 func (c *Conn) SetTeam(team string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,16 +56,16 @@
 	}
 }
 
-// SyscallConn returns the socket below.
+// SyscallConn returns the raw connection of the underlying socket.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	system, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("the connection is no socket")
+		return nil, errors.New("the connection is not a socket")
 	}
 	return system.SyscallConn()
 }
 
-// SetWriteDeadline bounds how long what is written may wait for its reader.
+// SetWriteDeadline sets the time until which written data may wait for the caller to read it.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.deadline = t
@@ -73,7 +73,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends, and keeps what the caller does not take at once.
+// Write sends p and queues what the socket does not accept at once.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,11 +91,11 @@
 	return c.enqueue(p, sent)
 }
 
-// sendNow sends what the socket takes without waiting.
+// sendNow sends as much of p as the socket accepts without blocking, and returns its length.
 func (c *Conn) sendNow(p []byte) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return 0, nil // send does it
+		return 0, nil // p is queued instead
 	}
 	sent := 0
 	var writeErr error
@@ -113,8 +113,7 @@
 	return sent, writeErr
 }
 
-// StalledFor is for how long the caller has taken nothing of what waits for it; 0 where nothing
-// does.
+// StalledFor returns how long the caller has accepted no queued data; 0 if the queue is empty.
 func (c *Conn) StalledFor() time.Duration {
 	last := c.lastProgress.Load()
 	if last == 0 {
@@ -123,17 +122,18 @@
 	return c.queues.Now() - time.Duration(last)
 }
 
-// HasPending tells whether something waits to be sent.
+// HasPending reports whether data waits to be sent.
 func (c *Conn) HasPending() bool { return c.lastProgress.Load() != 0 }
 
-// Drop closes the connection without sending what waits, for a cause that is logged.
+// Abort closes the connection without sending the queue. cause is reported as the error.
 func (c *Conn) Abort(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fail(cause)
 }
 
-// Close closes the connection once what waits has been sent, or its time is over.
+// Close returns at once. The connection closes when its queue has been sent or its write deadline
+// has passed.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// fail ends the connection with an error; c.mu is held.
+// fail closes the connection with an error and reports it to onUnread. c.mu is held.
 func (c *Conn) fail(err error) {
 	first := c.err == nil
 	unread := UnreadResponse{Team: c.account.Team, BytesLeft: len(c.queue), Stalled: c.StalledFor(), Err: err}
@@ -155,18 +155,18 @@
 		c.err = err
 	}
 	c.queue = nil
-	// What the system holds of an answer that ends early must not be kept either.
+	// Discard what the kernel still buffers of a response that is cut off.
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the connection is closed anyway
+		_ = tcp.SetLinger(0) // best effort: the connection is closed anyway
 	}
-	_ = c.closeNow() // err says why it ends
+	_ = c.closeNow() // err holds the cause
 	if first {
-		// Told last, so that whoever is told finds the memory of the answer free.
+		// Reported last, so that the memory of the response is free when onUnread runs.
 		c.queues.onUnread(unread)
 	}
 }
 
-// end closes the connection below; c.mu is held.
+// closeNow closes the underlying connection. c.mu is held.
 func (c *Conn) closeNow() error {
 	if c.closed {
 		return nil
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -15,11 +15,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bufferBytes is the size of the system's buffers in tests, in bytes: small, so that writers meet them,
-// and not so small that the system waits between packets.
+// bufferBytes is the size of the kernel's socket buffers in tests: small enough that writers fill
+// them, and large enough that the kernel does not delay packets.
 const bufferBytes = 32 << 10
 
-// testConn is one connection with small windows on both sides, as between far hosts.
+// testConn is a connection with small socket buffers on both sides.
 type testConn struct {
 	conn   *Conn
 	reader *net.TCPConn
@@ -28,7 +28,7 @@
 	queues *Queues
 }
 
-// newTestConn returns a line whose losses can be received from its channel.
+// newTestConn returns a connection that sends its unread responses to its channel unread.
 func newTestConn(t *testing.T, capacity int64) *testConn {
 	unread := make(chan UnreadResponse, 10)
 	l := newTestConnFunc(t, capacity, func(response UnreadResponse) { unread <- response })
@@ -36,7 +36,7 @@
 	return l
 }
 
-// newTestConnFunc returns a line whose losses are told to a function.
+// newTestConnFunc returns a connection that passes its unread responses to a function.
 func newTestConnFunc(t *testing.T, capacity int64, onUnread func(UnreadResponse)) *testConn {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -58,8 +58,8 @@
 	return l
 }
 
-// TestWriteDoesNotBlockOnReader writes an answer that its caller does not read: the writer goes on at
-// once, the connection is closed, and the caller still gets the whole answer.
+// TestWriteDoesNotBlockOnReader writes a response that its caller does not read yet. The writes and
+// the close return at once, and the caller still receives the whole response.
 func TestWriteDoesNotBlockOnReader(t *testing.T) {
 	l := newTestConn(t, 1<<20)
 	answer := bytes.Repeat([]byte("0123456789abcdef"), 24<<10)
@@ -71,17 +71,17 @@
 	require.True(t, l.conn.HasPending())
 	require.Positive(t, l.queues.Held())
 	require.NoError(t, l.conn.Close())
-	require.Zero(t, l.closed.Load(), "it has not been sent")
+	require.Zero(t, l.closed.Load(), "the queue has not been sent yet")
 	got, err := io.ReadAll(l.reader)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(answer, got), "the answer is whole and in order")
+	require.True(t, bytes.Equal(answer, got), "the response is complete and in order")
 	require.Eventually(t, func() bool { return l.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
 	require.Zero(t, l.queues.Held())
 	require.Zero(t, l.queues.Waiting())
 }
 
-// TestUnreadResponseIsBounded writes more than the budget allows to a caller that does not read: its
-// connection is broken off, so that the answer does not look whole.
+// TestUnreadResponseIsBounded writes more than the budget allows to a caller that does not read. The
+// connection is reset, so that the response does not look complete.
 func TestUnreadResponseIsBounded(t *testing.T) {
 	l := newTestConn(t, 64<<10)
 	var err error
@@ -97,7 +97,8 @@
 	require.ErrorIs(t, err, ErrNoMemory)
 }
 
-// TestTimeOfAnUnreadAnswerEnds has a caller not read within its request's time.
+// TestTimeOfAnUnreadAnswerEnds checks that a response that is not read by the write deadline is
+// dropped and reported.
 func TestTimeOfAnUnreadAnswerEnds(t *testing.T) {
 	l := newTestConn(t, 8<<20)
 	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
@@ -109,10 +110,10 @@
 	require.Zero(t, l.queues.Held())
 }
 
-// TestUnreadIsReportedAfterMemoryIsFreed has an answer's time end while its caller does not read. Whoever
-// was told of the loss could still find the memory of the answer in use: the loss was told first and
-// the connection closed after it, "Should be zero, but was 483328" of a budget of eight megabytes,
-// in 5 of 300 runs. So the one who is told looks at the memory here.
+// TestUnreadIsReportedAfterMemoryIsFreed lets the write deadline of an unread response pass. An unread
+// response was once reported before its connection was closed, so that in 5 of 300 runs the receiver
+// of the report still found its memory held: 483328 bytes of a budget of 8 MiB. The callback checks the
+// held memory here.
 func TestUnreadIsReportedAfterMemoryIsFreed(t *testing.T) {
 	heldBytes := make(chan int64, 1)
 	var l *testConn
@@ -124,8 +125,8 @@
 	require.EqualValues(t, 1, l.closed.Load())
 }
 
-// TestWriterWaitsForActiveReader writes a long answer to a caller that reads: no more of it waits
-// than the caller is behind by.
+// TestWriterWaitsForActiveReader writes a long response to a caller that reads steadily. The writer
+// waits for the caller, and the queue stays below softLimit.
 func TestWriterWaitsForActiveReader(t *testing.T) {
 	l := newTestConn(t, 4*softLimit)
 	const size = 8 * softLimit
@@ -145,15 +146,15 @@
 	require.EqualValues(t, size, <-got)
 }
 
-// TestTeamsShareMemory has the unread answers of one team fill the memory: another team's find
-// room, and the first team's give way.
+// TestTeamsShareMemory fills the memory with the unread responses of one team. Another team still
+// gets memory, and the first team's response is dropped.
 func TestTeamsShareMemory(t *testing.T) {
 	l := newTestConn(t, 600<<10)
 	l.conn.SetTeam("red")
 	_, err := l.conn.Write(make([]byte, 500<<10))
 	require.NoError(t, err)
 	other := &memory.Account{Team: "blue", Pinned: true}
-	require.True(t, l.queues.Grow(other, 300<<10, func() { t.Error("it is kept") }))
+	require.True(t, l.queues.Grow(other, 300<<10, func() { t.Error("a pinned account was dropped") }))
 	unread := <-l.unread
 	require.Equal(t, "red", unread.Team)
 	require.ErrorIs(t, unread.Err, ErrNoMemory)
--- a/gateway/sendqueue/queue.go
+++ b/gateway/sendqueue/queue.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// softLimit is how much of an answer waits, in bytes, before its writer does: a caller that reads
-	// well is only behind by the pace of its line, and the backend server goes at that pace.
+	// softLimit is the queue length in bytes from which a writer waits. A caller that reads steadily
+	// then slows the backend server down to the pace of its own network.
 	softLimit = 256 << 10
-	// progressTimeout is how long a writer waits for a caller that takes nothing. Backend servers cut an
-	// answer that stays unread for some seconds, so the router reads on before; a caller that
-	// reads well has taken something by then even where a packet was lost.
+	// progressTimeout bounds how long a writer waits for a caller that accepts nothing. Backend
+	// servers cut off a response that stays unread for some seconds, so the router goes on reading
+	// before that. A caller that reads steadily makes progress within this time even if a packet is
+	// lost.
 	progressTimeout = 500 * time.Millisecond
-	// chunkSize is how much is sent at once of what waits: small enough to tell a caller that
-	// reads slowly from one that does not read.
+	// chunkSize is the number of queued bytes sent in one call: small enough to distinguish a caller
+	// that reads slowly from one that does not read.
 	chunkSize = 16 << 10
 )
 
-// enqueue appends to the queue what has not been sent; c.mu is held.
+// enqueue appends the unsent rest of p to the queue. c.mu is held.
 func (c *Conn) enqueue(p []byte, sent int) (int, error) {
 	rest := p[sent:]
 	if !c.queues.Grow(c.account, len(rest), func() { c.Abort(ErrNoMemory) }) {
@@ -34,8 +35,8 @@
 	return len(p), nil
 }
 
-// waitForSpace waits for a caller that reads while much waits already, but not for one that has
-// stopped; c.mu is held but for the waiting.
+// waitForSpace waits until n more bytes fit below softLimit, as long as the caller makes progress.
+// c.mu is held, except while waiting.
 func (c *Conn) waitForSpace(n int) {
 	end := time.Now().Add(progressTimeout)
 	for c.sending && c.err == nil && len(c.queue)+n > softLimit && len(c.queue) > 0 {
@@ -55,7 +56,7 @@
 	}
 }
 
-// send sends what waits, until nothing does.
+// send sends the queue until it is empty or the connection fails.
 func (c *Conn) send() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// markSent notes that the caller has taken n bytes of what waits; c.mu is held.
+// markSent removes n bytes that the caller has accepted from the queue. c.mu is held.
 func (c *Conn) markSent(n int) {
 	if n == 0 {
 		return
--- a/gateway/sendqueue/queues.go
+++ b/gateway/sendqueue/queues.go
@@ -9,50 +9,51 @@
 	"github.com/croftvale/croftvale/gateway/memory"
 )
 
-// Queues are the send queues of all callers of a router, which share one budget of memory with the
-// bodies of its requests. Make them with NewQueues.
+// Queues holds the send queues of all callers of a router. They share one memory budget with the
+// bodies of its requests. Create it with NewQueues.
 type Queues struct {
 	mu       sync.Mutex
 	budget   *memory.Budget
-	onDrop   map[*memory.Account]func() // of those that hold something
+	onDrop   map[*memory.Account]func() // callbacks of the accounts that hold memory
 	dropped  atomic.Int64
 	waiting  atomic.Int64
 	start    time.Time
 	onUnread func(UnreadResponse)
 }
 
-// UnreadResponse is an answer that its caller did not read to the end.
+// UnreadResponse describes a response that its caller did not read to the end.
 type UnreadResponse struct {
 	Team      string
-	BytesLeft int           // that were not sent
-	Stalled   time.Duration // since the caller last took something
+	BytesLeft int           // not sent
+	Stalled   time.Duration // time since the caller last accepted data
 	Err       error
 }
 
-// NewQueues returns the queues of a budget, which nobody else may use then. lost is told of each
-// answer that was not read, once its connection is closed and its memory is free; it must not block.
+// NewQueues returns queues that take over the budget: no other code may use it. onUnread is called
+// for each response that was not read, after its connection is closed and its memory is free. It
+// must not block.
 func NewQueues(budget *memory.Budget, onUnread func(UnreadResponse)) *Queues {
 	return &Queues{budget: budget, onDrop: make(map[*memory.Account]func()), start: time.Now(), onUnread: onUnread}
 }
 
-// Now is the time since the queues were made, on a clock that steps of the time of day don't touch.
+// Now returns the time since the creation of the queues, on the monotonic clock.
 func (q *Queues) Now() time.Duration { return time.Since(q.start) }
 
-// Wrap returns a connection whose writes wait for no reader. closed is called once, when the
-// connection has been closed and nothing waits to be sent any more.
+// Wrap returns a connection whose writes are queued. onClose is called once, when the connection
+// has been closed and its queue has been sent or discarded.
 func (q *Queues) Wrap(inner net.Conn, onClose func()) *Conn {
 	return &Conn{Conn: inner, queues: q, onClose: onClose, account: &memory.Account{}}
 }
 
-// Grow has an account hold n bytes more, and tells whether it may. drop is called, once at the
-// most, where the account must give way later; it is closed then.
+// Grow adds n bytes to an account and reports whether the budget allows it. onDrop is called at most
+// once, if the account is dropped later to make room for another. The account is closed by then.
 func (q *Queues) Grow(a *memory.Account, n int, onDrop func()) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	victims, ok := q.budget.Grow(a, n)
 	for _, v := range victims {
 		q.dropped.Add(1)
-		// What drops it may wait for a lock whose holder waits for this one's.
+		// Runs in a goroutine, as the callback may need a lock whose holder waits for q.mu.
 		go q.onDrop[v]()
 		delete(q.onDrop, v)
 	}
@@ -62,7 +63,7 @@
 	return ok
 }
 
-// Pin has an account give no way any more, and tells whether it has not done so already.
+// Pin protects an account from being dropped, and reports whether it is still open.
 func (q *Queues) Pin(a *memory.Account) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -70,7 +71,7 @@
 	return !a.Closed()
 }
 
-// Close ends an account.
+// Close closes an account and frees its memory.
 func (q *Queues) Close(a *memory.Account) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,20 +79,20 @@
 	delete(q.onDrop, a)
 }
 
-// Held is how many bytes are held.
+// Held returns the number of bytes held.
 func (q *Queues) Held() int64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.budget.Held()
 }
 
-// Dropped is how many bodies and answers have been dropped for want of memory.
+// Dropped returns the number of request bodies and responses that were dropped for lack of memory.
 func (q *Queues) Dropped() int64 { return q.dropped.Load() }
 
-// Waiting is how many connections have something to send that their callers don't read yet.
+// Waiting returns the number of connections with queued data.
 func (q *Queues) Waiting() int64 { return q.waiting.Load() }
 
-// shrink gives n bytes of an account back.
+// shrink returns n bytes of an account to the budget.
 func (q *Queues) shrink(a *memory.Account, n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/gateway/serverlist/doc.go
+++ b/gateway/serverlist/doc.go
@@ -1,3 +1,3 @@
-// Package serverlist is the list of servers as routers pass it on: whole to a router that
-// knows none, and as what has changed to one that knows an earlier one. It is pure.
+// Package serverlist holds the list of servers that routers pass on to each other: the whole
+// list to a router without one, and the changes to a router with an earlier list. It does no I/O.
 package serverlist
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -7,23 +7,23 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// historyLength is how many lists of servers back a router can tell what has changed. A
+// historyLength is the number of earlier lists since which a router can return the changes. A
 // router that is further behind gets the whole list.
 const historyLength = 64
 
-// History remembers which servers were touched from list to list. To compare lists
-// would not do: a server that changed and changed back between two of them has to be told
-// to a router that took a list between. The zero value is ready.
+// History records which servers were touched from list to list. Comparing two lists would miss
+// a server that changed and changed back in between, but a router that took a list in between
+// needs that server. The zero value is ready to use.
 type History struct{ steps []historyStep }
 
-// historyStep is the step from the list at one revision to the next that came.
+// historyStep is the step from the list at one revision to the next list received.
 type historyStep struct {
 	from uint64
-	ids  []string // all that were touched
+	ids  []string // all servers that were touched
 }
 
-// Record takes in that a list was replaced by a newer one, and which servers were touched
-// since.
+// Record adds the step from the list at a revision to a newer one, with the ids of the servers
+// that were touched.
 func (h *History) Record(from uint64, ids []string) {
 	if len(h.steps) == historyLength {
 		h.steps = slices.Delete(h.steps, 0, 1)
@@ -31,12 +31,12 @@
 	h.steps = append(h.steps, historyStep{from: from, ids: ids})
 }
 
-// Reset begins anew, after a list of which nobody knows what happened before it.
+// Reset clears the history, after a list whose changes from the previous one are unknown.
 func (h *History) Reset() { h.steps = nil }
 
-// Since returns what has changed since a revision, as an update to the list that is known
-// now, and whether the history goes back so far. It begins at the newest list that was not
-// newer than the revision: what changed between is told again, which does no harm.
+// Since returns the update from a revision to the current list, and reports whether the history
+// goes back that far. The update starts at the newest recorded list that is not newer than the
+// revision, so it may repeat changes that the receiver has already applied, which is harmless.
 func (h *History) Since(revision uint64, current *direct.Directory) (Update, bool) {
 	first := -1
 	for i, step := range h.steps {
--- a/gateway/serverlist/history_test.go
+++ b/gateway/serverlist/history_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHistoryIsBounded has a router that is far behind get the whole list.
+// TestHistoryIsBounded checks that the history keeps historyLength steps and has no update for a
+// router that is further behind.
 func TestHistoryIsBounded(t *testing.T) {
 	var h History
 	for i := uint64(1); i < 3*historyLength; i++ {
--- a/gateway/serverlist/list.go
+++ b/gateway/serverlist/list.go
@@ -7,13 +7,13 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// List is a list of servers and when this router took it, on the router's clock.
+// List is a list of servers and the time at which this router received it, on the router's clock.
 type List struct {
 	direct.Directory
 	At time.Duration
 }
 
-// Aged returns the list as it is at a later time: servers are cold for less long by then.
+// Aged returns the list as of a later time, with the remaining cold time of servers reduced.
 func (l *List) Aged(now time.Duration) direct.Directory {
 	out := l.Directory
 	out.Servers = slices.Clone(l.Servers)
--- a/gateway/serverlist/update.go
+++ b/gateway/serverlist/update.go
@@ -8,18 +8,18 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// Update brings a list of servers at revision From, or at any later one, to
-// Revision. Where From is 0, Servers are the whole list. A list of 3,000 servers has some
-// 330 kB, and every router takes in each change of it.
+// Update updates a list of servers at revision From, or at any later one, to Revision. If From
+// is 0, Servers is the whole list. Changes are sent instead of the list because a list of 3,000
+// servers has some 330 kB and every router receives each change of it.
 type Update struct {
 	From     uint64
 	Revision uint64
-	Servers  []direct.Server // all, or those that are new or have changed
-	Gone     []string        // ids
+	Servers  []direct.Server // all servers, or those that are new or have changed
+	Gone     []string        // ids of removed servers
 }
 
-// Apply returns the list that an update leads to. It returns nil where the update says
-// nothing new or does not start from what is known.
+// Apply returns the list that results from the update. It returns nil if the update is not newer
+// than the current list or does not start from it.
 func (u *Update) Apply(current *List, now time.Duration) *direct.Directory {
 	if u.From == 0 {
 		return &direct.Directory{Revision: u.Revision, Servers: u.Servers}
@@ -44,7 +44,7 @@
 	return d
 }
 
-// IDs returns the servers that the update names.
+// IDs returns the ids of the servers that the update changes or removes.
 func (u *Update) IDs() []string {
 	out := slices.Clone(u.Gone)
 	for _, s := range u.Servers {
--- a/gateway/stats/doc.go
+++ b/gateway/stats/doc.go
@@ -1,2 +1,2 @@
-// Package stats is a router's metrics. Labels come from small fixed sets.
+// Package stats holds a router's metrics. All labels come from small fixed sets.
 package stats
--- a/gateway/stats/stats.go
+++ b/gateway/stats/stats.go
@@ -9,29 +9,29 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Stats is the metrics of one router.
+// Stats holds the metrics of one router.
 type Stats struct {
 	scope         tally.Scope
 	attempts      map[direct.Outcome]tally.Counter
-	sourceCalls   sync.Map        // of *atomic.Int64, the calls to the source by what they are for
-	counters      sync.Map        // of counterKey: looking one up by its labels costs more than a refusal
-	QueueWait     tally.Histogram // in the queue, of a request that was sent
-	FirstEvent    tally.Histogram // event of an answer, from the start of its request
-	RequestTime   tally.Histogram // a request, from its start to its end
-	EventPause    tally.Histogram // between events of a stream, as they are forwarded
-	serverTime    tally.Histogram // an attempt, from its start to its end
-	RouterSilence tally.Histogram // of another router, when it is heard again
-	LoadsAge      tally.Histogram // of the others' loads, when newer ones come
-	ConfigAge     tally.Histogram // of the configuration in force, every few seconds
+	sourceCalls   sync.Map        // purpose -> *atomic.Int64, the number of calls to the source
+	counters      sync.Map        // counterKey -> tally.Counter: a lookup by labels costs more than a refusal
+	QueueWait     tally.Histogram // time in the queue of a request that was sent
+	FirstEvent    tally.Histogram // time from the start of a request to the first event of its response
+	RequestTime   tally.Histogram // time from the start to the end of a request
+	EventPause    tally.Histogram // time between forwarded events of a stream
+	serverTime    tally.Histogram // time from the start to the end of an attempt
+	RouterSilence tally.Histogram // time without a message from another router, recorded at the next one
+	LoadsAge      tally.Histogram // age of another router's loads when newer ones arrive
+	ConfigAge     tally.Histogram // age of the applied configuration, recorded every few seconds
 }
 
-// durationBuckets are the bounds of the histograms.
+// durationBuckets are the buckets of duration histograms.
 var durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// ageBuckets are the bounds of histograms of what may be old.
+// ageBuckets are the buckets of the histogram of the configuration age, which can be large.
 var ageBuckets = tally.MustMakeExponentialDurationBuckets(time.Second, 2, 18)
 
-// New returns metrics that are registered at a scope.
+// New returns metrics that are registered in a scope.
 func New(scope tally.Scope) *Stats {
 	s := &Stats{
 		scope:         scope,
@@ -51,10 +51,10 @@
 	return s
 }
 
-// counterKey names a counter by its labels.
+// counterKey identifies a counter by its name and labels.
 type counterKey struct{ name, result, reason string }
 
-// counter returns a counter with labels, both from small fixed sets.
+// counter returns the counter of a key. Names and labels come from small fixed sets.
 func (s *Stats) counter(k counterKey) tally.Counter {
 	if c, ok := s.counters.Load(k); ok {
 		return c.(tally.Counter)
@@ -67,13 +67,13 @@
 	return c.(tally.Counter)
 }
 
-// Attempt takes in one attempt at a server.
+// Attempt records an attempt at a server.
 func (s *Stats) Attempt(o direct.Outcome, took time.Duration) {
 	s.attempts[o].Inc(1)
 	s.serverTime.RecordDuration(took)
 }
 
-// Request counts a request that ended.
+// Request counts an ended request.
 func (s *Stats) Request(result, reason string) {
 	s.counter(counterKey{"requests", result, reason}).Inc(1)
 }
@@ -83,7 +83,7 @@
 	s.counter(counterKey{"rejected", "", reason}).Inc(1)
 }
 
-// ServerNotice counts what a server said of itself in an answer.
+// ServerNotice counts the notices in a server's response.
 func (s *Stats) ServerNotice(n direct.Notice) {
 	if n.Leaving {
 		s.counter(counterKey{"server_notices", "", "leaving"}).Inc(1)
@@ -93,11 +93,11 @@
 	}
 }
 
-// RolloutStep counts a step of a roll-out, by what happened.
+// RolloutStep counts a step of a rollout, by its name.
 func (s *Stats) RolloutStep(step string) { s.counter(counterKey{"rollout_steps", "", step}).Inc(1) }
 
-// RolloutResponse counts an answer that says something of a version, by the side of its
-// server and whether it was bad.
+// RolloutResponse counts a response that is evidence on a version, by the side of its server and
+// whether it was bad.
 func (s *Stats) RolloutResponse(target, bad bool) {
 	side, result := "old", "good"
 	if target {
@@ -109,7 +109,7 @@
 	s.counter(counterKey{"rollout_answers", result, side}).Inc(1)
 }
 
-// RolloutResponsesDropped counts answers that nobody came to judge.
+// RolloutResponsesDropped counts responses that were dropped before they were evaluated.
 func (s *Stats) RolloutResponsesDropped(n int64) {
 	s.counter(counterKey{"rollout_answers_dropped", "", ""}).Inc(n)
 }
@@ -117,13 +117,13 @@
 // DatagramFailed counts a datagram that could not be sent to another router.
 func (s *Stats) DatagramFailed() { s.counter(counterKey{"datagrams_failed", "", ""}).Inc(1) }
 
-// CountSourceCall counts a call to the source by what it is for.
+// CountSourceCall counts a call to the source, by its purpose.
 func (s *Stats) CountSourceCall(what string) {
 	count, _ := s.sourceCalls.LoadOrStore(what, &atomic.Int64{})
 	count.(*atomic.Int64).Add(1)
 }
 
-// SourceCalls returns how many calls to the source were made since the start, by what they were for.
+// SourceCalls returns the number of calls to the source since the start, by purpose.
 func (s *Stats) SourceCalls() map[string]int64 {
 	out := make(map[string]int64)
 	s.sourceCalls.Range(func(what, count any) bool {
@@ -133,10 +133,10 @@
 	return out
 }
 
-// DatagramUnreadable counts a datagram of another router that could not be read.
+// DatagramUnreadable counts a datagram from another router that could not be decoded.
 func (s *Stats) DatagramUnreadable() { s.counter(counterKey{"datagrams_unreadable", "", ""}).Inc(1) }
 
-// RecordSourceCall takes in one call to the source.
+// RecordSourceCall records a call to the source with its duration and result.
 func (s *Stats) RecordSourceCall(feed string, took time.Duration, err error) {
 	s.CountSourceCall(feed)
 	result := "done"
--- a/gateway/traffic/counter.go
+++ b/gateway/traffic/counter.go
@@ -6,29 +6,29 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Kind says what bytes were sent or read for, as logs and metrics name it.
+// Kind is the purpose of sent or read bytes, as logs and metrics name it.
 type Kind string
 
-// The kinds of traffic beside the feeds, each of which is a kind of its own.
+// The kinds of traffic other than feeds. Each feed is a kind of its own.
 const (
-	Requests   Kind = "requests"   // callers' bodies and answers, between this router and servers
+	Requests   Kind = "requests"   // request bodies and responses between this router and servers
 	Heartbeats Kind = "heartbeats" // sent to other routers
-	Loads      Kind = "loads"      // lists of loads, sent to other routers
+	Loads      Kind = "loads"      // load lists, sent to other routers
 )
 
-// Counter is the meters of a router.
+// Counter holds the meters of a router, one for each kind of traffic.
 type Counter struct {
 	scope  tally.Scope
 	mu     sync.Mutex
 	meters map[Kind]*Meter
 }
 
-// NewCounter returns a counter that counts as metrics too.
+// NewCounter returns a counter that also reports its bytes as metrics in scope.
 func NewCounter(scope tally.Scope) *Counter {
 	return &Counter{scope: scope, meters: make(map[Kind]*Meter)}
 }
 
-// Meter returns the meter of one kind.
+// Meter returns the meter of a kind and creates it at the first call.
 func (c *Counter) Meter(k Kind) *Meter {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/traffic/doc.go
+++ b/gateway/traffic/doc.go
@@ -1,3 +1,3 @@
-// Package traffic counts the bytes that a router sends and reads, by what they are for
-// and by how far they go: bytes between halls are priced, those between regions higher.
+// Package traffic counts the bytes that a router sends and reads, by purpose and by distance:
+// bytes between halls are charged for, and bytes between regions cost more.
 package traffic
--- a/gateway/traffic/meter.go
+++ b/gateway/traffic/meter.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Meter counts the bytes of one kind, without what TCP and IP add.
+// Meter counts the bytes of one kind, without the overhead of TCP and IP.
 type Meter struct {
 	bytes    [numPaths]atomic.Int64
 	counters [numPaths]tally.Counter
@@ -20,7 +20,7 @@
 	return m
 }
 
-// Add counts some bytes.
+// Add adds n bytes on a path.
 func (m *Meter) Add(p Path, n int) {
 	m.bytes[p].Add(int64(n))
 	m.counters[p].Inc(int64(n))
@@ -33,7 +33,7 @@
 	}
 }
 
-// Sum is the bytes of one kind since the start.
+// Sum holds the bytes of one kind since the start, by path.
 type Sum struct {
 	WithinHall     int64
 	BetweenHalls   int64 // of one region
--- a/gateway/traffic/path.go
+++ b/gateway/traffic/path.go
@@ -1,6 +1,6 @@
 package traffic
 
-// Path says how far bytes go.
+// Path is the distance class of traffic.
 type Path uint8
 
 // The paths of traffic, the shortest first.
@@ -16,7 +16,8 @@
 	return [...]string{"within_hall", "between_halls", "between_regions"}[p]
 }
 
-// Place is where a host is. An empty region is not known, and counts as one of its own.
+// Place is the location of a host. An empty region means unknown and counts as a region of its
+// own.
 type Place struct{ Hall, Region string }
 
 // PathTo returns the path from one place to another.
