--- a/explain/fields.go
+++ b/explain/fields.go
@@ -64,7 +64,7 @@
 const (
 	// wholeNumberMin is the magnitude from which numbers are printed without decimals.
 	wholeNumberMin = 100
-	maxDecimals    = 3
+	decimals       = 3
 )
 
 // numberText formats a number, with decimals only if it is a small fraction.
@@ -72,5 +72,5 @@
 	if math.Abs(number) >= wholeNumberMin || number == math.Trunc(number) {
 		return strconv.FormatFloat(number, 'f', 0, 64)
 	}
-	return strconv.FormatFloat(number, 'f', maxDecimals, 64)
+	return strconv.FormatFloat(number, 'f', decimals, 64)
 }
--- a/gateway/eventlog/events.go
+++ b/gateway/eventlog/events.go
@@ -24,10 +24,10 @@
 }
 
 // ServerStatus logs a change of the status of a server in this router.
-func (l *Log) ServerStatus(b direct.ServerStatusCmd) {
+func (l *Log) ServerStatus(c direct.ServerStatusCmd) {
 	if l.AllowServerStatus() {
-		l.Event("server_"+string(b.Status)).Str("server", b.Server.ID).Str("service", b.Server.Service).
-			Str("address", b.Server.Address).Str("cause", b.Cause).Dur("for", b.For).Msg("")
+		l.Event("server_"+string(c.Status)).Str("server", c.Server.ID).Str("service", c.Server.Service).
+			Str("address", c.Server.Address).Str("cause", c.Cause).Dur("for", c.For).Msg("")
 	}
 }
 
--- a/gateway/memory/budget.go
+++ b/gateway/memory/budget.go
@@ -111,8 +111,8 @@
 }
 
 // droppable reports whether any account of the team may be dropped.
-func (h *teamAccounts) droppable() bool {
-	for a := range h.accounts {
+func (t *teamAccounts) droppable() bool {
+	for a := range t.accounts {
 		if !a.Pinned {
 			return true
 		}
@@ -122,9 +122,9 @@
 
 // largest returns the unpinned account that holds the most; of equal ones, the oldest. It returns
 // fallback if no other account holds more than minBytes.
-func (h *teamAccounts) largest(fallback *Account, minBytes int64) *Account {
+func (t *teamAccounts) largest(fallback *Account, minBytes int64) *Account {
 	found, maxBytes := fallback, minBytes
-	for a := range h.accounts {
+	for a := range t.accounts {
 		older := found != nil && found != fallback && a.sequence < found.sequence
 		if !a.Pinned && a != fallback && (a.bytes > maxBytes || a.bytes == maxBytes && older) {
 			found, maxBytes = a, a.bytes
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -93,16 +93,16 @@
 // own largest account is dropped; if that is the growing one, it is refused instead.
 func TestHeaviestTeamDropsItsOwnAccounts(t *testing.T) {
 	b := NewBudget(100)
-	answer, other := &Account{Team: "red"}, &Account{Team: "blue"}
-	mustGrow(t, b, answer, 70)
+	largest, other := &Account{Team: "red"}, &Account{Team: "blue"}
+	mustGrow(t, b, largest, 70)
 	mustGrow(t, b, other, 30)
-	_, ok := b.Grow(answer, 5)
+	_, ok := b.Grow(largest, 5)
 	require.False(t, ok, "the growing account is the largest")
-	require.EqualValues(t, 70, answer.Bytes(), "a refused account keeps what it holds")
+	require.EqualValues(t, 70, largest.Bytes(), "a refused account keeps what it holds")
 	one := &Account{Team: "red"}
 	dropped, ok := b.Grow(one, 5)
 	require.True(t, ok)
-	require.Equal(t, []*Account{answer}, dropped)
+	require.Equal(t, []*Account{largest}, dropped)
 }
 
 // TestPinnedAccountsAreNotDropped has the team that holds the most hold only a pinned account. Further
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -143,8 +143,8 @@
 }
 
 func (r *Runner) handleQueued(ctx context.Context) {
-	waiting, dropped := r.queue.take()
-	for _, msg := range waiting {
+	messages, dropped := r.queue.take()
+	for _, msg := range messages {
 		if response, ok := msg.(rollout.ResponseMsg); ok {
 			r.o.Stats.RolloutResponse(response.Target, response.Bad)
 		}
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -31,9 +31,9 @@
 // newTestConn returns a connection that sends its unread responses to its channel unread.
 func newTestConn(t *testing.T, capacity int64) *testConn {
 	unread := make(chan UnreadResponse, 10)
-	l := newTestConnFunc(t, capacity, func(response UnreadResponse) { unread <- response })
-	l.unread = unread
-	return l
+	c := newTestConnFunc(t, capacity, func(response UnreadResponse) { unread <- response })
+	c.unread = unread
+	return c
 }
 
 // newTestConnFunc returns a connection that passes its unread responses to a function.
@@ -45,69 +45,69 @@
 	require.NoError(t, err)
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	l := &testConn{reader: dialled.(*net.TCPConn)}
-	require.NoError(t, l.reader.SetReadBuffer(bufferBytes))
+	c := &testConn{reader: dialled.(*net.TCPConn)}
+	require.NoError(t, c.reader.SetReadBuffer(bufferBytes))
 	require.NoError(t, accepted.(*net.TCPConn).SetWriteBuffer(bufferBytes))
-	l.queues = NewQueues(memory.NewBudget(capacity), onUnread)
-	l.conn = l.queues.Wrap(accepted, func() { l.closed.Add(1) })
+	c.queues = NewQueues(memory.NewBudget(capacity), onUnread)
+	c.conn = c.queues.Wrap(accepted, func() { c.closed.Add(1) })
 	t.Cleanup(func() {
-		_ = l.reader.Close()
-		_ = l.conn.Close()
-		require.Eventually(t, func() bool { return l.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
+		_ = c.reader.Close()
+		_ = c.conn.Close()
+		require.Eventually(t, func() bool { return c.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
 	})
-	return l
+	return c
 }
 
 // TestWriteDoesNotBlockOnReader writes a response that its caller does not read yet. The writes and
 // the close return at once, and the caller still receives the whole response.
 func TestWriteDoesNotBlockOnReader(t *testing.T) {
-	l := newTestConn(t, 1<<20)
-	answer := bytes.Repeat([]byte("0123456789abcdef"), 24<<10)
+	c := newTestConn(t, 1<<20)
+	response := bytes.Repeat([]byte("0123456789abcdef"), 24<<10)
 	for i := range 48 {
-		n, err := l.conn.Write(answer[i*8<<10 : (i+1)*8<<10])
+		n, err := c.conn.Write(response[i*8<<10 : (i+1)*8<<10])
 		require.NoError(t, err)
 		require.Equal(t, 8<<10, n)
 	}
-	require.True(t, l.conn.HasPending())
-	require.Positive(t, l.queues.Held())
-	require.NoError(t, l.conn.Close())
-	require.Zero(t, l.closed.Load(), "the queue has not been sent yet")
-	got, err := io.ReadAll(l.reader)
+	require.True(t, c.conn.HasPending())
+	require.Positive(t, c.queues.Held())
+	require.NoError(t, c.conn.Close())
+	require.Zero(t, c.closed.Load(), "the queue has not been sent yet")
+	got, err := io.ReadAll(c.reader)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(answer, got), "the response is complete and in order")
-	require.Eventually(t, func() bool { return l.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
-	require.Zero(t, l.queues.Held())
-	require.Zero(t, l.queues.Waiting())
+	require.True(t, bytes.Equal(response, got), "the response is complete and in order")
+	require.Eventually(t, func() bool { return c.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Zero(t, c.queues.Held())
+	require.Zero(t, c.queues.Waiting())
 }
 
 // TestUnreadResponseIsBounded writes more than the budget allows to a caller that does not read. The
 // connection is reset, so that the response does not look complete.
 func TestUnreadResponseIsBounded(t *testing.T) {
-	l := newTestConn(t, 64<<10)
+	c := newTestConn(t, 64<<10)
 	var err error
 	for err == nil {
-		_, err = l.conn.Write(make([]byte, 16<<10))
+		_, err = c.conn.Write(make([]byte, 16<<10))
 	}
 	require.ErrorIs(t, err, ErrNoMemory)
-	require.ErrorIs(t, (<-l.unread).Err, ErrNoMemory)
-	require.Zero(t, l.queues.Held())
-	_, err = io.ReadAll(l.reader)
+	require.ErrorIs(t, (<-c.unread).Err, ErrNoMemory)
+	require.Zero(t, c.queues.Held())
+	_, err = io.ReadAll(c.reader)
 	require.Error(t, err)
-	_, err = l.conn.Write([]byte("x"))
+	_, err = c.conn.Write([]byte("x"))
 	require.ErrorIs(t, err, ErrNoMemory)
 }
 
 // TestTimeOfAnUnreadAnswerEnds checks that a response that is not read by the write deadline is
 // dropped and reported.
 func TestTimeOfAnUnreadAnswerEnds(t *testing.T) {
-	l := newTestConn(t, 8<<20)
-	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
-	_, err := l.conn.Write(make([]byte, 600<<10))
+	c := newTestConn(t, 8<<20)
+	require.NoError(t, c.conn.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
+	_, err := c.conn.Write(make([]byte, 600<<10))
 	require.NoError(t, err)
-	unread := <-l.unread
+	unread := <-c.unread
 	require.Error(t, unread.Err)
 	require.Positive(t, unread.BytesLeft)
-	require.Zero(t, l.queues.Held())
+	require.Zero(t, c.queues.Held())
 }
 
 // TestUnreadIsReportedAfterMemoryIsFreed lets the write deadline of an unread response pass. An unread
@@ -116,50 +116,50 @@
 // held memory here.
 func TestUnreadIsReportedAfterMemoryIsFreed(t *testing.T) {
 	heldBytes := make(chan int64, 1)
-	var l *testConn
-	l = newTestConnFunc(t, 8<<20, func(UnreadResponse) { heldBytes <- l.queues.Held() })
-	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
-	_, err := l.conn.Write(make([]byte, 600<<10))
+	var c *testConn
+	c = newTestConnFunc(t, 8<<20, func(UnreadResponse) { heldBytes <- c.queues.Held() })
+	require.NoError(t, c.conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
+	_, err := c.conn.Write(make([]byte, 600<<10))
 	require.NoError(t, err)
 	require.Zero(t, <-heldBytes)
-	require.EqualValues(t, 1, l.closed.Load())
+	require.EqualValues(t, 1, c.closed.Load())
 }
 
 // TestWriterWaitsForActiveReader writes a long response to a caller that reads steadily. The writer
 // waits for the caller, and the queue stays below softLimit.
 func TestWriterWaitsForActiveReader(t *testing.T) {
-	l := newTestConn(t, 4*softLimit)
+	c := newTestConn(t, 4*softLimit)
 	const size = 8 * softLimit
 	got := make(chan int64, 1)
 	go func() {
-		n, _ := io.Copy(io.Discard, l.reader)
+		n, _ := io.Copy(io.Discard, c.reader)
 		got <- n
 	}()
 	maxHeld := int64(0)
 	for range size / chunkSize {
-		_, err := l.conn.Write(make([]byte, chunkSize))
+		_, err := c.conn.Write(make([]byte, chunkSize))
 		require.NoError(t, err)
-		maxHeld = max(maxHeld, l.queues.Held())
+		maxHeld = max(maxHeld, c.queues.Held())
 	}
 	require.LessOrEqual(t, maxHeld, int64(softLimit))
-	require.NoError(t, l.conn.Close())
+	require.NoError(t, c.conn.Close())
 	require.EqualValues(t, size, <-got)
 }
 
 // TestTeamsShareMemory fills the memory with the unread responses of one team. Another team still
 // gets memory, and the first team's response is dropped.
 func TestTeamsShareMemory(t *testing.T) {
-	l := newTestConn(t, 600<<10)
-	l.conn.SetTeam("red")
-	_, err := l.conn.Write(make([]byte, 500<<10))
+	c := newTestConn(t, 600<<10)
+	c.conn.SetTeam("red")
+	_, err := c.conn.Write(make([]byte, 500<<10))
 	require.NoError(t, err)
 	other := &memory.Account{Team: "blue", Pinned: true}
-	require.True(t, l.queues.Grow(other, 300<<10, func() { t.Error("a pinned account was dropped") }))
-	unread := <-l.unread
+	require.True(t, c.queues.Grow(other, 300<<10, func() { t.Error("a pinned account was dropped") }))
+	unread := <-c.unread
 	require.Equal(t, "red", unread.Team)
 	require.ErrorIs(t, unread.Err, ErrNoMemory)
-	require.EqualValues(t, 300<<10, l.queues.Held())
-	require.EqualValues(t, 1, l.queues.Dropped())
-	l.queues.Close(other)
-	require.Zero(t, l.queues.Held())
+	require.EqualValues(t, 300<<10, c.queues.Held())
+	require.EqualValues(t, 1, c.queues.Dropped())
+	c.queues.Close(other)
+	require.Zero(t, c.queues.Held())
 }
--- a/gateway/serverlist/history_test.go
+++ b/gateway/serverlist/history_test.go
@@ -16,10 +16,10 @@
 	}
 	require.Len(t, h.steps, historyLength)
 	now := &direct.Directory{Revision: 3 * historyLength}
-	_, known := h.Since(5, now)
-	require.False(t, known)
-	u, known := h.Since(3*historyLength-1, now)
-	require.True(t, known)
+	_, ok := h.Since(5, now)
+	require.False(t, ok)
+	u, ok := h.Since(3*historyLength-1, now)
+	require.True(t, ok)
 	require.EqualValues(t, 3*historyLength-1, u.From)
 	require.Equal(t, []string{"i-1"}, u.Gone)
 }
