--- a/explain/fields.go
+++ b/explain/fields.go
@@ -67,7 +67,7 @@
 	decimals       = 3
 )
 
-// numberText formats a number, with decimals only if it is a small fraction.
+// numberText formats a number, with decimals only if it is a fraction below wholeNumberMin.
 func numberText(number float64) string {
 	if math.Abs(number) >= wholeNumberMin || number == math.Trunc(number) {
 		return strconv.FormatFloat(number, 'f', 0, 64)
--- a/explain/versions.go
+++ b/explain/versions.go
@@ -49,7 +49,7 @@
 		latest[unorderedKey(service, stringField(l.fields, "version"))] = l
 		return
 	}
-	latest["roll-out of "+service] = l
+	latest["rollout of "+service] = l
 	delete(latest, unorderedKey(service, stringField(l.fields, "target")))
 }
 
--- a/gateway/rollouts/objectview_test.go
+++ b/gateway/rollouts/objectview_test.go
@@ -26,8 +26,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		view := newOrderView()
 		revision, listedRevision := uint64(0), uint64(0)
-		stored := map[string]rollout.Order{} // in the store
-		want := map[string]rollout.Order{}
+		stored := map[string]rollout.Order{} // current objects of the store
+		want := map[string]rollout.Order{}   // expected in the view
 		var written []rollout.Order
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			service := fmt.Sprint("s", rapid.IntRange(0, 2).Draw(t, "service"))
--- a/gateway/rollouts/queue.go
+++ b/gateway/rollouts/queue.go
@@ -17,7 +17,7 @@
 	waiting   []rollout.Msg
 	responses int           // number of responses in waiting
 	dropped   int64         // responses dropped since the last take
-	wake      chan struct{} // holds a value while a message other than a response waits
+	wake      chan struct{} // signals that a message other than a response was added
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// closeNow closes the underlying connection. c.mu is held.
+// closeNow closes the underlying connection and the memory account. c.mu is held.
 func (c *Conn) closeNow() error {
 	if c.closed {
 		return nil
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -12,8 +12,8 @@
 const historyLength = 64
 
 // History records which servers were touched from list to list. Comparing two lists would miss
-// a server that changed and changed back in between, but a router that took a list in between
-// needs that server. The zero value is ready to use.
+// a server that changed and changed back in between. A router that received a list in between
+// needs that server, too. The zero value is ready to use.
 type History struct{ steps []historyStep }
 
 // historyStep is the step from the list at one revision to the next list received.
