--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -147,13 +147,13 @@
 		return // the response comes from another server
 	}
 	if info.NoticeErr != nil {
-		a.x.front.log.Unreadable(a.cmd.Server, info.NoticeErr)
+		a.x.front.log.UnreadableNotice(a.cmd.Server, info.NoticeErr)
 	}
 	if info.Notice.IsZero() {
 		return
 	}
 	a.x.notice = info.Notice
-	a.x.front.stats.Notice(info.Notice)
+	a.x.front.stats.ServerNotice(info.Notice)
 	a.x.front.core.Update(direct.NoticeMsg{Now: a.x.front.core.Now(), Server: a.cmd.Server.ID, Notice: info.Notice})
 }
 
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -67,7 +67,7 @@
 // deadline.
 func (x *exchange) readBody(maxSize int) *refusal {
 	if x.r.ContentLength == 0 {
-		x.memory.Kept = true
+		x.memory.Pinned = true
 	} else if err := x.bufferBody(int64(maxSize)); err != nil {
 		// The rest of the body, or a late abortBodyRead, would affect the next request on
 		// the connection.
@@ -84,7 +84,7 @@
 	control := http.NewResponseController(x.w)
 	_ = control.SetReadDeadline(time.Now().Add(x.deadline - x.front.core.Now()))
 	body, err := x.receiveBody(maxSize)
-	if !x.front.sendQueues.Keep(&x.memory) {
+	if !x.front.sendQueues.Pin(&x.memory) {
 		return errNoMemory
 	}
 	if err != nil {
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -95,7 +95,7 @@
 // stalledFor returns how long the caller has neither read its pending response nor sent
 // more of the body in progress.
 func (c *callerConn) stalledFor() time.Duration {
-	stalled := c.Stalled()
+	stalled := c.StalledFor()
 	if at := c.bodyReadAt.Load(); at != 0 {
 		stalled = max(stalled, c.conns.queues.Now()-time.Duration(at))
 	}
@@ -179,7 +179,7 @@
 	if longestStalled == nil {
 		return false
 	}
-	longestStalled.Drop(sendqueue.ErrStalled)
+	longestStalled.Abort(sendqueue.ErrStalled)
 	return len(c.slots) < cap(c.slots)
 }
 
@@ -215,7 +215,7 @@
 	defer c.mu.Unlock()
 	var idle []*callerConn
 	for caller := range c.open {
-		expired := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > idleTimeout && !caller.Waits()
+		expired := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > idleTimeout && !caller.HasPending()
 		if expired && socket.Look(caller.Conn) != socket.Bytes {
 			caller.closed = true
 			idle = append(idle, caller)
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -20,7 +20,7 @@
 
 // newTestQueues returns send queues that share maxBytes of memory.
 func newTestQueues(maxBytes int64) *sendqueue.Queues {
-	return sendqueue.NewQueues(memory.NewBudget(maxBytes), func(sendqueue.Loss) {})
+	return sendqueue.NewQueues(memory.NewBudget(maxBytes), func(sendqueue.UnreadResponse) {})
 }
 
 // TestSweepLeavesUnreadRequests guards against lost requests: a late router that closes
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -116,7 +116,7 @@
 	if others.HasTeams {
 		l.deps.Decisions.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
 		if l.deps.Rollouts != nil {
-			l.deps.Rollouts.Tell(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
+			l.deps.Rollouts.Enqueue(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
 		}
 	}
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -141,7 +141,7 @@
 	}
 	now := p.deps.Decisions.Now()
 	if peer.lastHeard > 0 {
-		p.deps.Stats.Silence.RecordDuration(now - peer.lastHeard)
+		p.deps.Stats.RouterSilence.RecordDuration(now - peer.lastHeard)
 	}
 	if peer.startNanos > 0 && b.Life > peer.startNanos {
 		peer.restartedAt = now
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -6,8 +6,8 @@
 type Rollouts interface {
 	// Reports returns this router's reports of the rollouts in progress.
 	Reports() []rollout.Report
-	// Tell receives the reports of the other routers. It must not block.
-	Tell(msg rollout.Msg)
+	// Enqueue receives the reports of the other routers. It must not block.
+	Enqueue(msg rollout.Msg)
 }
 
 // Leads reports whether this router advances rollouts and writes the state of the routers to the
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -51,7 +51,7 @@
 	}
 	port, err := strconv.Atoi(text)
 	return &transport{
-		conn: conn, port: port, kind: kind, stats: deps.Stats, meter: deps.Traffic.Of(kind), log: deps.Log, loggedSenders: make(map[string]bool),
+		conn: conn, port: port, kind: kind, stats: deps.Stats, meter: deps.Traffic.Meter(kind), log: deps.Log, loggedSenders: make(map[string]bool),
 	}, err
 }
 
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -72,11 +72,11 @@
 		case direct.FailCmd:
 			c.deliver(cmd.ID, cmd)
 		case direct.ServerStatusCmd:
-			c.log.Belief(cmd)
+			c.log.ServerStatus(cmd)
 		case direct.EvacuationCmd:
-			c.log.Hall(cmd)
+			c.log.Evacuation(cmd)
 		case direct.HallReachabilityCmd:
-			c.log.Reach(cmd)
+			c.log.HallReachability(cmd)
 		case direct.CrashCmd:
 			c.log.Crash(cmd)
 		case direct.QuarantineCmd:
--- a/gateway/corestate.go
+++ b/gateway/corestate.go
@@ -74,9 +74,9 @@
 	return c.machine.AllOldRunning()
 }
 
-// AllAsked returns the number of requests that arrived since the rollout of each service
+// RequestCounts returns the number of requests that arrived since the rollout of each service
 // began, by service.
-func (c *core) AllAsked() map[string]int {
+func (c *core) RequestCounts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.RequestCounts()
--- /dev/null
+++ b/gateway/eventlog/events.go
@@ -0,0 +1,75 @@
+package eventlog
+
+import (
+	"github.com/croftvale/croftvale/direct"
+	"github.com/croftvale/croftvale/quarantine"
+)
+
+// Evacuation logs the start or the end of the evacuation of a data hall.
+func (l *Log) Evacuation(c direct.EvacuationCmd) {
+	name := "hall_returned"
+	if c.Evacuated {
+		name = "hall_evacuated"
+	}
+	l.Event(name).Str("hall", c.Hall).Uint64("revision", c.Revision).Int("servers", c.Servers).Msg("")
+}
+
+// HallReachability logs that the servers of a data hall became unreachable, or reachable again.
+func (l *Log) HallReachability(c direct.HallReachabilityCmd) {
+	name := "hall_reached"
+	if c.Lost {
+		name = "hall_lost"
+	}
+	l.Event(name).Str("hall", c.Hall).Int("unreached", c.Unreached).Int("servers", c.Servers).Msg("")
+}
+
+// ServerStatus logs a change of the status of a server in this router.
+func (l *Log) ServerStatus(c direct.ServerStatusCmd) {
+	if l.AllowServerStatus() {
+		l.Event("server_"+string(c.Status)).Str("server", c.Server.ID).Str("service", c.Server.Service).
+			Str("address", c.Server.Address).Str("cause", c.Cause).Dur("for", c.For).Msg("")
+	}
+}
+
+// UnreadableNotice logs that the notice in a server's response could not be parsed.
+func (l *Log) UnreadableNotice(s direct.Server, err error) {
+	if l.AllowServerStatus() {
+		l.Event("answer_unreadable").Str("server", s.ID).Str("service", s.Service).Str("address", s.Address).
+			Str("error", err.Error()).Msg("")
+	}
+}
+
+// maxNamedSuspects is the maximum number of fingerprints named on one line.
+const maxNamedSuspects = 8
+
+// Crash logs that a server has crashed, with the fingerprints of some requests that it had just
+// begun to run.
+func (l *Log) Crash(c direct.CrashCmd) {
+	if !l.AllowServerStatus() {
+		return
+	}
+	named := make([]string, 0, maxNamedSuspects)
+	for _, fingerprint := range c.Suspects[:min(len(c.Suspects), maxNamedSuspects)] {
+		named = append(named, fingerprint.String())
+	}
+	l.Event("server_crashed").Str("server", c.Server.ID).Str("service", c.Server.Service).Str("address", c.Server.Address).
+		Int("suspects", len(c.Suspects)).Strs("contents", named).Msg("")
+}
+
+// Quarantine logs that requests with a fingerprint are refused from now on, or no longer.
+func (l *Log) Quarantine(c quarantine.Change) {
+	name := "quarantine_ended"
+	if c.Barred {
+		name = "quarantine_begun"
+	}
+	l.Event(name).Str("content", c.Fingerprint.String()).Int("crashes", c.Crashes).Msg("")
+}
+
+// Shares logs the capacity shares and the teams with the highest demand.
+func (l *Log) Shares(s direct.Shares) {
+	e := l.Event("shares").Float64("level", s.Level).Float64("headroom", s.Headroom).Float64("busy", s.Busy)
+	if s.Even > 0 {
+		e.Float64("even", s.Even)
+	}
+	e.Any("most", s.Most).Msg("")
+}
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -197,12 +197,12 @@
 func (x *exchange) recordMetrics(result, reason string) {
 	stats := x.front.stats
 	stats.Request(result, reason)
-	stats.Total.RecordDuration(x.front.core.Now() - x.start)
+	stats.RequestTime.RecordDuration(x.front.core.Now() - x.start)
 	if x.attempts > 0 {
-		stats.Wait.RecordDuration(x.lastSend.PlacementBasis.QueueWait)
+		stats.QueueWait.RecordDuration(x.lastSend.PlacementBasis.QueueWait)
 	}
 	if x.respondedAt > 0 {
-		stats.First.RecordDuration(x.respondedAt - x.start)
+		stats.FirstEvent.RecordDuration(x.respondedAt - x.start)
 	}
 }
 
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -129,7 +129,7 @@
 	defer cancel()
 	start := time.Now()
 	revision, err := call(c)
-	f.stats.SourceCall(f.spec.SourceName, time.Since(start), err)
+	f.stats.RecordSourceCall(f.spec.SourceName, time.Since(start), err)
 	return revision, err
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,12 +74,12 @@
 	if err := g.setUpCluster(); err != nil {
 		return nil, err
 	}
-	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldMemoryDivisor), g.log.Unread)
+	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldMemoryDivisor), g.log.UnreadResponse)
 	g.front = &front{
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
 		pool:       backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: peerSilenceTimeout, MaxIdle: maxIdleConns}),
 		sendQueues: queues, conns: newCallerConns(maxCallers(s.Descriptors), s.Cores, queues), maxEventDelay: s.MaxEventDelay,
-		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.RolloutBounds.Enabled(),
+		hall: s.Zone, traffic: g.traffic.Meter(traffic.Requests), movable: s.RolloutBounds.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
@@ -99,9 +99,9 @@
 	}
 	if s.RolloutBounds.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
-			Bounds: s.RolloutBounds, Core: g.core, Store: g.source, Log: g.log, Stats: g.stats,
+			Bounds: s.RolloutBounds, Decisions: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
-		g.core.notifyRollouts = g.rollouts.Tell
+		g.core.notifyRollouts = g.rollouts.Enqueue
 		feeds.Rollouts, deps.Rollouts = g.rollouts, g.rollouts
 	}
 	g.feeds = feed.NewSet(feeds)
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudgetIsBounded has teams hold, release and end accounts at random. Never is more held than
-// the budget allows; what is held is the sum of what is not closed; and a team gives way only
-// while no other team with unread answers holds more.
+// TestBudgetIsBounded grows, shrinks and closes accounts at random. The total never exceeds the
+// capacity and equals the sum of the open accounts. An account is dropped only if no other team with
+// droppable accounts holds more than its team.
 func TestBudgetIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(100)
@@ -18,7 +18,7 @@
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			if len(all) == 0 || rapid.IntRange(0, 3).Draw(t, "new") == 0 {
 				all = append(all, &Account{
-					Team: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")), Kept: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
+					Team: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "team")), Pinned: rapid.IntRange(0, 3).Draw(t, "kept") == 0,
 				})
 			}
 			a := rapid.SampledFrom(all).Draw(t, "account")
@@ -29,38 +29,38 @@
 			case 1:
 				b.Close(a)
 			default:
-				grow(t, b, all, a, n)
+				growAndCheck(t, b, all, a, n)
 			}
 			sum := int64(0)
-			for _, one := range all {
-				sum += one.Bytes()
-				require.False(t, one.Closed() && one.Bytes() > 0)
+			for _, account := range all {
+				sum += account.Bytes()
+				require.False(t, account.Closed() && account.Bytes() > 0)
 			}
 			require.Equal(t, sum, b.Held())
-			require.LessOrEqual(t, b.Held(), b.Most())
+			require.LessOrEqual(t, b.Held(), b.Capacity())
 		}
 	})
 }
 
-func grow(t *rapid.T, b *Budget, all []*Account, a *Account, n int) {
+func growAndCheck(t *rapid.T, b *Budget, all []*Account, a *Account, n int) {
 	before := make(map[*Account]int64)
 	for _, one := range all {
 		before[one] = one.Bytes()
 	}
 	held := b.Held()
 	dropped, ok := b.Grow(a, n)
-	if held+int64(n) <= b.Most() {
-		require.Equal(t, !a.Closed(), ok, "there is room")
+	if held+int64(n) <= b.Capacity() {
+		require.Equal(t, !a.Closed(), ok, "the budget has room")
 		require.Empty(t, dropped)
 	}
 	for _, victim := range dropped {
-		require.False(t, victim.Kept)
+		require.False(t, victim.Pinned)
 		require.NotSame(t, a, victim)
 		teams := make(map[string]int64)
 		droppable := make(map[string]bool)
 		for one, bytes := range before {
 			teams[one.Team] += bytes
-			droppable[one.Team] = droppable[one.Team] || !one.Kept && bytes > 0
+			droppable[one.Team] = droppable[one.Team] || !one.Pinned && bytes > 0
 		}
 		teams[a.Team] += int64(n)
 		for team, bytes := range teams {
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestLargestOfTheHeaviestGivesWay fills the budget with one team's unread answers; the answers of
-// another team find room, and the first team's largest ones give way.
-func TestLargestOfTheHeaviestGivesWay(t *testing.T) {
+// TestLargestAccountOfHeaviestTeamIsDropped fills the budget with one team's unread responses. The
+// growth of another team's account drops the first team's largest one.
+func TestLargestAccountOfHeaviestTeamIsDropped(t *testing.T) {
 	b := NewBudget(100)
 	small, large := &Account{Team: "red"}, &Account{Team: "red"}
 	mustGrow(t, b, small, 30)
@@ -86,33 +86,33 @@
 	require.Equal(t, []*Account{large}, dropped)
 	require.True(t, large.Closed())
 	_, ok = b.Grow(large, 1)
-	require.False(t, ok, "it has given way")
+	require.False(t, ok, "the account was dropped")
 }
 
-// TestTeamThatHoldsMostGivesWayItself has a team that holds most ask for more: its own largest
-// gives way, which may be what asks.
-func TestTeamThatHoldsMostGivesWayItself(t *testing.T) {
+// TestHeaviestTeamDropsItsOwnAccounts grows an account of the team that holds the most. The team's
+// own largest account is dropped; if that is the growing one, it is refused instead.
+func TestHeaviestTeamDropsItsOwnAccounts(t *testing.T) {
 	b := NewBudget(100)
-	answer, other := &Account{Team: "red"}, &Account{Team: "blue"}
-	mustGrow(t, b, answer, 70)
+	largest, other := &Account{Team: "red"}, &Account{Team: "blue"}
+	mustGrow(t, b, largest, 70)
 	mustGrow(t, b, other, 30)
-	_, ok := b.Grow(answer, 5)
-	require.False(t, ok, "it is the largest itself")
-	require.EqualValues(t, 70, answer.Bytes(), "it keeps what it has")
+	_, ok := b.Grow(largest, 5)
+	require.False(t, ok, "the growing account is the largest")
+	require.EqualValues(t, 70, largest.Bytes(), "a refused account keeps what it holds")
 	one := &Account{Team: "red"}
 	dropped, ok := b.Grow(one, 5)
 	require.True(t, ok)
-	require.Equal(t, []*Account{answer}, dropped)
+	require.Equal(t, []*Account{largest}, dropped)
 }
 
-// TestKeptGivesNoWay has a team hold all memory with what can't be dropped: nothing more of it is
-// taken, and another team's unread answers stay.
-func TestKeptGivesNoWay(t *testing.T) {
+// TestPinnedAccountsAreNotDropped has the team that holds the most hold only a pinned account. Further
+// growth of the team is refused, and another team's unread response is not dropped for it.
+func TestPinnedAccountsAreNotDropped(t *testing.T) {
 	b := NewBudget(100)
-	body, other := &Account{Team: "red", Kept: true}, &Account{Team: "blue"}
+	body, other := &Account{Team: "red", Pinned: true}, &Account{Team: "blue"}
 	mustGrow(t, b, body, 70)
 	mustGrow(t, b, other, 30)
-	for _, a := range []*Account{{Team: "red"}, {Team: "red", Kept: true}, body} {
+	for _, a := range []*Account{{Team: "red"}, {Team: "red", Pinned: true}, body} {
 		dropped, ok := b.Grow(a, 5)
 		require.False(t, ok)
 		require.Empty(t, dropped)
--- a/gateway/rollouts/log.go
+++ b/gateway/rollouts/log.go
@@ -2,8 +2,7 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// logStep logs that a roll-out has moved on, or that a version has servers which nobody
-// ordered.
+// logStep logs a step of a rollout, or that a version without an order has servers.
 func (r *Runner) logStep(c rollout.StepCmd) {
 	if c.Step == rollout.StepUnordered {
 		r.o.Log.Event("version_not_ordered").Str("service", c.Service).Str("version", c.Cause).Msg("")
@@ -15,16 +14,16 @@
 		Uint32("old_good", c.Old.Good).Uint32("old_bad", c.Old.Bad).Msg("")
 }
 
-// writeNames and resultNames are the words of logs.
+// writeKindNames and resultNames are the names used in logs.
 var (
-	writeNames  = map[rollout.WriteKind]string{rollout.WriteStatus: "status", rollout.WriteRecord: "record"}
-	resultNames = map[rollout.WriteResult]string{
+	writeKindNames = map[rollout.WriteKind]string{rollout.WriteStatus: "status", rollout.WriteRecord: "record"}
+	resultNames    = map[rollout.WriteResult]string{
 		rollout.Written: "written", rollout.Conflict: "conflict", rollout.Refused: "refused", rollout.Unknown: "unknown",
 	}
 )
 
 func (r *Runner) logWrite(c rollout.WriteCmd, result rollout.WriteResult, err error) {
-	e := r.o.Log.Event("rollout_write").Str("service", c.Service).Str("kind", writeNames[c.Kind]).Str("result", resultNames[result])
+	e := r.o.Log.Event("rollout_write").Str("service", c.Service).Str("kind", writeKindNames[c.Kind]).Str("result", resultNames[result])
 	if c.Kind == rollout.WriteStatus {
 		e.Str("target", c.Status.Target).Str("state", c.Status.State.String()).Uint64("revision", c.Status.Revision)
 	} else {
@@ -33,14 +32,14 @@
 	e.Err(err).Msg("")
 }
 
-// logDropped counts and logs answers that were dropped; lines come at a bounded rate.
+// logDropped counts dropped responses and logs them at a limited rate.
 func (r *Runner) logDropped(n int64) {
 	if n > 0 {
-		r.o.Stats.RolloutAnswersDropped(n)
+		r.o.Stats.RolloutResponsesDropped(n)
 	}
-	r.dropped += n
-	if r.dropped > 0 && r.lines.Allow() {
-		r.o.Log.Event("rollout_answers_dropped").Int64("answers", r.dropped).Msg("")
-		r.dropped = 0
+	r.unloggedDrops += n
+	if r.unloggedDrops > 0 && r.dropLogLimiter.Allow() {
+		r.o.Log.Event("rollout_answers_dropped").Int64("answers", r.unloggedDrops).Msg("")
+		r.unloggedDrops = 0
 	}
 }
--- a/gateway/rollouts/readiness_test.go
+++ b/gateway/rollouts/readiness_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutReadiness has a router that starts lack something until orders, records and
-// servers have come and each service with servers has a gate.
+// TestRolloutReadiness checks that a starting router is not complete until it has received
+// orders, records and versions and each service with servers has a gate.
 func TestRolloutReadiness(t *testing.T) {
 	var s readiness
 	for _, msg := range []rollout.Msg{
 		rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}, "app": {"v1"}}}, rollout.OrdersMsg{}, rollout.RecordsMsg{},
 	} {
 		require.False(t, s.complete())
-		s.note(msg)
+		s.observe(msg)
 	}
-	s.gate("llm")
-	s.gate("other")
-	require.False(t, s.complete(), "a service has servers and no gate")
-	s.gate("app")
+	s.recordGate("llm")
+	s.recordGate("other")
+	require.False(t, s.complete(), "one service has servers but no gate")
+	s.recordGate("app")
 	require.True(t, s.complete())
-	s.note(rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}}})
+	s.observe(rollout.VersionsMsg{Services: map[string][]string{"llm": {"v1"}}})
 	require.True(t, s.complete())
 }
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -14,114 +14,115 @@
 	"golang.org/x/time/rate"
 )
 
-// droppedEvery is the time between two lines on answers that were dropped.
-const droppedEvery = time.Second
+// droppedLogInterval is the minimum time between two log lines on dropped responses.
+const droppedLogInterval = time.Second
 
-// Core is the decisions on requests, which the gates bind.
-type Core interface {
-	// Now is the time since the router's start.
+// Decisions is the state machine that routes requests, to which the gates apply.
+type Decisions interface {
+	// Now returns the time since the router started.
 	Now() time.Duration
-	// Update tells them something, such as a gate.
+	// Update passes a message, such as a gate, to the state machine.
 	Update(msg direct.Msg)
-	// AllOldRunning counts the requests at servers of old versions, by service.
+	// AllOldRunning returns the number of requests running at servers of old versions, by service.
 	AllOldRunning() map[string]int
-	// AllAsked counts the requests that came since services began to move, by service.
-	AllAsked() map[string]int
+	// RequestCounts returns the number of requests since the start of each rollout, by service.
+	RequestCounts() map[string]int
 }
 
 // Peers are the other routers.
 type Peers interface {
-	// Leads tells whether this router is the one that raises stages and writes.
+	// Leads reports whether this router is the leader, which raises stages and writes to the
+	// store.
 	Leads() bool
-	// Routers counts the routers that are there, this one included.
+	// Routers returns the number of live routers, this one included.
 	Routers() int
 }
 
-// Options are what a Runner stands on.
+// Options holds the bounds and dependencies of a Runner.
 type Options struct {
-	Bounds rollout.Bounds
-	Core   Core
-	Store  Store
-	Log    *eventlog.Log
-	Stats  *stats.Stats
+	Bounds    rollout.Bounds
+	Decisions Decisions
+	Store     Store
+	Log       *eventlog.Log
+	Stats     *stats.Stats
 }
 
-// Runner runs the decisions on roll-outs. Feeds, requests and the other routers put messages
-// into its queue; one goroutine alone hands them to the machine.
+// Runner runs the rollout state machine. Feeds, requests and peers put messages into its queue;
+// a single goroutine passes them to the machine.
 type Runner struct {
 	o     Options
 	queue *queue
-	// mu guards the machine, orders and records. It is held while these are put into the
-	// queue, so that the machine is told of them in the order in which they came.
-	mu        sync.Mutex
-	machine   *rollout.Machine
-	orders    known[rollout.Order]
-	records   known[rollout.Record]
-	readiness readiness
-	dropped   int64         // answers, since the last line
-	lines     *rate.Limiter // on dropped answers
-	// complete is the result of readiness once it is true, for other goroutines.
+	// mu guards the machine, orders and records. It is held while orders and records are put
+	// into the queue, so that the machine receives them in the order of arrival.
+	mu             sync.Mutex
+	machine        *rollout.Machine
+	orders         objectView[rollout.Order]
+	records        objectView[rollout.Record]
+	readiness      readiness
+	unloggedDrops  int64         // dropped responses since the last log line
+	dropLogLimiter *rate.Limiter // limits log lines on dropped responses
+	// complete is set once readiness is complete, for use by other goroutines.
 	complete atomic.Bool
 }
 
-// NewRunner returns a runner that knows nothing yet.
+// NewRunner returns a runner without orders, records or versions.
 func NewRunner(o Options) *Runner {
 	return &Runner{
 		o: o, queue: newQueue(),
 		machine: rollout.NewMachine(o.Bounds),
-		orders: known[rollout.Order]{
+		orders: objectView[rollout.Order]{
 			service:  func(order rollout.Order) string { return order.Service },
 			revision: func(order rollout.Order) uint64 { return order.Revision },
 		},
-		records: known[rollout.Record]{
+		records: objectView[rollout.Record]{
 			service:  func(record rollout.Record) string { return record.Service },
 			revision: func(record rollout.Record) uint64 { return record.Revision },
 		},
-		lines: rate.NewLimiter(rate.Every(droppedEvery), 1),
+		dropLogLimiter: rate.NewLimiter(rate.Every(droppedLogInterval), 1),
 	}
 }
 
-// Tell tells the machine something. It never waits.
-func (r *Runner) Tell(msg rollout.Msg) { r.queue.put(msg) }
+// Enqueue queues a message for the machine. It never blocks.
+func (r *Runner) Enqueue(msg rollout.Msg) { r.queue.put(msg) }
 
-// SetOrders takes newer orders in.
+// SetOrders applies a newer listing of orders.
 func (r *Runner) SetOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Core.Now(), Orders: r.orders.list(l)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyListing(l)})
 }
 
-// SetRecords takes newer records in.
+// SetRecords applies a newer listing of records.
 func (r *Runner) SetRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Core.Now(), Wall: time.Now(), Records: r.records.list(l)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyListing(l)})
 }
 
-// SetVersions takes in which versions the listed servers have.
+// SetVersions passes on the versions of the listed servers, by service.
 func (r *Runner) SetVersions(services map[string][]string) {
-	r.queue.put(rollout.VersionsMsg{Now: r.o.Core.Now(), Services: services})
+	r.queue.put(rollout.VersionsMsg{Now: r.o.Decisions.Now(), Services: services})
 }
 
-// Complete tells whether every service that had servers when this router came to know
-// orders and records has had a gate: before that, some would serve nobody.
+// Complete reports whether orders, records and versions have arrived and every service with
+// servers has a gate. Before that, some services would serve no request. Once true, it stays true.
 func (r *Runner) Complete() bool { return r.complete.Load() }
 
-// Reports returns what this router tells the others of roll-outs under way.
+// Reports returns this router's reports to its peers on the rollouts in progress.
 func (r *Runner) Reports() []rollout.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Reports()
 }
 
-// Snapshots returns what this router knows of versions and roll-outs, for dumps.
+// Snapshots returns the state of versions and rollouts in this router, for dumps.
 func (r *Runner) Snapshots() []rollout.Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.machine.Snapshots()
 }
 
-// Run hands queued messages and ticks to the machine, until ctx ends.
+// Run passes queued messages and ticks to the machine until ctx ends.
 func (r *Runner) Run(ctx context.Context, peers Peers) error {
 	ticker := time.NewTicker(rollout.TickInterval)
 	defer ticker.Stop()
@@ -130,29 +131,29 @@
 		case <-ctx.Done():
 			return nil
 		case <-r.queue.wake:
-			r.takeQueued(ctx)
+			r.handleQueued(ctx)
 		case <-ticker.C:
-			r.takeQueued(ctx)
+			r.handleQueued(ctx)
 			r.update(ctx, rollout.TickMsg{
-				Now: r.o.Core.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
-				OldRunning: r.o.Core.AllOldRunning(), Requests: r.o.Core.AllAsked(),
+				Now: r.o.Decisions.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
+				OldRunning: r.o.Decisions.AllOldRunning(), Requests: r.o.Decisions.RequestCounts(),
 			})
 		}
 	}
 }
 
-func (r *Runner) takeQueued(ctx context.Context) {
-	waiting, dropped := r.queue.take()
-	for _, msg := range waiting {
-		if answer, ok := msg.(rollout.ResponseMsg); ok {
-			r.o.Stats.RolloutAnswer(answer.Target, answer.Bad)
+func (r *Runner) handleQueued(ctx context.Context) {
+	messages, dropped := r.queue.take()
+	for _, msg := range messages {
+		if response, ok := msg.(rollout.ResponseMsg); ok {
+			r.o.Stats.RolloutResponse(response.Target, response.Bad)
 		}
 		r.update(ctx, msg)
 	}
 	r.logDropped(dropped)
 }
 
-// update tells the machine something and carries out its commands.
+// update passes a message to the machine and carries out the commands that it returns.
 func (r *Runner) update(ctx context.Context, msg rollout.Msg) {
 	r.mu.Lock()
 	cmds := r.machine.Update(msg)
@@ -160,8 +161,8 @@
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case rollout.GateCmd:
-			r.o.Core.Update(direct.GateMsg{Now: r.o.Core.Now(), Gate: cmd.Gate})
-			r.readiness.gate(cmd.Gate.Service)
+			r.o.Decisions.Update(direct.GateMsg{Now: r.o.Decisions.Now(), Gate: cmd.Gate})
+			r.readiness.recordGate(cmd.Gate.Service)
 		case rollout.WriteCmd:
 			go r.write(ctx, cmd)
 		case rollout.StepCmd:
@@ -169,7 +170,7 @@
 			r.logStep(cmd)
 		}
 	}
-	r.readiness.note(msg)
+	r.readiness.observe(msg)
 	if !r.complete.Load() && r.readiness.complete() {
 		r.complete.Store(true)
 	}
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -12,42 +12,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// lingerMost is how long a closed connection without a deadline sends what still waits.
-const lingerMost = 10 * time.Second
+// closeTimeout bounds how long a closed connection without a deadline goes on sending its queue.
+const closeTimeout = 10 * time.Second
 
-// Why a connection was closed before its caller had read everything.
+// Reasons for closing a connection before its caller has read everything.
 var (
-	// ErrNoMemory means that the memory for unread answers is used up, and that this caller's
-	// team holds most of it.
+	// ErrNoMemory means that the memory budget is used up and that this caller's team holds the
+	// most of it.
 	ErrNoMemory = errors.New("the caller does not read, and the memory for unread answers is used up")
-	// ErrStalled means that the caller neither read nor sent for a while, and that a new one needed
-	// its place.
+	// ErrStalled means that the caller neither read nor sent for a while and that a new caller
+	// needed its slot.
 	ErrStalled = errors.New("the caller neither reads nor sends, and another one needs its place")
 )
 
-// Conn is a caller's connection whose writes wait for no reader. Its reads are those of the
-// connection below.
+// Conn is a caller's connection whose writes are queued, so that they do not block on a caller that
+// does not read. Reads go to the underlying connection.
 type Conn struct {
 	net.Conn
 	queues  *Queues
 	account *memory.Account
-	closed  func()
+	onClose func()
 
 	mu       sync.Mutex
-	queue    []byte // what waits to be sent, in order
-	sending  bool   // send runs
+	queue    []byte // data to send, in order
+	sending  bool   // the goroutine that runs send is active
 	closing  bool   // Close was called
-	ended    bool   // the connection below is closed
-	err      error  // of all further writes
+	closed   bool   // the underlying connection is closed
+	err      error  // returned by all further writes
 	deadline time.Time
-	room     chan struct{} // sent on when the caller takes something
-	// moved is when the caller last took something of what waits, in nanoseconds since the
-	// queues were made; 0: nothing waits.
-	moved atomic.Int64
+	progress chan struct{} // receives a value when the caller accepts data
+	// lastProgress is when the caller last accepted queued data, in nanoseconds since the creation
+	// of the Queues; 0 if the queue is empty.
+	lastProgress atomic.Int64
 }
 
-// SetTeam says whose requests come over the connection from now on. What waits of earlier ones
-// stays with their team.
+// SetTeam sets the team whose requests arrive on the connection from now on. While data of earlier
+// requests is queued, the connection stays with their team.
 func (c *Conn) SetTeam(team string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,16 +56,16 @@
 	}
 }
 
-// SyscallConn returns the socket below.
+// SyscallConn returns the raw connection of the underlying socket.
 func (c *Conn) SyscallConn() (syscall.RawConn, error) {
 	system, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("the connection is no socket")
+		return nil, errors.New("the connection is not a socket")
 	}
 	return system.SyscallConn()
 }
 
-// SetWriteDeadline bounds how long what is written may wait for its reader.
+// SetWriteDeadline sets the time until which written data may wait for the caller to read it.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.deadline = t
@@ -73,7 +73,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// Write sends, and keeps what the caller does not take at once.
+// Write sends p and queues what the socket does not accept at once.
 func (c *Conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,96 +84,96 @@
 	if c.err != nil || sent == len(p) {
 		return sent, c.err
 	}
-	c.awaitRoom(len(p) - sent)
+	c.waitForSpace(len(p) - sent)
 	if c.err != nil {
 		return sent, c.err
 	}
-	return c.keep(p, sent)
+	return c.enqueue(p, sent)
 }
 
-// sendNow sends what the socket takes without waiting.
+// sendNow sends as much of p as the socket accepts without blocking, and returns its length.
 func (c *Conn) sendNow(p []byte) (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return 0, nil // send does it
+		return 0, nil // p is queued instead
 	}
 	sent := 0
-	var failed error
+	var writeErr error
 	err = raw.Write(func(fd uintptr) bool {
-		sent, failed = unix.Write(int(fd), p)
+		sent, writeErr = unix.Write(int(fd), p)
 		return true
 	})
 	sent = max(sent, 0)
 	switch {
 	case err != nil:
 		return sent, err
-	case failed == unix.EAGAIN || failed == unix.EINTR:
+	case writeErr == unix.EAGAIN || writeErr == unix.EINTR:
 		return sent, nil
 	}
-	return sent, failed
+	return sent, writeErr
 }
 
-// Stalled is for how long the caller has taken nothing of what waits for it; 0 where nothing
-// does.
-func (c *Conn) Stalled() time.Duration {
-	moved := c.moved.Load()
-	if moved == 0 {
+// StalledFor returns how long the caller has accepted no queued data; 0 if the queue is empty.
+func (c *Conn) StalledFor() time.Duration {
+	last := c.lastProgress.Load()
+	if last == 0 {
 		return 0
 	}
-	return c.queues.Now() - time.Duration(moved)
+	return c.queues.Now() - time.Duration(last)
 }
 
-// Waits tells whether something waits to be sent.
-func (c *Conn) Waits() bool { return c.moved.Load() != 0 }
+// HasPending reports whether data waits to be sent.
+func (c *Conn) HasPending() bool { return c.lastProgress.Load() != 0 }
 
-// Drop closes the connection without sending what waits, for a cause that is logged.
-func (c *Conn) Drop(cause error) {
+// Abort closes the connection without sending the queue. cause is reported as the error.
+func (c *Conn) Abort(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fail(cause)
 }
 
-// Close closes the connection once what waits has been sent, or its time is over.
+// Close returns at once. The connection closes when its queue has been sent or its write deadline
+// has passed.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
 	if !c.sending || c.err != nil {
-		return c.end()
+		return c.closeNow()
 	}
 	if c.deadline.IsZero() {
-		return c.Conn.SetWriteDeadline(time.Now().Add(lingerMost))
+		return c.Conn.SetWriteDeadline(time.Now().Add(closeTimeout))
 	}
 	return nil
 }
 
-// fail ends the connection with an error; c.mu is held.
+// fail closes the connection with an error and reports it to onUnread. c.mu is held.
 func (c *Conn) fail(err error) {
 	first := c.err == nil
-	loss := Loss{Team: c.account.Team, Bytes: len(c.queue), Stalled: c.Stalled(), Err: err}
+	unread := UnreadResponse{Team: c.account.Team, BytesLeft: len(c.queue), Stalled: c.StalledFor(), Err: err}
 	if first {
 		c.err = err
 	}
 	c.queue = nil
-	// What the system holds of an answer that ends early must not be kept either.
+	// Discard what the kernel still buffers of a response that is cut off.
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // the connection is closed anyway
+		_ = tcp.SetLinger(0) // best effort: the connection is closed anyway
 	}
-	_ = c.end() // err says why it ends
+	_ = c.closeNow() // err holds the cause
 	if first {
-		// Told last, so that whoever is told finds the memory of the answer free.
-		c.queues.lost(loss)
+		// Reported last, so that the memory of the response is free when onUnread runs.
+		c.queues.onUnread(unread)
 	}
 }
 
-// end closes the connection below; c.mu is held.
-func (c *Conn) end() error {
-	if c.ended {
+// closeNow closes the underlying connection and the memory account. c.mu is held.
+func (c *Conn) closeNow() error {
+	if c.closed {
 		return nil
 	}
-	c.ended = true
+	c.closed = true
 	c.queues.Close(c.account)
 	err := c.Conn.Close()
-	c.closed()
+	c.onClose()
 	return err
 }
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -15,29 +15,29 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// window is the size of the system's buffers in tests, in bytes: small, so that writers meet them,
-// and not so small that the system waits between packets.
-const window = 32 << 10
+// bufferBytes is the size of the kernel's socket buffers in tests: small enough that writers fill
+// them, and large enough that the kernel does not delay packets.
+const bufferBytes = 32 << 10
 
-// line is one connection with small windows on both sides, as between far hosts.
-type line struct {
+// testConn is a connection with small socket buffers on both sides.
+type testConn struct {
 	conn   *Conn
 	reader *net.TCPConn
 	closed atomic.Int32
-	losses chan Loss
+	unread chan UnreadResponse
 	queues *Queues
 }
 
-// newLine returns a line whose losses can be received from its channel.
-func newLine(t *testing.T, most int64) *line {
-	losses := make(chan Loss, 10)
-	l := newLineWith(t, most, func(loss Loss) { losses <- loss })
-	l.losses = losses
-	return l
+// newTestConn returns a connection that sends its unread responses to its channel unread.
+func newTestConn(t *testing.T, capacity int64) *testConn {
+	unread := make(chan UnreadResponse, 10)
+	c := newTestConnFunc(t, capacity, func(response UnreadResponse) { unread <- response })
+	c.unread = unread
+	return c
 }
 
-// newLineWith returns a line whose losses are told to a function.
-func newLineWith(t *testing.T, most int64, lost func(Loss)) *line {
+// newTestConnFunc returns a connection that passes its unread responses to a function.
+func newTestConnFunc(t *testing.T, capacity int64, onUnread func(UnreadResponse)) *testConn {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -45,120 +45,121 @@
 	require.NoError(t, err)
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	l := &line{reader: dialled.(*net.TCPConn)}
-	require.NoError(t, l.reader.SetReadBuffer(window))
-	require.NoError(t, accepted.(*net.TCPConn).SetWriteBuffer(window))
-	l.queues = NewQueues(memory.NewBudget(most), lost)
-	l.conn = l.queues.Wrap(accepted, func() { l.closed.Add(1) })
+	c := &testConn{reader: dialled.(*net.TCPConn)}
+	require.NoError(t, c.reader.SetReadBuffer(bufferBytes))
+	require.NoError(t, accepted.(*net.TCPConn).SetWriteBuffer(bufferBytes))
+	c.queues = NewQueues(memory.NewBudget(capacity), onUnread)
+	c.conn = c.queues.Wrap(accepted, func() { c.closed.Add(1) })
 	t.Cleanup(func() {
-		_ = l.reader.Close()
-		_ = l.conn.Close()
-		require.Eventually(t, func() bool { return l.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
+		_ = c.reader.Close()
+		_ = c.conn.Close()
+		require.Eventually(t, func() bool { return c.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
 	})
-	return l
+	return c
 }
 
-// TestWritesWaitForNoReader writes an answer that its caller does not read: the writer goes on at
-// once, the connection is closed, and the caller still gets the whole answer.
-func TestWritesWaitForNoReader(t *testing.T) {
-	l := newLine(t, 1<<20)
-	answer := bytes.Repeat([]byte("0123456789abcdef"), 24<<10)
-	for piece := range 48 {
-		n, err := l.conn.Write(answer[piece*8<<10 : (piece+1)*8<<10])
+// TestWriteDoesNotBlockOnReader writes a response that its caller does not read yet. The writes and
+// the close return at once, and the caller still receives the whole response.
+func TestWriteDoesNotBlockOnReader(t *testing.T) {
+	c := newTestConn(t, 1<<20)
+	response := bytes.Repeat([]byte("0123456789abcdef"), 24<<10)
+	for i := range 48 {
+		n, err := c.conn.Write(response[i*8<<10 : (i+1)*8<<10])
 		require.NoError(t, err)
 		require.Equal(t, 8<<10, n)
 	}
-	require.True(t, l.conn.Waits())
-	require.Positive(t, l.queues.Held())
-	require.NoError(t, l.conn.Close())
-	require.Zero(t, l.closed.Load(), "it has not been sent")
-	got, err := io.ReadAll(l.reader)
+	require.True(t, c.conn.HasPending())
+	require.Positive(t, c.queues.Held())
+	require.NoError(t, c.conn.Close())
+	require.Zero(t, c.closed.Load(), "the queue has not been sent yet")
+	got, err := io.ReadAll(c.reader)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(answer, got), "the answer is whole and in order")
-	require.Eventually(t, func() bool { return l.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
-	require.Zero(t, l.queues.Held())
-	require.Zero(t, l.queues.Waiting())
+	require.True(t, bytes.Equal(response, got), "the response is complete and in order")
+	require.Eventually(t, func() bool { return c.closed.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Zero(t, c.queues.Held())
+	require.Zero(t, c.queues.Waiting())
 }
 
-// TestUnreadAnswerIsBounded writes more than the budget allows to a caller that does not read: its
-// connection is broken off, so that the answer does not look whole.
-func TestUnreadAnswerIsBounded(t *testing.T) {
-	l := newLine(t, 64<<10)
+// TestUnreadResponseIsBounded writes more than the budget allows to a caller that does not read. The
+// connection is reset, so that the response does not look complete.
+func TestUnreadResponseIsBounded(t *testing.T) {
+	c := newTestConn(t, 64<<10)
 	var err error
 	for err == nil {
-		_, err = l.conn.Write(make([]byte, 16<<10))
+		_, err = c.conn.Write(make([]byte, 16<<10))
 	}
 	require.ErrorIs(t, err, ErrNoMemory)
-	require.ErrorIs(t, (<-l.losses).Err, ErrNoMemory)
-	require.Zero(t, l.queues.Held())
-	_, err = io.ReadAll(l.reader)
+	require.ErrorIs(t, (<-c.unread).Err, ErrNoMemory)
+	require.Zero(t, c.queues.Held())
+	_, err = io.ReadAll(c.reader)
 	require.Error(t, err)
-	_, err = l.conn.Write([]byte("x"))
+	_, err = c.conn.Write([]byte("x"))
 	require.ErrorIs(t, err, ErrNoMemory)
 }
 
-// TestTimeOfAnUnreadAnswerEnds has a caller not read within its request's time.
+// TestTimeOfAnUnreadAnswerEnds checks that a response that is not read by the write deadline is
+// dropped and reported.
 func TestTimeOfAnUnreadAnswerEnds(t *testing.T) {
-	l := newLine(t, 8<<20)
-	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
-	_, err := l.conn.Write(make([]byte, 600<<10))
+	c := newTestConn(t, 8<<20)
+	require.NoError(t, c.conn.SetWriteDeadline(time.Now().Add(300*time.Millisecond)))
+	_, err := c.conn.Write(make([]byte, 600<<10))
 	require.NoError(t, err)
-	loss := <-l.losses
-	require.Error(t, loss.Err)
-	require.Positive(t, loss.Bytes)
-	require.Zero(t, l.queues.Held())
+	unread := <-c.unread
+	require.Error(t, unread.Err)
+	require.Positive(t, unread.BytesLeft)
+	require.Zero(t, c.queues.Held())
 }
 
-// TestLossIsToldWithItsMemoryFree has an answer's time end while its caller does not read. Whoever
-// was told of the loss could still find the memory of the answer in use: the loss was told first and
-// the connection closed after it, "Should be zero, but was 483328" of a budget of eight megabytes,
-// in 5 of 300 runs. So the one who is told looks at the memory here.
-func TestLossIsToldWithItsMemoryFree(t *testing.T) {
-	held := make(chan int64, 1)
-	var l *line
-	l = newLineWith(t, 8<<20, func(Loss) { held <- l.queues.Held() })
-	require.NoError(t, l.conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
-	_, err := l.conn.Write(make([]byte, 600<<10))
+// TestUnreadIsReportedAfterMemoryIsFreed lets the write deadline of an unread response pass. An unread
+// response was once reported before its connection was closed, so that in 5 of 300 runs the receiver
+// of the report still found its memory held: 483328 bytes of a budget of 8 MiB. The callback checks the
+// held memory here.
+func TestUnreadIsReportedAfterMemoryIsFreed(t *testing.T) {
+	heldBytes := make(chan int64, 1)
+	var c *testConn
+	c = newTestConnFunc(t, 8<<20, func(UnreadResponse) { heldBytes <- c.queues.Held() })
+	require.NoError(t, c.conn.SetWriteDeadline(time.Now().Add(50*time.Millisecond)))
+	_, err := c.conn.Write(make([]byte, 600<<10))
 	require.NoError(t, err)
-	require.Zero(t, <-held)
-	require.EqualValues(t, 1, l.closed.Load())
+	require.Zero(t, <-heldBytes)
+	require.EqualValues(t, 1, c.closed.Load())
 }
 
-// TestWriterWaitsForReaderThatReads writes a long answer to a caller that reads: no more of it waits
-// than the caller is behind by.
-func TestWriterWaitsForReaderThatReads(t *testing.T) {
-	l := newLine(t, 4*softLimit)
+// TestWriterWaitsForActiveReader writes a long response to a caller that reads steadily. The writer
+// waits for the caller, and the queue stays below softLimit.
+func TestWriterWaitsForActiveReader(t *testing.T) {
+	c := newTestConn(t, 4*softLimit)
 	const size = 8 * softLimit
 	got := make(chan int64, 1)
 	go func() {
-		n, _ := io.Copy(io.Discard, l.reader)
+		n, _ := io.Copy(io.Discard, c.reader)
 		got <- n
 	}()
-	most := int64(0)
-	for range size / pieceSize {
-		_, err := l.conn.Write(make([]byte, pieceSize))
+	maxHeld := int64(0)
+	for range size / chunkSize {
+		_, err := c.conn.Write(make([]byte, chunkSize))
 		require.NoError(t, err)
-		most = max(most, l.queues.Held())
+		maxHeld = max(maxHeld, c.queues.Held())
 	}
-	require.LessOrEqual(t, most, int64(softLimit))
-	require.NoError(t, l.conn.Close())
+	require.LessOrEqual(t, maxHeld, int64(softLimit))
+	require.NoError(t, c.conn.Close())
 	require.EqualValues(t, size, <-got)
 }
 
-// TestTeamsShareTheMemory has the unread answers of one team fill the memory: another team's find
-// room, and the first team's give way.
-func TestTeamsShareTheMemory(t *testing.T) {
-	l := newLine(t, 600<<10)
-	l.conn.SetTeam("red")
-	_, err := l.conn.Write(make([]byte, 500<<10))
+// TestTeamsShareMemory fills the memory with the unread responses of one team. Another team still
+// gets memory, and the first team's response is dropped.
+func TestTeamsShareMemory(t *testing.T) {
+	c := newTestConn(t, 600<<10)
+	c.conn.SetTeam("red")
+	_, err := c.conn.Write(make([]byte, 500<<10))
 	require.NoError(t, err)
-	other := &memory.Account{Team: "blue", Kept: true}
-	require.True(t, l.queues.Grow(other, 300<<10, func() { t.Error("it is kept") }))
-	loss := <-l.losses
-	require.Equal(t, "red", loss.Team)
-	require.ErrorIs(t, loss.Err, ErrNoMemory)
-	require.EqualValues(t, 300<<10, l.queues.Held())
-	require.EqualValues(t, 1, l.queues.Dropped())
-	l.queues.Close(other)
-	require.Zero(t, l.queues.Held())
+	other := &memory.Account{Team: "blue", Pinned: true}
+	require.True(t, c.queues.Grow(other, 300<<10, func() { t.Error("a pinned account was dropped") }))
+	unread := <-c.unread
+	require.Equal(t, "red", unread.Team)
+	require.ErrorIs(t, unread.Err, ErrNoMemory)
+	require.EqualValues(t, 300<<10, c.queues.Held())
+	require.EqualValues(t, 1, c.queues.Dropped())
+	c.queues.Close(other)
+	require.Zero(t, c.queues.Held())
 }
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -7,37 +7,37 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// historyLength is how many lists of servers back a router can tell what has changed. A
+// historyLength is the number of earlier lists since which a router can return the changes. A
 // router that is further behind gets the whole list.
 const historyLength = 64
 
-// History remembers which servers were touched from list to list. To compare lists
-// would not do: a server that changed and changed back between two of them has to be told
-// to a router that took a list between. The zero value is ready.
+// History records which servers were touched from list to list. Comparing two lists would miss
+// a server that changed and changed back in between. A router that received a list in between
+// needs that server, too. The zero value is ready to use.
 type History struct{ steps []historyStep }
 
-// historyStep is the step from the list at one revision to the next that came.
+// historyStep is the step from the list at one revision to the next list received.
 type historyStep struct {
 	from uint64
-	ids  []string // all that were touched
+	ids  []string // all servers that were touched
 }
 
-// Note takes in that a list was replaced by a newer one, and which servers were touched
-// since.
-func (h *History) Note(from uint64, ids []string) {
+// Record adds the step from the list at a revision to a newer one, with the ids of the servers
+// that were touched.
+func (h *History) Record(from uint64, ids []string) {
 	if len(h.steps) == historyLength {
 		h.steps = slices.Delete(h.steps, 0, 1)
 	}
 	h.steps = append(h.steps, historyStep{from: from, ids: ids})
 }
 
-// Forget begins anew, after a list of which nobody knows what happened before it.
-func (h *History) Forget() { h.steps = nil }
+// Reset clears the history, after a list whose changes from the previous one are unknown.
+func (h *History) Reset() { h.steps = nil }
 
-// Since returns what has changed since a revision, as an update to the list that is known
-// now, and whether the history goes back so far. It begins at the newest list that was not
-// newer than the revision: what changed between is told again, which does no harm.
-func (h *History) Since(revision uint64, now *direct.Directory) (Update, bool) {
+// Since returns the update from a revision to the current list, and reports whether the history
+// goes back that far. The update starts at the newest recorded list that is not newer than the
+// revision, so it may repeat changes that the receiver has already applied, which is harmless.
+func (h *History) Since(revision uint64, current *direct.Directory) (Update, bool) {
 	first := -1
 	for i, step := range h.steps {
 		if step.from <= revision {
@@ -53,8 +53,8 @@
 			changed[id] = true
 		}
 	}
-	u := Update{From: h.steps[first].from, Revision: now.Revision}
-	for _, s := range now.Servers {
+	u := Update{From: h.steps[first].from, Revision: current.Revision}
+	for _, s := range current.Servers {
 		if changed[s.ID] {
 			u.Servers = append(u.Servers, s)
 			delete(changed, s.ID)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -114,7 +114,7 @@
 	}
 	now := a.x.front.core.Now()
 	if a.x.forwardedAt > 0 {
-		a.x.front.stats.Pause.RecordDuration(now - a.x.forwardedAt)
+		a.x.front.stats.EventPause.RecordDuration(now - a.x.forwardedAt)
 	}
 	a.x.forwardedAt = now
 	return a.x.front.flush(a.x.w)
--- a/gateway/traffic/meter.go
+++ b/gateway/traffic/meter.go
@@ -6,21 +6,21 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Meter counts the bytes of one kind, without what TCP and IP add.
+// Meter counts the bytes of one kind, without the overhead of TCP and IP.
 type Meter struct {
-	bytes    [paths]atomic.Int64
-	counters [paths]tally.Counter
+	bytes    [numPaths]atomic.Int64
+	counters [numPaths]tally.Counter
 }
 
 func newMeter(k Kind, scope tally.Scope) *Meter {
 	m := &Meter{}
-	for p := range paths {
+	for p := range numPaths {
 		m.counters[p] = scope.Tagged(map[string]string{"kind": string(k), "path": p.String()}).Counter("traffic_bytes")
 	}
 	return m
 }
 
-// Add counts some bytes.
+// Add adds n bytes on a path.
 func (m *Meter) Add(p Path, n int) {
 	m.bytes[p].Add(int64(n))
 	m.counters[p].Inc(int64(n))
@@ -33,7 +33,7 @@
 	}
 }
 
-// Sum is the bytes of one kind since the start.
+// Sum holds the bytes of one kind since the start, by path.
 type Sum struct {
 	WithinHall     int64
 	BetweenHalls   int64 // of one region
