--- a/cmd/croftvaled/gateway.go
+++ b/cmd/croftvaled/gateway.go
@@ -34,7 +34,7 @@
 	if s.Gateway.DisabledMechanisms, err = direct.ParseDisabledMechanisms(os.Getenv(withoutVariable)); err != nil {
 		return errors.Wrap(err, withoutVariable)
 	}
-	store := platform.NewStore(s.Store, s.Gateway.Name)
+	store := platform.NewStore(s.StoreAddress, s.Gateway.Name)
 	g, err := gateway.New(s.Gateway, store, platform.Headers{}, os.Stdout)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 			g.ReloadFailed(err)
 			return
 		}
-		store.SetAddress(s.Store)
+		store.SetAddress(s.StoreAddress)
 		g.Reload(s.Gateway)
 	})
 	return g.Run(ctx)
