--- a/direct/notice.go
+++ b/direct/notice.go
@@ -44,7 +44,7 @@
 // that are already running don't end the backoff.
 func (m *Machine) applyBackoff(now time.Duration, s *server, backoff time.Duration) {
 	if !s.inBackoff(now) {
-		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusBackoff, Cause: "announced in a response", For: backoff})
+		m.emit(ServerStatusCmd{Server: s.Server, Status: StatusBackoff, Cause: "said so in an answer", For: backoff})
 	}
 	s.notices.backoffUntil = max(s.notices.backoffUntil, now+backoff)
 	m.serveQueue(now, m.pool(s.Service), maxQueued)
@@ -88,7 +88,7 @@
 	if known {
 		return
 	}
-	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "announced in a response"})
+	m.emit(ServerStatusCmd{Server: s.Server, Status: StatusDraining, Cause: "said so in an answer"})
 	p := m.pool(s.Service)
 	p.updateAdmitted()
 	m.serveQueue(now, p, maxQueued)
