--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -238,25 +238,25 @@
 // TestColdServerKeepsItsParts checks that requests with a part go elsewhere while its server is
 // cold, and return to it afterwards.
 func TestColdServerKeepsItsParts(t *testing.T) {
-	b := newTwoHallHarness(t)
+	h := newTwoHallHarness(t)
 	part := PromptPart{ID: 4711, Tokens: 1000}
 	sendRequest := func() string {
-		r := b.request("red", part, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
-		server := b.sent(b.arrive(r))
-		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-		b.end(r.ID, Done, false)
-		b.now += 10 * time.Millisecond
+		r := h.request("red", part, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 100})
+		server := h.sent(h.arrive(r))
+		h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+		h.end(r.ID, Done, false)
+		h.now += 10 * time.Millisecond
 		return server
 	}
 	first := sendRequest()
-	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 19})
+	h.m.Update(MembershipMsg{Now: h.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 19})
 	d := hallDirectory(2)
 	for i := range d.Servers {
 		if d.Servers[i].ID == first {
 			d.Servers[i].ColdFor = coldLasts
 		}
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
 	elsewhere := 0
 	for range 20 {
 		if sendRequest() != first {
@@ -264,7 +264,7 @@
 		}
 	}
 	require.GreaterOrEqual(t, elsewhere, 18)
-	b.advance(coldLasts)
+	h.advance(coldLasts)
 	for range 5 {
 		require.Equal(t, first, sendRequest())
 	}
--- a/direct/copylog_test.go
+++ b/direct/copylog_test.go
@@ -11,7 +11,7 @@
 // another router receive the announcement. That router must know both holders, and each copy
 // must be announced once.
 func TestCopiesAreAnnounced(t *testing.T) {
-	a, b := newHarness(t, 4), newHarness(t, 4)
+	a, h := newHarness(t, 4), newHarness(t, 4)
 	shared, own := PromptPart{ID: 7, Tokens: 500}, PromptPart{ID: 8, Tokens: 1500}
 	first := a.sent(a.arrive(a.request("red", shared, own)))
 	require.Empty(t, a.m.TakeCopies(), "all routers choose this server first, so it is not announced")
@@ -21,19 +21,19 @@
 		copied = a.sent(a.arrive(a.request("red", shared, own)))
 	}
 	require.NotEqual(t, first, copied)
-	b.m.Update(PeerCopiesMsg{Now: b.now, Copies: a.m.TakeCopies()})
-	p := b.m.pool("llm")
+	h.m.Update(PeerCopiesMsg{Now: h.now, Copies: a.m.TakeCopies()})
+	p := h.m.pool("llm")
 	for _, id := range []string{first, copied} {
-		require.True(t, b.m.partHolders.isHolder(b.now, p.cacheTTL, shared.ID, id), id)
+		require.True(t, h.m.partHolders.isHolder(h.now, p.cacheTTL, shared.ID, id), id)
 	}
 	require.Empty(t, a.m.TakeCopies())
 }
 
 // TestCopiesOfUnknownServersAreIgnored receives a copy at a server that is not listed.
 func TestCopiesOfUnknownServersAreIgnored(t *testing.T) {
-	b := newHarness(t, 2)
-	b.m.Update(PeerCopiesMsg{Now: b.now, Copies: []loads.Copy{{Part: 7, Server: 12345}}})
-	require.Empty(t, b.m.partHolders.holdersOf(7))
+	h := newHarness(t, 2)
+	h.m.Update(PeerCopiesMsg{Now: h.now, Copies: []loads.Copy{{Part: 7, Server: 12345}}})
+	require.Empty(t, h.m.partHolders.holdersOf(7))
 }
 
 // TestCopiesAreBounded adds more copies than the log holds.
--- a/direct/crashcheck.go
+++ b/direct/crashcheck.go
@@ -159,10 +159,10 @@
 
 // expireSuspects removes old suspects, once per suspectExpiryInterval.
 func (m *Machine) expireSuspects(now time.Duration) {
-	if now-m.suspectsPrunedAt < suspectExpiryInterval {
+	if now-m.suspectsExpiredAt < suspectExpiryInterval {
 		return
 	}
-	m.suspectsPrunedAt = now
+	m.suspectsExpiredAt = now
 	m.suspects.Expire(now)
 }
 
--- a/direct/crashcheck_test.go
+++ b/direct/crashcheck_test.go
@@ -12,49 +12,49 @@
 const crashingFingerprint quarantine.Fingerprint = 99
 
 // requestWith returns a request with a fingerprint.
-func (b *harness) requestWith(fingerprint quarantine.Fingerprint) Request {
-	r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 1000})
+func (h *harness) requestWith(fingerprint quarantine.Fingerprint) Request {
+	r := h.request("red", PromptPart{ID: uint64(h.lastID), Tokens: 100}, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 1000})
 	r.Fingerprint = fingerprint
 	return r
 }
 
 // breakAttempt ends the attempt of a request as broken, answers a probe of its server with
 // result, and returns the resulting commands.
-func (b *harness) breakAttempt(id RequestID, result ProbeResultMsg) []Cmd {
-	cmds := b.end(id, Broken, true)
+func (h *harness) breakAttempt(id RequestID, result ProbeResultMsg) []Cmd {
+	cmds := h.end(id, Broken, true)
 	if probe, ok := findCmd[ProbeCmd](cmds); ok {
-		result.Now, result.Server = b.now, probe.Server.ID
-		cmds = append(cmds, b.m.Update(result)...)
+		result.Now, result.Server = h.now, probe.Server.ID
+		cmds = append(cmds, h.m.Update(result)...)
 	}
 	return cmds
 }
 
 // crashServer sends a request with one attempt, which crashes its server.
-func (b *harness) crashServer(fingerprint quarantine.Fingerprint) {
-	b.t.Helper()
-	r := b.requestWith(fingerprint)
-	b.sent(b.arrive(r))
+func (h *harness) crashServer(fingerprint quarantine.Fingerprint) {
+	h.t.Helper()
+	r := h.requestWith(fingerprint)
+	h.sent(h.arrive(r))
 	r.Attempts = 1
-	b.m.requests[r.ID].Attempts = 1
-	b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
-	b.advance(5 * time.Second) // the crashed server is replaced meanwhile
+	h.m.requests[r.ID].Attempts = 1
+	h.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
+	h.advance(5 * time.Second) // the crashed server is replaced meanwhile
 }
 
 // TestThirdCrashQuarantines crashes servers with one fingerprint. The third crash ends the
 // request, though it has attempts left, and further requests of the fingerprint are refused at
 // once. Requests of other fingerprints are sent.
 func TestThirdCrashQuarantines(t *testing.T) {
-	b := newHarness(t, 8)
-	first := b.requestWith(crashingFingerprint)
-	b.sent(b.arrive(first))
-	b.sent(b.breakAttempt(first.ID, ProbeResultMsg{ConnRefused: true}))
-	failed, ok := findCmd[FailCmd](b.breakAttempt(first.ID, ProbeResultMsg{ConnRefused: true}))
+	h := newHarness(t, 8)
+	first := h.requestWith(crashingFingerprint)
+	h.sent(h.arrive(first))
+	h.sent(h.breakAttempt(first.ID, ProbeResultMsg{ConnRefused: true}))
+	failed, ok := findCmd[FailCmd](h.breakAttempt(first.ID, ProbeResultMsg{ConnRefused: true}))
 	require.True(t, ok)
 	require.Equal(t, ReasonAttempts, failed.Reason)
 
-	second := b.requestWith(crashingFingerprint)
-	b.sent(b.arrive(second))
-	cmds := b.breakAttempt(second.ID, ProbeResultMsg{ConnRefused: true})
+	second := h.requestWith(crashingFingerprint)
+	h.sent(h.arrive(second))
+	cmds := h.breakAttempt(second.ID, ProbeResultMsg{ConnRefused: true})
 	failed, ok = findCmd[FailCmd](cmds)
 	require.True(t, ok, "sent to a further server: %v", cmds)
 	require.Equal(t, ReasonQuarantined, failed.Reason)
@@ -62,26 +62,26 @@
 	require.True(t, ok)
 	require.Equal(t, quarantine.Change{Fingerprint: crashingFingerprint, Barred: true, Crashes: 3}, began.Change)
 
-	refused, ok := findCmd[RefuseCmd](b.arrive(b.requestWith(crashingFingerprint)))
+	refused, ok := findCmd[RefuseCmd](h.arrive(h.requestWith(crashingFingerprint)))
 	require.True(t, ok)
 	require.Equal(t, ReasonQuarantined, refused.Reason)
 	require.Equal(t, quarantine.Retention, refused.RetryAfter)
-	b.sent(b.arrive(b.requestWith(crashingFingerprint + 1)))
-	b.sent(b.arrive(b.requestWith(0)))
+	h.sent(h.arrive(h.requestWith(crashingFingerprint + 1)))
+	h.sent(h.arrive(h.requestWith(0)))
 }
 
 // TestBrokenConnectionIsNotACrash breaks attempts at servers that are reachable or in an
 // unknown state: no request becomes a suspect.
 func TestBrokenConnectionIsNotACrash(t *testing.T) {
 	for _, result := range []ProbeResultMsg{{Reached: true}, {}, {RouterLate: true}} {
-		b := newHarness(t, 8)
+		h := newHarness(t, 8)
 		for range 4 {
-			r := b.requestWith(crashingFingerprint)
-			b.sent(b.arrive(r))
-			b.breakAttempt(r.ID, result)
-			b.advance(5 * time.Second)
+			r := h.requestWith(crashingFingerprint)
+			h.sent(h.arrive(r))
+			h.breakAttempt(r.ID, result)
+			h.advance(5 * time.Second)
 		}
-		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint))
+		require.Zero(t, h.m.suspects.Crashes(crashingFingerprint))
 	}
 }
 
@@ -89,18 +89,18 @@
 // listening: the first probe still reaches it, the second doesn't.
 func TestReachableServerIsProbedAgain(t *testing.T) {
 	for refused, crashes := range map[bool]int{true: 1, false: 0} {
-		b := newHarness(t, 2)
-		r := b.requestWith(crashingFingerprint)
-		b.sent(b.arrive(r))
-		b.breakAttempt(r.ID, ProbeResultMsg{Reached: true})
-		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint))
-		_, early := findCmd[ProbeCmd](b.advance(reprobeDelay - TickInterval))
+		h := newHarness(t, 2)
+		r := h.requestWith(crashingFingerprint)
+		h.sent(h.arrive(r))
+		h.breakAttempt(r.ID, ProbeResultMsg{Reached: true})
+		require.Zero(t, h.m.suspects.Crashes(crashingFingerprint))
+		_, early := findCmd[ProbeCmd](h.advance(reprobeDelay - TickInterval))
 		require.False(t, early)
-		probe, again := findCmd[ProbeCmd](b.advance(2 * TickInterval))
+		probe, again := findCmd[ProbeCmd](h.advance(2 * TickInterval))
 		require.True(t, again)
-		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: !refused, ConnRefused: refused})
-		require.Equal(t, crashes, b.m.suspects.Crashes(crashingFingerprint))
-		_, more := findCmd[ProbeCmd](b.advance(time.Second))
+		h.m.Update(ProbeResultMsg{Now: h.now, Server: probe.Server.ID, Reached: !refused, ConnRefused: refused})
+		require.Equal(t, crashes, h.m.suspects.Crashes(crashingFingerprint))
+		_, more := findCmd[ProbeCmd](h.advance(time.Second))
 		require.False(t, more)
 	}
 }
@@ -109,41 +109,41 @@
 // for long, and one that has just started.
 func TestLongRunningRequestIsNotSuspected(t *testing.T) {
 	for runTime, crashes := range map[time.Duration]int{clearedAfter: 0, clearedAfter - TickInterval: 1} {
-		b := newHarness(t, 2)
-		r := b.requestWith(crashingFingerprint)
-		b.sent(b.arrive(r))
-		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-		b.advance(runTime)
-		b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
-		require.Equal(t, crashes, b.m.suspects.Crashes(crashingFingerprint))
-		b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-		b.end(r.ID, Done, false)
-		require.Zero(t, b.m.suspects.Crashes(crashingFingerprint), "another server completed it")
+		h := newHarness(t, 2)
+		r := h.requestWith(crashingFingerprint)
+		h.sent(h.arrive(r))
+		h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+		h.advance(runTime)
+		h.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
+		require.Equal(t, crashes, h.m.suspects.Crashes(crashingFingerprint))
+		h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+		h.end(r.ID, Done, false)
+		require.Zero(t, h.m.suspects.Crashes(crashingFingerprint), "another server completed it")
 	}
 }
 
 // TestAllBrokenAttemptsAreSuspected crashes a server that runs several requests: one probe
 // covers all of them, including those that are processed after it.
 func TestAllBrokenAttemptsAreSuspected(t *testing.T) {
-	b := newHarness(t, 1)
+	h := newHarness(t, 1)
 	var all []Request
 	for i := range quarantine.Fingerprint(3) {
-		r := b.requestWith(crashingFingerprint + i)
+		r := h.requestWith(crashingFingerprint + i)
 		r.Attempts = 1
-		b.sent(b.arrive(r))
+		h.sent(h.arrive(r))
 		all = append(all, r)
 	}
-	probe, ok := findCmd[ProbeCmd](b.end(all[0].ID, Broken, true))
+	probe, ok := findCmd[ProbeCmd](h.end(all[0].ID, Broken, true))
 	require.True(t, ok)
-	_, ok = findCmd[ProbeCmd](b.end(all[1].ID, Broken, true))
+	_, ok = findCmd[ProbeCmd](h.end(all[1].ID, Broken, true))
 	require.False(t, ok, "only one probe per server")
-	crashed, ok := findCmd[CrashCmd](b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true}))
+	crashed, ok := findCmd[CrashCmd](h.m.Update(ProbeResultMsg{Now: h.now, Server: probe.Server.ID, ConnRefused: true}))
 	require.True(t, ok)
 	require.Len(t, crashed.Suspects, 2)
-	_, ok = findCmd[ProbeCmd](b.end(all[2].ID, Broken, true))
+	_, ok = findCmd[ProbeCmd](h.end(all[2].ID, Broken, true))
 	require.False(t, ok)
 	for i := range quarantine.Fingerprint(3) {
-		require.Equal(t, 1, b.m.suspects.Crashes(crashingFingerprint+i))
+		require.Equal(t, 1, h.m.suspects.Crashes(crashingFingerprint+i))
 	}
 }
 
@@ -204,37 +204,37 @@
 // counts if another attempt breaks at the server.
 func TestAbandonedAttemptIsSuspected(t *testing.T) {
 	for outcome, probes := range map[Outcome]bool{Hung: true, GivenUp: false, Moved: false} {
-		b := newHarness(t, 1)
-		r := b.requestWith(crashingFingerprint)
-		server := b.sent(b.arrive(r))
-		other := b.requestWith(crashingFingerprint + 1)
-		require.Equal(t, server, b.sent(b.arrive(other)))
-		probe, probed := findCmd[ProbeCmd](b.end(r.ID, outcome, false))
+		h := newHarness(t, 1)
+		r := h.requestWith(crashingFingerprint)
+		server := h.sent(h.arrive(r))
+		other := h.requestWith(crashingFingerprint + 1)
+		require.Equal(t, server, h.sent(h.arrive(other)))
+		probe, probed := findCmd[ProbeCmd](h.end(r.ID, outcome, false))
 		require.Equal(t, probes, probed, outcome)
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 		if !probes {
-			probe, probed = findCmd[ProbeCmd](b.end(other.ID, Broken, false))
+			probe, probed = findCmd[ProbeCmd](h.end(other.ID, Broken, false))
 			require.True(t, probed)
 		}
-		b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, ConnRefused: true})
-		require.Equal(t, 1, b.m.suspects.Crashes(crashingFingerprint), outcome)
+		h.m.Update(ProbeResultMsg{Now: h.now, Server: probe.Server.ID, ConnRefused: true})
+		require.Equal(t, 1, h.m.suspects.Crashes(crashingFingerprint), outcome)
 	}
 }
 
 // TestOldAbandonedAttemptsAreNotSuspected checks that attempts abandoned before crashWindow are
 // not suspects of a crash, and that the number that is kept is bounded.
 func TestOldAbandonedAttemptsAreNotSuspected(t *testing.T) {
-	b := newHarness(t, 1)
+	h := newHarness(t, 1)
 	for i := range maxAbandoned + 10 {
-		r := b.requestWith(crashingFingerprint + quarantine.Fingerprint(i))
-		b.sent(b.arrive(r))
-		b.end(r.ID, GivenUp, false)
+		r := h.requestWith(crashingFingerprint + quarantine.Fingerprint(i))
+		h.sent(h.arrive(r))
+		h.end(r.ID, GivenUp, false)
 	}
-	require.Len(t, b.m.byServer["e0"].crashState.abandoned, maxAbandoned)
-	b.advance(crashWindow + TickInterval)
-	r := b.requestWith(crashingFingerprint + 1000)
-	b.sent(b.arrive(r))
-	b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
-	require.Equal(t, 1, b.m.suspects.Crashes(crashingFingerprint+1000))
-	require.Zero(t, b.m.suspects.Crashes(crashingFingerprint))
+	require.Len(t, h.m.byServer["e0"].crashState.abandoned, maxAbandoned)
+	h.advance(crashWindow + TickInterval)
+	r := h.requestWith(crashingFingerprint + 1000)
+	h.sent(h.arrive(r))
+	h.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
+	require.Equal(t, 1, h.m.suspects.Crashes(crashingFingerprint+1000))
+	require.Zero(t, h.m.suspects.Crashes(crashingFingerprint))
 }
--- a/direct/crashsim_test.go
+++ b/direct/crashsim_test.go
@@ -24,26 +24,26 @@
 }
 
 func newCrashSim(t *testing.T, seed uint64) *crashSim {
-	p := &crashSim{
+	sim := &crashSim{
 		random: rand.New(rand.NewPCG(seed, 1)), servers: newDirectory(1, 12), crashes: make(map[quarantine.Fingerprint]int), nextFingerprint: 1 << 32,
 	}
 	for range 4 {
-		p.routers = append(p.routers, newHarness(t, 12))
+		sim.routers = append(sim.routers, newHarness(t, 12))
 	}
-	return p
+	return sim
 }
 
 // sendCrashing sends a crashing request to one router and crashes a server at each attempt.
-func (p *crashSim) sendCrashing(fingerprint quarantine.Fingerprint) {
-	b := p.routers[p.random.IntN(len(p.routers))]
-	r := b.requestWith(fingerprint)
-	cmds := b.arrive(r)
+func (sim *crashSim) sendCrashing(fingerprint quarantine.Fingerprint) {
+	h := sim.routers[sim.random.IntN(len(sim.routers))]
+	r := h.requestWith(fingerprint)
+	cmds := h.arrive(r)
 	for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
-		p.crashes[fingerprint]++
-		p.crashed = append(p.crashed, send.Server.ID)
-		harmless := p.startHarmless(send.Server.ID)
-		cmds = b.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
-		p.breakAttempts(harmless)
+		sim.crashes[fingerprint]++
+		sim.crashed = append(sim.crashed, send.Server.ID)
+		harmless := sim.startHarmless(send.Server.ID)
+		cmds = h.breakAttempt(r.ID, ProbeResultMsg{ConnRefused: true})
+		sim.breakAttempts(harmless)
 	}
 }
 
@@ -55,20 +55,20 @@
 
 // startHarmless starts harmless requests at random routers and returns those that the given
 // server runs. The others are completed.
-func (p *crashSim) startHarmless(server string) []harmlessRequest {
+func (sim *crashSim) startHarmless(server string) []harmlessRequest {
 	var running []harmlessRequest
 	for range 30 {
-		p.nextFingerprint++
-		p.harmlessSent++
-		b := p.routers[p.random.IntN(len(p.routers))]
-		r := b.requestWith(p.nextFingerprint)
-		send, sent := findCmd[SendCmd](b.arrive(r))
+		sim.nextFingerprint++
+		sim.harmlessSent++
+		h := sim.routers[sim.random.IntN(len(sim.routers))]
+		r := h.requestWith(sim.nextFingerprint)
+		send, sent := findCmd[SendCmd](h.arrive(r))
 		switch {
 		case sent && send.Server.ID == server:
-			running = append(running, harmlessRequest{b, r})
+			running = append(running, harmlessRequest{h, r})
 		case sent:
-			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-			b.end(r.ID, Done, false)
+			h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+			h.end(r.ID, Done, false)
 		}
 	}
 	return running
@@ -76,48 +76,48 @@
 
 // breakAttempts breaks the attempts of requests because their server has crashed. Each is
 // retried as its router decides; one retry in four is at a server that crashes too.
-func (p *crashSim) breakAttempts(requests []harmlessRequest) {
+func (sim *crashSim) breakAttempts(requests []harmlessRequest) {
 	for _, h := range requests {
 		cmds := h.router.breakAttempt(h.r.ID, ProbeResultMsg{ConnRefused: true})
 		for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
-			if p.random.IntN(4) > 0 {
+			if sim.random.IntN(4) > 0 {
 				h.router.m.Update(FirstEventMsg{Now: h.router.now, ID: h.r.ID})
 				h.router.end(h.r.ID, Done, false)
 				break
 			}
-			p.crashed = append(p.crashed, send.Server.ID)
+			sim.crashed = append(sim.crashed, send.Server.ID)
 			cmds = h.router.breakAttempt(h.r.ID, ProbeResultMsg{ConnRefused: true})
 		}
 		if failed, ok := findCmd[FailCmd](cmds); ok && failed.Reason == ReasonQuarantined {
-			p.harmlessRefused++
+			sim.harmlessRefused++
 		}
 	}
 }
 
 // pass advances time by half a second. Crashed servers are replaced, and the routers exchange
 // reports five times, of which a third is lost.
-func (p *crashSim) pass() {
-	p.servers.Revision++
-	for i := range p.servers.Servers {
-		if s := &p.servers.Servers[i]; slices.Contains(p.crashed, s.ID) {
+func (sim *crashSim) pass() {
+	sim.servers.Revision++
+	for i := range sim.servers.Servers {
+		if s := &sim.servers.Servers[i]; slices.Contains(sim.crashed, s.ID) {
 			s.ID += "'"
 		}
 	}
-	p.crashed = nil
-	for _, b := range p.routers {
-		b.m.Update(ServersMsg{Now: b.now, Directory: p.servers})
+	sim.crashed = nil
+	for _, h := range sim.routers {
+		h.m.Update(ServersMsg{Now: h.now, Directory: sim.servers})
 	}
 	for range 5 {
-		for i, from := range p.routers {
+		for i, from := range sim.routers {
 			report := from.m.Report(from.now)
-			for j, to := range p.routers {
-				if i != j && p.random.IntN(3) > 0 {
+			for j, to := range sim.routers {
+				if i != j && sim.random.IntN(3) > 0 {
 					to.m.Update(PeerReportMsg{Now: to.now, Peer: "x", Report: report})
 				}
 			}
 		}
-		for _, b := range p.routers {
-			b.advance(100 * time.Millisecond)
+		for _, h := range sim.routers {
+			h.advance(100 * time.Millisecond)
 		}
 	}
 }
@@ -132,19 +132,19 @@
 // crashTogether sends copies of requests to routers before any of them gets a response, crashes
 // all their servers at the same time, and does the same with the retries. It returns the number
 // of crashed servers by fingerprint.
-func (p *crashSim) crashTogether(fingerprints []quarantine.Fingerprint) map[quarantine.Fingerprint]int {
+func (sim *crashSim) crashTogether(fingerprints []quarantine.Fingerprint) map[quarantine.Fingerprint]int {
 	var running []requestCopy
 	for _, fingerprint := range fingerprints {
-		b := p.routers[p.random.IntN(len(p.routers))]
-		r := b.requestWith(fingerprint)
-		running = p.appendRunning(running, requestCopy{router: b, r: r}, b.arrive(r))
+		h := sim.routers[sim.random.IntN(len(sim.routers))]
+		r := h.requestWith(fingerprint)
+		running = sim.appendRunning(running, requestCopy{router: h, r: r}, h.arrive(r))
 	}
 	crashes := make(map[quarantine.Fingerprint]int)
 	for len(running) > 0 {
-		p.crashServers(running, crashes)
+		sim.crashServers(running, crashes)
 		var next []requestCopy
 		for _, c := range running {
-			next = p.appendRunning(next, c, c.router.breakAttempt(c.r.ID, ProbeResultMsg{ConnRefused: true}))
+			next = sim.appendRunning(next, c, c.router.breakAttempt(c.r.ID, ProbeResultMsg{ConnRefused: true}))
 		}
 		running = next
 	}
@@ -152,7 +152,7 @@
 }
 
 // crashServers crashes the servers of running requests and counts them by fingerprint.
-func (p *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Fingerprint]int) {
+func (sim *crashSim) crashServers(running []requestCopy, crashes map[quarantine.Fingerprint]int) {
 	type crashKey struct {
 		fingerprint quarantine.Fingerprint
 		server      string
@@ -164,16 +164,16 @@
 			seen[crash] = true
 			crashes[c.r.Fingerprint]++
 		}
-		p.crashed = append(p.crashed, c.server)
+		sim.crashed = append(sim.crashed, c.server)
 	}
 }
 
 // appendRunning appends a request to the running ones if its router's commands send it to a
 // live server. Crashed servers refuse the connection.
-func (p *crashSim) appendRunning(running []requestCopy, c requestCopy, cmds []Cmd) []requestCopy {
+func (sim *crashSim) appendRunning(running []requestCopy, c requestCopy, cmds []Cmd) []requestCopy {
 	for send, sent := findCmd[SendCmd](cmds); sent; send, sent = findCmd[SendCmd](cmds) {
-		listed := slices.ContainsFunc(p.servers.Servers, func(s Server) bool { return s.ID == send.Server.ID })
-		if listed && !slices.Contains(p.crashed, send.Server.ID) {
+		listed := slices.ContainsFunc(sim.servers.Servers, func(s Server) bool { return s.ID == send.Server.ID })
+		if listed && !slices.Contains(sim.crashed, send.Server.ID) {
 			c.server = send.Server.ID
 			return append(running, c)
 		}
@@ -190,15 +190,15 @@
 func TestCrashesStayFew(t *testing.T) {
 	sent, refused := 0, 0
 	for seed := range uint64(20) {
-		p := newCrashSim(t, seed)
+		sim := newCrashSim(t, seed)
 		for i := range 100 {
-			p.sendCrashing(crashingFingerprint + quarantine.Fingerprint(i%10))
-			p.pass()
+			sim.sendCrashing(crashingFingerprint + quarantine.Fingerprint(i%10))
+			sim.pass()
 		}
-		for fingerprint, crashes := range p.crashes {
+		for fingerprint, crashes := range sim.crashes {
 			require.LessOrEqual(t, crashes, quarantine.CrashThreshold+2, "seed %d, fingerprint %d", seed, fingerprint)
 		}
-		sent, refused = sent+p.harmlessSent, refused+p.harmlessRefused
+		sent, refused = sent+sim.harmlessSent, refused+sim.harmlessRefused
 	}
 	t.Logf("%d of %d harmless requests were refused because of crashes", refused, sent)
 	require.LessOrEqual(t, refused, sent/1000)
@@ -210,23 +210,23 @@
 // servers.
 func TestCrashesTogetherStayFew(t *testing.T) {
 	for seed := range uint64(200) {
-		p := newCrashSim(t, seed)
+		sim := newCrashSim(t, seed)
 		crashes, late := make(map[quarantine.Fingerprint]int), make(map[quarantine.Fingerprint]int)
 		for range 30 {
 			var fingerprints []quarantine.Fingerprint
 			for fingerprint := crashingFingerprint; fingerprint < crashingFingerprint+2; fingerprint++ {
-				for range p.random.IntN(4) {
+				for range sim.random.IntN(4) {
 					fingerprints = append(fingerprints, fingerprint)
 				}
 			}
-			for fingerprint, servers := range p.crashTogether(fingerprints) {
+			for fingerprint, servers := range sim.crashTogether(fingerprints) {
 				if crashes[fingerprint] >= quarantine.CrashThreshold {
 					late[fingerprint] += servers
 				}
 				crashes[fingerprint] += servers
 			}
-			p.pass()
-			p.pass()
+			sim.pass()
+			sim.pass()
 		}
 		for fingerprint, servers := range late {
 			require.LessOrEqual(t, servers, 3, "seed %d, fingerprint %d, %d in total", seed, fingerprint, crashes[fingerprint])
@@ -240,21 +240,21 @@
 // one and a half seconds to exchange reports.
 func TestCrashesStayFewOverRestarts(t *testing.T) {
 	for seed := range uint64(20) {
-		p := newCrashSim(t, seed)
+		sim := newCrashSim(t, seed)
 		for i := range 20 {
-			p.sendCrashing(crashingFingerprint)
-			p.pass()
-			p.restart(t, i%len(p.routers))
+			sim.sendCrashing(crashingFingerprint)
+			sim.pass()
+			sim.restart(t, i%len(sim.routers))
 			for range 3 {
-				p.pass()
+				sim.pass()
 			}
 		}
-		require.Equal(t, quarantine.CrashThreshold, p.crashes[crashingFingerprint], "seed %d", seed)
+		require.Equal(t, quarantine.CrashThreshold, sim.crashes[crashingFingerprint], "seed %d", seed)
 	}
 }
 
 // restart replaces a router by one without state.
-func (p *crashSim) restart(t *testing.T, router int) {
-	p.routers[router] = newHarness(t, 12)
-	p.routers[router].m.Update(ServersMsg{Now: p.routers[router].now, Directory: p.servers})
+func (sim *crashSim) restart(t *testing.T, router int) {
+	sim.routers[router] = newHarness(t, 12)
+	sim.routers[router].m.Update(ServersMsg{Now: sim.routers[router].now, Directory: sim.servers})
 }
--- a/direct/drain_test.go
+++ b/direct/drain_test.go
@@ -14,18 +14,18 @@
 func TestDrainTimeBoundsLastResort(t *testing.T) {
 	const drain = 500 * time.Millisecond
 	for name, leave := range map[string]func(*noticeHarness){
-		"answers": func(b *noticeHarness) {
-			b.notice("p0", Notice{Leaving: true})
-			b.notice("p1", Notice{Leaving: true})
+		"answers": func(h *noticeHarness) {
+			h.notice("p0", Notice{Leaving: true})
+			h.notice("p1", Notice{Leaving: true})
 		},
-		"entries": func(b *noticeHarness) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
-		"lapse":   func(b *noticeHarness) { b.list() },
+		"entries": func(h *noticeHarness) { h.listAs(drainingServer("p0"), drainingServer("p1")) },
+		"lapse":   func(h *noticeHarness) { h.list() },
 	} {
-		b := newNoticeHarness(t, "p0", "p1")
-		b.m.Update(DrainMsg{Drain: drain})
-		leave(b)
-		require.Zero(t, b.distribute(2)[""], name)
-		b.advance(drain)
-		require.Equal(t, map[string]int{"": 2}, b.distribute(2), name)
+		h := newNoticeHarness(t, "p0", "p1")
+		h.m.Update(DrainMsg{Drain: drain})
+		leave(h)
+		require.Zero(t, h.distribute(2)[""], name)
+		h.advance(drain)
+		require.Equal(t, map[string]int{"": 2}, h.distribute(2), name)
 	}
 }
--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -11,11 +11,11 @@
 // is neither retried nor refused.
 func TestWhatMayHaveRun(t *testing.T) {
 	for _, o := range []Outcome{Failed, Broken, Hung} {
-		b := newHarness(t, 3)
-		r := b.request("red")
+		h := newHarness(t, 3)
+		r := h.request("red")
 		r.MayRepeat = false
-		b.sent(b.arrive(r))
-		fail, ok := findCmd[FailCmd](b.end(r.ID, o, true))
+		h.sent(h.arrive(r))
+		fail, ok := findCmd[FailCmd](h.end(r.ID, o, true))
 		require.True(t, ok, o.String())
 		require.Equal(t, ReasonAtMostOnce, fail.Reason)
 	}
@@ -24,44 +24,44 @@
 // TestNotRunGoesElsewhere retries a request that has not run at another server, as often as the
 // route allows, and then refuses it.
 func TestNotRunGoesElsewhere(t *testing.T) {
-	b := newHarness(t, 3)
-	r := b.request("red")
+	h := newHarness(t, 3)
+	r := h.request("red")
 	r.MayRepeat = false
-	first := b.sent(b.arrive(r))
-	second := b.sent(b.end(r.ID, NotRun, true))
+	first := h.sent(h.arrive(r))
+	second := h.sent(h.end(r.ID, NotRun, true))
 	require.NotEqual(t, first, second)
-	refused, ok := findCmd[RefuseCmd](b.end(r.ID, NotRun, true))
+	refused, ok := findCmd[RefuseCmd](h.end(r.ID, NotRun, true))
 	require.True(t, ok)
 	require.Equal(t, ReasonAttempts, refused.Reason)
 }
 
 // TestUnsentCostsNoAttempt tries further servers if nothing was sent.
 func TestUnsentCostsNoAttempt(t *testing.T) {
-	b := newHarness(t, 4)
-	r := b.request("red")
+	h := newHarness(t, 4)
+	r := h.request("red")
 	r.Attempts = 1
-	b.sent(b.arrive(r))
-	b.sent(b.end(r.ID, Unsent, true))
-	b.sent(b.end(r.ID, Unsent, true))
+	h.sent(h.arrive(r))
+	h.sent(h.end(r.ID, Unsent, true))
+	h.sent(h.end(r.ID, Unsent, true))
 }
 
 // TestRetriesKeepToTheBudget fails all attempts: the retries stay within the router's part of
 // the budget.
 func TestRetriesKeepToTheBudget(t *testing.T) {
 	for _, routers := range []int{1, 4} {
-		b := newHarness(t, 4)
-		b.m.Update(MembershipMsg{Now: b.now, Routers: routers, ReportTTL: time.Second})
+		h := newHarness(t, 4)
+		h.m.Update(MembershipMsg{Now: h.now, Routers: routers, ReportTTL: time.Second})
 		retries := 0
 		for range 100 {
-			r := b.request("red")
+			r := h.request("red")
 			r.Service = "app"
-			if _, ok := findCmd[SendCmd](b.arrive(r)); !ok {
-				b.advance(time.Second)
+			if _, ok := findCmd[SendCmd](h.arrive(r)); !ok {
+				h.advance(time.Second)
 				continue
 			}
-			if _, ok := findCmd[SendCmd](b.end(r.ID, Failed, true)); ok {
+			if _, ok := findCmd[SendCmd](h.end(r.ID, Failed, true)); ok {
 				retries++
-				b.end(r.ID, Done, false)
+				h.end(r.ID, Done, false)
 			}
 		}
 		require.LessOrEqual(t, float64(retries), 0.2*100+10/float64(routers))
@@ -72,31 +72,31 @@
 // TestEjection ejects a server that fails while the others don't, and restores it with one
 // request that may be repeated.
 func TestEjection(t *testing.T) {
-	b := newHarness(t, 4)
+	h := newHarness(t, 4)
 	ejected := ""
 	for i := 0; i < 200 && ejected == ""; i++ {
-		r := b.request("red")
-		server := b.sent(b.arrive(r))
+		r := h.request("red")
+		server := h.sent(h.arrive(r))
 		outcome := Done
 		if server == "e0" {
 			outcome = Failed
 		}
-		if status, ok := findCmd[ServerStatusCmd](b.end(r.ID, outcome, false)); ok && status.Status == StatusEjected {
+		if status, ok := findCmd[ServerStatusCmd](h.end(r.ID, outcome, false)); ok && status.Status == StatusEjected {
 			ejected = status.Server.ID
 		}
 	}
 	require.Equal(t, "e0", ejected)
 	for range 30 {
-		r := b.request("red")
-		require.NotEqual(t, "e0", b.sent(b.arrive(r)))
-		b.end(r.ID, Done, false)
+		r := h.request("red")
+		require.NotEqual(t, "e0", h.sent(h.arrive(r)))
+		h.end(r.ID, Done, false)
 	}
-	b.advance(minEjection + TickInterval)
+	h.advance(minEjection + TickInterval)
 	back := false
 	for i := 0; i < 100 && !back; i++ {
-		r := b.request("red", PromptPart{ID: uint64(i), Tokens: 1}, PromptPart{ID: 9, Tokens: 1})
-		b.sent(b.arrive(r))
-		status, ok := findCmd[ServerStatusCmd](b.end(r.ID, Done, false))
+		r := h.request("red", PromptPart{ID: uint64(i), Tokens: 1}, PromptPart{ID: 9, Tokens: 1})
+		h.sent(h.arrive(r))
+		status, ok := findCmd[ServerStatusCmd](h.end(r.ID, Done, false))
 		back = ok && status.Status == StatusRestored
 	}
 	require.True(t, back)
@@ -105,29 +105,29 @@
 // TestEjectionKeepsHalfTheServers checks that at least half of the servers stay in use when all
 // fail.
 func TestEjectionKeepsHalfTheServers(t *testing.T) {
-	b := newHarness(t, 6)
+	h := newHarness(t, 6)
 	for range 300 {
-		r := b.request("red")
-		b.sent(b.arrive(r))
-		b.end(r.ID, Failed, false)
+		r := h.request("red")
+		h.sent(h.arrive(r))
+		h.end(r.ID, Failed, false)
 	}
-	in := 0
-	for _, s := range b.m.pool("llm").admitted {
-		if s.usable(b.now) {
-			in++
+	inUse := 0
+	for _, s := range h.m.pool("llm").admitted {
+		if s.usable(h.now) {
+			inUse++
 		}
 	}
-	require.GreaterOrEqual(t, in, 3)
+	require.GreaterOrEqual(t, inUse, 3)
 }
 
 // TestSlowRouterEjectsNobody checks that a router that is late itself counts no failures.
 // Otherwise, a router without processor time would eject all servers.
 func TestSlowRouterEjectsNobody(t *testing.T) {
-	b := newHarness(t, 2)
+	h := newHarness(t, 2)
 	for range 50 {
-		r := b.request("red")
-		b.sent(b.arrive(r))
-		for _, c := range b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, RouterLate: true}) {
+		r := h.request("red")
+		h.sent(h.arrive(r))
+		for _, c := range h.m.Update(AttemptEndMsg{Now: h.now, ID: r.ID, Outcome: Unsent, RouterLate: true}) {
 			_, isStatus := c.(ServerStatusCmd)
 			require.False(t, isStatus)
 		}
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -11,14 +11,14 @@
 // newTwoHallHarness returns a harness with three servers in hall a and three in hall b, which
 // get requests at a reduced rate while they are cold.
 func newTwoHallHarness(t *testing.T) *harness {
-	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
-	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
+	h := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: 10 * time.Second}
+	h.m.Update(ConfigMsg{Now: h.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}, Cold: ColdLimit{PerSecond: 20, Lasts: 3 * time.Second}}},
 		Limits:   Limits{TokensPerSecond: 1e6},
 	}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: hallDirectory(1)})
-	return b
+	h.m.Update(ServersMsg{Now: h.now, Directory: hallDirectory(1)})
+	return h
 }
 
 func hallDirectory(revision uint64) Directory {
@@ -31,84 +31,84 @@
 
 func hallOf(server int) string { return [...]string{"a", "b"}[server%2] }
 
-func (b *harness) evacuate(revision uint64, halls ...string) []Cmd {
-	return append([]Cmd(nil), b.m.Update(EvacuationsMsg{Now: b.now, Evacuations: Evacuations{Revision: revision, Halls: halls}})...)
+func (h *harness) evacuate(revision uint64, halls ...string) []Cmd {
+	return append([]Cmd(nil), h.m.Update(EvacuationsMsg{Now: h.now, Evacuations: Evacuations{Revision: revision, Halls: halls}})...)
 }
 
 // countByHall sends requests for some time and counts them by hall.
-func (b *harness) countByHall(d time.Duration) map[string]int {
+func (h *harness) countByHall(d time.Duration) map[string]int {
 	halls := make(map[string]int)
-	for end := b.now + d; b.now < end; {
-		r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
-		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
+	for end := h.now + d; h.now < end; {
+		r := h.request("red", PromptPart{ID: uint64(h.lastID), Tokens: 100}, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 100})
+		if c, ok := findCmd[SendCmd](h.arrive(r)); ok {
 			halls[c.Server.Zone]++
-			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-			b.end(r.ID, Done, false)
+			h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+			h.end(r.ID, Done, false)
 		}
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 	}
 	return halls
 }
 
 // TestEvacuatedHallGetsNothing evacuates one hall, then another instead, then none.
 func TestEvacuatedHallGetsNothing(t *testing.T) {
-	b := newTwoHallHarness(t)
-	both := b.countByHall(time.Second)
+	h := newTwoHallHarness(t)
+	both := h.countByHall(time.Second)
 	require.NotZero(t, both["a"])
 	require.NotZero(t, both["b"])
-	cmd, ok := findCmd[EvacuationCmd](b.evacuate(2, "b"))
+	cmd, ok := findCmd[EvacuationCmd](h.evacuate(2, "b"))
 	require.True(t, ok)
 	require.Equal(t, EvacuationCmd{Hall: "b", Evacuated: true, Revision: 2, Servers: 3}, cmd)
-	require.Zero(t, b.countByHall(time.Second)["b"])
-	b.evacuate(3, "a")
-	require.Zero(t, b.countByHall(time.Second)["a"], "hall a is evacuated instead of b")
-	b.evacuate(4)
-	require.NotZero(t, b.countByHall(5 * time.Second)["a"], "no hall is evacuated")
+	require.Zero(t, h.countByHall(time.Second)["b"])
+	h.evacuate(3, "a")
+	require.Zero(t, h.countByHall(time.Second)["a"], "hall a is evacuated instead of b")
+	h.evacuate(4)
+	require.NotZero(t, h.countByHall(5 * time.Second)["a"], "no hall is evacuated")
 }
 
 // TestOlderEvacuationsAreNotTaken applies an older set of evacuations after a newer one.
 func TestOlderEvacuationsAreNotTaken(t *testing.T) {
-	b := newTwoHallHarness(t)
-	b.evacuate(5, "b")
-	b.evacuate(4)
-	require.Zero(t, b.countByHall(time.Second)["b"])
+	h := newTwoHallHarness(t)
+	h.evacuate(5, "b")
+	h.evacuate(4)
+	require.Zero(t, h.countByHall(time.Second)["b"])
 }
 
 // TestNewServersOfAnEvacuatedHall adds a server to a hall that is evacuated.
 func TestNewServersOfAnEvacuatedHall(t *testing.T) {
-	b := newTwoHallHarness(t)
-	b.evacuate(2, "b")
+	h := newTwoHallHarness(t)
+	h.evacuate(2, "b")
 	d := hallDirectory(3)
 	d.Servers = append(d.Servers, Server{ID: "new", Service: "llm", Zone: "b", Slots: 48})
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	require.Zero(t, b.countByHall(time.Second)["b"])
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
+	require.Zero(t, h.countByHall(time.Second)["b"])
 }
 
 // TestEvacuatedEverywhere refuses requests at once if all halls are evacuated. Running requests
 // continue.
 func TestEvacuatedEverywhere(t *testing.T) {
-	b := newTwoHallHarness(t)
-	before := b.request("red")
-	b.sent(b.arrive(before))
-	b.evacuate(2, "a", "b")
-	refused, ok := findCmd[RefuseCmd](b.arrive(b.request("red")))
+	h := newTwoHallHarness(t)
+	before := h.request("red")
+	h.sent(h.arrive(before))
+	h.evacuate(2, "a", "b")
+	refused, ok := findCmd[RefuseCmd](h.arrive(h.request("red")))
 	require.True(t, ok, "must not be queued without a usable server")
 	require.Equal(t, ReasonNoServers, refused.Reason)
-	require.Empty(t, b.advance(time.Second))
-	require.Empty(t, b.end(before.ID, Done, false))
+	require.Empty(t, h.advance(time.Second))
+	require.Empty(t, h.end(before.ID, Done, false))
 }
 
 // TestReturnedServersCountAsCold ends an evacuation. Until the entries of the hall's servers
 // have had time to show that they are cold, they get requests at the cold rate.
 func TestReturnedServersCountAsCold(t *testing.T) {
-	b := newTwoHallHarness(t)
-	b.m.Update(MembershipMsg{Now: b.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 3})
-	b.evacuate(2, "b")
-	b.advance(time.Second)
-	b.evacuate(3)
-	cold := b.countByHall(2 * time.Second)
+	h := newTwoHallHarness(t)
+	h.m.Update(MembershipMsg{Now: h.now, Routers: 20, ReportTTL: time.Second, Known: 20, Rank: 3})
+	h.evacuate(2, "b")
+	h.advance(time.Second)
+	h.evacuate(3)
+	cold := h.countByHall(2 * time.Second)
 	require.LessOrEqual(t, cold["b"], 3*3, "three servers, each with one request per second and one at the start")
-	b.advance(time.Second)
-	warm := b.countByHall(2 * time.Second)
+	h.advance(time.Second)
+	warm := h.countByHall(2 * time.Second)
 	require.Greater(t, warm["b"], 20)
 }
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -13,7 +13,7 @@
 // loadSim sends a mix of routes to simulated servers that read one prompt after the other,
 // cache shared parts, and write slower the more requests they run.
 type loadSim struct {
-	b          *harness
+	h          *harness
 	random     *rand.Rand
 	slowFactor float64 // of the target version's servers
 	servers    map[string]*modelServer
@@ -40,77 +40,77 @@
 func newLoadSim(t *testing.T, slow float64) *loadSim {
 	g := canaryGate(0.1)
 	g.ServerFraction = 0.1
-	b := newRolloutHarness(t, g)
-	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 30, "v1", "v2")})
-	b.advance(2 * evidenceDelay)
-	w := &loadSim{
-		b: b, random: rand.New(rand.NewPCG(1, 2)), slowFactor: slow, servers: make(map[string]*modelServer),
+	h := newRolloutHarness(t, g)
+	h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 30, "v1", "v2")})
+	h.advance(2 * evidenceDelay)
+	sim := &loadSim{
+		h: h, random: rand.New(rand.NewPCG(1, 2)), slowFactor: slow, servers: make(map[string]*modelServer),
 		responses: map[bool]*tally{false: {}, true: {}},
 	}
-	for _, s := range b.m.Servers(b.now) {
-		w.servers[s.ID] = &modelServer{target: s.Version == "v2", parts: make(map[uint64]bool)}
+	for _, s := range h.m.Servers(h.now) {
+		sim.servers[s.ID] = &modelServer{target: s.Version == "v2", parts: make(map[uint64]bool)}
 	}
-	return w
+	return sim
 }
 
 // run sends perSecond requests a second for some time.
-func (w *loadSim) run(perSecond float64, lasts time.Duration) {
-	end := w.b.now + lasts
-	next := w.b.now
-	for w.b.now < end {
-		w.b.now += time.Millisecond
-		for ; next < w.b.now; next += time.Duration(w.random.ExpFloat64() / perSecond * float64(time.Second)) {
-			w.handleCmds(w.b.arrive(w.request()))
+func (sim *loadSim) run(perSecond float64, lasts time.Duration) {
+	end := sim.h.now + lasts
+	next := sim.h.now
+	for sim.h.now < end {
+		sim.h.now += time.Millisecond
+		for ; next < sim.h.now; next += time.Duration(sim.random.ExpFloat64() / perSecond * float64(time.Second)) {
+			sim.handleCmds(sim.h.arrive(sim.request()))
 		}
-		for len(w.events) > 0 && w.events[0].at <= w.b.now {
-			e := w.events[0]
-			w.events = w.events[1:]
-			w.handleEvent(e)
+		for len(sim.events) > 0 && sim.events[0].at <= sim.h.now {
+			e := sim.events[0]
+			sim.events = sim.events[1:]
+			sim.handleEvent(e)
 		}
-		if w.b.now%TickInterval == 0 {
-			w.handleCmds(w.b.m.Update(TickMsg{Now: w.b.now}))
+		if sim.h.now%TickInterval == 0 {
+			sim.handleCmds(sim.h.m.Update(TickMsg{Now: sim.h.now}))
 		}
 	}
 }
 
 // request returns a request of one of three routes, with a prompt part that some others share.
-func (w *loadSim) request() Request {
+func (sim *loadSim) request() Request {
 	route := [...]struct {
 		name                string
 		shared, own, output int
-	}{{"plan", 5400, 6600, 55}, {"chat", 200, 630, 42}, {"tag", 570, 1800, 3}}[w.random.IntN(3)]
-	part := uint64(w.random.IntN(200))*10 + uint64(len(route.name))
-	r := w.b.request("red", PromptPart{ID: part, Tokens: route.shared}, PromptPart{ID: uint64(w.b.lastID) << 32, Tokens: route.own})
+	}{{"plan", 5400, 6600, 55}, {"chat", 200, 630, 42}, {"tag", 570, 1800, 3}}[sim.random.IntN(3)]
+	part := uint64(sim.random.IntN(200))*10 + uint64(len(route.name))
+	r := sim.h.request("red", PromptPart{ID: part, Tokens: route.shared}, PromptPart{ID: uint64(sim.h.lastID) << 32, Tokens: route.own})
 	r.Route, r.PromptTokens, r.OutputTokens, r.Objective = route.name, route.shared+route.own, route.output, 800*time.Millisecond
 	return r
 }
 
-func (w *loadSim) handleEvent(e modelEvent) {
+func (sim *loadSim) handleEvent(e modelEvent) {
 	if e.first {
-		w.handleCmds(w.b.m.Update(FirstEventMsg{Now: w.b.now, ID: e.id}))
+		sim.handleCmds(sim.h.m.Update(FirstEventMsg{Now: sim.h.now, ID: e.id}))
 		return
 	}
 	e.server.running--
-	w.handleCmds(w.b.m.Update(AttemptEndMsg{Now: w.b.now, ID: e.id, Outcome: Done}))
+	sim.handleCmds(sim.h.m.Update(AttemptEndMsg{Now: sim.h.now, ID: e.id, Outcome: Done}))
 }
 
-func (w *loadSim) handleCmds(cmds []Cmd) {
+func (sim *loadSim) handleCmds(cmds []Cmd) {
 	for _, c := range slices.Clone(cmds) {
 		switch c := c.(type) {
 		case SendCmd:
-			w.send(c, w.b.m.requests[c.ID])
+			sim.send(c, sim.h.m.requests[c.ID])
 		case ResponseCmd:
-			w.responses[c.Response.Target].add(c.Response.Bad)
+			sim.responses[c.Response.Target].add(c.Response.Bad)
 		}
 	}
 }
 
 // send simulates how a server reads the prompt and writes the response.
-func (w *loadSim) send(c SendCmd, r *requestState) {
-	s := w.servers[c.Server.ID]
+func (sim *loadSim) send(c SendCmd, r *requestState) {
+	s := sim.servers[c.Server.ID]
 	times := 1.0
 	if s.target {
-		times = w.slowFactor
+		times = sim.slowFactor
 	}
 	tokens := r.ownTokens()
 	if part, _ := r.lastShared(); !s.parts[part.ID] {
@@ -118,21 +118,21 @@
 		tokens += part.Tokens
 	}
 	s.running++
-	s.readUntil = max(s.readUntil, w.b.now) + milliseconds(times*float64(tokens)/60)
-	first := s.readUntil + milliseconds(10*times+5*w.random.Float64())
-	if w.random.IntN(50) == 0 {
+	s.readUntil = max(s.readUntil, sim.h.now) + milliseconds(times*float64(tokens)/60)
+	first := s.readUntil + milliseconds(10*times+5*sim.random.Float64())
+	if sim.random.IntN(50) == 0 {
 		first += 50 * time.Millisecond // pause of the server
 	}
 	each := 4 * times * (1 + float64(s.running)/16)
 	last := first + milliseconds(each*float64(r.OutputTokens))
-	w.events = append(w.events, modelEvent{at: first, id: c.ID, server: s, first: true}, modelEvent{at: last, id: c.ID, server: s})
-	slices.SortStableFunc(w.events, func(a, b modelEvent) int { return cmp.Compare(a.at, b.at) })
+	sim.events = append(sim.events, modelEvent{at: first, id: c.ID, server: s, first: true}, modelEvent{at: last, id: c.ID, server: s})
+	slices.SortStableFunc(sim.events, func(a, b modelEvent) int { return cmp.Compare(a.at, b.at) })
 }
 
 // rates returns the fractions of bad responses, of old servers and of the target version's.
-func (w *loadSim) rates() (old, target float64) {
+func (sim *loadSim) rates() (old, target float64) {
 	rate := func(t *tally) float64 { return float64(t.bad) / float64(max(t.good+t.bad, 1)) }
-	return rate(w.responses[false]), rate(w.responses[true])
+	return rate(sim.responses[false]), rate(sim.responses[true])
 }
 
 // TestRolloutEvidenceUnderLoad distinguishes a version that is four times slower from an
@@ -140,8 +140,8 @@
 func TestRolloutEvidenceUnderLoad(t *testing.T) {
 	for _, perSecond := range []float64{100, 250, 600} {
 		good, slow := newLoadSim(t, 1), newLoadSim(t, 4)
-		for _, w := range []*loadSim{good, slow} {
-			w.run(perSecond, 20*time.Second)
+		for _, sim := range []*loadSim{good, slow} {
+			sim.run(perSecond, 20*time.Second)
 		}
 		oldRate, goodRate := good.rates()
 		_, slowRate := slow.rates()
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -36,25 +36,25 @@
 // stream runs one request to its end at a server that reads 60 tokens per millisecond and
 // writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
 // target version read uncached tokens in addition.
-func (b *harness) stream(r Request, factors slowFactors, uncached int) []rollout.ResponseMsg {
-	cmds := b.arrive(r)
+func (h *harness) stream(r Request, factors slowFactors, uncached int) []rollout.ResponseMsg {
+	cmds := h.arrive(r)
 	c, ok := findCmd[SendCmd](cmds)
-	require.True(b.t, ok)
+	require.True(h.t, ok)
 	times, read := factors.old, r.ownTokens()
 	if c.PlacementBasis.Target {
 		times = factors.target
 		read += uncached
 	}
-	b.now += milliseconds(times * (10 + float64(read)/60))
-	cmds = append(cmds, b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})...)
-	cmds = append(cmds, b.advance(milliseconds(times*5*float64(r.OutputTokens)))...)
-	return responsesIn(append(cmds, b.end(r.ID, Done, false)...))
+	h.now += milliseconds(times * (10 + float64(read)/60))
+	cmds = append(cmds, h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})...)
+	cmds = append(cmds, h.advance(milliseconds(times*5*float64(r.OutputTokens)))...)
+	return responsesIn(append(cmds, h.end(r.ID, Done, false)...))
 }
 
 // streams runs requests one after the other and counts the evidence.
-func (b *harness) streams(n int, factors slowFactors) (starts, later, old tally) {
+func (h *harness) streams(n int, factors slowFactors) (starts, later, old tally) {
 	for range n {
-		for _, a := range b.stream(b.routeRequest("chat"), factors, 0) {
+		for _, a := range h.stream(h.routeRequest("chat"), factors, 0) {
 			switch {
 			case !a.Target:
 				old.add(a.Bad)
@@ -71,20 +71,20 @@
 // TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
 // slower, and none if old and new servers are equally slow.
 func TestRolloutEvidenceOfSlowVersions(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0.5))
-	_, _, old := b.streams(60, slowFactors{1, 1})
+	h := newRolloutHarness(t, canaryGate(0.5))
+	_, _, old := h.streams(60, slowFactors{1, 1})
 	require.Zero(t, old.bad)
-	starts, later, old := b.streams(100, slowFactors{1, 4})
+	starts, later, old := h.streams(100, slowFactors{1, 4})
 	require.Zero(t, starts.good)
 	require.Zero(t, later.good)
 	require.Greater(t, starts.bad, 30)
 	require.Equal(t, starts.bad, later.bad)
 	require.Zero(t, old.bad)
 
-	b = newRolloutHarness(t, canaryGate(0.5))
-	b.streams(60, slowFactors{1, 1})
-	b.streams(200, slowFactors{4, 4})
-	starts, later, _ = b.streams(100, slowFactors{4, 4})
+	h = newRolloutHarness(t, canaryGate(0.5))
+	h.streams(60, slowFactors{1, 1})
+	h.streams(200, slowFactors{4, 4})
+	starts, later, _ = h.streams(100, slowFactors{4, 4})
 	require.Greater(t, starts.good, 30)
 	require.Zero(t, starts.bad)
 	require.Zero(t, later.bad)
@@ -96,26 +96,26 @@
 	for _, times := range []time.Duration{1, 4} {
 		g := canaryGate(0.5)
 		g.Service = "app"
-		b := newRolloutHarness(t, g)
+		h := newRolloutHarness(t, g)
 		d := versionDirectory(2, 6, "v1", "v2")
 		for i := range d.Servers {
 			d.Servers[i].Service = "app"
 			d.Servers[i].ID += "-app"
 		}
-		b.m.Update(ServersMsg{Now: b.now, Directory: d})
-		b.advance(2 * evidenceDelay)
+		h.m.Update(ServersMsg{Now: h.now, Directory: d})
+		h.advance(2 * evidenceDelay)
 		var got tally
 		for range 200 {
-			r := b.routeRequest("stock")
+			r := h.routeRequest("stock")
 			r.Service, r.Kind = "app", AtMostOnce
-			c, ok := findCmd[SendCmd](b.arrive(r))
+			c, ok := findCmd[SendCmd](h.arrive(r))
 			require.True(t, ok)
 			took := 60 * time.Millisecond
 			if c.PlacementBasis.Target {
 				took *= times
 			}
-			b.now += took
-			for _, a := range responsesIn(b.complete(r.ID)) {
+			h.now += took
+			for _, a := range responsesIn(h.complete(r.ID)) {
 				require.False(t, a.AfterStart)
 				if a.Target {
 					got.add(a.Bad)
@@ -132,21 +132,21 @@
 // parts that old servers have cached.
 func TestRolloutEvidenceAllowsForReading(t *testing.T) {
 	const shared = 12000
-	b := newRolloutHarness(t, canaryGate(0))
+	h := newRolloutHarness(t, canaryGate(0))
 	request := func(i int) Request {
-		r := b.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 500})
+		r := h.request("red", PromptPart{ID: uint64(i + 1), Tokens: shared}, PromptPart{ID: uint64(h.lastID) << 32, Tokens: 500})
 		r.PromptTokens = shared + 500
 		return r
 	}
 	for range 3 {
 		for i := range 30 {
-			b.stream(request(i), slowFactors{1, 1}, 0)
+			h.stream(request(i), slowFactors{1, 1}, 0)
 		}
 	}
-	b.gate(canaryGate(1))
+	h.gate(canaryGate(1))
 	var target tally
 	for i := range 30 {
-		for _, a := range b.stream(request(i), slowFactors{1, 1}, shared) {
+		for _, a := range h.stream(request(i), slowFactors{1, 1}, shared) {
 			target.add(a.Bad)
 		}
 	}
@@ -154,8 +154,8 @@
 }
 
 // seedBaseline sets the speed of old servers for a route.
-func (b *harness) seedBaseline(route string) {
-	baseline := b.m.pool("llm").baseline.routes.get(route)
+func (h *harness) seedBaseline(route string) {
+	baseline := h.m.pool("llm").baseline.routes.get(route)
 	for range baselineMinResponses {
 		baseline.delayRatio.add(1, minFirstEventMS)
 		baseline.tokenMS.add(5, minTokenMS)
@@ -167,12 +167,12 @@
 // each failure one of them counts, or a good version with few failures would be rejected as
 // bad.
 func TestRolloutEvidenceOfUnknownSpeed(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(1))
+	h := newRolloutHarness(t, canaryGate(1))
 	attempt := func(o Outcome) (good, bad int) {
-		r := b.routeRequest("chat")
+		r := h.routeRequest("chat")
 		r.Kind = Repeatable
-		b.sent(b.arrive(r))
-		for _, a := range responsesIn(b.end(r.ID, o, false)) {
+		h.sent(h.arrive(r))
+		for _, a := range responsesIn(h.end(r.ID, o, false)) {
 			if a.Bad {
 				bad++
 				continue
@@ -201,13 +201,13 @@
 	for outcome, want := range map[Outcome][]bool{
 		Done: {false}, Failed: {true}, Unsent: nil, NotRun: nil, Elsewhere: nil, Broken: nil, Hung: nil, GivenUp: nil, Moved: nil,
 	} {
-		b := newRolloutHarness(t, canaryGate(1))
-		b.seedBaseline("chat")
-		r := b.routeRequest("chat")
+		h := newRolloutHarness(t, canaryGate(1))
+		h.seedBaseline("chat")
+		r := h.routeRequest("chat")
 		r.Kind = Repeatable
-		b.sent(b.arrive(r))
+		h.sent(h.arrive(r))
 		var got []bool
-		for _, a := range responsesIn(b.end(r.ID, outcome, false)) {
+		for _, a := range responsesIn(h.end(r.ID, outcome, false)) {
 			require.False(t, a.AfterStart)
 			require.True(t, a.Target)
 			got = append(got, a.Bad)
@@ -219,20 +219,20 @@
 // TestRolloutEvidenceOfFailures distinguishes a failure that is a whole response from one that
 // ends a stream.
 func TestRolloutEvidenceOfFailures(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(1))
-	b.seedBaseline("chat")
-	whole := b.routeRequest("chat")
-	b.sent(b.arrive(whole))
-	b.m.Update(FirstEventMsg{Now: b.now, ID: whole.ID})
-	got := responsesIn(b.end(whole.ID, Failed, false))
+	h := newRolloutHarness(t, canaryGate(1))
+	h.seedBaseline("chat")
+	whole := h.routeRequest("chat")
+	h.sent(h.arrive(whole))
+	h.m.Update(FirstEventMsg{Now: h.now, ID: whole.ID})
+	got := responsesIn(h.end(whole.ID, Failed, false))
 	require.Len(t, got, 1)
 	require.False(t, got[0].AfterStart)
 	require.True(t, got[0].Bad)
 
-	stream := b.routeRequest("chat")
-	b.sent(b.arrive(stream))
-	b.m.Update(FirstEventMsg{Now: b.now, ID: stream.ID})
-	got = append(responsesIn(b.advance(TickInterval)), responsesIn(b.end(stream.ID, Failed, false))...)
+	stream := h.routeRequest("chat")
+	h.sent(h.arrive(stream))
+	h.m.Update(FirstEventMsg{Now: h.now, ID: stream.ID})
+	got = append(responsesIn(h.advance(TickInterval)), responsesIn(h.end(stream.ID, Failed, false))...)
 	require.Len(t, got, 2)
 	require.Equal(t, []bool{false, true}, []bool{got[0].Bad, got[1].Bad})
 	require.Equal(t, []bool{false, true}, []bool{got[0].AfterStart, got[1].AfterStart})
@@ -242,17 +242,17 @@
 // meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
 	for _, responding := range []bool{false, true} {
-		b := newRolloutHarness(t, canaryGate(1))
-		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 1, "v2")})
-		b.advance(2 * maxLapseGrace)
-		silent, other := b.routeRequest("chat"), b.routeRequest("chat")
-		b.sent(b.arrive(silent))
-		b.sent(b.arrive(other))
-		b.advance(time.Second)
+		h := newRolloutHarness(t, canaryGate(1))
+		h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 1, "v2")})
+		h.advance(2 * maxLapseGrace)
+		silent, other := h.routeRequest("chat"), h.routeRequest("chat")
+		h.sent(h.arrive(silent))
+		h.sent(h.arrive(other))
+		h.advance(time.Second)
 		if responding {
-			b.complete(other.ID)
+			h.complete(other.ID)
 		}
-		got := responsesIn(b.end(silent.ID, Hung, false))
+		got := responsesIn(h.end(silent.ID, Hung, false))
 		require.Equal(t, responding, len(got) == 1 && got[0].Bad && !got[0].AfterStart)
 	}
 }
@@ -260,41 +260,41 @@
 // TestRolloutEvidenceIgnoresColdAndNewServers gets no evidence from cold servers and from newly
 // listed ones.
 func TestRolloutEvidenceIgnoresColdAndNewServers(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(1))
+	h := newRolloutHarness(t, canaryGate(1))
 	d := versionDirectory(2, 7, "v1", "v2")
 	for i := range d.Servers {
 		d.Servers[i].ColdFor = time.Minute
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	r := b.routeRequest("chat")
-	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "cold servers")
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
+	r := h.routeRequest("chat")
+	h.sent(h.arrive(r))
+	require.Empty(t, responsesIn(h.end(r.ID, Failed, false)), "cold servers")
 
 	g := canaryGate(1)
-	b = newRolloutHarness(t, g)
-	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, "v1", "v2", "v3")})
+	h = newRolloutHarness(t, g)
+	h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 6, "v1", "v2", "v3")})
 	g.Target = "v3"
-	b.gate(g)
-	r = b.routeRequest("chat")
-	b.sent(b.arrive(r))
-	require.Empty(t, responsesIn(b.end(r.ID, Failed, false)), "newly listed servers")
+	h.gate(g)
+	r = h.routeRequest("chat")
+	h.sent(h.arrive(r))
+	require.Empty(t, responsesIn(h.end(r.ID, Failed, false)), "newly listed servers")
 }
 
 // TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
-	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-	starts, later, old := b.streams(20, slowFactors{1, 1})
+	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	starts, later, old := h.streams(20, slowFactors{1, 1})
 	require.Equal(t, []tally{{}, {}, {}}, []tally{starts, later, old})
 }
 
 // TestRolloutCohorts checks that cohorts are halls, and parts of the hall if the target version
 // has servers in only one.
 func TestRolloutCohorts(t *testing.T) {
-	cohorts := func(b *harness) map[string]bool {
+	cohorts := func(h *harness) map[string]bool {
 		out := make(map[string]bool)
-		b.seedBaseline("chat")
+		h.seedBaseline("chat")
 		for range 200 {
-			for _, a := range b.stream(b.routeRequest("chat"), slowFactors{1, 1}, 0) {
+			for _, a := range h.stream(h.routeRequest("chat"), slowFactors{1, 1}, 0) {
 				if a.Target {
 					out[a.Cohort] = true
 				}
@@ -306,15 +306,15 @@
 
 	g := canaryGate(1)
 	g.ServerFraction = 0.05
-	b := newRolloutHarness(t, g)
+	h := newRolloutHarness(t, g)
 	d := versionDirectory(2, 30, "v1", "v2")
 	for i := range d.Servers {
 		if d.Servers[i].Version == "v2" {
 			d.Servers[i].Zone = "a"
 		}
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	b.advance(2 * evidenceDelay)
-	require.Len(t, b.canaryServerIDs(), minCanaryServers)
-	require.Len(t, cohorts(b), cohortsPerHall)
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
+	h.advance(2 * evidenceDelay)
+	require.Len(t, h.canaryServerIDs(), minCanaryServers)
+	require.Len(t, cohorts(h), cohortsPerHall)
 }
--- a/direct/flood_bench_test.go
+++ b/direct/flood_bench_test.go
@@ -28,8 +28,8 @@
 
 func benchmarkFlood(b *testing.B, servers int, gate *rollout.Gate) {
 	const (
-		perTick  = 20 // requests per tick
-		answered = 100 * time.Millisecond
+		perTick      = 20 // requests per tick
+		responseTime = 100 * time.Millisecond
 	)
 	m := NewMachine(Options{Zone: "a"})
 	now := time.Second
@@ -63,7 +63,7 @@
 		if i%perTick == 0 {
 			now += TickInterval
 			execute(m.Update(TickMsg{Now: now}))
-			for len(running) > 0 && now-running[0].at > answered {
+			for len(running) > 0 && now-running[0].at > responseTime {
 				m.Update(FirstEventMsg{Now: now, ID: running[0].id})
 				execute(m.Update(AttemptEndMsg{Now: now, ID: running[0].id, Outcome: Done}))
 				running = running[1:]
--- a/direct/forgottennotices.go
+++ b/direct/forgottennotices.go
@@ -17,27 +17,27 @@
 }
 
 // add stores the notices of a server that is being forgotten.
-func (o *forgottenNotices) add(now time.Duration, s *server) {
+func (f *forgottenNotices) add(now time.Duration, s *server) {
 	if !s.notices.active(now) {
 		return
 	}
-	if o.byServer == nil {
-		o.byServer = make(map[string]serverNotices)
+	if f.byServer == nil {
+		f.byServer = make(map[string]serverNotices)
 	}
-	o.byServer[s.ID] = s.notices
-	o.order = append(o.order, s.ID)
-	if len(o.order) > maxForgottenNotices {
-		delete(o.byServer, o.order[0])
-		o.order = slices.Delete(o.order, 0, 1)
+	f.byServer[s.ID] = s.notices
+	f.order = append(f.order, s.ID)
+	if len(f.order) > maxForgottenNotices {
+		delete(f.byServer, f.order[0])
+		f.order = slices.Delete(f.order, 0, 1)
 	}
 }
 
 // take removes and returns the notices of a forgotten server.
-func (o *forgottenNotices) take(id string) serverNotices {
-	n, ok := o.byServer[id]
+func (f *forgottenNotices) take(id string) serverNotices {
+	n, ok := f.byServer[id]
 	if ok {
-		delete(o.byServer, id)
-		o.order = slices.DeleteFunc(o.order, func(other string) bool { return other == id })
+		delete(f.byServer, id)
+		f.order = slices.DeleteFunc(f.order, func(other string) bool { return other == id })
 	}
 	return n
 }
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -14,16 +14,16 @@
 // gate for the rollout from v1 to v2. It runs until the responses of all servers count as
 // evidence.
 func newRolloutHarness(t *testing.T, g rollout.Gate) *harness {
-	b := &harness{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
-	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
+	h := &harness{t: t, m: NewMachine(Options{Zone: "a", Gated: true, RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 50, Window: 10 * time.Second}}), now: time.Second}
+	h.m.Update(ConfigMsg{Now: h.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}},
 		Limits:   Limits{TokensPerSecond: 1e6},
 	}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(1, 6, "v1", "v2")})
-	b.gate(g)
-	b.advance(2 * evidenceDelay)
-	return b
+	h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(1, 6, "v1", "v2")})
+	h.gate(g)
+	h.advance(2 * evidenceDelay)
+	return h
 }
 
 // versionDirectory lists some servers of each version in three halls.
@@ -44,38 +44,38 @@
 	return rollout.Gate{Service: "llm", InUse: []string{"v1"}, Target: "v2", Fraction: fraction, Limit: 1, ServerFraction: 1}
 }
 
-func (b *harness) gate(g rollout.Gate) []Cmd {
-	return append([]Cmd(nil), b.m.Update(GateMsg{Now: b.now, Gate: g})...)
+func (h *harness) gate(g rollout.Gate) []Cmd {
+	return append([]Cmd(nil), h.m.Update(GateMsg{Now: h.now, Gate: g})...)
 }
 
 // routeRequest returns a request of a route with a shared prompt part that no other request
 // has.
-func (b *harness) routeRequest(route string) Request {
-	r := b.request("red", PromptPart{ID: uint64(b.lastID)*7919 + 1, Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 32, Tokens: 100})
+func (h *harness) routeRequest(route string) Request {
+	r := h.request("red", PromptPart{ID: uint64(h.lastID)*7919 + 1, Tokens: 100}, PromptPart{ID: uint64(h.lastID) << 32, Tokens: 100})
 	r.Route = route
 	return r
 }
 
 // complete ends a running request successfully.
-func (b *harness) complete(id RequestID) []Cmd {
-	out := append([]Cmd(nil), b.m.Update(FirstEventMsg{Now: b.now, ID: id})...)
-	return append(out, b.end(id, Done, false)...)
+func (h *harness) complete(id RequestID) []Cmd {
+	out := append([]Cmd(nil), h.m.Update(FirstEventMsg{Now: h.now, ID: id})...)
+	return append(out, h.end(id, Done, false)...)
 }
 
 // countByVersion sends requests of a route one by one and counts them by version; "none" counts
 // those that were not sent.
-func (b *harness) countByVersion(route string, n int) map[string]int {
+func (h *harness) countByVersion(route string, n int) map[string]int {
 	counts := make(map[string]int)
 	for range n {
-		r := b.routeRequest(route)
-		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
+		r := h.routeRequest(route)
+		if c, ok := findCmd[SendCmd](h.arrive(r)); ok {
 			counts[c.Server.Version]++
-			b.complete(r.ID)
+			h.complete(r.ID)
 		} else {
 			counts["none"]++
-			b.m.Update(CancelMsg{Now: b.now, ID: r.ID})
+			h.m.Update(CancelMsg{Now: h.now, ID: r.ID})
 		}
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 	}
 	return counts
 }
@@ -83,8 +83,8 @@
 // TestRolloutGatedWithoutAGate refuses requests at once while nothing is known about the
 // service.
 func TestRolloutGatedWithoutAGate(t *testing.T) {
-	b := newRolloutHarness(t, rollout.Gate{Service: "llm"})
-	refused, ok := findCmd[RefuseCmd](b.arrive(b.routeRequest("chat")))
+	h := newRolloutHarness(t, rollout.Gate{Service: "llm"})
+	refused, ok := findCmd[RefuseCmd](h.arrive(h.routeRequest("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
@@ -92,25 +92,25 @@
 // TestRolloutOnlyVersionsInUse sends no requests to other versions, even if no server of a
 // version in use is left.
 func TestRolloutOnlyVersionsInUse(t *testing.T) {
-	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-	require.Equal(t, map[string]int{"v1": 100}, b.countByVersion("chat", 100))
-	b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, "v2")})
-	b.advance(2 * maxLapseGrace)
-	require.Equal(t, map[string]int{"none": 20}, b.countByVersion("chat", 20))
+	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	require.Equal(t, map[string]int{"v1": 100}, h.countByVersion("chat", 100))
+	h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 6, "v2")})
+	h.advance(2 * maxLapseGrace)
+	require.Equal(t, map[string]int{"none": 20}, h.countByVersion("chat", 20))
 }
 
 // TestRolloutBarredServersAreNotAveraged adds servers of a version that is not in use: the load
 // that the machine computes doesn't change.
 func TestRolloutBarredServersAreNotAveraged(t *testing.T) {
 	busy := func(names ...string) (float64, float64, time.Duration) {
-		b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-		b.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 6, names...)})
+		h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+		h.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 6, names...)})
 		for range 150 {
-			b.arrive(b.routeRequest("chat"))
+			h.arrive(h.routeRequest("chat"))
 		}
-		b.advance(time.Second)
-		p := b.m.pool("llm")
-		return b.m.Shares(b.now, 0).Busy, b.m.Shares(b.now, 0).Headroom, b.m.retryAfter(b.now, p, &requestState{Request: Request{Team: "red"}}, ReasonOverload)
+		h.advance(time.Second)
+		p := h.m.pool("llm")
+		return h.m.Shares(h.now, 0).Busy, h.m.Shares(h.now, 0).Headroom, h.m.retryAfter(h.now, p, &requestState{Request: Request{Team: "red"}}, ReasonOverload)
 	}
 	aloneBusy, aloneHeadroom, aloneAfter := busy("v1")
 	besideBusy, besideHeadroom, besideAfter := busy("v1", "v3")
@@ -121,23 +121,23 @@
 // TestRolloutBarredServersDoNotCountAsLapsed removes all entries of a version that gets no
 // requests together with one of a version in use: this doesn't count as a lapse.
 func TestRolloutBarredServersDoNotCountAsLapsed(t *testing.T) {
-	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	d := versionDirectory(2, 6, "v1")
 	d.Servers = d.Servers[1:]
-	cmds := b.m.Update(ServersMsg{Now: b.now, Directory: d})
+	cmds := h.m.Update(ServersMsg{Now: h.now, Directory: d})
 	for _, c := range cmds {
 		if status, ok := c.(ServerStatusCmd); ok {
 			require.Equal(t, StatusGone, status.Status, status.Server.ID)
 		}
 	}
-	require.Len(t, b.m.pool("llm").admitted, 6, "gone servers must be kept until they are forgotten")
-	require.False(t, b.m.byServer["v1-0"].usable(b.now))
+	require.Len(t, h.m.pool("llm").admitted, 6, "gone servers must be kept until they are forgotten")
+	require.False(t, h.m.byServer["v1-0"].usable(h.now))
 }
 
 // TestRolloutStates checks that barred servers are reported as such.
 func TestRolloutStates(t *testing.T) {
-	b := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
-	states := b.m.Servers(b.now)
+	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
+	states := h.m.Servers(h.now)
 	require.Len(t, states, 12)
 	for _, s := range states {
 		require.Equal(t, s.Version != "v1", s.Barred, s.ID)
@@ -146,16 +146,16 @@
 
 // TestRolloutCrossSection sends about the same fraction of each route's requests to the canary.
 func TestRolloutCrossSection(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0.1))
+	h := newRolloutHarness(t, canaryGate(0.1))
 	for _, route := range []string{"chat", "tag", "plan"} {
-		require.InDelta(t, 200, b.countByVersion(route, 2000)["v2"], 45, route)
+		require.InDelta(t, 200, h.countByVersion(route, 2000)["v2"], 45, route)
 	}
 }
 
 // TestRolloutFractionZero sends no requests to the target version.
 func TestRolloutFractionZero(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0))
-	require.Equal(t, map[string]int{"v1": 200}, b.countByVersion("chat", 200))
+	h := newRolloutHarness(t, canaryGate(0))
+	require.Equal(t, map[string]int{"v1": 200}, h.countByVersion("chat", 200))
 }
 
 // TestRolloutLimit limits the count of requests to the target version, for each route
@@ -163,10 +163,10 @@
 func TestRolloutLimit(t *testing.T) {
 	g := canaryGate(0.5)
 	g.Limit = 0.05
-	b := newRolloutHarness(t, g)
-	require.InDelta(t, 19, b.countByVersion("chat", 400)["v2"], 1)
-	require.Equal(t, 1, b.countByVersion("tag", 19)["v2"], "a burst of one per route, within the limit of the service")
-	require.Equal(t, 1, b.countByVersion("tag", 20)["v2"])
+	h := newRolloutHarness(t, g)
+	require.InDelta(t, 19, h.countByVersion("chat", 400)["v2"], 1)
+	require.Equal(t, 1, h.countByVersion("tag", 19)["v2"], "a burst of one per route, within the limit of the service")
+	require.Equal(t, 1, h.countByVersion("tag", 20)["v2"])
 }
 
 // TestRolloutLimitHasNothingInAdvance sends no request to the target version before as many
@@ -175,11 +175,11 @@
 func TestRolloutLimitHasNothingInAdvance(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.05
-	b := newRolloutHarness(t, g)
+	h := newRolloutHarness(t, g)
 	for _, route := range []string{"chat", "tag", "plan"} {
-		require.Zero(t, b.countByVersion(route, 6)["v2"])
+		require.Zero(t, h.countByVersion(route, 6)["v2"])
 	}
-	require.Equal(t, 1, b.countByVersion("chat", 2)["v2"])
+	require.Equal(t, 1, h.countByVersion("chat", 2)["v2"])
 }
 
 // TestRolloutTrialOfFewParts selects some requests by their IDs if all requests of a route
@@ -188,22 +188,22 @@
 func TestRolloutTrialOfFewParts(t *testing.T) {
 	g := canaryGate(0.05)
 	g.Limit = 0.05
-	b := newRolloutHarness(t, g)
+	h := newRolloutHarness(t, g)
 	unmoved := uint64(1)
 	for unitHash(unmoved) < g.Fraction {
 		unmoved++
 	}
 	sent := 0
 	for range 1000 {
-		r := b.routeRequest("chat")
+		r := h.routeRequest("chat")
 		r.Parts = []PromptPart{{ID: unmoved, Tokens: 50}, {ID: uint64(r.ID) << 32, Tokens: 50}}
-		if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
+		if c, ok := findCmd[SendCmd](h.arrive(r)); ok {
 			if c.Server.Version == "v2" {
 				sent++
 			}
-			b.complete(r.ID)
+			h.complete(r.ID)
 		}
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 	}
 	require.Greater(t, sent, 10)
 	require.LessOrEqual(t, sent, 50)
@@ -214,30 +214,30 @@
 func TestRolloutLimitIsKeptThroughGates(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.1
-	b := newRolloutHarness(t, g)
-	require.Equal(t, 10, b.countByVersion("chat", 100)["v2"])
+	h := newRolloutHarness(t, g)
+	require.Equal(t, 10, h.countByVersion("chat", 100)["v2"])
 	g.Fraction = 0.9
-	b.gate(g)
-	require.Equal(t, 1, b.countByVersion("chat", 10)["v2"])
+	h.gate(g)
+	require.Equal(t, 1, h.countByVersion("chat", 10)["v2"])
 	g.InUse, g.Target, g.Fraction = []string{"v2"}, "v1", 1
-	b.gate(g)
-	require.Zero(t, b.countByVersion("chat", 9)["v1"])
+	h.gate(g)
+	require.Zero(t, h.countByVersion("chat", 9)["v1"])
 }
 
 // TestRolloutLimitCountsWhatArrives does not count attempts that never reached a server.
 func TestRolloutLimitCountsWhatArrives(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.5
-	b := newRolloutHarness(t, g)
+	h := newRolloutHarness(t, g)
 	for range 40 {
-		r := b.routeRequest("chat")
+		r := h.routeRequest("chat")
 		r.Attempts = 1
-		c, ok := findCmd[SendCmd](b.arrive(r))
+		c, ok := findCmd[SendCmd](h.arrive(r))
 		if ok {
 			require.Equal(t, "v1", c.Server.Version)
-			b.end(r.ID, Hung, false)
+			h.end(r.ID, Hung, false)
 		}
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 	}
 }
 
@@ -247,13 +247,13 @@
 	for _, closed := range []bool{false, true} {
 		g := canaryGate(1)
 		g.OldClosed = closed
-		b := newRolloutHarness(t, g)
+		h := newRolloutHarness(t, g)
 		var full []loads.Load
 		for i := range 6 {
 			full = append(full, loads.Load{Server: loads.ServerKey(fmt.Sprint("v2-", i)), Running: 48})
 		}
-		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: full})
-		c, sent := findCmd[SendCmd](b.arrive(b.routeRequest("chat")))
+		h.m.Update(PeerLoadsMsg{Now: h.now, Loads: full})
+		c, sent := findCmd[SendCmd](h.arrive(h.routeRequest("chat")))
 		require.Equal(t, !closed, sent)
 		if sent {
 			require.Equal(t, "v1", c.Server.Version)
@@ -265,15 +265,15 @@
 // TestRolloutSideWithoutServersIsRefusedAtOnce doesn't queue a request whose side has no
 // servers.
 func TestRolloutSideWithoutServersIsRefusedAtOnce(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(1e-9))
+	h := newRolloutHarness(t, canaryGate(1e-9))
 	d := versionDirectory(2, 6, "v1", "v2")
 	for i := range d.Servers {
 		d.Servers[i].Draining = d.Servers[i].Version == "v1"
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	b.advance(2 * maxLastResortTime)
-	require.Len(t, b.canaryServerIDs(), 6, "servers of the target version must be in use")
-	refused, ok := findCmd[RefuseCmd](b.arrive(b.routeRequest("chat")))
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
+	h.advance(2 * maxLastResortTime)
+	require.Len(t, h.canaryServerIDs(), 6, "servers of the target version must be in use")
+	refused, ok := findCmd[RefuseCmd](h.arrive(h.routeRequest("chat")))
 	require.True(t, ok)
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
@@ -281,13 +281,13 @@
 // TestRolloutRetryGoesToOldServers retries at an old server after a failure at the target
 // version.
 func TestRolloutRetryGoesToOldServers(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(1))
-	r := b.routeRequest("chat")
-	c, _ := findCmd[SendCmd](b.arrive(r))
+	h := newRolloutHarness(t, canaryGate(1))
+	r := h.routeRequest("chat")
+	c, _ := findCmd[SendCmd](h.arrive(r))
 	require.Equal(t, "v2", c.Server.Version)
 	require.True(t, c.PlacementBasis.Target)
 	require.Equal(t, SideTarget, c.PlacementBasis.Side)
-	c, ok := findCmd[SendCmd](b.end(r.ID, Failed, true))
+	c, ok := findCmd[SendCmd](h.end(r.ID, Failed, true))
 	require.True(t, ok)
 	require.Equal(t, "v1", c.Server.Version)
 	require.False(t, c.PlacementBasis.Target)
@@ -298,18 +298,18 @@
 func TestRolloutRetryWithOldClosed(t *testing.T) {
 	g := canaryGate(1)
 	g.OldClosed = true
-	b := newRolloutHarness(t, g)
-	r := b.routeRequest("chat")
-	b.arrive(r)
-	c, ok := findCmd[SendCmd](b.end(r.ID, Failed, true))
+	h := newRolloutHarness(t, g)
+	r := h.routeRequest("chat")
+	h.arrive(r)
+	c, ok := findCmd[SendCmd](h.end(r.ID, Failed, true))
 	require.True(t, ok)
 	require.Equal(t, "v2", c.Server.Version)
 }
 
 // canaryServerIDs returns the target version's servers that get requests.
-func (b *harness) canaryServerIDs() []string {
+func (h *harness) canaryServerIDs() []string {
 	var out []string
-	for _, s := range b.m.Servers(b.now) {
+	for _, s := range h.m.Servers(h.now) {
 		if s.Version == "v2" && !s.Barred {
 			out = append(out, s.ID)
 		}
@@ -322,27 +322,27 @@
 func TestRolloutTrialServers(t *testing.T) {
 	g := canaryGate(0.02)
 	g.ServerFraction = 0.02
-	b, other := newRolloutHarness(t, g), newRolloutHarness(t, g)
-	for _, router := range []*harness{b, other} {
-		router.m.Update(ServersMsg{Now: b.now, Directory: versionDirectory(2, 60, "v1", "v2")})
+	h, other := newRolloutHarness(t, g), newRolloutHarness(t, g)
+	for _, router := range []*harness{h, other} {
+		router.m.Update(ServersMsg{Now: h.now, Directory: versionDirectory(2, 60, "v1", "v2")})
 	}
-	chosen := b.canaryServerIDs()
+	chosen := h.canaryServerIDs()
 	require.Len(t, chosen, minCanaryServers)
 	require.Equal(t, chosen, other.canaryServerIDs())
 	halls := make(map[string]bool)
 	for _, id := range chosen {
-		halls[b.m.byServer[id].Zone] = true
+		halls[h.m.byServer[id].Zone] = true
 	}
 	require.Len(t, halls, 3)
-	b.evacuate(2, "a")
-	require.Len(t, b.canaryServerIDs(), minCanaryServers)
-	for _, id := range b.canaryServerIDs() {
-		require.NotEqual(t, "a", b.m.byServer[id].Zone)
+	h.evacuate(2, "a")
+	require.Len(t, h.canaryServerIDs(), minCanaryServers)
+	for _, id := range h.canaryServerIDs() {
+		require.NotEqual(t, "a", h.m.byServer[id].Zone)
 	}
 	g.ServerFraction = 0.1
-	b.evacuate(3)
-	b.gate(g)
-	require.Len(t, b.canaryServerIDs(), 6)
+	h.evacuate(3)
+	h.gate(g)
+	require.Len(t, h.canaryServerIDs(), 6)
 }
 
 // TestRolloutEjectionKeepsCanaryServers fails all responses of the target version: at least
@@ -350,20 +350,20 @@
 func TestRolloutEjectionKeepsCanaryServers(t *testing.T) {
 	g := canaryGate(1)
 	g.ServerFraction = 0.5
-	b := newRolloutHarness(t, g)
+	h := newRolloutHarness(t, g)
 	for range 200 {
-		r := b.routeRequest("chat")
-		c, ok := findCmd[SendCmd](b.arrive(r))
+		r := h.routeRequest("chat")
+		c, ok := findCmd[SendCmd](h.arrive(r))
 		require.True(t, ok)
 		if c.PlacementBasis.Target {
-			b.end(r.ID, Failed, false)
+			h.end(r.ID, Failed, false)
 		} else {
-			b.complete(r.ID)
+			h.complete(r.ID)
 		}
-		b.now += time.Millisecond
+		h.now += time.Millisecond
 		usable := 0
-		for _, s := range b.m.pool("llm").gate.target {
-			if s.usable(b.now) {
+		for _, s := range h.m.pool("llm").gate.target {
+			if s.usable(h.now) {
 				usable++
 			}
 		}
--- a/direct/harness_test.go
+++ b/direct/harness_test.go
@@ -17,14 +17,14 @@
 }
 
 func newHarness(t *testing.T, servers int) *harness {
-	b := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
-	b.m.Update(ConfigMsg{Now: b.now, Config: Config{
+	h := &harness{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}), now: time.Second}
+	h.m.Update(ConfigMsg{Now: h.now, Config: Config{
 		Version:  1,
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 48, KVTokens: 900000}}, {Name: "app"}},
 		Limits:   Limits{TokensPerSecond: 100000},
 	}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: newDirectory(1, servers)})
-	return b
+	h.m.Update(ServersMsg{Now: h.now, Directory: newDirectory(1, servers)})
+	return h
 }
 
 func newDirectory(revision uint64, servers int) Directory {
@@ -39,40 +39,40 @@
 }
 
 // request returns a new request of a team with the given parts.
-func (b *harness) request(team string, parts ...PromptPart) Request {
-	b.lastID++
+func (h *harness) request(team string, parts ...PromptPart) Request {
+	h.lastID++
 	return Request{
-		ID: b.lastID, Team: team, Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Priority: 1,
-		Objective: 400 * time.Millisecond, Deadline: b.now + 10*time.Second, PromptTokens: 2000, OutputTokens: 100, Parts: parts,
+		ID: h.lastID, Team: team, Service: "llm", Kind: Stream, MayRepeat: true, Attempts: 2, Priority: 1,
+		Objective: 400 * time.Millisecond, Deadline: h.now + 10*time.Second, PromptTokens: 2000, OutputTokens: 100, Parts: parts,
 	}
 }
 
-func (b *harness) arrive(r Request) []Cmd {
-	return append([]Cmd(nil), b.m.Update(RequestMsg{Now: b.now, Request: r})...)
+func (h *harness) arrive(r Request) []Cmd {
+	return append([]Cmd(nil), h.m.Update(RequestMsg{Now: h.now, Request: r})...)
 }
 
-func (b *harness) end(id RequestID, o Outcome, retry bool) []Cmd {
-	return append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: id, Outcome: o, Retry: retry})...)
+func (h *harness) end(id RequestID, o Outcome, retry bool) []Cmd {
+	return append([]Cmd(nil), h.m.Update(AttemptEndMsg{Now: h.now, ID: id, Outcome: o, Retry: retry})...)
 }
 
-func (b *harness) advance(d time.Duration) []Cmd {
+func (h *harness) advance(d time.Duration) []Cmd {
 	var out []Cmd
-	for end := b.now + d; b.now < end; {
-		b.now += TickInterval
-		out = append(out, b.m.Update(TickMsg{Now: b.now})...)
+	for end := h.now + d; h.now < end; {
+		h.now += TickInterval
+		out = append(out, h.m.Update(TickMsg{Now: h.now})...)
 	}
 	return out
 }
 
 // sent returns the server of the first SendCmd and fails the test if there is none.
-func (b *harness) sent(cmds []Cmd) string {
-	b.t.Helper()
+func (h *harness) sent(cmds []Cmd) string {
+	h.t.Helper()
 	for _, c := range cmds {
 		if s, ok := c.(SendCmd); ok {
 			return s.Server.ID
 		}
 	}
-	require.Fail(b.t, "nothing was sent", "%v", cmds)
+	require.Fail(h.t, "nothing was sent", "%v", cmds)
 	return ""
 }
 
--- a/direct/lapse_test.go
+++ b/direct/lapse_test.go
@@ -9,7 +9,7 @@
 // TestLapsesAreReportedInOrder lapses the entries of two services: the changes are emitted in
 // the order of services and IDs, not in that of a map.
 func TestLapsesAreReportedInOrder(t *testing.T) {
-	b := newHarness(t, 6)
+	h := newHarness(t, 6)
 	order := func(cmds []Cmd, status Status) []string {
 		var ids []string
 		for _, c := range cmds {
@@ -20,9 +20,9 @@
 		return ids
 	}
 	all := []string{"p0", "p1", "p2", "p3", "p4", "p5", "e0", "e1", "e2", "e3", "e4", "e5"}
-	lapsed := b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 2}})
+	lapsed := h.m.Update(ServersMsg{Now: h.now, Directory: Directory{Revision: 2}})
 	require.Equal(t, all, order(lapsed, StatusLapsed))
-	require.Equal(t, all, order(b.advance(maxLapseGrace), StatusGone))
+	require.Equal(t, all, order(h.advance(maxLapseGrace), StatusGone))
 }
 
 // TestLapsedServersThatRefuse has three of six servers stop at once, as after a request that
@@ -32,12 +32,12 @@
 // though three servers of the hall were serving. Such a server must be removed and must not
 // count against its hall.
 func TestLapsedServersThatRefuse(t *testing.T) {
-	b := newNoticeHarness(t, "p0", "p1", "p2", "p3", "p4", "p5")
-	b.list("p3", "p4", "p5")
+	h := newNoticeHarness(t, "p0", "p1", "p2", "p3", "p4", "p5")
+	h.list("p3", "p4", "p5")
 	gone := make(map[string]bool)
 	for range 40 {
-		r := b.plainRequest()
-		cmds := b.arrive(r)
+		r := h.plainRequest()
+		cmds := h.arrive(r)
 		for {
 			send, ok := findCmd[SendCmd](cmds)
 			require.True(t, ok, "%v", cmds)
@@ -45,7 +45,7 @@
 				break
 			}
 			gone[send.Server.ID] = true
-			cmds = append([]Cmd(nil), b.m.Update(AttemptEndMsg{Now: b.now, ID: r.ID, Outcome: Unsent, ConnRefused: true, Retry: true})...)
+			cmds = append([]Cmd(nil), h.m.Update(AttemptEndMsg{Now: h.now, ID: r.ID, Outcome: Unsent, ConnRefused: true, Retry: true})...)
 			_, lost := findCmd[HallReachabilityCmd](cmds)
 			require.False(t, lost)
 			status, _ := findCmd[ServerStatusCmd](cmds)
--- a/direct/listing_test.go
+++ b/direct/listing_test.go
@@ -10,44 +10,44 @@
 // TestLeavingServers checks that leaving servers get no new requests while others are
 // available, and only for a short time if none is.
 func TestLeavingServers(t *testing.T) {
-	b := newHarness(t, 2)
+	h := newHarness(t, 2)
 	d := newDirectory(2, 2)
 	d.Servers[0].Draining = true // e0
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
 	for range 20 {
-		r := b.request("red")
-		require.Equal(t, "e1", b.sent(b.arrive(r)))
-		b.end(r.ID, Done, false)
+		r := h.request("red")
+		require.Equal(t, "e1", h.sent(h.arrive(r)))
+		h.end(r.ID, Done, false)
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 3}})
-	r := b.request("red")
-	b.sent(b.arrive(r))
-	b.end(r.ID, Done, false)
-	b.advance(max(maxLastResortTime, maxLapseGrace) + TickInterval)
-	r = b.request("red")
-	_, sent := findCmd[SendCmd](b.arrive(r))
+	h.m.Update(ServersMsg{Now: h.now, Directory: Directory{Revision: 3}})
+	r := h.request("red")
+	h.sent(h.arrive(r))
+	h.end(r.ID, Done, false)
+	h.advance(max(maxLastResortTime, maxLapseGrace) + TickInterval)
+	r = h.request("red")
+	_, sent := findCmd[SendCmd](h.arrive(r))
 	require.False(t, sent)
 }
 
 // TestOlderListsAreNotTaken ignores a list that is older than the current one.
 func TestOlderListsAreNotTaken(t *testing.T) {
-	b := newHarness(t, 2)
-	b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: 9}})
-	b.m.Update(ServersMsg{Now: b.now, Directory: newDirectory(8, 2)})
-	_, sent := findCmd[SendCmd](b.m.Update(TickMsg{Now: b.now}))
+	h := newHarness(t, 2)
+	h.m.Update(ServersMsg{Now: h.now, Directory: Directory{Revision: 9}})
+	h.m.Update(ServersMsg{Now: h.now, Directory: newDirectory(8, 2)})
+	_, sent := findCmd[SendCmd](h.m.Update(TickMsg{Now: h.now}))
 	require.False(t, sent)
-	b.advance(maxLapseGrace)
-	require.True(t, b.m.byServer["e0"].gone)
+	h.advance(maxLapseGrace)
+	require.True(t, h.m.byServer["e0"].gone)
 }
 
 // TestLapsedEntries lapses the entries of most servers while the source is unavailable: the
 // servers are used until they are listed again, and removed if they are not. A server that
 // disappears alone, or was leaving, is removed at once.
 func TestLapsedEntries(t *testing.T) {
-	b := newHarness(t, 6)
+	h := newHarness(t, 6)
 	usable := func() (n int) {
-		for _, s := range b.m.pools["llm"].admitted {
-			if s.usable(b.now) {
+		for _, s := range h.m.pools["llm"].admitted {
+			if s.usable(h.now) {
 				n++
 			}
 		}
@@ -62,16 +62,16 @@
 			}
 		}
 		d.Servers = kept
-		b.m.Update(ServersMsg{Now: b.now, Directory: d})
+		h.m.Update(ServersMsg{Now: h.now, Directory: d})
 	}
 	list(2, "e0")
 	require.Equal(t, 5, usable(), "one server missing")
 	list(3, "e0", "e1", "e2", "e3")
 	require.Equal(t, 5, usable(), "many servers missing at once")
-	b.advance(maxLapseGrace / 2)
+	h.advance(maxLapseGrace / 2)
 	list(4, "e0", "e1", "e2")
 	require.Equal(t, 5, usable(), "one server listed again")
-	b.advance(maxLapseGrace)
+	h.advance(maxLapseGrace)
 	require.Equal(t, 3, usable(), "the other servers not listed again")
 	list(5)
 	require.Equal(t, 6, usable(), "all servers listed again")
@@ -79,7 +79,7 @@
 	for i := range d.Servers {
 		d.Servers[i].Draining = d.Servers[i].ID == "e4"
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
 	list(7, "e3", "e4", "e5")
 	require.Equal(t, 5, usable(), "one of the missing servers was leaving")
 }
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -57,25 +57,25 @@
 	reach               map[string]*hallReach // by data hall
 	teamLimits                                // of the teams that are not restricted to regions
 	// weightScale converts a team's demand at this router to its weight.
-	weightScale      float64
-	ownHeadroom      float64 // this router's own estimate
-	headroom         float64 // capacity that teams share, as a multiple of the configured capacity
-	busy             float64 // smoothed load of the busiest pool of engines; above 1 it is busy
-	sharesUpdatedAt  time.Duration
-	partHolders      partHolders
-	copyLog          copyLog       // made through this router, to be announced
-	suspectsPrunedAt time.Duration // when old suspects were last dropped
-	peerReports      map[string]peerReport
-	routers          int
-	reportTTL        time.Duration
-	cmds             []Cmd
-	peerTeamsAt      time.Duration // when the peers' use of teams was received; 0: expired
-	candidateBuf     []candidate
-	peerLoadsAt      time.Duration // when the peers' loads were received
-	suspects         quarantine.Suspects
-	pendingReprobes  []*server // to be probed again; see reprobe
-	forgottenNotices forgottenNotices
-	startedRequests  []*requestState // whose first event came since the last tick, as evidence about versions
+	weightScale       float64
+	ownHeadroom       float64 // this router's own estimate
+	headroom          float64 // capacity that teams share, as a multiple of the configured capacity
+	busy              float64 // smoothed load of the busiest pool of engines; above 1 it is busy
+	sharesUpdatedAt   time.Duration
+	partHolders       partHolders
+	copyLog           copyLog       // made through this router, to be announced
+	suspectsExpiredAt time.Duration // when old suspects were last dropped
+	peerReports       map[string]peerReport
+	routers           int
+	reportTTL         time.Duration
+	cmds              []Cmd
+	peerTeamsAt       time.Duration // when the peers' use of teams was received; 0: expired
+	candidateBuf      []candidate
+	peerLoadsAt       time.Duration // when the peers' loads were received
+	suspects          quarantine.Suspects
+	pendingReprobes   []*server // to be probed again; see reprobe
+	forgottenNotices  forgottenNotices
+	startedRequests   []*requestState // whose first event came since the last tick, as evidence about versions
 }
 
 // peerReport is the last report of another router and the time it was received.
--- a/direct/machine_test.go
+++ b/direct/machine_test.go
@@ -13,20 +13,20 @@
 // TestSharedPartsStayAtOneServer checks that requests with a common part go to one server, and
 // that different parts are spread over servers.
 func TestSharedPartsStayAtOneServer(t *testing.T) {
-	b := newHarness(t, 6)
+	h := newHarness(t, 6)
 	servers := make(map[string]bool)
 	for part := range uint64(20) {
 		var first string
 		for range 4 {
-			r := b.request("red", PromptPart{ID: 1000 + part, Tokens: 1000}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 1000})
-			server := b.sent(b.arrive(r))
+			r := h.request("red", PromptPart{ID: 1000 + part, Tokens: 1000}, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 1000})
+			server := h.sent(h.arrive(r))
 			if first == "" {
 				first = server
 			}
 			require.Equal(t, first, server, "part %d", part)
-			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-			b.end(r.ID, Done, false)
-			b.now += 50 * time.Millisecond
+			h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+			h.end(r.ID, Done, false)
+			h.now += 50 * time.Millisecond
 		}
 		servers[first] = true
 	}
@@ -48,14 +48,14 @@
 // TestRefusedInGoodTime checks that a request that no server would serve in time is refused
 // within a fraction of its objective, with a retry delay.
 func TestRefusedInGoodTime(t *testing.T) {
-	b := newHarness(t, 1)
+	h := newHarness(t, 1)
 	for range 200 {
-		if _, sent := findCmd[SendCmd](b.arrive(b.request("red"))); !sent {
+		if _, sent := findCmd[SendCmd](h.arrive(h.request("red"))); !sent {
 			break
 		}
 	}
-	waiting := b.lastID
-	cmds := b.advance(time.Duration(maxWaitFraction*400)*time.Millisecond + 2*TickInterval)
+	waiting := h.lastID
+	cmds := h.advance(time.Duration(maxWaitFraction*400)*time.Millisecond + 2*TickInterval)
 	refused, ok := findCmd[RefuseCmd](cmds)
 	require.True(t, ok)
 	require.Equal(t, waiting, refused.ID)
@@ -65,7 +65,7 @@
 // TestTeamsAboveTheirShares checks that a team within its share is served while a team above
 // its share is refused.
 func TestTeamsAboveTheirShares(t *testing.T) {
-	b := newHarness(t, 2)
+	h := newHarness(t, 2)
 	refused := map[string]int{}
 	sent := map[string]int{}
 	var running []RequestID
@@ -74,23 +74,23 @@
 		if i%16 == 0 {
 			team = "small"
 		}
-		r := b.request(team)
-		cmds := b.arrive(r)
+		r := h.request(team)
+		cmds := h.arrive(r)
 		if i%4 == 0 {
-			cmds = append(cmds, b.advance(TickInterval)...)
+			cmds = append(cmds, h.advance(TickInterval)...)
 		}
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case SendCmd:
 				running = append(running, c.ID)
 				sent[teamOf(c.ID)]++
-				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
+				h.m.Update(FirstEventMsg{Now: h.now, ID: c.ID})
 			case RefuseCmd:
 				refused[teamOf(c.ID)]++
 			}
 		}
 		if len(running) > 90 {
-			b.end(running[0], Done, false)
+			h.end(running[0], Done, false)
 			running = running[1:]
 		}
 	}
@@ -117,31 +117,31 @@
 // TestPeerLoads checks that the load of other routers counts in addition to this router's own
 // until it expires.
 func TestPeerLoads(t *testing.T) {
-	b := newHarness(t, 1)
-	at := b.sent(b.arrive(b.request("red")))
+	h := newHarness(t, 1)
+	at := h.sent(h.arrive(h.request("red")))
 	require.Equal(t, "e0", at)
 	for range 3 {
-		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9, Pending: 900}, {Server: loads.ServerKey("unknown"), Running: 1}}})
+		h.m.Update(PeerLoadsMsg{Now: h.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9, Pending: 900}, {Server: loads.ServerKey("unknown"), Running: 1}}})
 	}
-	b.advance(TickInterval)
-	require.Equal(t, 10, b.m.byServer["e0"].totalRunning())
-	require.Equal(t, 2900, b.m.byServer["e0"].totalPending())
-	require.Equal(t, []loads.Load{{Server: loads.ServerKey("e0"), Running: 1, Pending: 2000}}, b.m.Loads(), "only this router's own load")
-	b.m.Update(PeerLoadsMsg{Now: b.now})
-	require.Equal(t, 1, b.m.byServer["e0"].totalRunning(), "a newer list replaces the older one")
-	b.m.Update(PeerLoadsMsg{Now: b.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9}}})
-	b.advance(2 * time.Second)
-	require.Equal(t, 1, b.m.byServer["e0"].totalRunning())
+	h.advance(TickInterval)
+	require.Equal(t, 10, h.m.byServer["e0"].totalRunning())
+	require.Equal(t, 2900, h.m.byServer["e0"].totalPending())
+	require.Equal(t, []loads.Load{{Server: loads.ServerKey("e0"), Running: 1, Pending: 2000}}, h.m.Loads(), "only this router's own load")
+	h.m.Update(PeerLoadsMsg{Now: h.now})
+	require.Equal(t, 1, h.m.byServer["e0"].totalRunning(), "a newer list replaces the older one")
+	h.m.Update(PeerLoadsMsg{Now: h.now, Loads: []loads.Load{{Server: loads.ServerKey("e0"), Running: 9}}})
+	h.advance(2 * time.Second)
+	require.Equal(t, 1, h.m.byServer["e0"].totalRunning())
 }
 
 // TestHeadroomIsCommon checks that routers with different estimates agree on one headroom, so
 // that shares are the same everywhere.
 func TestHeadroomIsCommon(t *testing.T) {
-	b := newHarness(t, 1)
-	b.m.ownHeadroom = 3
-	b.m.Update(PeerReportMsg{Now: b.now, Peer: "x", Report: Report{Headroom: 1.2}})
-	b.m.Update(PeerReportMsg{Now: b.now, Peer: "y", Report: Report{Headroom: 1.4}})
-	require.InDelta(t, 1.4, b.m.medianHeadroom(), 0.001)
+	h := newHarness(t, 1)
+	h.m.ownHeadroom = 3
+	h.m.Update(PeerReportMsg{Now: h.now, Peer: "x", Report: Report{Headroom: 1.2}})
+	h.m.Update(PeerReportMsg{Now: h.now, Peer: "y", Report: Report{Headroom: 1.4}})
+	require.InDelta(t, 1.4, h.m.medianHeadroom(), 0.001)
 }
 
 // TestOnlyWhatRanIsCharged checks that a request that ended before its first event is refunded
@@ -150,16 +150,16 @@
 func TestOnlyWhatRanIsCharged(t *testing.T) {
 	for _, o := range []Outcome{Unsent, NotRun, Elsewhere, Broken, Hung, Failed, GivenUp} {
 		for _, begun := range []bool{false, true} {
-			b := newHarness(t, 1)
-			b.m.team("red").tokenBucket = tokenBucket{rate: 1e6, tokens: 1e6}
-			r := b.request("red")
-			b.sent(b.arrive(r))
-			charged := b.m.team("red").servedRate(b.now)
+			h := newHarness(t, 1)
+			h.m.team("red").tokenBucket = tokenBucket{rate: 1e6, tokens: 1e6}
+			r := h.request("red")
+			h.sent(h.arrive(r))
+			charged := h.m.team("red").servedRate(h.now)
 			require.Positive(t, charged)
 			if begun {
-				b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
+				h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
 			}
-			b.end(r.ID, o, false)
+			h.end(r.ID, o, false)
 			want, left := 0.0, 1e6
 			if begun || o == Failed {
 				want = charged
@@ -167,8 +167,8 @@
 			if begun || o == Broken || o == Hung || o == Failed || o == GivenUp {
 				left -= tokenCost(r.PromptTokens, r.OutputTokens)
 			}
-			require.InDelta(t, want, b.m.team("red").servedRate(b.now), 0.001, o.String())
-			require.InDelta(t, left, b.m.team("red").tokenBucket.tokens, 0.001, o.String())
+			require.InDelta(t, want, h.m.team("red").servedRate(h.now), 0.001, o.String())
+			require.InDelta(t, left, h.m.team("red").tokenBucket.tokens, 0.001, o.String())
 		}
 	}
 }
@@ -176,61 +176,61 @@
 // TestLostRoutersDemandStays loses a router whose callers ask for much. The other teams' level
 // must not jump before those callers have had time to return through other routers.
 func TestLostRoutersDemandStays(t *testing.T) {
-	b := newHarness(t, 2)
+	h := newHarness(t, 2)
 	near := loads.TeamUse{Team: "near", Offered: 900000, Served: 40000}
 	reportUse := func(far loads.TeamUse, rounds int) {
 		far.Team = "far"
 		for range rounds {
-			b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{far, near}})
-			b.advance(shareInterval)
+			h.m.Update(PeerTeamsMsg{Now: h.now, Teams: []loads.TeamUse{far, near}})
+			h.advance(shareInterval)
 		}
 	}
 	reportUse(loads.TeamUse{Offered: 900000, Served: 40000}, 20)
-	level := b.m.level
-	require.InDelta(t, 50000*b.m.headroom, level, 1)
+	level := h.m.level
+	require.InDelta(t, 50000*h.m.headroom, level, 1)
 	reportUse(loads.TeamUse{Offered: 900000}, 20)
-	require.InDelta(t, 50000*b.m.headroom, b.m.level, 1, "the demand of a lost router's callers stays for some time")
-	require.Zero(t, b.m.team("far").peers.Served, "what it served does not stay")
+	require.InDelta(t, 50000*h.m.headroom, h.m.level, 1, "the demand of a lost router's callers stays for some time")
+	require.Zero(t, h.m.team("far").peers.Served, "what it served does not stay")
 	reportUse(loads.TeamUse{}, 60)
-	require.InDelta(t, 100000*b.m.headroom, b.m.level, 1)
+	require.InDelta(t, 100000*h.m.headroom, h.m.level, 1)
 }
 
 // TestNoNewsOfTeams stops the updates of teams from other routers. What the others serve must
 // expire first, and their demand after a longer time.
 func TestNoNewsOfTeams(t *testing.T) {
-	b := newHarness(t, 2)
-	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
-	b.advance(loads.TeamsTTL)
-	require.EqualValues(t, 40000, b.m.team("far").peers.Served)
-	b.advance(time.Second)
-	require.Equal(t, loads.TeamUse{Team: "far", Offered: 900000}, b.m.team("far").peers)
-	b.advance(loads.DemandTTL)
-	require.Zero(t, b.m.team("far").peers.Offered)
+	h := newHarness(t, 2)
+	h.m.Update(PeerTeamsMsg{Now: h.now, Teams: []loads.TeamUse{{Team: "far", Offered: 900000, Recent: 900000, Served: 40000}}})
+	h.advance(loads.TeamsTTL)
+	require.EqualValues(t, 40000, h.m.team("far").peers.Served)
+	h.advance(time.Second)
+	require.Equal(t, loads.TeamUse{Team: "far", Offered: 900000}, h.m.team("far").peers)
+	h.advance(loads.DemandTTL)
+	require.Zero(t, h.m.team("far").peers.Offered)
 }
 
 // TestClumpsLeaveRoom checks that short bursts of load leave the headroom above the teams'
 // shares, and that only lasting load removes it.
 func TestClumpsLeaveRoom(t *testing.T) {
-	b := newHarness(t, 4)
+	h := newHarness(t, 4)
 	setPending := func(pendingTokens int) {
-		for _, s := range b.m.byServer {
+		for _, s := range h.m.byServer {
 			s.pendingTokens = pendingTokens
 		}
 	}
-	b.m.pool("llm").objectiveMS = 400
-	b.advance(10 * time.Second)
-	headroom := b.m.Shares(b.now, 0).Headroom
+	h.m.pool("llm").objectiveMS = 400
+	h.advance(10 * time.Second)
+	headroom := h.m.Shares(h.now, 0).Headroom
 	require.Greater(t, headroom, 2.0)
 	for range 10 {
 		setPending(9_000)
-		b.advance(4 * shareInterval)
+		h.advance(4 * shareInterval)
 		setPending(0)
-		b.advance(6 * shareInterval)
+		h.advance(6 * shareInterval)
 	}
-	require.Greater(t, b.m.Shares(b.now, 0).Headroom, headroom/2, "short bursts")
+	require.Greater(t, h.m.Shares(h.now, 0).Headroom, headroom/2, "short bursts")
 	setPending(20_000)
-	b.advance(20 * time.Second)
-	require.InDelta(t, 1, b.m.Shares(b.now, 0).Headroom, 0.01, "lasting load")
+	h.advance(20 * time.Second)
+	require.InDelta(t, 1, h.m.Shares(h.now, 0).Headroom, 0.01, "lasting load")
 }
 
 // TestCandidatesInOrder compares the partial sort of candidates with a full sort.
@@ -257,23 +257,23 @@
 // made the servers look busy, so the router refused such requests and removed the headroom of
 // all teams.
 func TestStartedRouterKnowsWhatIsBusy(t *testing.T) {
-	b := newHarness(t, 4)
+	h := newHarness(t, 4)
 	reportPeers := func() {
 		var all []loads.Load
-		for _, s := range b.m.byServer {
+		for _, s := range h.m.byServer {
 			all = append(all, loads.Load{Server: loads.ServerKey(s.ID), Running: 4, Pending: 600})
 		}
-		b.m.Update(PeerLoadsMsg{Now: b.now, Loads: all})
-		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "large", Offered: 400_000, Recent: 400_000, Served: 200_000}}})
-		b.advance(shareInterval)
+		h.m.Update(PeerLoadsMsg{Now: h.now, Loads: all})
+		h.m.Update(PeerTeamsMsg{Now: h.now, Teams: []loads.TeamUse{{Team: "large", Offered: 400_000, Recent: 400_000, Served: 200_000}}})
+		h.advance(shareInterval)
 	}
 	for range 20 {
 		reportPeers()
 	}
-	r := b.request("large")
-	b.sent(b.arrive(r))
-	require.Greater(t, b.m.requests[r.ID].shareRatio, 1.0)
+	r := h.request("large")
+	h.sent(h.arrive(r))
+	require.Greater(t, h.m.requests[r.ID].shareRatio, 1.0)
 	reportPeers()
-	require.Less(t, b.m.busy, headroomGrowBelow)
-	require.Greater(t, b.m.Shares(b.now, 0).Headroom, 2.0)
+	require.Less(t, h.m.busy, headroomGrowBelow)
+	require.Greater(t, h.m.Shares(h.now, 0).Headroom, 2.0)
 }
--- a/direct/maxmin_test.go
+++ b/direct/maxmin_test.go
@@ -68,9 +68,9 @@
 		}
 		return sum
 	}
-	// free places a team's tokens, moving those of other teams to other regions if needed.
-	var free func(team int, amount float64, seen []bool) float64
-	free = func(team int, amount float64, seen []bool) float64 {
+	// assign places a team's tokens, moving those of other teams to other regions if needed.
+	var assign func(team int, amount float64, seen []bool) float64
+	assign = func(team int, amount float64, seen []bool) float64 {
 		for region := range c.capacity {
 			if seen[region] || !c.allowed[team].intersects(1<<region) {
 				continue
@@ -84,7 +84,7 @@
 				if other == team || flow[other][region] <= epsilon {
 					continue
 				}
-				if moved := free(other, min(amount, flow[other][region]), seen); moved > 0 {
+				if moved := assign(other, min(amount, flow[other][region]), seen); moved > 0 {
 					flow[other][region] -= moved
 					flow[team][region] += moved
 					return moved
@@ -95,7 +95,7 @@
 	}
 	for team, amount := range want {
 		for amount > 1e-6 {
-			moved := free(team, amount, make([]bool, len(c.capacity)))
+			moved := assign(team, amount, make([]bool, len(c.capacity)))
 			if moved == 0 {
 				return false
 			}
@@ -127,9 +127,9 @@
 	})
 }
 
-// TestRegionMaxMinUnbound checks that teams that may all use the same regions get what
+// TestRegionMaxMinUnrestricted checks that teams that may all use the same regions get what
 // waterLevel gives them.
-func TestRegionMaxMinUnbound(t *testing.T) {
+func TestRegionMaxMinUnrestricted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawMaxMin(t)
 		set := newDemandSet(1<<len(c.capacity)-1, c.demands)
--- a/direct/mechanism_test.go
+++ b/direct/mechanism_test.go
@@ -10,14 +10,14 @@
 // name lists the known ones.
 func TestParseDisabledMechanisms(t *testing.T) {
 	for _, m := range mechanisms {
-		w, err := ParseDisabledMechanisms(string(m))
+		disabled, err := ParseDisabledMechanisms(string(m))
 		require.NoError(t, err)
-		require.False(t, w.Enabled(m))
+		require.False(t, disabled.Enabled(m))
 	}
-	w, err := ParseDisabledMechanisms("loads, ejection")
+	disabled, err := ParseDisabledMechanisms("loads, ejection")
 	require.NoError(t, err)
-	require.Equal(t, "loads,ejection", w.String())
-	require.True(t, w.Enabled(Locality))
+	require.Equal(t, "loads,ejection", disabled.String())
+	require.True(t, disabled.Enabled(Locality))
 	_, err = ParseDisabledMechanisms("lods")
 	require.ErrorIs(t, err, ErrUnknownMechanism)
 	require.ErrorContains(t, err, "ejection")
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -21,57 +21,57 @@
 // TestRolloutMoves moves each repeatable stream once, a few at a time. They continue at the
 // target version.
 func TestRolloutMoves(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0))
+	h := newRolloutHarness(t, canaryGate(0))
 	repeatable := make(map[RequestID]bool)
 	for i := range 40 {
-		r := b.routeRequest("chat")
+		r := h.routeRequest("chat")
 		r.MayRepeat = i%2 == 0
-		b.sent(b.arrive(r))
+		h.sent(h.arrive(r))
 		repeatable[r.ID] = r.MayRepeat
 	}
-	require.Equal(t, 40, b.m.OldRunning("llm"))
+	require.Equal(t, 40, h.m.OldRunning("llm"))
 	g := canaryGate(1)
 	g.OldClosed, g.MoveStreams = true, true
-	first := movedIDs(b.gate(g))
+	first := movedIDs(h.gate(g))
 	require.LessOrEqual(t, len(first), minMovesPerTick)
-	all := append(first, movedIDs(b.advance(time.Second))...)
+	all := append(first, movedIDs(h.advance(time.Second))...)
 	require.Len(t, all, 20)
 	for _, id := range all {
 		require.True(t, repeatable[id])
 		delete(repeatable, id)
-		c, ok := findCmd[SendCmd](b.end(id, Moved, true))
+		c, ok := findCmd[SendCmd](h.end(id, Moved, true))
 		require.True(t, ok)
 		require.Equal(t, "v2", c.Server.Version)
 		require.Equal(t, SideMoved, c.PlacementBasis.Side)
 	}
-	require.Equal(t, map[string]int{"llm": 20}, b.m.AllOldRunning())
-	require.Equal(t, map[string]int{"llm": 60}, b.m.RequestCounts(), "40 requests and 20 retries")
-	require.Empty(t, movedIDs(b.advance(time.Second)))
+	require.Equal(t, map[string]int{"llm": 20}, h.m.AllOldRunning())
+	require.Equal(t, map[string]int{"llm": 60}, h.m.RequestCounts(), "40 requests and 20 retries")
+	require.Empty(t, movedIDs(h.advance(time.Second)))
 }
 
 // TestRolloutMovesKeepToTheBudget moves no more streams than the retry budget allows. The
 // others continue where they are.
 func TestRolloutMovesKeepToTheBudget(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0))
-	b.m.Update(RetryBudgetMsg{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
+	h := newRolloutHarness(t, canaryGate(0))
+	h.m.Update(RetryBudgetMsg{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
 	for range 50 {
-		b.sent(b.arrive(b.routeRequest("chat")))
+		h.sent(h.arrive(h.routeRequest("chat")))
 	}
 	g := canaryGate(1)
 	g.OldClosed, g.MoveStreams = true, true
-	all := append(movedIDs(b.gate(g)), movedIDs(b.advance(5*time.Second))...)
+	all := append(movedIDs(h.gate(g)), movedIDs(h.advance(5*time.Second))...)
 	require.Len(t, all, int(retryBudgetMargin*0.2*50))
 }
 
 // TestRolloutMoveIsNoServerFailure checks that a move doesn't change the state of the old
 // server.
 func TestRolloutMoveIsNoServerFailure(t *testing.T) {
-	b := newRolloutHarness(t, canaryGate(0))
-	r := b.routeRequest("chat")
-	id := b.sent(b.arrive(r))
-	b.end(r.ID, Moved, false)
-	s := b.m.byServer[id]
+	h := newRolloutHarness(t, canaryGate(0))
+	r := h.routeRequest("chat")
+	id := h.sent(h.arrive(r))
+	h.end(r.ID, Moved, false)
+	s := h.m.byServer[id]
 	require.Zero(t, s.failureRate)
 	require.Zero(t, s.running)
-	require.True(t, s.usable(b.now))
+	require.True(t, s.usable(h.now))
 }
--- a/direct/notice_oracle_test.go
+++ b/direct/notice_oracle_test.go
@@ -37,7 +37,7 @@
 func TestNoticesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		drain := rapid.SampledFrom([]time.Duration{0, 500 * time.Millisecond, 2 * time.Second}).Draw(t, "drain")
-		h := &noticeSim{
+		sim := &noticeSim{
 			t: t, now: time.Second, at: make(map[RequestID]string),
 			leftAt: make(map[string]time.Duration), backoffUntil: make(map[string]time.Duration),
 			maxLastResort: maxLastResortTime, m: NewMachine(Options{
@@ -45,116 +45,116 @@
 			}),
 		}
 		if drain > 0 {
-			h.maxLastResort = min(h.maxLastResort, drain)
+			sim.maxLastResort = min(sim.maxLastResort, drain)
 		}
-		h.update(ConfigMsg{Now: h.now, Config: Config{Version: 1, Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 90000}}}, Limits: Limits{TokensPerSecond: 1e6}}})
-		h.stage()
-		h.list()
+		sim.update(ConfigMsg{Now: sim.now, Config: Config{Version: 1, Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 90000}}}, Limits: Limits{TokensPerSecond: 1e6}}})
+		sim.stage()
+		sim.list()
 		t.Repeat(map[string]func(*rapid.T){
-			"list":     func(*rapid.T) { h.list() },
-			"stage":    func(*rapid.T) { h.stage() },
-			"evacuate": func(*rapid.T) { h.evacuate() },
-			"arrive":   func(*rapid.T) { h.arrive() },
-			"notice":   func(*rapid.T) { h.notice() },
-			"end":      func(*rapid.T) { h.end() },
-			"pass":     func(*rapid.T) { h.pass() },
+			"list":     func(*rapid.T) { sim.list() },
+			"stage":    func(*rapid.T) { sim.stage() },
+			"evacuate": func(*rapid.T) { sim.evacuate() },
+			"arrive":   func(*rapid.T) { sim.arrive() },
+			"notice":   func(*rapid.T) { sim.notice() },
+			"end":      func(*rapid.T) { sim.end() },
+			"pass":     func(*rapid.T) { sim.pass() },
 		})
 	})
 }
 
 // update passes a message to the machine and checks what it sends.
-func (h *noticeSim) update(msg Msg) {
-	for _, cmd := range h.m.Update(msg) {
+func (sim *noticeSim) update(msg Msg) {
+	for _, cmd := range sim.m.Update(msg) {
 		c, ok := cmd.(SendCmd)
 		if !ok {
 			continue
 		}
 		id := c.Server.ID
-		require.GreaterOrEqual(h.t, h.now, h.backoffUntil[id], "sent to %s during its backoff until %s", id, h.backoffUntil[id])
-		if left, announced := h.leftAt[id]; announced {
-			require.LessOrEqual(h.t, h.now-left, h.maxLastResort, "sent to %s, which has been leaving since %s", id, left)
+		require.GreaterOrEqual(sim.t, sim.now, sim.backoffUntil[id], "sent to %s during its backoff until %s", id, sim.backoffUntil[id])
+		if left, announced := sim.leftAt[id]; announced {
+			require.LessOrEqual(sim.t, sim.now-left, sim.maxLastResort, "sent to %s, which has been leaving since %s", id, left)
 		}
-		h.running = append(h.running, c.ID)
-		h.at[c.ID] = id
+		sim.running = append(sim.running, c.ID)
+		sim.at[c.ID] = id
 	}
 }
 
 // list applies a list of some of the servers.
-func (h *noticeSim) list() {
-	h.revision++
-	d := Directory{Revision: h.revision}
+func (sim *noticeSim) list() {
+	sim.revision++
+	d := Directory{Revision: sim.revision}
 	for i := range simServers {
-		if rapid.IntRange(0, 3).Draw(h.t, "listed") == 0 {
+		if rapid.IntRange(0, 3).Draw(sim.t, "listed") == 0 {
 			continue
 		}
 		d.Servers = append(d.Servers, Server{
 			ID: fmt.Sprint("s", i), Service: "llm", Zone: []string{"a", "b"}[i%2], Version: []string{"v1", "v2"}[i/2%2], Slots: 8,
-			Draining: rapid.IntRange(0, 4).Draw(h.t, "draining") == 0,
+			Draining: rapid.IntRange(0, 4).Draw(sim.t, "draining") == 0,
 		})
 	}
-	h.update(ServersMsg{Now: h.now, Directory: d})
+	sim.update(ServersMsg{Now: sim.now, Directory: d})
 }
 
 // stage starts a rollout to the other version at a random stage, or none.
-func (h *noticeSim) stage() {
+func (sim *noticeSim) stage() {
 	g := rollout.Gate{Service: "llm", InUse: []string{"v1", "v2"}, ServerFraction: 1}
-	if rapid.Bool().Draw(h.t, "moves") {
+	if rapid.Bool().Draw(sim.t, "moves") {
 		g.InUse, g.Target, g.Limit = []string{"v1"}, "v2", 1
-		g.Fraction = rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(h.t, "part")
-		g.OldClosed = g.Fraction == 1 && rapid.Bool().Draw(h.t, "closed")
+		g.Fraction = rapid.SampledFrom([]float64{0, 0.2, 1}).Draw(sim.t, "part")
+		g.OldClosed = g.Fraction == 1 && rapid.Bool().Draw(sim.t, "closed")
 		g.MoveStreams = g.OldClosed
 	}
-	h.update(GateMsg{Now: h.now, Gate: g})
+	sim.update(GateMsg{Now: sim.now, Gate: g})
 }
 
-func (h *noticeSim) evacuate() {
-	h.revision++
-	halls := rapid.SampledFrom([][]string{nil, {"a"}, {"b"}}).Draw(h.t, "halls")
-	h.update(EvacuationsMsg{Now: h.now, Evacuations: Evacuations{Revision: h.revision, Halls: halls}})
+func (sim *noticeSim) evacuate() {
+	sim.revision++
+	halls := rapid.SampledFrom([][]string{nil, {"a"}, {"b"}}).Draw(sim.t, "halls")
+	sim.update(EvacuationsMsg{Now: sim.now, Evacuations: Evacuations{Revision: sim.revision, Halls: halls}})
 }
 
-func (h *noticeSim) arrive() {
-	h.lastID++
-	h.update(RequestMsg{Now: h.now, Request: Request{
-		ID: h.lastID, Team: "red", Route: "r", Service: "llm", Kind: Stream, MayRepeat: rapid.Bool().Draw(h.t, "repeat"), Attempts: 3,
-		Objective: 400 * time.Millisecond, Deadline: h.now + 10*time.Second, PromptTokens: 100, OutputTokens: 10,
-		Parts: []PromptPart{{ID: rapid.Uint64Range(1, 6).Draw(h.t, "part"), Tokens: 50}, {ID: uint64(h.lastID) << 32, Tokens: 50}},
+func (sim *noticeSim) arrive() {
+	sim.lastID++
+	sim.update(RequestMsg{Now: sim.now, Request: Request{
+		ID: sim.lastID, Team: "red", Route: "r", Service: "llm", Kind: Stream, MayRepeat: rapid.Bool().Draw(sim.t, "repeat"), Attempts: 3,
+		Objective: 400 * time.Millisecond, Deadline: sim.now + 10*time.Second, PromptTokens: 100, OutputTokens: 10,
+		Parts: []PromptPart{{ID: rapid.Uint64Range(1, 6).Draw(sim.t, "part"), Tokens: 50}, {ID: uint64(sim.lastID) << 32, Tokens: 50}},
 	}})
 }
 
 // notice sends a random notice from the server of a running request.
-func (h *noticeSim) notice() {
-	if len(h.running) == 0 {
+func (sim *noticeSim) notice() {
+	if len(sim.running) == 0 {
 		return
 	}
-	id := h.at[rapid.SampledFrom(h.running).Draw(h.t, "running")]
+	id := sim.at[rapid.SampledFrom(sim.running).Draw(sim.t, "running")]
 	n := Notice{
-		Leaving: rapid.Bool().Draw(h.t, "leaving"),
-		Backoff: time.Duration(rapid.IntRange(0, 40).Draw(h.t, "backoff")) * time.Second / 2,
+		Leaving: rapid.Bool().Draw(sim.t, "leaving"),
+		Backoff: time.Duration(rapid.IntRange(0, 40).Draw(sim.t, "backoff")) * time.Second / 2,
 	}
-	if _, announced := h.leftAt[id]; n.Leaving && !announced {
-		h.leftAt[id] = h.now
+	if _, announced := sim.leftAt[id]; n.Leaving && !announced {
+		sim.leftAt[id] = sim.now
 	}
-	h.backoffUntil[id] = max(h.backoffUntil[id], h.now+n.Backoff)
-	h.update(NoticeMsg{Now: h.now, Server: id, Notice: n})
+	sim.backoffUntil[id] = max(sim.backoffUntil[id], sim.now+n.Backoff)
+	sim.update(NoticeMsg{Now: sim.now, Server: id, Notice: n})
 }
 
 // end ends the attempt that has run longest.
-func (h *noticeSim) end() {
-	if len(h.running) == 0 {
+func (sim *noticeSim) end() {
+	if len(sim.running) == 0 {
 		return
 	}
-	id := h.running[0]
-	h.running = h.running[1:]
-	o := rapid.SampledFrom([]Outcome{Done, Unsent, NotRun, Elsewhere, Failed, Broken, Hung, GivenUp, Withheld}).Draw(h.t, "outcome")
-	h.update(AttemptEndMsg{Now: h.now, ID: id, Outcome: o, Retry: o != Done && o != GivenUp})
+	id := sim.running[0]
+	sim.running = sim.running[1:]
+	o := rapid.SampledFrom([]Outcome{Done, Unsent, NotRun, Elsewhere, Failed, Broken, Hung, GivenUp, Withheld}).Draw(sim.t, "outcome")
+	sim.update(AttemptEndMsg{Now: sim.now, ID: id, Outcome: o, Retry: o != Done && o != GivenUp})
 }
 
 // pass advances time, sometimes beyond the time for which gone servers are remembered.
-func (h *noticeSim) pass() {
-	d := rapid.SampledFrom([]time.Duration{TickInterval, maxLastResortTime, maxLapseGrace, 3 * time.Second, 2 * goneRetention}).Draw(h.t, "time")
-	for end := h.now + d; h.now < end; {
-		h.now += TickInterval
-		h.update(TickMsg{Now: h.now})
+func (sim *noticeSim) pass() {
+	d := rapid.SampledFrom([]time.Duration{TickInterval, maxLastResortTime, maxLapseGrace, 3 * time.Second, 2 * goneRetention}).Draw(sim.t, "time")
+	for end := sim.now + d; sim.now < end; {
+		sim.now += TickInterval
+		sim.update(TickMsg{Now: sim.now})
 	}
 }
--- a/direct/notice_test.go
+++ b/direct/notice_test.go
@@ -15,24 +15,24 @@
 
 // newNoticeHarness returns a harness with some plain servers.
 func newNoticeHarness(t *testing.T, ids ...string) *noticeHarness {
-	b := &noticeHarness{harness: newHarness(t, 0), revision: 1}
-	b.list(ids...)
-	return b
+	h := &noticeHarness{harness: newHarness(t, 0), revision: 1}
+	h.list(ids...)
+	return h
 }
 
 // list applies a list of plain servers, none of them draining.
-func (b *noticeHarness) list(ids ...string) {
+func (h *noticeHarness) list(ids ...string) {
 	var all []Server
 	for _, id := range ids {
 		all = append(all, plainServer(id))
 	}
-	b.listAs(all...)
+	h.listAs(all...)
 }
 
 // listAs applies a list of servers.
-func (b *noticeHarness) listAs(all ...Server) []Cmd {
-	b.revision++
-	return append([]Cmd(nil), b.m.Update(ServersMsg{Now: b.now, Directory: Directory{Revision: b.revision, Servers: all}})...)
+func (h *noticeHarness) listAs(all ...Server) []Cmd {
+	h.revision++
+	return append([]Cmd(nil), h.m.Update(ServersMsg{Now: h.now, Directory: Directory{Revision: h.revision, Servers: all}})...)
 }
 
 func plainServer(id string) Server {
@@ -40,26 +40,26 @@
 }
 
 // plainRequest returns a repeatable request to the service with plain servers.
-func (b *noticeHarness) plainRequest() Request {
-	b.lastID++
+func (h *noticeHarness) plainRequest() Request {
+	h.lastID++
 	return Request{
-		ID: b.lastID, Team: "red", Route: "r", Service: "app", Kind: Repeatable, MayRepeat: true, Attempts: 2,
-		Objective: 300 * time.Millisecond, Deadline: b.now + 3*time.Second,
+		ID: h.lastID, Team: "red", Route: "r", Service: "app", Kind: Repeatable, MayRepeat: true, Attempts: 2,
+		Objective: 300 * time.Millisecond, Deadline: h.now + 3*time.Second,
 	}
 }
 
-func (b *noticeHarness) notice(server string, n Notice) []Cmd {
-	return append([]Cmd(nil), b.m.Update(NoticeMsg{Now: b.now, Server: server, Notice: n})...)
+func (h *noticeHarness) notice(server string, n Notice) []Cmd {
+	return append([]Cmd(nil), h.m.Update(NoticeMsg{Now: h.now, Server: server, Notice: n})...)
 }
 
 // distribute sends some requests at once and returns how many each server got; "" counts those
 // that were refused or queued.
-func (b *noticeHarness) distribute(n int) map[string]int {
+func (h *noticeHarness) distribute(n int) map[string]int {
 	got := make(map[string]int)
 	var sent, waiting []RequestID
 	for range n {
-		r := b.plainRequest()
-		cmds := b.arrive(r)
+		r := h.plainRequest()
+		cmds := h.arrive(r)
 		if c, ok := findCmd[SendCmd](cmds); ok {
 			got[c.Server.ID]++
 			sent = append(sent, r.ID)
@@ -71,23 +71,23 @@
 		}
 	}
 	for _, id := range sent {
-		b.end(id, Done, false)
+		h.end(id, Done, false)
 	}
 	for _, id := range waiting {
-		b.m.Update(CancelMsg{Now: b.now, ID: id})
+		h.m.Update(CancelMsg{Now: h.now, ID: id})
 	}
 	return got
 }
 
 // requireExcluded removes the entry of p1 and lists it again, after a short time and after a
 // time in which the router has forgotten the server: p1 gets no requests in either case.
-func (b *noticeHarness) requireExcluded(longAbsence time.Duration) {
-	b.t.Helper()
+func (h *noticeHarness) requireExcluded(longAbsence time.Duration) {
+	h.t.Helper()
 	for _, away := range []time.Duration{goneRetention / 2, longAbsence} {
-		b.list("p0", "p2")
-		b.advance(away)
-		b.list("p0", "p1", "p2")
-		require.Zero(b.t, b.distribute(9)["p1"], "its entry came back after %s", away)
+		h.list("p0", "p2")
+		h.advance(away)
+		h.list("p0", "p1", "p2")
+		require.Zero(h.t, h.distribute(9)["p1"], "its entry came back after %s", away)
 	}
 }
 
@@ -95,40 +95,40 @@
 // as ready. The list may be older, and the entry may lapse and come back. Only a restart of the
 // server ends the notice.
 func TestLeavingOutlastsEntries(t *testing.T) {
-	b := newNoticeHarness(t, "p0", "p1", "p2")
-	require.Positive(t, b.distribute(9)["p1"])
-	_, emitted := findCmd[ServerStatusCmd](b.notice("p1", Notice{Leaving: true}))
+	h := newNoticeHarness(t, "p0", "p1", "p2")
+	require.Positive(t, h.distribute(9)["p1"])
+	_, emitted := findCmd[ServerStatusCmd](h.notice("p1", Notice{Leaving: true}))
 	require.True(t, emitted, "the first notice must be logged")
-	require.Empty(t, b.notice("p1", Notice{Leaving: true}), "a repeated notice must not be logged")
-	require.Zero(t, b.distribute(9)["p1"])
+	require.Empty(t, h.notice("p1", Notice{Leaving: true}), "a repeated notice must not be logged")
+	require.Zero(t, h.distribute(9)["p1"])
 
-	b.list("p0", "p1", "p2")
-	require.Zero(t, b.distribute(9)["p1"], "a later entry lists it as not draining")
+	h.list("p0", "p1", "p2")
+	require.Zero(t, h.distribute(9)["p1"], "a later entry lists it as not draining")
 
-	b.requireExcluded(2 * goneRetention)
+	h.requireExcluded(2 * goneRetention)
 
-	b.list("p0", "p3", "p2")
-	require.Positive(t, b.distribute(9)["p3"], "the restarted server")
+	h.list("p0", "p3", "p2")
+	require.Positive(t, h.distribute(9)["p3"], "the restarted server")
 }
 
 // TestLeavingIsNoLastResortLater has both servers of a service announce that they are leaving.
 // They serve as a last resort right after that, but not later, however their entries change.
 func TestLeavingIsNoLastResortLater(t *testing.T) {
-	for name, after := range map[string]func(b *noticeHarness){
+	for name, after := range map[string]func(h *noticeHarness){
 		"entries stay":      func(*noticeHarness) {},
-		"entries drain":     func(b *noticeHarness) { b.listAs(drainingServer("p0"), drainingServer("p1")) },
-		"entries lapse":     func(b *noticeHarness) { b.list() },
-		"entries came back": func(b *noticeHarness) { b.list(); b.advance(2 * goneRetention); b.list("p0", "p1") },
+		"entries drain":     func(h *noticeHarness) { h.listAs(drainingServer("p0"), drainingServer("p1")) },
+		"entries lapse":     func(h *noticeHarness) { h.list() },
+		"entries came back": func(h *noticeHarness) { h.list(); h.advance(2 * goneRetention); h.list("p0", "p1") },
 	} {
-		b := newNoticeHarness(t, "p0", "p1")
-		b.notice("p0", Notice{Leaving: true})
-		b.notice("p1", Notice{Leaving: true})
-		require.Zero(t, b.distribute(2)[""], name)
-		b.advance(maxLastResortTime + TickInterval)
-		after(b)
-		require.Equal(t, map[string]int{"": 2}, b.distribute(2), name)
-		b.advance(maxLapseGrace)
-		require.Equal(t, map[string]int{"": 2}, b.distribute(2), name)
+		h := newNoticeHarness(t, "p0", "p1")
+		h.notice("p0", Notice{Leaving: true})
+		h.notice("p1", Notice{Leaving: true})
+		require.Zero(t, h.distribute(2)[""], name)
+		h.advance(maxLastResortTime + TickInterval)
+		after(h)
+		require.Equal(t, map[string]int{"": 2}, h.distribute(2), name)
+		h.advance(maxLapseGrace)
+		require.Equal(t, map[string]int{"": 2}, h.distribute(2), name)
 	}
 }
 
@@ -143,39 +143,39 @@
 // for a shorter time.
 func TestBackoff(t *testing.T) {
 	const backoff = 30 * time.Second
-	b := newNoticeHarness(t, "p0", "p1", "p2")
-	cmd, _ := findCmd[ServerStatusCmd](b.notice("p1", Notice{Backoff: backoff}))
+	h := newNoticeHarness(t, "p0", "p1", "p2")
+	cmd, _ := findCmd[ServerStatusCmd](h.notice("p1", Notice{Backoff: backoff}))
 	require.Equal(t, StatusBackoff, cmd.Status)
-	end := b.now + backoff
-	require.Zero(t, b.distribute(9)["p1"])
+	end := h.now + backoff
+	require.Zero(t, h.distribute(9)["p1"])
 
-	b.notice("p1", Notice{Backoff: time.Second})
-	b.advance(2 * time.Second)
-	require.Zero(t, b.distribute(9)["p1"], "a later response asked for a shorter backoff")
+	h.notice("p1", Notice{Backoff: time.Second})
+	h.advance(2 * time.Second)
+	require.Zero(t, h.distribute(9)["p1"], "a later response asked for a shorter backoff")
 
-	b.requireExcluded(goneRetention + time.Second)
-	require.Less(t, b.now, end)
+	h.requireExcluded(goneRetention + time.Second)
+	require.Less(t, h.now, end)
 
-	b.list("p0", "p3", "p2")
-	require.Positive(t, b.distribute(9)["p3"], "the restarted server")
-	b.list("p0", "p1", "p2")
-	b.advance(end - b.now)
-	require.Positive(t, b.distribute(9)["p1"], "the backoff has ended")
+	h.list("p0", "p3", "p2")
+	require.Positive(t, h.distribute(9)["p3"], "the restarted server")
+	h.list("p0", "p1", "p2")
+	h.advance(end - h.now)
+	require.Positive(t, h.distribute(9)["p1"], "the backoff has ended")
 }
 
 // TestBackoffOfAll has all servers of a service ask for a backoff. Requests are refused at
 // once, and no server serves as a last resort, not even a leaving one.
 func TestBackoffOfAll(t *testing.T) {
-	b := newNoticeHarness(t, "p0", "p1")
-	b.notice("p0", Notice{Backoff: time.Second})
-	b.notice("p1", Notice{Backoff: 3 * time.Second, Leaving: true})
-	refused, ok := findCmd[RefuseCmd](b.arrive(b.plainRequest()))
+	h := newNoticeHarness(t, "p0", "p1")
+	h.notice("p0", Notice{Backoff: time.Second})
+	h.notice("p1", Notice{Backoff: 3 * time.Second, Leaving: true})
+	refused, ok := findCmd[RefuseCmd](h.arrive(h.plainRequest()))
 	require.True(t, ok)
 	require.Equal(t, ReasonBackoff, refused.Reason)
 	require.Greater(t, refused.RetryAfter, time.Second, "not before the first backoff ends")
 	require.Less(t, refused.RetryAfter, 2*time.Second)
-	b.notice("p0", Notice{Leaving: true})
-	_, sent := findCmd[SendCmd](b.arrive(b.plainRequest()))
+	h.notice("p0", Notice{Leaving: true})
+	_, sent := findCmd[SendCmd](h.arrive(h.plainRequest()))
 	require.False(t, sent)
 }
 
@@ -183,18 +183,18 @@
 // backoff, leaves, or is no longer listed. They are refused at once: waiting would only delay
 // their callers.
 func TestLastServerGone(t *testing.T) {
-	for name, remove := range map[string]func(b *noticeHarness) []Cmd{
-		"backs off": func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Backoff: time.Second}) },
-		"leaves":    func(b *noticeHarness) []Cmd { return b.notice("p0", Notice{Leaving: true}) },
-		"is gone":   func(b *noticeHarness) []Cmd { return b.listAs() },
+	for name, remove := range map[string]func(h *noticeHarness) []Cmd{
+		"backs off": func(h *noticeHarness) []Cmd { return h.notice("p0", Notice{Backoff: time.Second}) },
+		"leaves":    func(h *noticeHarness) []Cmd { return h.notice("p0", Notice{Leaving: true}) },
+		"is gone":   func(h *noticeHarness) []Cmd { return h.listAs() },
 	} {
-		b := newNoticeHarness(t, "p0")
+		h := newNoticeHarness(t, "p0")
 		for range 4 + maxPlainExcess {
-			b.sent(b.arrive(b.plainRequest()))
+			h.sent(h.arrive(h.plainRequest()))
 		}
-		queued := b.plainRequest()
-		require.Empty(t, b.arrive(queued), "the request must be queued")
-		refused, ok := findCmd[RefuseCmd](remove(b))
+		queued := h.plainRequest()
+		require.Empty(t, h.arrive(queued), "the request must be queued")
+		refused, ok := findCmd[RefuseCmd](remove(h))
 		require.True(t, ok, name)
 		require.Equal(t, queued.ID, refused.ID)
 	}
@@ -206,34 +206,34 @@
 // later, as a last resort, is sent.
 func TestWithheld(t *testing.T) {
 	for name, n := range map[string]Notice{"backs off": {Backoff: time.Second}, "leaves": {Leaving: true}} {
-		b := newNoticeHarness(t, "p0", "p1")
-		r := b.plainRequest()
+		h := newNoticeHarness(t, "p0", "p1")
+		r := h.plainRequest()
 		r.Attempts = 1
-		server := b.sent(b.arrive(r))
-		require.False(t, b.m.ShouldWithhold(b.now, r.ID), name)
-		b.advance(TickInterval)
-		b.notice(server, n)
-		require.True(t, b.m.ShouldWithhold(b.now, r.ID), name)
-		require.NotEqual(t, server, b.sent(b.end(r.ID, Withheld, true)), name)
-		require.False(t, b.m.byServer[server].probation, name)
+		server := h.sent(h.arrive(r))
+		require.False(t, h.m.ShouldWithhold(h.now, r.ID), name)
+		h.advance(TickInterval)
+		h.notice(server, n)
+		require.True(t, h.m.ShouldWithhold(h.now, r.ID), name)
+		require.NotEqual(t, server, h.sent(h.end(r.ID, Withheld, true)), name)
+		require.False(t, h.m.byServer[server].probation, name)
 	}
-	b := newNoticeHarness(t, "p0")
-	b.notice("p0", Notice{Leaving: true})
-	b.advance(TickInterval)
-	last := b.plainRequest()
-	b.sent(b.arrive(last))
-	require.False(t, b.m.ShouldWithhold(b.now, last.ID))
+	h := newNoticeHarness(t, "p0")
+	h.notice("p0", Notice{Leaving: true})
+	h.advance(TickInterval)
+	last := h.plainRequest()
+	h.sent(h.arrive(last))
+	require.False(t, h.m.ShouldWithhold(h.now, last.ID))
 }
 
 // TestLeavingAndBackoff has the only server of a service announce both in one response while
 // requests are queued: none of them is sent to it as a last resort.
 func TestLeavingAndBackoff(t *testing.T) {
-	b := newNoticeHarness(t, "p0")
+	h := newNoticeHarness(t, "p0")
 	for range 4 + maxPlainExcess {
-		b.sent(b.arrive(b.plainRequest()))
+		h.sent(h.arrive(h.plainRequest()))
 	}
-	require.Empty(t, b.arrive(b.plainRequest()), "the request must be queued")
-	_, sent := findCmd[SendCmd](b.notice("p0", Notice{Leaving: true, Backoff: time.Second}))
+	require.Empty(t, h.arrive(h.plainRequest()), "the request must be queued")
+	_, sent := findCmd[SendCmd](h.notice("p0", Notice{Leaving: true, Backoff: time.Second}))
 	require.False(t, sent)
 }
 
--- a/direct/oracle_test.go
+++ b/direct/oracle_test.go
@@ -30,7 +30,7 @@
 	arrived      time.Duration
 	waitingSince time.Duration // start of the current wait
 	sends        int
-	mayRan       bool
+	mayHaveRun   bool
 	server       string
 	ended        bool
 	running      bool
@@ -42,186 +42,186 @@
 // go test ./direct -run TestRules -rapid.checks=10000 -rapid.steps=100
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &ruleChecker{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
+		rc := &ruleChecker{t: t, m: NewMachine(Options{Zone: "a", RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 20, Window: 10 * time.Second}}),
 			requests: make(map[RequestID]*trackedRequest), draining: make(map[string]bool), now: time.Second}
-		o.update(ConfigMsg{Now: o.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
+		rc.update(ConfigMsg{Now: rc.now, Config: Config{Version: 1, Limits: Limits{TokensPerSecond: 50000},
 			Services: []Service{{Name: "llm", Engine: &Engine{Slots: 8, KVTokens: 100000}}, {Name: "app"}}}})
-		o.sendList()
+		rc.sendList()
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive": func(*rapid.T) { o.arrive() },
-			"first":  func(*rapid.T) { o.sendFirstEvent() },
-			"end":    func(*rapid.T) { o.endAttempt() },
-			"tick":   func(*rapid.T) { o.tick(rapid.IntRange(1, 20).Draw(o.t, "ticks")) },
-			"list":   func(*rapid.T) { o.sendList() },
-			"peer":   func(*rapid.T) { o.sendPeerReports() },
-			"leave":  func(*rapid.T) { o.cancelWaiting() },
-			"":       func(*rapid.T) { o.checkInvariants() },
+			"arrive": func(*rapid.T) { rc.arrive() },
+			"first":  func(*rapid.T) { rc.sendFirstEvent() },
+			"end":    func(*rapid.T) { rc.endAttempt() },
+			"tick":   func(*rapid.T) { rc.tick(rapid.IntRange(1, 20).Draw(rc.t, "ticks")) },
+			"list":   func(*rapid.T) { rc.sendList() },
+			"peer":   func(*rapid.T) { rc.sendPeerReports() },
+			"leave":  func(*rapid.T) { rc.cancelWaiting() },
+			"":       func(*rapid.T) { rc.checkInvariants() },
 		})
 	})
 }
 
-func (o *ruleChecker) update(msg Msg) {
-	for _, c := range o.m.Update(msg) {
+func (rc *ruleChecker) update(msg Msg) {
+	for _, c := range rc.m.Update(msg) {
 		switch c := c.(type) {
 		case SendCmd:
-			o.send(c)
+			rc.send(c)
 		case RefuseCmd:
-			w := o.requests[c.ID]
-			require.False(o.t, w.mayRan, "refused, but it may have run")
-			require.False(o.t, w.running, "refused while running")
-			require.Positive(o.t, c.RetryAfter)
-			w.ended = true
+			r := rc.requests[c.ID]
+			require.False(rc.t, r.mayHaveRun, "refused, but it may have run")
+			require.False(rc.t, r.running, "refused while running")
+			require.Positive(rc.t, c.RetryAfter)
+			r.ended = true
 		case FailCmd:
-			w := o.requests[c.ID]
-			require.True(o.t, w.mayRan, "failed without having run; must be refused")
-			w.ended = true
+			r := rc.requests[c.ID]
+			require.True(rc.t, r.mayHaveRun, "failed without having run; must be refused")
+			r.ended = true
 		}
 	}
 }
 
-func (o *ruleChecker) send(c SendCmd) {
-	w := o.requests[c.ID]
-	require.False(o.t, w.ended, "sent after it ended")
-	require.False(o.t, w.running, "sent while running")
-	require.True(o.t, !w.mayRan || w.MayRepeat, "sent again, but it must not be repeated")
-	require.False(o.t, w.visited[c.Server.ID], "sent to the same server twice")
-	require.Equal(o.t, w.Service, c.Server.Service)
-	if o.draining[c.Server.ID] {
-		require.True(o.t, o.allLeaving(w.Service), "sent to a leaving server although others are available")
-	}
-	w.sends++
-	require.LessOrEqual(o.t, w.sends, w.Attempts, "more attempts than its route allows")
-	if w.sends > 1 {
-		o.retries++
-	}
-	w.visited[c.Server.ID] = true
-	w.running, w.server = true, c.Server.ID
-	o.running = append(o.running, c.ID)
+func (rc *ruleChecker) send(c SendCmd) {
+	r := rc.requests[c.ID]
+	require.False(rc.t, r.ended, "sent after it ended")
+	require.False(rc.t, r.running, "sent while running")
+	require.True(rc.t, !r.mayHaveRun || r.MayRepeat, "sent again, but it must not be repeated")
+	require.False(rc.t, r.visited[c.Server.ID], "sent to the same server twice")
+	require.Equal(rc.t, r.Service, c.Server.Service)
+	if rc.draining[c.Server.ID] {
+		require.True(rc.t, rc.allLeaving(r.Service), "sent to a leaving server although others are available")
+	}
+	r.sends++
+	require.LessOrEqual(rc.t, r.sends, r.Attempts, "more attempts than its route allows")
+	if r.sends > 1 {
+		rc.retries++
+	}
+	r.visited[c.Server.ID] = true
+	r.running, r.server = true, c.Server.ID
+	rc.running = append(rc.running, c.ID)
 }
 
-func (o *ruleChecker) allLeaving(service string) bool {
-	for id, s := range o.m.byServer {
-		if s.Service == service && !o.draining[id] && !s.gone {
+func (rc *ruleChecker) allLeaving(service string) bool {
+	for id, s := range rc.m.byServer {
+		if s.Service == service && !rc.draining[id] && !s.gone {
 			return false
 		}
 	}
 	return true
 }
 
-func (o *ruleChecker) arrive() {
-	o.lastID++
-	o.arrivals++
+func (rc *ruleChecker) arrive() {
+	rc.lastID++
+	rc.arrivals++
 	r := Request{
-		ID: o.lastID, Team: rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "team"),
-		Service: rapid.SampledFrom([]string{"llm", "app"}).Draw(o.t, "service"), Kind: Stream,
-		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(o.t, "attempts"),
-		Priority: rapid.IntRange(0, 2).Draw(o.t, "priority"), Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
-		PromptTokens: rapid.IntRange(1, 60000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.lastID) + 100, Tokens: 10}},
-	}
-	o.requests[r.ID] = &trackedRequest{Request: r, arrived: o.now, waitingSince: o.now, visited: make(map[string]bool)}
-	o.update(RequestMsg{Now: o.now, Request: r})
+		ID: rc.lastID, Team: rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(rc.t, "team"),
+		Service: rapid.SampledFrom([]string{"llm", "app"}).Draw(rc.t, "service"), Kind: Stream,
+		MayRepeat: rapid.Bool().Draw(rc.t, "repeat"), Attempts: rapid.IntRange(1, 3).Draw(rc.t, "attempts"),
+		Priority: rapid.IntRange(0, 2).Draw(rc.t, "priority"), Objective: 300 * time.Millisecond, Deadline: rc.now + 5*time.Second,
+		PromptTokens: rapid.IntRange(1, 60000).Draw(rc.t, "tokens"), OutputTokens: 50,
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(rc.t, "part")), Tokens: 500}, {ID: uint64(rc.lastID) + 100, Tokens: 10}},
+	}
+	rc.requests[r.ID] = &trackedRequest{Request: r, arrived: rc.now, waitingSince: rc.now, visited: make(map[string]bool)}
+	rc.update(RequestMsg{Now: rc.now, Request: r})
 }
 
-func (o *ruleChecker) pickRunning() (RequestID, bool) {
-	if len(o.running) == 0 {
+func (rc *ruleChecker) pickRunning() (RequestID, bool) {
+	if len(rc.running) == 0 {
 		return 0, false
 	}
-	return o.running[rapid.IntRange(0, len(o.running)-1).Draw(o.t, "running")], true
+	return rc.running[rapid.IntRange(0, len(rc.running)-1).Draw(rc.t, "running")], true
 }
 
-func (o *ruleChecker) sendFirstEvent() {
-	if id, ok := o.pickRunning(); ok {
-		o.update(FirstEventMsg{Now: o.now, ID: id})
+func (rc *ruleChecker) sendFirstEvent() {
+	if id, ok := rc.pickRunning(); ok {
+		rc.update(FirstEventMsg{Now: rc.now, ID: id})
 	}
 }
 
-func (o *ruleChecker) endAttempt() {
-	id, ok := o.pickRunning()
+func (rc *ruleChecker) endAttempt() {
+	id, ok := rc.pickRunning()
 	if !ok {
 		return
 	}
-	w := o.requests[id]
-	outcome := Outcome(rapid.IntRange(int(Done), int(GivenUp)).Draw(o.t, "outcome"))
-	retry := outcome != Done && outcome != GivenUp && rapid.Bool().Draw(o.t, "retry")
-	for i, other := range o.running {
+	r := rc.requests[id]
+	outcome := Outcome(rapid.IntRange(int(Done), int(GivenUp)).Draw(rc.t, "outcome"))
+	retry := outcome != Done && outcome != GivenUp && rapid.Bool().Draw(rc.t, "retry")
+	for i, other := range rc.running {
 		if other == id {
-			o.running = append(o.running[:i], o.running[i+1:]...)
+			rc.running = append(rc.running[:i], rc.running[i+1:]...)
 			break
 		}
 	}
-	w.running = false
+	r.running = false
 	switch outcome {
 	case Unsent:
-		w.sends--
-		w.unsent++
+		r.sends--
+		r.unsent++
 	case NotRun, Elsewhere:
 	default:
-		w.mayRan = true
+		r.mayHaveRun = true
 	}
 	if !retry {
-		w.ended = true
+		r.ended = true
 	}
-	w.waitingSince = o.now
-	o.update(AttemptEndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry, RouterLate: rapid.Bool().Draw(o.t, "slow")})
+	r.waitingSince = rc.now
+	rc.update(AttemptEndMsg{Now: rc.now, ID: id, Outcome: outcome, Retry: retry, RouterLate: rapid.Bool().Draw(rc.t, "slow")})
 }
 
-func (o *ruleChecker) tick(n int) {
+func (rc *ruleChecker) tick(n int) {
 	for range n {
-		o.now += TickInterval
-		o.update(TickMsg{Now: o.now})
+		rc.now += TickInterval
+		rc.update(TickMsg{Now: rc.now})
 	}
 }
 
-func (o *ruleChecker) sendList() {
-	o.revision++
-	clear(o.draining)
-	d := Directory{Revision: o.revision}
+func (rc *ruleChecker) sendList() {
+	rc.revision++
+	clear(rc.draining)
+	d := Directory{Revision: rc.revision}
 	for i := range 4 {
 		for _, service := range []string{"llm", "app"} {
-			s := Server{ID: fmt.Sprint(service, i), Service: service, Zone: "a", Slots: 4, Draining: rapid.IntRange(0, 3).Draw(o.t, "state") == 0}
-			o.draining[s.ID] = s.Draining
+			s := Server{ID: fmt.Sprint(service, i), Service: service, Zone: "a", Slots: 4, Draining: rapid.IntRange(0, 3).Draw(rc.t, "state") == 0}
+			rc.draining[s.ID] = s.Draining
 			d.Servers = append(d.Servers, s)
 		}
 	}
-	o.update(ServersMsg{Now: o.now, Directory: d})
+	rc.update(ServersMsg{Now: rc.now, Directory: d})
 }
 
-func (o *ruleChecker) sendPeerReports() {
-	o.update(PeerReportMsg{Now: o.now, Peer: "other", Report: Report{
-		Headroom: rapid.Float64Range(0, 5).Draw(o.t, "room"),
+func (rc *ruleChecker) sendPeerReports() {
+	rc.update(PeerReportMsg{Now: rc.now, Peer: "other", Report: Report{
+		Headroom: rapid.Float64Range(0, 5).Draw(rc.t, "room"),
 	}})
-	o.update(PeerTeamsMsg{Now: o.now, Teams: []loads.TeamUse{{Team: "red", Offered: 90000, Served: rapid.Float32Range(0, 90000).Draw(o.t, "served")}}})
-	o.update(PeerLoadsMsg{Now: o.now, Loads: []loads.Load{{
-		Server: loads.ServerKey("llm1"), Running: rapid.Int32Range(0, 9).Draw(o.t, "load"), Pending: 4000,
+	rc.update(PeerTeamsMsg{Now: rc.now, Teams: []loads.TeamUse{{Team: "red", Offered: 90000, Served: rapid.Float32Range(0, 90000).Draw(rc.t, "served")}}})
+	rc.update(PeerLoadsMsg{Now: rc.now, Loads: []loads.Load{{
+		Server: loads.ServerKey("llm1"), Running: rapid.Int32Range(0, 9).Draw(rc.t, "load"), Pending: 4000,
 	}}})
 }
 
-func (o *ruleChecker) cancelWaiting() {
-	for id, w := range o.requests {
-		if !w.running && !w.ended {
-			w.ended = true
-			o.update(CancelMsg{Now: o.now, ID: id})
+func (rc *ruleChecker) cancelWaiting() {
+	for id, r := range rc.requests {
+		if !r.running && !r.ended {
+			r.ended = true
+			rc.update(CancelMsg{Now: rc.now, ID: id})
 			return
 		}
 	}
 }
 
 // checkInvariants checks the rules that must hold at any time.
-func (o *ruleChecker) checkInvariants() {
+func (rc *ruleChecker) checkInvariants() {
 	running := make(map[string]int)
-	for _, id := range o.running {
-		running[o.requests[id].server]++
+	for _, id := range rc.running {
+		running[rc.requests[id].server]++
 	}
-	for id, s := range o.m.byServer {
-		require.Equal(o.t, running[id], s.running, "running at %s", id)
-		require.GreaterOrEqual(o.t, s.pendingTokens, 0)
+	for id, s := range rc.m.byServer {
+		require.Equal(rc.t, running[id], s.running, "running at %s", id)
+		require.GreaterOrEqual(rc.t, s.pendingTokens, 0)
 	}
-	for id, w := range o.requests {
-		if !w.ended && !w.running {
-			limit := time.Duration(maxWaitFraction*float64(w.Objective)) + 2*TickInterval
-			require.LessOrEqual(o.t, o.now-w.waitingSince, limit, "request %d waits too long", id)
+	for id, r := range rc.requests {
+		if !r.ended && !r.running {
+			limit := time.Duration(maxWaitFraction*float64(r.Objective)) + 2*TickInterval
+			require.LessOrEqual(rc.t, rc.now-r.waitingSince, limit, "request %d waits too long", id)
 		}
 	}
-	require.LessOrEqual(o.t, float64(o.retries), 0.2*float64(o.arrivals)+20)
+	require.LessOrEqual(rc.t, float64(rc.retries), 0.2*float64(rc.arrivals)+20)
 }
--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -10,19 +10,19 @@
 
 // newHallHarness returns a harness with many servers in halls a and b.
 func newHallHarness(t *testing.T, servers int) *harness {
-	b := newTwoHallHarness(t)
+	h := newTwoHallHarness(t)
 	d := Directory{Revision: 2}
 	for i := range servers {
 		d.Servers = append(d.Servers, Server{ID: fmt.Sprint("e", i), Service: "llm", Zone: hallOf(i), Slots: 48})
 	}
-	b.m.Update(ServersMsg{Now: b.now, Directory: d})
-	return b
+	h.m.Update(ServersMsg{Now: h.now, Directory: d})
+	return h
 }
 
 // runWithDeadHalls sends requests while no server of some halls can be reached: attempts there
 // end as unsent after dial and are retried. It returns the number of failed attempts and of
 // probes.
-func (b *harness) runWithDeadHalls(d, dial time.Duration, halls ...string) (failed, probes int) {
+func (h *harness) runWithDeadHalls(d, dial time.Duration, halls ...string) (failed, probes int) {
 	type call struct {
 		at     time.Duration
 		id     RequestID
@@ -44,33 +44,33 @@
 			case SendCmd:
 				if isDead(c.Server) {
 					failed++
-					inFlight = append(inFlight, call{at: b.now + dial, id: c.ID})
+					inFlight = append(inFlight, call{at: h.now + dial, id: c.ID})
 					continue
 				}
-				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
-				b.end(c.ID, Done, false)
+				h.m.Update(FirstEventMsg{Now: h.now, ID: c.ID})
+				h.end(c.ID, Done, false)
 			case ProbeCmd:
 				probes++
 				if isDead(c.Server) {
-					inFlight = append(inFlight, call{at: b.now + dial, server: c.Server.ID})
+					inFlight = append(inFlight, call{at: h.now + dial, server: c.Server.ID})
 					continue
 				}
-				handleCmds(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.Server.ID, Reached: true})...))
+				handleCmds(append([]Cmd(nil), h.m.Update(ProbeResultMsg{Now: h.now, Server: c.Server.ID, Reached: true})...))
 			}
 		}
 	}
-	for end := b.now + d; b.now < end; {
-		handleCmds(b.arrive(b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})))
-		handleCmds(b.advance(TickInterval))
+	for end := h.now + d; h.now < end; {
+		handleCmds(h.arrive(h.request("red", PromptPart{ID: uint64(h.lastID), Tokens: 100}, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 100})))
+		handleCmds(h.advance(TickInterval))
 		kept := inFlight[:0]
 		for _, c := range inFlight {
 			switch {
-			case c.at > b.now:
+			case c.at > h.now:
 				kept = append(kept, c)
 			case c.server != "":
-				handleCmds(append([]Cmd(nil), b.m.Update(ProbeResultMsg{Now: b.now, Server: c.server})...))
+				handleCmds(append([]Cmd(nil), h.m.Update(ProbeResultMsg{Now: h.now, Server: c.server})...))
 			default:
-				handleCmds(b.end(c.id, Unsent, true))
+				handleCmds(h.end(c.id, Unsent, true))
 			}
 		}
 		inFlight = append([]call(nil), kept...)
@@ -83,24 +83,24 @@
 // 191 if each server is detected separately.
 func TestLostHallIsFoundOnce(t *testing.T) {
 	for _, servers := range []int{12, 200, 2000} {
-		b := newHallHarness(t, servers)
-		b.countByHall(time.Second)
-		failed, probes := b.runWithDeadHalls(5*time.Second, 300*time.Millisecond, "b")
+		h := newHallHarness(t, servers)
+		h.countByHall(time.Second)
+		failed, probes := h.runWithDeadHalls(5*time.Second, 300*time.Millisecond, "b")
 		require.LessOrEqual(t, failed, 15, "%d servers", servers)
 		require.LessOrEqual(t, probes, 40, "%d servers", servers)
-		failed, _ = b.runWithDeadHalls(5*time.Second, 300*time.Millisecond)
+		failed, _ = h.runWithDeadHalls(5*time.Second, 300*time.Millisecond)
 		require.Zero(t, failed)
-		require.NotZero(t, b.countByHall(time.Second)["b"], "the hall must be used again")
+		require.NotZero(t, h.countByHall(time.Second)["b"], "the hall must be used again")
 	}
 }
 
 // TestFewDeadServersLoseNoHall makes one server in six of a hall unreachable.
 func TestFewDeadServersLoseNoHall(t *testing.T) {
-	b := newHallHarness(t, 60)
+	h := newHallHarness(t, 60)
 	lost := 0
 	for range 400 {
-		r := b.request("red", PromptPart{ID: uint64(b.lastID), Tokens: 100}, PromptPart{ID: uint64(b.lastID) << 20, Tokens: 100})
-		for cmds := b.arrive(r); ; {
+		r := h.request("red", PromptPart{ID: uint64(h.lastID), Tokens: 100}, PromptPart{ID: uint64(h.lastID) << 20, Tokens: 100})
+		for cmds := h.arrive(r); ; {
 			c, ok := findCmd[SendCmd](cmds)
 			if !ok {
 				break
@@ -109,17 +109,17 @@
 			_, err := fmt.Sscanf(c.Server.ID, "e%d", &n)
 			require.NoError(t, err)
 			if n%12 == 1 {
-				cmds = b.end(r.ID, Unsent, true)
+				cmds = h.end(r.ID, Unsent, true)
 				if reach, ok := findCmd[HallReachabilityCmd](cmds); ok && reach.Lost {
 					lost++
 				}
 				continue
 			}
-			b.m.Update(FirstEventMsg{Now: b.now, ID: r.ID})
-			b.end(r.ID, Done, false)
+			h.m.Update(FirstEventMsg{Now: h.now, ID: r.ID})
+			h.end(r.ID, Done, false)
 			break
 		}
-		b.advance(TickInterval)
+		h.advance(TickInterval)
 	}
 	require.Zero(t, lost)
 }
@@ -127,41 +127,41 @@
 // TestFalseAlarmEndsAtOnce marks a hall as lost that is alive: the first successful probe ends
 // that.
 func TestFalseAlarmEndsAtOnce(t *testing.T) {
-	b := newHallHarness(t, 60)
+	h := newHallHarness(t, 60)
 	for i := range minUnreachable {
-		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1)})
+		h.m.Update(ProbeResultMsg{Now: h.now, Server: fmt.Sprint("e", 2*i+1)})
 	}
-	require.Zero(t, b.countByHall(100 * time.Millisecond)["b"])
-	probe, ok := findCmd[ProbeCmd](b.advance(minProbeInterval))
+	require.Zero(t, h.countByHall(100 * time.Millisecond)["b"])
+	probe, ok := findCmd[ProbeCmd](h.advance(minProbeInterval))
 	require.True(t, ok)
-	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
-	require.NotZero(t, b.countByHall(time.Second)["b"])
+	h.m.Update(ProbeResultMsg{Now: h.now, Server: probe.Server.ID, Reached: true})
+	require.NotZero(t, h.countByHall(time.Second)["b"])
 }
 
 // TestQuietHallIsProbed stops the heartbeats of all routers of a hall. Its servers are probed,
 // so that no caller's request has to detect that they are gone too.
 func TestQuietHallIsProbed(t *testing.T) {
-	b := newHallHarness(t, 60)
-	b.advance(time.Second)
-	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9, SilentHalls: []string{"b"}})
-	probes := b.advance(TickInterval)
+	h := newHallHarness(t, 60)
+	h.advance(time.Second)
+	h.m.Update(MembershipMsg{Now: h.now, Routers: 9, ReportTTL: time.Second, Known: 9, SilentHalls: []string{"b"}})
+	probes := h.advance(TickInterval)
 	require.Len(t, probes, probesPerRound)
 	for _, c := range probes {
-		b.m.Update(ProbeResultMsg{Now: b.now, Server: c.(ProbeCmd).Server.ID})
+		h.m.Update(ProbeResultMsg{Now: h.now, Server: c.(ProbeCmd).Server.ID})
 	}
-	require.Zero(t, b.countByHall(time.Second)["b"])
-	b.m.Update(MembershipMsg{Now: b.now, Routers: 9, ReportTTL: time.Second, Known: 9})
-	probe, ok := findCmd[ProbeCmd](b.advance(maxProbeInterval))
+	require.Zero(t, h.countByHall(time.Second)["b"])
+	h.m.Update(MembershipMsg{Now: h.now, Routers: 9, ReportTTL: time.Second, Known: 9})
+	probe, ok := findCmd[ProbeCmd](h.advance(maxProbeInterval))
 	require.True(t, ok, "a lost hall must be probed again")
-	b.m.Update(ProbeResultMsg{Now: b.now, Server: probe.Server.ID, Reached: true})
-	require.NotZero(t, b.countByHall(time.Second)["b"])
+	h.m.Update(ProbeResultMsg{Now: h.now, Server: probe.Server.ID, Reached: true})
+	require.NotZero(t, h.countByHall(time.Second)["b"])
 }
 
 // TestLateRouterLosesNoHall checks that a router that is late itself marks no hall as lost.
 func TestLateRouterLosesNoHall(t *testing.T) {
-	b := newHallHarness(t, 60)
+	h := newHallHarness(t, 60)
 	for i := range 2 * minUnreachable {
-		b.m.Update(ProbeResultMsg{Now: b.now, Server: fmt.Sprint("e", 2*i+1), RouterLate: true})
+		h.m.Update(ProbeResultMsg{Now: h.now, Server: fmt.Sprint("e", 2*i+1), RouterLate: true})
 	}
-	require.NotZero(t, b.countByHall(time.Second)["b"])
+	require.NotZero(t, h.countByHall(time.Second)["b"])
 }
--- a/direct/region_oracle_test.go
+++ b/direct/region_oracle_test.go
@@ -47,127 +47,127 @@
 //	go test ./direct -run TestRegionRules -rapid.checks=10000 -rapid.steps=100
 func TestRegionRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &regionSim{
+		sim := &regionSim{
 			t: t, now: 3 * time.Second, requests: make(map[RequestID]*regionRequest),
 			halls: map[string]string{"a": "east", "b": "east", "c": "west"},
 		}
-		o.m = NewMachine(Options{
-			Zone: "a", Region: "east", HallRegions: o.halls, RetryBudget: RetryBudgetOptions{Ratio: 1, Slack: 50, Window: 10 * time.Second},
+		sim.m = NewMachine(Options{
+			Zone: "a", Region: "east", HallRegions: sim.halls, RetryBudget: RetryBudgetOptions{Ratio: 1, Slack: 50, Window: 10 * time.Second},
 		})
-		o.configure()
-		o.list()
+		sim.configure()
+		sim.list()
 		t.Repeat(map[string]func(*rapid.T){
-			"arrive":    func(*rapid.T) { o.arrive() },
-			"first":     func(*rapid.T) { o.first() },
-			"end":       func(*rapid.T) { o.end() },
-			"tick":      func(*rapid.T) { o.tick(rapid.IntRange(1, 20).Draw(o.t, "ticks")) },
-			"list":      func(*rapid.T) { o.list() },
-			"evacuate":  func(*rapid.T) { o.evacuate() },
-			"configure": func(*rapid.T) { o.configure() },
-			"halls":     func(*rapid.T) { o.moveHalls() },
+			"arrive":    func(*rapid.T) { sim.arrive() },
+			"first":     func(*rapid.T) { sim.first() },
+			"end":       func(*rapid.T) { sim.end() },
+			"tick":      func(*rapid.T) { sim.tick(rapid.IntRange(1, 20).Draw(sim.t, "ticks")) },
+			"list":      func(*rapid.T) { sim.list() },
+			"evacuate":  func(*rapid.T) { sim.evacuate() },
+			"configure": func(*rapid.T) { sim.configure() },
+			"halls":     func(*rapid.T) { sim.moveHalls() },
 		})
 	})
 }
 
-func (o *regionSim) update(msg Msg) {
-	for _, c := range o.m.Update(msg) {
+func (sim *regionSim) update(msg Msg) {
+	for _, c := range sim.m.Update(msg) {
 		switch c := c.(type) {
 		case SendCmd:
-			r := o.requests[c.ID]
-			require.True(o.t, r.allows(o.halls[c.Server.Zone]), "%v was sent outside its regions to hall %s", r, c.Server.Zone)
+			r := sim.requests[c.ID]
+			require.True(sim.t, r.allows(sim.halls[c.Server.Zone]), "%v was sent outside its regions to hall %s", r, c.Server.Zone)
 			r.sent = true
 		case RefuseCmd:
-			o.refused(c.ID, c.Reason)
+			sim.refused(c.ID, c.Reason)
 		case FailCmd:
-			o.refused(c.ID, c.Reason)
+			sim.refused(c.ID, c.Reason)
 		}
 	}
 }
 
-func (o *regionSim) refused(id RequestID, reason Reason) {
+func (sim *regionSim) refused(id RequestID, reason Reason) {
 	if reason == ReasonRegion {
-		require.True(o.t, o.requests[id].restricted(), "refused because of regions, but not restricted")
-		require.False(o.t, o.hasServer(o.requests[id]), "refused, but its regions have a usable server")
+		require.True(sim.t, sim.requests[id].restricted(), "refused because of regions, but not restricted")
+		require.False(sim.t, sim.hasServer(sim.requests[id]), "refused, but its regions have a usable server")
 	}
-	delete(o.requests, id)
+	delete(sim.requests, id)
 }
 
 // hasServer reports whether some server of a request's regions may get requests.
-func (o *regionSim) hasServer(r *regionRequest) bool {
-	return slices.ContainsFunc(o.m.Servers(o.now), func(s ServerState) bool {
-		return s.Usable && r.allows(o.halls[s.Zone])
+func (sim *regionSim) hasServer(r *regionRequest) bool {
+	return slices.ContainsFunc(sim.m.Servers(sim.now), func(s ServerState) bool {
+		return s.Usable && r.allows(sim.halls[s.Zone])
 	})
 }
 
-func (o *regionSim) regions(label string) []string {
-	return rapid.SampledFrom([][]string{nil, nil, {"east"}, {"west"}, {"west", "east"}, {"north"}}).Draw(o.t, label)
+func (sim *regionSim) regions(label string) []string {
+	return rapid.SampledFrom([][]string{nil, nil, {"east"}, {"west"}, {"west", "east"}, {"north"}}).Draw(sim.t, label)
 }
 
 // configure draws new regions for all teams.
-func (o *regionSim) configure() {
+func (sim *regionSim) configure() {
 	config := Config{
 		Limits:   Limits{TokensPerSecond: 50_000},
 		Services: []Service{{Name: "llm", Engine: &Engine{Slots: 4, KVTokens: 100_000}, Cold: ColdLimit{PerSecond: 5, Lasts: time.Second}}},
 	}
-	o.teams = make(map[string][]string)
+	sim.teams = make(map[string][]string)
 	for _, team := range []string{"red", "blue", "green"} {
-		o.teams[team] = o.regions("team")
-		config.Teams = append(config.Teams, Team{Name: team, Regions: o.teams[team]})
+		sim.teams[team] = sim.regions("team")
+		config.Teams = append(config.Teams, Team{Name: team, Regions: sim.teams[team]})
 	}
-	o.update(ConfigMsg{Now: o.now, Config: config})
+	sim.update(ConfigMsg{Now: sim.now, Config: config})
 }
 
 // list applies a list of servers in some halls, some of them draining or cold.
-func (o *regionSim) list() {
-	o.revision++
-	d := Directory{Revision: o.revision}
+func (sim *regionSim) list() {
+	sim.revision++
+	d := Directory{Revision: sim.revision}
 	for _, hall := range []string{"a", "b", "c", "d"} {
-		for i := range rapid.IntRange(0, 2).Draw(o.t, "servers") {
+		for i := range rapid.IntRange(0, 2).Draw(sim.t, "servers") {
 			d.Servers = append(d.Servers, Server{
 				ID: fmt.Sprint(hall, i), Service: "llm", Zone: hall, Slots: 4,
-				Draining: rapid.IntRange(0, 4).Draw(o.t, "draining") == 0,
-				ColdFor:  time.Duration(rapid.IntRange(0, 1).Draw(o.t, "cold")) * time.Second,
+				Draining: rapid.IntRange(0, 4).Draw(sim.t, "draining") == 0,
+				ColdFor:  time.Duration(rapid.IntRange(0, 1).Draw(sim.t, "cold")) * time.Second,
 			})
 		}
 	}
-	o.update(ServersMsg{Now: o.now, Directory: d})
+	sim.update(ServersMsg{Now: sim.now, Directory: d})
 }
 
-func (o *regionSim) evacuate() {
-	o.revision++
-	halls := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 2, rapid.ID).Draw(o.t, "evacuated")
-	o.update(EvacuationsMsg{Now: o.now, Evacuations: Evacuations{Revision: o.revision, Halls: halls}})
+func (sim *regionSim) evacuate() {
+	sim.revision++
+	halls := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 2, rapid.ID).Draw(sim.t, "evacuated")
+	sim.update(EvacuationsMsg{Now: sim.now, Evacuations: Evacuations{Revision: sim.revision, Halls: halls}})
 }
 
 // moveHalls draws new regions for all halls; some get none.
-func (o *regionSim) moveHalls() {
-	o.halls = make(map[string]string)
+func (sim *regionSim) moveHalls() {
+	sim.halls = make(map[string]string)
 	for _, hall := range []string{"a", "b", "c", "d"} {
-		if region := rapid.SampledFrom([]string{"", "east", "west"}).Draw(o.t, "region"); region != "" {
-			o.halls[hall] = region
+		if region := rapid.SampledFrom([]string{"", "east", "west"}).Draw(sim.t, "region"); region != "" {
+			sim.halls[hall] = region
 		}
 	}
-	o.update(HallRegionsMsg{Now: o.now, Halls: o.halls})
-}
-
-func (o *regionSim) arrive() {
-	o.lastID++
-	team := rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(o.t, "who")
-	r := &regionRequest{route: o.regions("route"), team: o.teams[team]}
-	o.requests[o.lastID] = r
-	o.update(RequestMsg{Now: o.now, Request: Request{
-		ID: o.lastID, Team: team, Service: "llm", Kind: Stream, Regions: RegionsOf(r.route, r.team),
-		MayRepeat: rapid.Bool().Draw(o.t, "repeat"), Attempts: rapid.IntRange(1, 4).Draw(o.t, "attempts"),
-		Objective: 300 * time.Millisecond, Deadline: o.now + 5*time.Second,
-		PromptTokens: rapid.IntRange(1, 20_000).Draw(o.t, "tokens"), OutputTokens: 50,
-		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(o.t, "part")), Tokens: 500}, {ID: uint64(o.lastID) + 100, Tokens: 10}},
+	sim.update(HallRegionsMsg{Now: sim.now, Halls: sim.halls})
+}
+
+func (sim *regionSim) arrive() {
+	sim.lastID++
+	team := rapid.SampledFrom([]string{"red", "blue", "green"}).Draw(sim.t, "who")
+	r := &regionRequest{route: sim.regions("route"), team: sim.teams[team]}
+	sim.requests[sim.lastID] = r
+	sim.update(RequestMsg{Now: sim.now, Request: Request{
+		ID: sim.lastID, Team: team, Service: "llm", Kind: Stream, Regions: RegionsOf(r.route, r.team),
+		MayRepeat: rapid.Bool().Draw(sim.t, "repeat"), Attempts: rapid.IntRange(1, 4).Draw(sim.t, "attempts"),
+		Objective: 300 * time.Millisecond, Deadline: sim.now + 5*time.Second,
+		PromptTokens: rapid.IntRange(1, 20_000).Draw(sim.t, "tokens"), OutputTokens: 50,
+		Parts: []PromptPart{{ID: uint64(rapid.IntRange(1, 9).Draw(sim.t, "part")), Tokens: 500}, {ID: uint64(sim.lastID) + 100, Tokens: 10}},
 	}})
 }
 
 // running returns the running requests in order.
-func (o *regionSim) running() []RequestID {
+func (sim *regionSim) running() []RequestID {
 	var out []RequestID
-	for id, r := range o.requests {
+	for id, r := range sim.requests {
 		if r.sent {
 			out = append(out, id)
 		}
@@ -176,34 +176,34 @@
 	return out
 }
 
-func (o *regionSim) first() {
-	if running := o.running(); len(running) > 0 {
-		o.update(FirstEventMsg{Now: o.now, ID: rapid.SampledFrom(running).Draw(o.t, "first")})
+func (sim *regionSim) first() {
+	if running := sim.running(); len(running) > 0 {
+		sim.update(FirstEventMsg{Now: sim.now, ID: rapid.SampledFrom(running).Draw(sim.t, "first")})
 	}
 }
 
-func (o *regionSim) end() {
-	running := o.running()
+func (sim *regionSim) end() {
+	running := sim.running()
 	if len(running) == 0 {
 		return
 	}
-	id := rapid.SampledFrom(running).Draw(o.t, "ended")
-	outcome := Outcome(rapid.IntRange(int(Done), int(GivenUp)).Draw(o.t, "outcome"))
+	id := rapid.SampledFrom(running).Draw(sim.t, "ended")
+	outcome := Outcome(rapid.IntRange(int(Done), int(GivenUp)).Draw(sim.t, "outcome"))
 	retry := outcome != Done && outcome != GivenUp
-	if o.requests[id].sent = false; !retry {
-		delete(o.requests, id)
+	if sim.requests[id].sent = false; !retry {
+		delete(sim.requests, id)
 	}
-	o.update(AttemptEndMsg{Now: o.now, ID: id, Outcome: outcome, Retry: retry})
+	sim.update(AttemptEndMsg{Now: sim.now, ID: id, Outcome: outcome, Retry: retry})
 }
 
 // tick advances time and checks that no restricted request waits for servers that don't exist.
-func (o *regionSim) tick(n int) {
+func (sim *regionSim) tick(n int) {
 	for range n {
-		o.now += TickInterval
-		o.update(TickMsg{Now: o.now})
-		for id, r := range o.requests {
+		sim.now += TickInterval
+		sim.update(TickMsg{Now: sim.now})
+		for id, r := range sim.requests {
 			if r.restricted() && !r.sent {
-				require.True(o.t, o.hasServer(r), "request %d is queued without a usable server", id)
+				require.True(sim.t, sim.hasServer(r), "request %d is queued without a usable server", id)
 			}
 		}
 	}
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -78,6 +78,6 @@
 	r.started = true
 	m.recordResponse(msg.Now, r.currentServer)
 	r.currentServer.recordFirstEvent(p, r, msg.Now-r.sentAt)
-	r.currentServer.promptRead(r)
+	r.currentServer.markPromptRead(r)
 	m.serveQueue(msg.Now, p, serveBatch)
 }
--- a/direct/server.go
+++ b/direct/server.go
@@ -90,11 +90,11 @@
 // release removes an attempt from the server's load.
 func (s *server) release(r *requestState) {
 	s.running--
-	s.promptRead(r)
+	s.markPromptRead(r)
 }
 
-// promptRead removes an attempt's prompt from the tokens that the server has yet to read.
-func (s *server) promptRead(r *requestState) {
+// markPromptRead removes an attempt's prompt from the tokens that the server has yet to read.
+func (s *server) markPromptRead(r *requestState) {
 	s.pendingTokens -= r.pendingTokens
 	r.pendingTokens = 0
 }
--- a/direct/share.go
+++ b/direct/share.go
@@ -30,7 +30,7 @@
 	}
 	elapsed := now - m.sharesUpdatedAt
 	m.sharesUpdatedAt = now
-	m.group()
+	m.assignTeamGroups()
 	demands, served := m.demands(now)
 	busy := 0.0
 	for _, p := range m.pools {
--- a/direct/shares_test.go
+++ b/direct/shares_test.go
@@ -12,10 +12,10 @@
 // TestSharesMarshalJSON encodes the shares of a router without limited teams as JSON, which has
 // no infinite numbers.
 func TestSharesMarshalJSON(t *testing.T) {
-	b := newHarness(t, 2)
-	b.sent(b.arrive(b.request("red", PromptPart{ID: 1, Tokens: 500})))
-	b.advance(time.Second)
-	require.True(t, math.IsInf(b.m.evenCap, 1))
-	_, err := json.Marshal(b.m.Shares(b.now, 3))
+	h := newHarness(t, 2)
+	h.sent(h.arrive(h.request("red", PromptPart{ID: 1, Tokens: 500})))
+	h.advance(time.Second)
+	require.True(t, math.IsInf(h.m.evenCap, 1))
+	_, err := json.Marshal(h.m.Shares(h.now, 3))
 	require.NoError(t, err)
 }
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -24,113 +24,113 @@
 }
 
 // setPeerUse delivers the demand and use of teams at other routers and updates the shares.
-func (b *harness) setPeerUse(teams ...loads.TeamUse) {
-	b.m.Update(PeerTeamsMsg{Now: b.now, Teams: teams})
-	b.now += shareInterval
-	b.m.updateShares(b.now)
+func (h *harness) setPeerUse(teams ...loads.TeamUse) {
+	h.m.Update(PeerTeamsMsg{Now: h.now, Teams: teams})
+	h.now += shareInterval
+	h.m.updateShares(h.now)
 }
 
 // teamBase returns a team's share of the configured capacity.
-func (b *harness) teamBase(team string) float64 { return b.m.limitsOf(b.m.team(team)).baseLevel }
+func (h *harness) teamBase(team string) float64 { return h.m.limitsOf(h.m.team(team)).baseLevel }
 
-// TestRegionSharesOfBoundTeams checks that a flooding team that is restricted to a quarter of
+// TestRegionSharesOfRestrictedTeams checks that a flooding team that is restricted to a quarter of
 // the servers gets at most their capacity, and that the other teams get the rest.
-func TestRegionSharesOfBoundTeams(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
-	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
-	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
-	require.InDelta(t, totalTokenRate*3/8, b.teamBase("one"), 1)
-	require.InDelta(t, totalTokenRate*3/8, b.m.baseLevel, 1)
+func TestRegionSharesOfRestrictedTeams(t *testing.T) {
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	h.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
+	require.InDelta(t, totalTokenRate/4, h.teamBase("bound"), 1)
+	require.InDelta(t, totalTokenRate*3/8, h.teamBase("one"), 1)
+	require.InDelta(t, totalTokenRate*3/8, h.m.baseLevel, 1)
 }
 
-// TestRegionShareOfFewBound checks that a restricted team gets as much as each of many
+// TestRegionShareOfFewRestricted checks that a restricted team gets as much as each of many
 // unrestricted ones, as long as its region has the capacity.
-func TestRegionShareOfFewBound(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+func TestRegionShareOfFewRestricted(t *testing.T) {
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	teams := []loads.TeamUse{{Team: "bound", Offered: 500_000}}
 	for i := range 7 {
 		teams = append(teams, loads.TeamUse{Team: fmt.Sprint("free", i), Offered: 500_000})
 	}
-	b.setPeerUse(teams...)
-	require.InDelta(t, totalTokenRate/8, b.teamBase("bound"), 1)
-	require.InDelta(t, totalTokenRate/8, b.teamBase("free3"), 1)
+	h.setPeerUse(teams...)
+	require.InDelta(t, totalTokenRate/8, h.teamBase("bound"), 1)
+	require.InDelta(t, totalTokenRate/8, h.teamBase("free3"), 1)
 }
 
-// TestRegionShareWithoutBoundTeams checks that without restricted teams there are no groups,
+// TestRegionShareWithoutRestrictedTeams checks that without restricted teams there are no groups,
 // and that the levels equal those of waterLevel exactly.
-func TestRegionShareWithoutBoundTeams(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
-	b.setPeerUse(loads.TeamUse{Team: "one", Offered: 33_333}, loads.TeamUse{Team: "two", Offered: 500_000, Served: 1}, loads.TeamUse{Team: "three", Offered: 77_777})
-	require.Empty(t, b.m.groups)
+func TestRegionShareWithoutRestrictedTeams(t *testing.T) {
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"one": nil}), 2)
+	h.setPeerUse(loads.TeamUse{Team: "one", Offered: 33_333}, loads.TeamUse{Team: "two", Offered: 500_000, Served: 1}, loads.TeamUse{Team: "three", Offered: 77_777})
+	require.Empty(t, h.m.groups)
 	baseLevel := waterLevel([]float64{33_333, 500_000, 77_777}, totalTokenRate)
-	require.Equal(t, baseLevel, b.m.baseLevel)
-	require.Equal(t, waterLevel([]float64{33_333, 500_000, 77_777}, totalTokenRate*b.m.headroom), b.m.level)
-	require.Equal(t, max(evenCapFactor*minServedFraction*baseLevel, min(lenientShareFactor*baseLevel, lenientCapFactor*minServedFraction*baseLevel)), b.m.evenCap)
+	require.Equal(t, baseLevel, h.m.baseLevel)
+	require.Equal(t, waterLevel([]float64{33_333, 500_000, 77_777}, totalTokenRate*h.m.headroom), h.m.level)
+	require.Equal(t, max(evenCapFactor*minServedFraction*baseLevel, min(lenientShareFactor*baseLevel, lenientCapFactor*minServedFraction*baseLevel)), h.m.evenCap)
 }
 
-// TestRegionEvenBound serves a restricted team less than its share. Teams that may use its
+// TestRegionEvenCap serves a restricted team less than its share. Teams that may use its
 // region must be capped in proportion, and other teams must not.
-func TestRegionEvenBound(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
-	b.setPeerUse(
+func TestRegionEvenCap(t *testing.T) {
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
+	h.setPeerUse(
 		loads.TeamUse{Team: "bound", Offered: 500_000, Served: 0.6 * totalTokenRate / 4},
 		loads.TeamUse{Team: "near", Offered: 500_000, Served: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000, Served: 500_000},
 	)
-	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
-	evenCap := func(team string) float64 { return b.m.limitsOf(b.m.team(team)).evenCap / b.teamBase(team) }
+	require.InDelta(t, totalTokenRate/4, h.teamBase("bound"), 1)
+	evenCap := func(team string) float64 { return h.m.limitsOf(h.m.team(team)).evenCap / h.teamBase(team) }
 	require.InDelta(t, lenientCapFactor*0.6, evenCap("bound"), 1e-6)
 	require.InDelta(t, lenientCapFactor*0.6, evenCap("free"), 1e-6, "may use the region as well")
 	require.True(t, math.IsInf(evenCap("near"), 1), "may not use the region")
 }
 
-// TestRegionWithoutEvenBound checks that switching the even cap off also applies to restricted
+// TestRegionWithoutEvenCap checks that switching the even cap off also applies to restricted
 // teams.
-func TestRegionWithoutEvenBound(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+func TestRegionWithoutEvenCap(t *testing.T) {
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	without, err := ParseDisabledMechanisms(string(EvenCap))
 	require.NoError(t, err)
-	b.m.options.DisabledMechanisms = without
-	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000})
-	require.True(t, math.IsInf(b.m.limitsOf(b.m.team("bound")).evenCap, 1))
+	h.m.options.DisabledMechanisms = without
+	h.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "free", Offered: 500_000})
+	require.True(t, math.IsInf(h.m.limitsOf(h.m.team("bound")).evenCap, 1))
 }
 
 // TestRegionRestrictionRemoved restricts a team by one configuration and removes the
 // restriction by the next.
 func TestRegionRestrictionRemoved(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
-	b.setPeerUse(flood...)
-	require.InDelta(t, totalTokenRate/4, b.teamBase("bound"), 1)
-	b.m.Update(ConfigMsg{Now: b.now, Config: configWithTeamRegions(map[string][]string{"bound": nil})})
-	b.setPeerUse(flood...)
-	require.InDelta(t, totalTokenRate/2, b.teamBase("bound"), 1)
+	h.setPeerUse(flood...)
+	require.InDelta(t, totalTokenRate/4, h.teamBase("bound"), 1)
+	h.m.Update(ConfigMsg{Now: h.now, Config: configWithTeamRegions(map[string][]string{"bound": nil})})
+	h.setPeerUse(flood...)
+	require.InDelta(t, totalTokenRate/2, h.teamBase("bound"), 1)
 }
 
 // TestRegionShareWithoutServers evacuates the only hall that a team may use, and then all
 // halls. The other team must then have the whole capacity.
 func TestRegionShareWithoutServers(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	flood := []loads.TeamUse{{Team: "bound", Offered: 500_000}, {Team: "free", Offered: 500_000}}
-	b.evacuate(1, "c")
-	b.setPeerUse(flood...)
-	require.InDelta(t, totalTokenRate, b.teamBase("free"), 1)
-	require.Equal(t, minLevel, b.teamBase("bound"))
-	b.evacuate(2, "a", "b", "c", "d")
-	b.setPeerUse(flood...)
-	require.InDelta(t, totalTokenRate, b.teamBase("free"), 1)
+	h.evacuate(1, "c")
+	h.setPeerUse(flood...)
+	require.InDelta(t, totalTokenRate, h.teamBase("free"), 1)
+	require.Equal(t, minLevel, h.teamBase("bound"))
+	h.evacuate(2, "a", "b", "c", "d")
+	h.setPeerUse(flood...)
+	require.InDelta(t, totalTokenRate, h.teamBase("free"), 1)
 }
 
 // TestRegionSharesInState checks that the dumped shares include the levels of restricted teams
 // if they differ.
 func TestRegionSharesInState(t *testing.T) {
-	b := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
-	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 10}, loads.TeamUse{Team: "free", Offered: 10})
-	require.Empty(t, b.m.Shares(b.now, 1).Bound)
-	b.setPeerUse(loads.TeamUse{Team: "bound", Offered: 5e6}, loads.TeamUse{Team: "free", Offered: 10})
-	bound := b.m.Shares(b.now, 1).Bound
+	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
+	h.setPeerUse(loads.TeamUse{Team: "bound", Offered: 10}, loads.TeamUse{Team: "free", Offered: 10})
+	require.Empty(t, h.m.Shares(h.now, 1).Bound)
+	h.setPeerUse(loads.TeamUse{Team: "bound", Offered: 5e6}, loads.TeamUse{Team: "free", Offered: 10})
+	bound := h.m.Shares(h.now, 1).Bound
 	require.Len(t, bound, 1)
 	require.Equal(t, []string{"west"}, bound[0].Regions)
-	require.InDelta(t, b.m.headroom*totalTokenRate/4, bound[0].Level, 1)
+	require.InDelta(t, h.m.headroom*totalTokenRate/4, bound[0].Level, 1)
 }
 
 // engineSim simulates the engines of a harness. Each reads one prompt after the other.
@@ -149,41 +149,41 @@
 }
 
 // step advances one tick, in which each team asks for tokens at its rate.
-func (w *engineSim) step(rates map[string]float64, bound map[string]Regions, teams []string) {
-	w.execute(w.advance(TickInterval))
-	for len(w.completions) > 0 && w.completions[0].at <= w.now {
-		id := w.completions[0].id
-		w.completions = w.completions[1:]
-		w.served[w.requests[id].Team] += float64(w.requests[id].PromptTokens)
-		w.execute(slices.Clone(w.m.Update(FirstEventMsg{Now: w.now, ID: id})))
-		w.execute(w.end(id, Done, false))
+func (sim *engineSim) step(rates map[string]float64, regions map[string]Regions, teams []string) {
+	sim.execute(sim.advance(TickInterval))
+	for len(sim.completions) > 0 && sim.completions[0].at <= sim.now {
+		id := sim.completions[0].id
+		sim.completions = sim.completions[1:]
+		sim.served[sim.requests[id].Team] += float64(sim.requests[id].PromptTokens)
+		sim.execute(slices.Clone(sim.m.Update(FirstEventMsg{Now: sim.now, ID: id})))
+		sim.execute(sim.end(id, Done, false))
 	}
 	for _, team := range teams {
 		const tokens = 400
 		for range int(rates[team] * TickInterval.Seconds() / tokens) {
-			r := w.request(team)
-			r.PromptTokens, r.OutputTokens, r.Regions = tokens, 0, bound[team]
-			w.requests[r.ID] = r
-			w.execute(w.arrive(r))
+			r := sim.request(team)
+			r.PromptTokens, r.OutputTokens, r.Regions = tokens, 0, regions[team]
+			sim.requests[r.ID] = r
+			sim.execute(sim.arrive(r))
 		}
 	}
 }
 
 // execute carries out the SendCmds.
-func (w *engineSim) execute(cmds []Cmd) {
+func (sim *engineSim) execute(cmds []Cmd) {
 	for _, c := range cmds {
 		c, ok := c.(SendCmd)
 		if !ok {
 			continue
 		}
 		server := c.Server.ID
-		w.idleAt[server] = max(w.idleAt[server], w.now) + milliseconds(float64(w.requests[c.ID].PromptTokens)/w.tokensPerMS)
-		end := completion{at: w.idleAt[server], id: c.ID}
+		sim.idleAt[server] = max(sim.idleAt[server], sim.now) + milliseconds(float64(sim.requests[c.ID].PromptTokens)/sim.tokensPerMS)
+		end := completion{at: sim.idleAt[server], id: c.ID}
 		i := 0
-		for i < len(w.completions) && w.completions[i].at <= end.at {
+		for i < len(sim.completions) && sim.completions[i].at <= end.at {
 			i++
 		}
-		w.completions = append(w.completions[:i], append([]completion{end}, w.completions[i:]...)...)
+		sim.completions = append(sim.completions[:i], append([]completion{end}, sim.completions[i:]...)...)
 	}
 }
 
@@ -191,40 +191,40 @@
 // engines of the configured capacity.
 func measureServed(t *testing.T, config Config, rates map[string]float64, teams ...string) map[string]float64 {
 	const warmUp, measured = 400, 400 // ticks
-	w := &engineSim{
+	sim := &engineSim{
 		harness: newRegionHarness(t, config, 2), tokensPerMS: totalTokenRate / 8 / 1000.0,
 		idleAt: make(map[string]time.Duration), requests: make(map[RequestID]Request), served: make(map[string]float64),
 	}
-	bound := make(map[string]Regions)
+	regions := make(map[string]Regions)
 	for _, team := range config.Teams {
-		bound[team.Name] = RegionsOf(team.Regions)
+		regions[team.Name] = RegionsOf(team.Regions)
 	}
 	for range warmUp {
-		w.step(rates, bound, teams)
+		sim.step(rates, regions, teams)
 	}
-	clear(w.served)
+	clear(sim.served)
 	for range measured {
-		w.step(rates, bound, teams)
+		sim.step(rates, regions, teams)
 	}
-	for team := range w.served {
-		w.served[team] /= measured * TickInterval.Seconds()
+	for team := range sim.served {
+		sim.served[team] /= measured * TickInterval.Seconds()
 	}
-	return w.served
+	return sim.served
 }
 
-// TestRegionBoundFlood floods a quarter of the servers for a team that is restricted to them.
+// TestRegionRestrictedFlood floods a quarter of the servers for a team that is restricted to them.
 // Capacity that it can't use must go to another team, which must not be capped by what the
 // first gets.
-func TestRegionBoundFlood(t *testing.T) {
+func TestRegionRestrictedFlood(t *testing.T) {
 	got := measureServed(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}),
 		map[string]float64{"bound": 200_000, "free": 100_000}, "bound", "free")
 	require.Greater(t, got["free"], 0.9*totalTokenRate*3/4)
 	require.Greater(t, got["bound"], 0.9*totalTokenRate/4)
 }
 
-// TestRegionBoundBesideFloods floods all servers for unrestricted teams. A restricted team must
+// TestRegionRestrictedBesideFloods floods all servers for unrestricted teams. A restricted team must
 // still get its share.
-func TestRegionBoundBesideFloods(t *testing.T) {
+func TestRegionRestrictedBesideFloods(t *testing.T) {
 	for _, region := range []string{"east", "west"} {
 		t.Run(region, func(t *testing.T) {
 			got := measureServed(t, configWithTeamRegions(map[string][]string{"bound": {region}}),
--- a/direct/tokenbucket_test.go
+++ b/direct/tokenbucket_test.go
@@ -44,7 +44,7 @@
 		finish(i, fleet[i].arrive(r))
 	}
 	for tick := range 12 * second {
-		for i, b := range fleet {
+		for i, h := range fleet {
 			for range 3 {
 				sendRequest(i, "everywhere")
 			}
@@ -53,7 +53,7 @@
 					sendRequest(i, "one")
 				}
 			}
-			finish(i, b.advance(TickInterval))
+			finish(i, h.advance(TickInterval))
 		}
 		if tick%8 == 0 {
 			exchangeReports(fleet)
@@ -73,23 +73,23 @@
 // exchangeReports delivers the reports and team figures of each router to all others.
 func exchangeReports(fleet []*harness) {
 	uses := make([][]loads.TeamUse, len(fleet))
-	for i, b := range fleet {
-		uses[i] = b.m.Teams(b.now)
+	for i, h := range fleet {
+		uses[i] = h.m.Teams(h.now)
 	}
-	for i, b := range fleet {
+	for i, h := range fleet {
 		sum := make(map[string]loads.TeamUse)
 		for j := range fleet {
 			if j == i {
 				continue
 			}
-			b.m.Update(PeerReportMsg{Now: b.now, Peer: fmt.Sprint(j), Report: fleet[j].m.Report(b.now)})
+			h.m.Update(PeerReportMsg{Now: h.now, Peer: fmt.Sprint(j), Report: fleet[j].m.Report(h.now)})
 			for _, u := range uses[j] {
 				total := sum[u.Team]
 				sum[u.Team] = loads.TeamUse{Team: u.Team, Offered: total.Offered + u.Offered, Recent: total.Recent + u.Recent, Served: total.Served + u.Served}
 			}
 		}
-		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: slices.Collect(maps.Values(sum))})
-		b.m.Update(MembershipMsg{Now: b.now, Routers: len(fleet), ReportTTL: time.Second})
+		h.m.Update(PeerTeamsMsg{Now: h.now, Teams: slices.Collect(maps.Values(sum))})
+		h.m.Update(MembershipMsg{Now: h.now, Routers: len(fleet), ReportTTL: time.Second})
 	}
 }
 
@@ -97,26 +97,26 @@
 // Within two seconds the new router must hold the team's limit.
 func TestCallersMoveRouters(t *testing.T) {
 	fleet := []*harness{newHarness(t, 20), newHarness(t, 20)}
-	for _, b := range fleet {
-		b.m.limits.TokensPerSecond = 200_000
+	for _, h := range fleet {
+		h.m.limits.TokensPerSecond = 200_000
 	}
 	flood := func(at *harness, ticks int) {
 		for tick := range ticks {
 			for _, team := range []string{"moving", "other"} {
-				b := at
+				h := at
 				if team == "other" {
-					b = fleet[1]
+					h = fleet[1]
 				}
 				for range 6 {
-					r := b.request(team)
-					if c, ok := findCmd[SendCmd](b.arrive(r)); ok {
-						b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
-						b.end(c.ID, Done, false)
+					r := h.request(team)
+					if c, ok := findCmd[SendCmd](h.arrive(r)); ok {
+						h.m.Update(FirstEventMsg{Now: h.now, ID: c.ID})
+						h.end(c.ID, Done, false)
 					}
 				}
 			}
-			for _, b := range fleet {
-				b.advance(TickInterval)
+			for _, h := range fleet {
+				h.advance(TickInterval)
 			}
 			if tick%8 == 0 {
 				exchangeReports(fleet)
@@ -136,37 +136,37 @@
 // TestNewRequestsFirst checks that a team above its limit gets tokens for new requests before
 // requests that are already late, and that a team within its share has both served.
 func TestNewRequestsFirst(t *testing.T) {
-	b := newHarness(t, 20)
-	b.m.limits.TokensPerSecond = 50_000 // new requests alone ask for more than four times that
+	h := newHarness(t, 20)
+	h.m.limits.TokensPerSecond = 50_000 // new requests alone ask for more than four times that
 	sent := map[bool]int{}
 	late := map[RequestID]bool{}
 	finish := func(cmds []Cmd) {
 		for _, c := range cmds {
 			if c, ok := c.(SendCmd); ok {
 				sent[late[c.ID]]++
-				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
-				b.end(c.ID, Done, false)
+				h.m.Update(FirstEventMsg{Now: h.now, ID: c.ID})
+				h.end(c.ID, Done, false)
 			}
 		}
 	}
 	sendRequest := func(team string, age time.Duration) {
-		r := b.request(team)
+		r := h.request(team)
 		r.Age = age
 		late[r.ID] = age > 0
-		finish(b.arrive(r))
+		finish(h.arrive(r))
 	}
 	for range 400 {
 		for range 4 {
 			sendRequest("flood", 0)
 			sendRequest("flood", 2*time.Second)
 		}
-		finish(b.advance(TickInterval))
+		finish(h.advance(TickInterval))
 	}
 	require.Greater(t, sent[false], 10*sent[true])
 	clear(sent)
 	for range 20 {
 		sendRequest("small", 2*time.Second)
-		finish(b.advance(TickInterval))
+		finish(h.advance(TickInterval))
 	}
 	require.Equal(t, 20, sent[true])
 }
@@ -175,29 +175,29 @@
 // processor time still counts as unsatisfied and so caps the other teams. Guards against demand
 // that is lost when a request is refused before its body is read.
 func TestShedTeamsAreUnsatisfied(t *testing.T) {
-	b := newHarness(t, 20)
-	b.m.limits.TokensPerSecond = 200_000
-	b.m.Update(MembershipMsg{Now: b.now, Routers: 2, ReportTTL: time.Second})
+	h := newHarness(t, 20)
+	h.m.limits.TokensPerSecond = 200_000
+	h.m.Update(MembershipMsg{Now: h.now, Routers: 2, ReportTTL: time.Second})
 	for range 400 {
-		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "elsewhere", Offered: 2e6, Recent: 2e6, Served: 250_000}}})
-		b.m.Update(PeerReportMsg{Now: b.now, Peer: "other", Report: Report{
+		h.m.Update(PeerTeamsMsg{Now: h.now, Teams: []loads.TeamUse{{Team: "elsewhere", Offered: 2e6, Recent: 2e6, Served: 250_000}}})
+		h.m.Update(PeerReportMsg{Now: h.now, Peer: "other", Report: Report{
 			Headroom: 3,
 		}})
 		for range 20 {
-			b.m.Update(ShedMsg{Now: b.now, Team: "shed", PromptTokens: 2000})
+			h.m.Update(ShedMsg{Now: h.now, Team: "shed", PromptTokens: 2000})
 		}
-		b.m.team("shed").served.add(b.now, 1000) // 40,000 per second
-		b.advance(TickInterval)
+		h.m.team("shed").served.add(h.now, 1000) // 40,000 per second
+		h.advance(TickInterval)
 	}
-	require.Greater(t, b.m.team("shed").offeredRate(b.now), 1e6)
-	require.LessOrEqual(t, b.m.evenCap, max(evenCapFactor*41_000, lenientShareFactor*b.m.baseLevel))
+	require.Greater(t, h.m.team("shed").offeredRate(h.now), 1e6)
+	require.LessOrEqual(t, h.m.evenCap, max(evenCapFactor*41_000, lenientShareFactor*h.m.baseLevel))
 }
 
 // TestSpentAllowanceRefusesAtOnce has a team ask for far more than its limit. Requests that the
 // token bucket can't cover within their waiting time must be refused on arrival; those that it
 // can cover wait and are sent.
 func TestSpentAllowanceRefusesAtOnce(t *testing.T) {
-	b := newHarness(t, 8)
+	h := newHarness(t, 8)
 	refused, expired, sentLater := 0, 0, 0
 	finish := func(cmds []Cmd) {
 		for _, c := range cmds {
@@ -205,15 +205,15 @@
 				if s.PlacementBasis.QueueWait > 0 {
 					sentLater++
 				}
-				b.m.Update(FirstEventMsg{Now: b.now, ID: s.ID})
-				b.end(s.ID, Done, false)
+				h.m.Update(FirstEventMsg{Now: h.now, ID: s.ID})
+				h.end(s.ID, Done, false)
 			}
 		}
 	}
 	for range 200 {
 		for range 10 {
-			r := b.request("flood")
-			cmds := b.arrive(r)
+			r := h.request("flood")
+			cmds := h.arrive(r)
 			finish(cmds)
 			if c, ok := findCmd[RefuseCmd](cmds); ok && c.ID == r.ID {
 				require.Equal(t, ReasonOverShare, c.Reason)
@@ -221,7 +221,7 @@
 				refused++
 			}
 		}
-		cmds := b.advance(TickInterval)
+		cmds := h.advance(TickInterval)
 		finish(cmds)
 		for _, c := range cmds {
 			if _, ok := c.(RefuseCmd); ok {
@@ -239,34 +239,34 @@
 // and count in the team's demand. Teams within their share must pass, and a check that does not
 // refuse must count nothing.
 func TestDoorRefusesWhatTheAllowanceCannotCover(t *testing.T) {
-	b := newHarness(t, 8)
+	h := newHarness(t, 8)
 	checkAdmission := func(team string) (RefuseCmd, bool) {
-		return findCmd[RefuseCmd](b.m.Update(AdmissionCheckMsg{Now: b.now, Request: b.request(team)}))
+		return findCmd[RefuseCmd](h.m.Update(AdmissionCheckMsg{Now: h.now, Request: h.request(team)}))
 	}
 	_, refused := checkAdmission("flood")
 	require.False(t, refused, "the team has no demand yet")
-	require.Zero(t, b.m.team("flood").offeredRate(b.now))
+	require.Zero(t, h.m.team("flood").offeredRate(h.now))
 	finish := func(cmds []Cmd) {
 		for _, c := range cmds {
 			if s, ok := c.(SendCmd); ok {
-				b.m.Update(FirstEventMsg{Now: b.now, ID: s.ID})
-				b.end(s.ID, Done, false)
+				h.m.Update(FirstEventMsg{Now: h.now, ID: s.ID})
+				h.end(s.ID, Done, false)
 			}
 		}
 	}
 	for range 600 {
 		for range 10 {
 			if _, refused := checkAdmission("flood"); !refused {
-				finish(b.arrive(b.request("flood")))
+				finish(h.arrive(h.request("flood")))
 			}
 		}
-		finish(b.arrive(b.request("small")))
-		finish(b.advance(TickInterval))
+		finish(h.arrive(h.request("small")))
+		finish(h.advance(TickInterval))
 	}
 	cmd, refused := checkAdmission("flood")
 	for range 20 {
 		if !refused {
-			finish(b.arrive(b.request("flood")))
+			finish(h.arrive(h.request("flood")))
 			cmd, refused = checkAdmission("flood")
 		}
 	}
@@ -275,9 +275,9 @@
 	require.Positive(t, cmd.RetryAfter)
 	_, refused = checkAdmission("small")
 	require.False(t, refused)
-	offered := b.m.team("flood").offeredRate(b.now)
+	offered := h.m.team("flood").offeredRate(h.now)
 	require.InDelta(t, 10*40*2200, offered, 0.15*10*40*2200, "refused requests count in the demand")
-	require.Less(t, b.m.TeamWeight(b.now, "flood"), 6*b.m.TeamWeight(b.now, "small"), "only admitted requests count in the weight, not ten times as many")
+	require.Less(t, h.m.TeamWeight(h.now, "flood"), 6*h.m.TeamWeight(h.now, "small"), "only admitted requests count in the weight, not ten times as many")
 }
 
 // TestSurplusReadsNothingAgain has a team above its share send a prompt whose preferred server
@@ -287,37 +287,37 @@
 func TestSurplusReadsNothingAgain(t *testing.T) {
 	shared, own := PromptPart{ID: 7, Tokens: 2000}, PromptPart{ID: 8, Tokens: 500}
 	busy := func(shareRatio float64) (*harness, *requestState, string) {
-		b := newHarness(t, 4)
-		p := b.m.pool("llm")
-		r := &requestState{Request: b.request("red", shared, own), shareRatio: shareRatio}
-		preferred := b.m.preferredServer(b.now, p, r)
+		h := newHarness(t, 4)
+		p := h.m.pool("llm")
+		r := &requestState{Request: h.request("red", shared, own), shareRatio: shareRatio}
+		preferred := h.m.preferredServer(h.now, p, r)
 		preferred.peerLoad.Pending = 1_000_000
-		return b, r, preferred.ID
+		return h, r, preferred.ID
 	}
-	b, r, preferred := busy(0.5)
-	c, ok := b.m.place(b.now, b.m.pool("llm"), r)
+	h, r, preferred := busy(0.5)
+	c, ok := h.m.place(h.now, h.m.pool("llm"), r)
 	require.True(t, ok)
 	require.NotEqual(t, preferred, c.server.ID)
-	b, r, _ = busy(1.2)
-	_, ok = b.m.place(b.now, b.m.pool("llm"), r)
+	h, r, _ = busy(1.2)
+	_, ok = h.m.place(h.now, h.m.pool("llm"), r)
 	require.False(t, ok)
 }
 
 // TestNewRequestsFirstWithinTheShare checks that new requests take tokens before late ones also
 // if the other routers serve the team less than its share.
 func TestNewRequestsFirstWithinTheShare(t *testing.T) {
-	b := newHarness(t, 4)
-	team := b.m.team("red")
+	h := newHarness(t, 4)
+	team := h.m.team("red")
 	team.tokenBucket = tokenBucket{rate: 1000, tokens: 10}
-	b.m.baseLevel, b.m.level = 100_000, 100_000
-	p := b.m.pool("llm")
-	fresh, late := &requestState{Request: b.request("red")}, &requestState{Request: b.request("red"), late: true}
-	b.m.updateTeamState(b.now, p, fresh)
-	b.m.updateTeamState(b.now, p, late)
+	h.m.baseLevel, h.m.level = 100_000, 100_000
+	p := h.m.pool("llm")
+	fresh, late := &requestState{Request: h.request("red")}, &requestState{Request: h.request("red"), late: true}
+	h.m.updateTeamState(h.now, p, fresh)
+	h.m.updateTeamState(h.now, p, late)
 	require.False(t, fresh.throttled)
 	require.True(t, late.throttled)
 	team.tokenBucket.tokens = 1000
-	b.m.updateTeamState(b.now, p, late)
+	h.m.updateTeamState(h.now, p, late)
 	require.False(t, late.throttled, "the bucket is above the reserve for new requests")
 }
 
@@ -353,19 +353,19 @@
 func TestTooMuchIsTakenBack(t *testing.T) {
 	const warmUp, measured = 400, 400 // ticks
 	fleet := []*harness{newHarness(t, 20), newHarness(t, 20), newHarness(t, 20)}
-	for _, b := range fleet {
-		b.m.limits.TokensPerSecond = 200_000
+	for _, h := range fleet {
+		h.m.limits.TokensPerSecond = 200_000
 	}
 	teams := []map[RequestID]string{{}, {}, {}}
 	served, limit := 0.0, 0.0
 	for tick := range warmUp + measured {
-		for i, b := range fleet {
-			cmds := b.advance(TickInterval)
+		for i, h := range fleet {
+			cmds := h.advance(TickInterval)
 			for range 6 {
 				for _, team := range []string{"flood", "other"} {
-					r := b.request(team)
+					r := h.request(team)
 					teams[i][r.ID] = team
-					cmds = append(cmds, b.arrive(r)...)
+					cmds = append(cmds, h.arrive(r)...)
 				}
 			}
 			for _, c := range cmds {
@@ -373,8 +373,8 @@
 				if !ok {
 					continue
 				}
-				b.m.Update(FirstEventMsg{Now: b.now, ID: c.ID})
-				b.end(c.ID, Done, false)
+				h.m.Update(FirstEventMsg{Now: h.now, ID: c.ID})
+				h.end(c.ID, Done, false)
 				if tick >= warmUp && teams[i][c.ID] == "flood" {
 					served += tokenCost(2000, 100)
 				}
@@ -395,8 +395,8 @@
 
 // clearPeerDemand clears what the routers know of the recent demand at other routers.
 func clearPeerDemand(fleet []*harness) {
-	for _, b := range fleet {
-		for _, u := range b.m.teams {
+	for _, h := range fleet {
+		for _, u := range h.m.teams {
 			u.peers.Recent = 0
 		}
 	}
@@ -405,16 +405,16 @@
 // TestComeBackWhenTheAllowanceCovers checks the retry delay for teams slightly and far above
 // their limit: a refused caller must return once its team has been granted its recent demand.
 func TestComeBackWhenTheAllowanceCovers(t *testing.T) {
-	b := newHarness(t, 2)
-	b.m.level, b.m.evenCap = 100_000, 100_000
+	h := newHarness(t, 2)
+	h.m.level, h.m.evenCap = 100_000, 100_000
 	after := func(offered, served float32) time.Duration {
-		b.m.Update(PeerTeamsMsg{Now: b.now, Teams: []loads.TeamUse{{Team: "red", Offered: offered, Served: served}}})
-		return b.m.refillDelay(b.now, "red")
+		h.m.Update(PeerTeamsMsg{Now: h.now, Teams: []loads.TeamUse{{Team: "red", Offered: offered, Served: served}}})
+		return h.m.refillDelay(h.now, "red")
 	}
 	require.Equal(t, time.Second, after(110_000, 100_000))
 	require.Equal(t, 3*time.Second, after(200_000, 100_000))
 	require.Equal(t, maxRefillDelay, after(5e6, 100_000))
-	b.m.evenCap = math.Inf(1)
-	b.m.level = math.Inf(1)
+	h.m.evenCap = math.Inf(1)
+	h.m.level = math.Inf(1)
 	require.Equal(t, minRefillDelay, after(5e6, 100_000), "no team is limited at the moment")
 }
