--- a/direct/reach_test.go
+++ b/direct/reach_test.go
@@ -30,8 +30,8 @@
 	}
 	var inFlight []call
 	isDead := func(s Server) bool {
-		for _, h := range halls {
-			if h == s.Zone {
+		for _, hall := range halls {
+			if hall == s.Zone {
 				return true
 			}
 		}
