--- a/direct/baseline.go
+++ b/direct/baseline.go
@@ -63,6 +63,7 @@
 	samples int
 }
 
+// add adds a value, or floor if the value is smaller.
 func (g *geometricMean) add(value, floor float64) {
 	g.samples++
 	step := max(1/float64(g.samples), baselineWeight)
--- a/direct/canary.go
+++ b/direct/canary.go
@@ -15,8 +15,8 @@
 	// differ from those of any prompt part.
 	canarySeed = 0x7452_6961_6c53_6964
 	// cohortsPerHall is the number of cohorts that the servers of a hall are divided into if
-	// the target version has servers in no other hall. Without one cohort of three, enough
-	// evidence is left.
+	// the target version has servers in no other hall. If one of three cohorts is disregarded,
+	// the other two still give enough evidence.
 	cohortsPerHall = 3
 )
 
--- a/direct/cold.go
+++ b/direct/cold.go
@@ -3,7 +3,7 @@
 import "time"
 
 // ColdLimit is the request rate that a server can take while it is cold: for some time after
-// its start, and whenever its entry says so. The zero value is no limit.
+// its start, and whenever its entry marks it as cold. The zero value is no limit.
 type ColdLimit struct {
 	PerSecond float64       // requests per second to one server from all routers together
 	Lasts     time.Duration // how long a server stays cold after its start
--- a/direct/cold_test.go
+++ b/direct/cold_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// The limits of the shifted deployment: the rate that a cold server takes, and the factor
-	// and the number of requests by which any second may exceed it.
+	// The rate that a cold server takes, in requests per second, and the factor and the number
+	// of requests by which any second may exceed it. A deployment sets these limits.
 	coldPerSecond   = 21.0
 	coldBurstFactor = 1.5
 	coldBurstSlack  = 5
--- a/direct/commands.go
+++ b/direct/commands.go
@@ -136,7 +136,7 @@
 	StatusGone     Status = "gone"
 	StatusLapsed   Status = "lapsed" // its entry vanished together with many others; still used for a short time
 	StatusDraining Status = "draining"
-	StatusBackoff  Status = "backoff" // declined a request and asked for a pause
+	StatusBackoff  Status = "backoff" // asked to get no requests for some time
 	StatusEjected  Status = "ejected"
 	StatusRestored Status = "back"
 	StatusCold     Status = "cold" // takes only a limited request rate for some time
--- a/direct/crashsim_test.go
+++ b/direct/crashsim_test.go
@@ -205,9 +205,9 @@
 }
 
 // TestCrashesTogetherStayFew sends a few copies of two crashing requests at the same time, so
-// that servers crash under both and the one with more crashes explains those of the other. Once
-// the routers have reported the first three crashes of a request, it crashes at most three more
-// servers.
+// that servers crash while they run both, and the request with more crashes explains those of
+// the other. Once the routers have reported the first three crashes of a request, it crashes at
+// most three more servers.
 func TestCrashesTogetherStayFew(t *testing.T) {
 	for seed := range uint64(200) {
 		sim := newCrashSim(t, seed)
@@ -235,9 +235,9 @@
 }
 
 // TestCrashesStayFewOverRestarts restarts the routers one by one between the crashes of a
-// single request. If a restarted router receives only barred fingerprints, one that started
-// after two crashes lets two more servers crash. No fourth server crashes if the routers have
-// one and a half seconds to exchange reports.
+// single request. If routers sent a restarted one only barred fingerprints, a router that
+// started after two crashes would let two more servers crash. No fourth server crashes if the
+// routers have one and a half seconds to exchange reports.
 func TestCrashesStayFewOverRestarts(t *testing.T) {
 	for seed := range uint64(20) {
 		sim := newCrashSim(t, seed)
--- a/direct/ending_test.go
+++ b/direct/ending_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestNotRunGoesElsewhere retries a request that has not run at another server, as often as the
-// route allows, and then refuses it.
+// TestNotRunGoesElsewhere checks that a request that has not run is retried at another server, as
+// often as the route allows, and then refused.
 func TestNotRunGoesElsewhere(t *testing.T) {
 	h := newHarness(t, 3)
 	r := h.request("red")
@@ -35,7 +35,8 @@
 	require.Equal(t, ReasonAttempts, refused.Reason)
 }
 
-// TestUnsentCostsNoAttempt tries further servers if nothing was sent.
+// TestUnsentCostsNoAttempt checks that a request with one attempt tries further servers if
+// nothing was sent.
 func TestUnsentCostsNoAttempt(t *testing.T) {
 	h := newHarness(t, 4)
 	r := h.request("red")
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestEjection ejects a server that fails while the others don't, and restores it with one
-// request that may be repeated.
+// TestEjection checks that a server that fails while the others don't is ejected, and is
+// restored by one request that may be repeated.
 func TestEjection(t *testing.T) {
 	h := newHarness(t, 4)
 	ejected := ""
--- a/direct/evacuation_test.go
+++ b/direct/evacuation_test.go
@@ -84,8 +84,8 @@
 	require.Zero(t, h.countByHall(time.Second)["b"])
 }
 
-// TestEvacuatedEverywhere refuses requests at once if all halls are evacuated. Running requests
-// continue.
+// TestEvacuatedEverywhere checks that requests are refused at once if all halls are evacuated,
+// and that running requests continue.
 func TestEvacuatedEverywhere(t *testing.T) {
 	h := newTwoHallHarness(t)
 	before := h.request("red")
--- a/direct/evencap.go
+++ b/direct/evencap.go
@@ -12,10 +12,10 @@
 	// asks for more than its share.
 	unsatisfiedDemandFactor = 1.1
 	// While a team asks for more than its share and is not satisfied, the other teams are
-	// limited to evenCapFactor times what the least served such team gets, or to
-	// lenientCapFactor times that amount up to lenientShareFactor times their share: part of
-	// what they get comes too late to count. The least served team counts as getting at least
-	// minServedFraction of its share.
+	// limited to evenCapFactor times the rate of the least served such team. Up to
+	// lenientShareFactor times their own share, the limit is lenientCapFactor times that rate,
+	// because part of what they get comes too late to count. The rate of the least served team
+	// is taken as at least minServedFraction of its share.
 	evenCapFactor      = 1.3
 	lenientShareFactor = 1.3
 	lenientCapFactor   = 1.5
--- a/direct/evidence.go
+++ b/direct/evidence.go
@@ -11,7 +11,7 @@
 	// bad. A slow version takes several times as long; servers of one version under load differ
 	// by less than this factor.
 	slowFactor = 2.5
-	// slowFirstEventMargin and slowStreamMargin are the least extra time that a bad response
+	// slowFirstEventMargin and slowStreamMargin are the minimum extra time that a bad response
 	// takes until its first event and in its stream. Smaller differences are caused by networks
 	// and chance.
 	slowFirstEventMargin = 20 * time.Millisecond
@@ -186,7 +186,8 @@
 	}
 }
 
-// compareStream compares the time of a stream's tokens with that of streams of old servers.
+// compareStream compares the time per token of a stream with that of streams of old servers.
+// Streams of old servers then update the baseline.
 func (m *Machine) compareStream(now time.Duration, p *pool, r *requestState, s *server) speed {
 	if r.OutputTokens <= 0 {
 		return normalSpeed
--- a/direct/evidence_load_test.go
+++ b/direct/evidence_load_test.go
@@ -53,7 +53,7 @@
 	return sim
 }
 
-// run sends perSecond requests a second for some time.
+// run sends perSecond requests per second for some time.
 func (sim *loadSim) run(perSecond float64, lasts time.Duration) {
 	end := sim.h.now + lasts
 	next := sim.h.now
--- a/direct/evidence_test.go
+++ b/direct/evidence_test.go
@@ -35,7 +35,7 @@
 
 // stream runs one request to its end at a server that reads 60 tokens per millisecond and
 // writes a token in 5 ms, times its slow factor, and returns the evidence. Servers of the
-// target version read uncached tokens in addition.
+// target version must also read the uncached tokens.
 func (h *harness) stream(r Request, factors slowFactors, uncached int) []rollout.ResponseMsg {
 	cmds := h.arrive(r)
 	c, ok := findCmd[SendCmd](cmds)
@@ -68,8 +68,8 @@
 	return starts, later, old
 }
 
-// TestRolloutEvidenceOfSlowVersions gives evidence against a target version that is four times
-// slower, and none if old and new servers are equally slow.
+// TestRolloutEvidenceOfSlowVersions checks that there is evidence against a target version that
+// is four times slower, and none if old and new servers are equally slow.
 func TestRolloutEvidenceOfSlowVersions(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(0.5))
 	_, _, old := h.streams(60, slowFactors{1, 1})
@@ -90,8 +90,8 @@
 	require.Zero(t, later.bad)
 }
 
-// TestRolloutEvidenceOfSlowPlainServers gives evidence against plain servers of the target
-// version that are four times slower, and none against equally fast ones.
+// TestRolloutEvidenceOfSlowPlainServers checks that there is evidence against plain servers of
+// the target version that are four times slower, and none against equally fast ones.
 func TestRolloutEvidenceOfSlowPlainServers(t *testing.T) {
 	for _, times := range []time.Duration{1, 4} {
 		g := canaryGate(0.5)
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestRolloutEvidenceAllowsForReading gives no evidence against servers that must read prompt
-// parts that old servers have cached.
+// TestRolloutEvidenceAllowsForReading checks that there is no evidence against servers that must
+// read prompt parts that old servers have cached.
 func TestRolloutEvidenceAllowsForReading(t *testing.T) {
 	const shared = 12000
 	h := newRolloutHarness(t, canaryGate(0))
@@ -238,8 +238,8 @@
 	require.Equal(t, []bool{false, true}, []bool{got[0].AfterStart, got[1].AfterStart})
 }
 
-// TestRolloutEvidenceOfSilence counts a timeout as slow only if the server responds to others
-// meanwhile.
+// TestRolloutEvidenceOfSilence checks that a timeout counts as slow only if the server responds
+// to other requests meanwhile.
 func TestRolloutEvidenceOfSilence(t *testing.T) {
 	for _, responding := range []bool{false, true} {
 		h := newRolloutHarness(t, canaryGate(1))
@@ -257,8 +257,8 @@
 	}
 }
 
-// TestRolloutEvidenceIgnoresColdAndNewServers gets no evidence from cold servers and from newly
-// listed ones.
+// TestRolloutEvidenceIgnoresColdAndNewServers checks that neither cold servers nor newly listed
+// ones give evidence.
 func TestRolloutEvidenceIgnoresColdAndNewServers(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(1))
 	d := versionDirectory(2, 7, "v1", "v2")
@@ -280,7 +280,7 @@
 	require.Empty(t, responsesIn(h.end(r.ID, Failed, false)), "newly listed servers")
 }
 
-// TestRolloutEvidenceOnlyDuringRollout gets no evidence without a rollout.
+// TestRolloutEvidenceOnlyDuringRollout checks that there is no evidence without a rollout.
 func TestRolloutEvidenceOnlyDuringRollout(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
 	starts, later, old := h.streams(20, slowFactors{1, 1})
--- a/direct/exposure.go
+++ b/direct/exposure.go
@@ -6,8 +6,8 @@
 	// with one request per second at a router would wait twenty seconds for its first at a
 	// limit of a twentieth.
 	routeBurst = 1
-	// behindMinAllowed is the number of requests that a route must be allowed to have sent to
-	// the target version before it can count as behind. It is behind if it has sent less than
+	// behindMinAllowed and behindFraction define when a route is behind: the limit allows it at
+	// least behindMinAllowed requests to the target version, and it has sent less than
 	// behindFraction of them.
 	behindMinAllowed = 2
 	behindFraction   = 0.5
--- a/direct/gate.go
+++ b/direct/gate.go
@@ -35,8 +35,8 @@
 	m.moveStreams(msg.Now, p)
 }
 
-// updateAllAdmitted recomputes the admitted servers of all pools after states of servers have
-// changed.
+// updateAllAdmitted recomputes the admitted servers of all pools after a change in the state of
+// some servers.
 func (m *Machine) updateAllAdmitted() {
 	for _, p := range m.pools {
 		p.updateAdmitted()
--- a/direct/gate_test.go
+++ b/direct/gate_test.go
@@ -80,8 +80,8 @@
 	return counts
 }
 
-// TestRolloutGatedWithoutAGate refuses requests at once while nothing is known about the
-// service.
+// TestRolloutGatedWithoutAGate checks that requests are refused at once while nothing is known
+// about the service.
 func TestRolloutGatedWithoutAGate(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Gate{Service: "llm"})
 	refused, ok := findCmd[RefuseCmd](h.arrive(h.routeRequest("chat")))
@@ -89,7 +89,7 @@
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
 
-// TestRolloutOnlyVersionsInUse sends no requests to other versions, even if no server of a
+// TestRolloutOnlyVersionsInUse checks that other versions get no requests, even if no server of a
 // version in use is left.
 func TestRolloutOnlyVersionsInUse(t *testing.T) {
 	h := newRolloutHarness(t, rollout.Gate{Service: "llm", InUse: []string{"v1"}})
@@ -144,7 +144,8 @@
 	}
 }
 
-// TestRolloutCrossSection sends about the same fraction of each route's requests to the canary.
+// TestRolloutCrossSection checks that the canary gets about the same fraction of each route's
+// requests.
 func TestRolloutCrossSection(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(0.1))
 	for _, route := range []string{"chat", "tag", "plan"} {
@@ -152,14 +153,14 @@
 	}
 }
 
-// TestRolloutFractionZero sends no requests to the target version.
+// TestRolloutFractionZero checks that the target version gets no requests at fraction 0.
 func TestRolloutFractionZero(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(0))
 	require.Equal(t, map[string]int{"v1": 200}, h.countByVersion("chat", 200))
 }
 
-// TestRolloutLimit limits the count of requests to the target version, for each route
-// separately, from the first request on.
+// TestRolloutLimit checks that the number of requests to the target version is limited, for each
+// route separately, from the first request on.
 func TestRolloutLimit(t *testing.T) {
 	g := canaryGate(0.5)
 	g.Limit = 0.05
@@ -169,9 +170,9 @@
 	require.Equal(t, 1, h.countByVersion("tag", 20)["v2"])
 }
 
-// TestRolloutLimitHasNothingInAdvance sends no request to the target version before as many
-// requests of the service have reached servers as its limit requires, whatever their routes
-// are.
+// TestRolloutLimitHasNothingInAdvance checks that the target version gets no request before as
+// many requests of the service have reached servers as its limit requires, whatever their
+// routes are.
 func TestRolloutLimitHasNothingInAdvance(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.05
@@ -182,9 +183,9 @@
 	require.Equal(t, 1, h.countByVersion("chat", 2)["v2"])
 }
 
-// TestRolloutTrialOfFewParts selects some requests by their IDs if all requests of a route
-// share a part that has not moved. Otherwise, the canary would give no evidence about the route
-// until its part moves.
+// TestRolloutTrialOfFewParts checks that some requests go to the canary by their IDs if all
+// requests of a route share a part that has not moved. Otherwise, the canary would give no
+// evidence about the route until its part moves.
 func TestRolloutTrialOfFewParts(t *testing.T) {
 	g := canaryGate(0.05)
 	g.Limit = 0.05
@@ -209,8 +210,8 @@
 	require.LessOrEqual(t, sent, 50)
 }
 
-// TestRolloutLimitIsKeptThroughGates keeps the counts if the target version stays the same, and
-// resets them if it changes.
+// TestRolloutLimitIsKeptThroughGates checks that a new gate keeps the counts if the target
+// version stays the same, and resets them if it changes.
 func TestRolloutLimitIsKeptThroughGates(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.1
@@ -224,7 +225,8 @@
 	require.Zero(t, h.countByVersion("chat", 9)["v1"])
 }
 
-// TestRolloutLimitCountsWhatArrives does not count attempts that never reached a server.
+// TestRolloutLimitCountsWhatArrives checks that attempts that never reached a server do not
+// raise the number that may go to the target version.
 func TestRolloutLimitCountsWhatArrives(t *testing.T) {
 	g := canaryGate(1)
 	g.Limit = 0.5
@@ -241,8 +243,8 @@
 	}
 }
 
-// TestRolloutFullTargetFallsBack sends requests to old servers if the target version has no
-// capacity, unless old servers are closed.
+// TestRolloutFullTargetFallsBack checks that requests go to old servers if the target version
+// has no capacity, unless old servers are closed.
 func TestRolloutFullTargetFallsBack(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		g := canaryGate(1)
@@ -262,8 +264,8 @@
 	}
 }
 
-// TestRolloutSideWithoutServersIsRefusedAtOnce doesn't queue a request whose side has no
-// servers.
+// TestRolloutSideWithoutServersIsRefusedAtOnce checks that a request whose side has no servers is
+// not queued.
 func TestRolloutSideWithoutServersIsRefusedAtOnce(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(1e-9))
 	d := versionDirectory(2, 6, "v1", "v2")
@@ -278,8 +280,8 @@
 	require.Equal(t, ReasonNoServers, refused.Reason)
 }
 
-// TestRolloutRetryGoesToOldServers retries at an old server after a failure at the target
-// version.
+// TestRolloutRetryGoesToOldServers checks that a request that failed at the target version is
+// retried at an old server.
 func TestRolloutRetryGoesToOldServers(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(1))
 	r := h.routeRequest("chat")
@@ -294,7 +296,8 @@
 	require.Equal(t, SideRetry, c.PlacementBasis.Side)
 }
 
-// TestRolloutRetryWithOldClosed retries at the target version if old servers are closed.
+// TestRolloutRetryWithOldClosed checks that retries go to the target version if old servers are
+// closed.
 func TestRolloutRetryWithOldClosed(t *testing.T) {
 	g := canaryGate(1)
 	g.OldClosed = true
@@ -317,8 +320,8 @@
 	return out
 }
 
-// TestRolloutTrialServers selects a few servers, one in each hall, the same ones in all
-// routers. Servers that get no requests are skipped.
+// TestRolloutTrialServers checks that a canary has a few servers, one in each hall, the same
+// ones in all routers, and that servers that get no requests are skipped.
 func TestRolloutTrialServers(t *testing.T) {
 	g := canaryGate(0.02)
 	g.ServerFraction = 0.02
--- a/direct/harness_test.go
+++ b/direct/harness_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// harness drives a machine with messages at a simulated time.
+// harness drives a machine with messages at a simulated time. Its methods return copies of the
+// commands, because the slice of Machine.Update is valid only until the next call.
 type harness struct {
 	t      *testing.T
 	m      *Machine
@@ -47,14 +48,17 @@
 	}
 }
 
+// arrive delivers a new request.
 func (h *harness) arrive(r Request) []Cmd {
 	return append([]Cmd(nil), h.m.Update(RequestMsg{Now: h.now, Request: r})...)
 }
 
+// end ends the current attempt of a request.
 func (h *harness) end(id RequestID, o Outcome, retry bool) []Cmd {
 	return append([]Cmd(nil), h.m.Update(AttemptEndMsg{Now: h.now, ID: id, Outcome: o, Retry: retry})...)
 }
 
+// advance advances the time by at least d, tick by tick.
 func (h *harness) advance(d time.Duration) []Cmd {
 	var out []Cmd
 	for end := h.now + d; h.now < end; {
--- a/direct/lapse.go
+++ b/direct/lapse.go
@@ -47,6 +47,7 @@
 	p.updateAdmitted()
 }
 
+// dropServer marks a server as gone, so that it gets no new requests.
 func (m *Machine) dropServer(now time.Duration, s *server, cause string) {
 	s.gone = true
 	s.markLeaving(now)
--- a/direct/listing_test.go
+++ b/direct/listing_test.go
@@ -29,7 +29,7 @@
 	require.False(t, sent)
 }
 
-// TestOlderListsAreNotTaken ignores a list that is older than the current one.
+// TestOlderListsAreNotTaken checks that a list older than the current one is ignored.
 func TestOlderListsAreNotTaken(t *testing.T) {
 	h := newHarness(t, 2)
 	h.m.Update(ServersMsg{Now: h.now, Directory: Directory{Revision: 9}})
--- a/direct/machine.go
+++ b/direct/machine.go
@@ -63,8 +63,8 @@
 	busy              float64 // smoothed load of the busiest pool of engines; above 1 it is busy
 	sharesUpdatedAt   time.Duration
 	partHolders       partHolders
-	copyLog           copyLog       // made through this router, to be announced
-	suspectsExpiredAt time.Duration // when old suspects were last dropped
+	copyLog           copyLog       // copies made through this router, to be announced
+	suspectsExpiredAt time.Duration // when old suspects were last removed
 	peerReports       map[string]peerReport
 	routers           int
 	reportTTL         time.Duration
@@ -237,6 +237,6 @@
 	}
 }
 
-// poolNames returns the services in sorted order, so that decisions don't depend on the order
-// of a map.
+// poolNames returns the names of the services in sorted order, so that decisions don't depend
+// on the order of a map.
 func (m *Machine) poolNames() []string { return slices.Sorted(maps.Keys(m.pools)) }
--- a/direct/maxmin.go
+++ b/direct/maxmin.go
@@ -7,9 +7,9 @@
 )
 
 // maxUnions bounds the unions of allowed sets that are examined. Three regions have at most
-// seven, and computing a division with this many still takes a small part of the time between
-// two. Beyond the bound, only the sets themselves and the union of all regions limit the teams,
-// which is exact if no two sets overlap partially.
+// seven, and a division with this many still takes only a small part of shareInterval. Beyond
+// the bound, only the sets themselves and the union of all regions limit the teams, which is
+// exact if no two sets overlap partially.
 const maxUnions = 64
 
 // maxRegions is the number of regions that a regionSet can distinguish.
--- a/direct/mechanism.go
+++ b/direct/mechanism.go
@@ -39,7 +39,7 @@
 	StallTimeout, LoadShedding, UnreadyUnderLoad, EventBatching, StoreFollowers, Quarantine,
 }
 
-// ErrUnknownMechanism is returned for a name that is not a mechanism's.
+// ErrUnknownMechanism is returned for a name that no mechanism has.
 var ErrUnknownMechanism = errors.New("unknown mechanism")
 
 // DisabledMechanisms is the set of mechanisms that are switched off. The zero value is empty.
--- a/direct/messages.go
+++ b/direct/messages.go
@@ -83,16 +83,16 @@
 	ID  RequestID
 }
 
-// NoticeMsg delivers the notice that a server has put into a response. It precedes forwarding
-// of the response.
+// NoticeMsg delivers the notice that a server has put into a response. The router sends it
+// before it forwards the response.
 type NoticeMsg struct {
 	Now    time.Duration
 	Server string
 	Notice Notice
 }
 
-// AttemptEndMsg reports the end of an attempt. Retry asks for another one; the machine answers
-// with a SendCmd, RefuseCmd or FailCmd.
+// AttemptEndMsg reports the end of an attempt. Retry asks for another one; a SendCmd, RefuseCmd
+// or FailCmd follows, possibly after some time in the queue.
 type AttemptEndMsg struct {
 	Now         time.Duration
 	ID          RequestID
@@ -185,7 +185,7 @@
 func (MembershipMsg) isMsg()     {}
 func (TickMsg) isMsg()           {}
 
-// Report is what one router reports of itself to the others.
+// Report holds the state that one router shares with the others.
 type Report struct {
 	Headroom float64 // see Shares
 	// Suspects are fingerprints under which servers have crashed. SuspectsDigest holds short
--- a/direct/move_test.go
+++ b/direct/move_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// TestRolloutMoves moves each repeatable stream once, a few at a time. They continue at the
-// target version.
+// TestRolloutMoves checks that each repeatable stream is moved once, a few at a time, and
+// continues at the target version.
 func TestRolloutMoves(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(0))
 	repeatable := make(map[RequestID]bool)
@@ -49,8 +49,8 @@
 	require.Empty(t, movedIDs(h.advance(time.Second)))
 }
 
-// TestRolloutMovesKeepToTheBudget moves no more streams than the retry budget allows. The
-// others continue where they are.
+// TestRolloutMovesKeepToTheBudget checks that no more streams are moved than the retry budget
+// allows. The others continue where they are.
 func TestRolloutMovesKeepToTheBudget(t *testing.T) {
 	h := newRolloutHarness(t, canaryGate(0))
 	h.m.Update(RetryBudgetMsg{RetryBudget: RetryBudgetOptions{Ratio: 0.2, Slack: 0, Window: 10 * time.Second}})
--- a/direct/place.go
+++ b/direct/place.go
@@ -166,7 +166,7 @@
 }
 
 // fits reports whether a server would serve a request in time. first is the expected time to
-// the first event and wait the backlog, both as fractions of the request's objective. average
+// the first event and wait the backlog, both as fractions of the request's objective. averageMS
 // is the average objective of all requests, in milliseconds.
 func fits(r *requestState, first, wait, averageMS float64) bool {
 	switch {
--- a/direct/reach.go
+++ b/direct/reach.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordUnreachable records that nothing could be sent to a server. A server that was
-// unreachable before is no new evidence about its hall.
+// recordUnreachable records that nothing could be sent to a server. A server on probation is
+// ignored: it has failed before, so it gives no new evidence about its hall.
 func (m *Machine) recordUnreachable(now time.Duration, s *server) {
 	if s.probation {
 		return
--- a/direct/region_test.go
+++ b/direct/region_test.go
@@ -42,8 +42,8 @@
 	return refuse.Reason
 }
 
-// TestRegionRefusedAtOnce refuses requests without an available server in their regions, and
-// checks that the reason is the region only if servers in other regions are available.
+// TestRegionRefusedAtOnce checks that requests without an available server in their regions are
+// refused at once, with the region as the reason only if servers elsewhere are available.
 func TestRegionRefusedAtOnce(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	require.Equal(t, ReasonRegion, h.refused(h.arrive(h.requestIn("north"))))
@@ -54,8 +54,8 @@
 	require.Equal(t, ReasonNoServers, h.refused(h.arrive(h.requestIn())))
 }
 
-// TestRegionNoneInCommon refuses a request whose route and team have no common region before
-// its body is read.
+// TestRegionNoneInCommon checks that a request whose route and team have no common region is
+// refused before its body is read.
 func TestRegionNoneInCommon(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	r := h.requestIn()
@@ -76,8 +76,8 @@
 	require.Empty(t, h.m.pool("llm").queue.waiting)
 }
 
-// TestRegionUnknownHall keeps restricted requests away from a hall of unknown region until the
-// settings name its region. Other requests may go there.
+// TestRegionUnknownHall checks that a hall of unknown region gets no restricted requests until
+// the settings name its region. Other requests may go there.
 func TestRegionUnknownHall(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	h.evacuate(1, "a", "b", "c")
@@ -119,8 +119,9 @@
 	require.True(t, failed)
 }
 
-// TestRegionLastResortInside uses a leaving server if its regions have no other, even if
-// servers in other regions are available, and never a leaving server outside.
+// TestRegionLastResortInside checks that a restricted request goes to a leaving server if its
+// regions have no other, even if servers in other regions are available, and never to a leaving
+// server outside.
 func TestRegionLastResortInside(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	list := func(revision uint64, draining ...string) {
@@ -151,7 +152,8 @@
 	require.Less(t, after("a0"), time.Second)
 }
 
-// TestRegionDistance has three tiers if more than one region is known, and two otherwise.
+// TestRegionDistance checks that there are three distances if more than one region is known, and
+// two otherwise.
 func TestRegionDistance(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	distances := func() []float64 {
@@ -168,7 +170,7 @@
 	require.Equal(t, []float64{0, zoneCost, zoneCost, zoneCost}, distances())
 }
 
-// TestRegionOfRouter takes the router's region from its hall if none is configured.
+// TestRegionOfRouter checks that a router has the region of its hall if none is configured.
 func TestRegionOfRouter(t *testing.T) {
 	g := newHallRegions("", "a", map[string]string{"a": "east", "c": "west"})
 	require.True(t, g.isLocal("east"))
@@ -176,8 +178,8 @@
 	require.False(t, g.isLocal(""))
 }
 
-// TestRegionNearerFirst prefers the router's own region while it has capacity, and uses others
-// when it has none.
+// TestRegionNearerFirst checks that requests stay in the router's own region while it has
+// capacity, and go to others when it has none.
 func TestRegionNearerFirst(t *testing.T) {
 	h := newRegionHarness(t, Config{}, 1)
 	h.evacuate(1, "d")
--- a/direct/requeststate.go
+++ b/direct/requeststate.go
@@ -17,9 +17,9 @@
 	triedServers   []string
 	currentServer  *server
 	sentAt         time.Duration
-	pendingTokens  int // that the server has yet to read for it
-	tokensAhead    int // that the server had to read before its first event, when it was sent
-	started        bool
+	pendingTokens  int           // that the server has yet to read for it
+	tokensAhead    int           // that the server had to read before its first event, when it was sent
+	started        bool          // an attempt has had its first event
 	firstEventAt   time.Duration // when the first event of this attempt came; 0: it has not
 	charged        bool          // counted in its team's use
 	shareRatio     float64       // its team's rate as a fraction of the configured share
--- a/direct/sending.go
+++ b/direct/sending.go
@@ -4,6 +4,7 @@
 	"time"
 )
 
+// send sends a request to the chosen server and adds it to the loads.
 func (m *Machine) send(now time.Duration, p *pool, r *requestState, c choice) {
 	c = m.recordSent(now, p, r, c)
 	s := c.server
--- a/direct/share.go
+++ b/direct/share.go
@@ -23,7 +23,7 @@
 )
 
 // updateShares computes how much each team may get. Together, teams may get the configured
-// capacity of the engines, and more of it while the engines have room.
+// capacity of the engines, and up to maxHeadroom times as much while the engines are not busy.
 func (m *Machine) updateShares(now time.Duration) {
 	if now < m.sharesUpdatedAt+shareInterval {
 		return
--- a/direct/sharestate.go
+++ b/direct/sharestate.go
@@ -13,7 +13,7 @@
 	Offered, Served float64
 }
 
-// BoundShare is what a team restricted to some regions may get.
+// BoundShare holds the limits of the teams that are restricted to the same regions.
 type BoundShare struct {
 	Regions     []string
 	Level, Even float64 // as in Shares
@@ -24,7 +24,7 @@
 	Level    float64      // what a team may get while capacity is short; 0: unlimited
 	Even     float64      // what a team may get while others get less than they ask for; 0: unlimited
 	Headroom float64      // capacity that teams share, as a multiple of the configured capacity
-	Busy     float64      // smoothed load of the busiest pool of engines; above 1 it has no room
+	Busy     float64      // smoothed load of the busiest pool of engines; above 1 it is busy
 	Bound    []BoundShare `json:",omitempty"` // of teams restricted to regions, if their Level or Even differs
 	Most     []TeamShare
 }
--- a/direct/side.go
+++ b/direct/side.go
@@ -104,7 +104,8 @@
 }
 
 // recordSent counts a request that is being sent in the exposure, before it is added to the
-// load of its server.
+// load of its server. It returns the choice, for a server of the target version with the shared
+// tokens that the server must read.
 func (m *Machine) recordSent(now time.Duration, p *pool, r *requestState, c choice) choice {
 	if p.gate == nil {
 		return c
--- a/direct/teamgroup.go
+++ b/direct/teamgroup.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// assignTeamGroups assigns the restricted teams to groups by their regions. There are no groups if no team
-// is restricted or the configuration sets no capacity.
+// assignTeamGroups assigns the restricted teams to groups by their regions. There are no groups
+// if no team is restricted or the configuration sets no capacity.
 func (m *Machine) assignTeamGroups() {
 	if len(m.teamRegions) == 0 && len(m.groups) == 0 {
 		return
--- a/direct/teamgroup_test.go
+++ b/direct/teamgroup_test.go
@@ -33,8 +33,8 @@
 // teamBase returns a team's share of the configured capacity.
 func (h *harness) teamBase(team string) float64 { return h.m.limitsOf(h.m.team(team)).baseLevel }
 
-// TestRegionSharesOfRestrictedTeams checks that a flooding team that is restricted to a quarter of
-// the servers gets at most their capacity, and that the other teams get the rest.
+// TestRegionSharesOfRestrictedTeams checks that a flooding team that is restricted to a quarter
+// of the servers gets at most their capacity, and that the other teams get the rest.
 func TestRegionSharesOfRestrictedTeams(t *testing.T) {
 	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}}), 2)
 	h.setPeerUse(loads.TeamUse{Team: "bound", Offered: 500_000}, loads.TeamUse{Team: "one", Offered: 500_000}, loads.TeamUse{Team: "two", Offered: 500_000})
@@ -68,8 +68,8 @@
 	require.Equal(t, max(evenCapFactor*minServedFraction*baseLevel, min(lenientShareFactor*baseLevel, lenientCapFactor*minServedFraction*baseLevel)), h.m.evenCap)
 }
 
-// TestRegionEvenCap serves a restricted team less than its share. Teams that may use its
-// region must be capped in proportion, and other teams must not.
+// TestRegionEvenCap serves a restricted team less than its share. Teams that may use its region
+// must be capped in proportion, and other teams must not.
 func TestRegionEvenCap(t *testing.T) {
 	h := newRegionHarness(t, configWithTeamRegions(map[string][]string{"bound": {"west"}, "near": {"east"}}), 2)
 	h.setPeerUse(
@@ -222,8 +222,8 @@
 	require.Greater(t, got["bound"], 0.9*totalTokenRate/4)
 }
 
-// TestRegionRestrictedBesideFloods floods all servers for unrestricted teams. A restricted team must
-// still get its share.
+// TestRegionRestrictedBesideFloods floods all servers for unrestricted teams. A restricted team
+// must still get its share.
 func TestRegionRestrictedBesideFloods(t *testing.T) {
 	for _, region := range []string{"east", "west"} {
 		t.Run(region, func(t *testing.T) {
--- a/direct/tokenbucket_test.go
+++ b/direct/tokenbucket_test.go
@@ -347,9 +347,9 @@
 	require.InDelta(t, 1/maxCorrection, correction(0, 10), 1e-9)
 }
 
-// TestTooMuchIsTakenBack has three routers each take a flood for theirs alone, which happens
-// while its callers switch routers. The team must still get about its limit, not three times as
-// much.
+// TestTooMuchIsTakenBack has each of three routers count a team's whole demand as its own,
+// which happens while the team's callers switch routers. The team must still get about its
+// limit, not three times as much.
 func TestTooMuchIsTakenBack(t *testing.T) {
 	const warmUp, measured = 400, 400 // ticks
 	fleet := []*harness{newHarness(t, 20), newHarness(t, 20), newHarness(t, 20)}
@@ -393,7 +393,7 @@
 	require.Greater(t, perSecond, 0.5*limit/measured)
 }
 
-// clearPeerDemand clears what the routers know of the recent demand at other routers.
+// clearPeerDemand clears the recent demand at other routers that each router has recorded.
 func clearPeerDemand(fleet []*harness) {
 	for _, h := range fleet {
 		for _, u := range h.m.teams {
--- a/direct/unrated.go
+++ b/direct/unrated.go
@@ -6,8 +6,8 @@
 
 // unrated counts responses of the target version that did not fail and whose speed can't be
 // compared with that of old servers. On their own they are no evidence for the version, which
-// may be arbitrarily slow. They count beside its failures, because otherwise a few failures in
-// a thousand responses would look like failures only.
+// may be arbitrarily slow. They are reported together with the next failure: without them, a
+// few failures in a thousand responses would look as if all responses had failed.
 type unrated map[unratedKey]int
 
 // unratedKey identifies the cell of evidence of a response; see rollout.Cell.
--- a/direct/usage.go
+++ b/direct/usage.go
@@ -22,6 +22,7 @@
 	at     time.Duration
 }
 
+// decay applies the decay since the last update and returns the current rate.
 func (r *decayingRate) decay(now time.Duration) float64 {
 	if now > r.at {
 		r.value *= math.Exp(-float64(now-r.at) / float64(r.window))
@@ -30,6 +31,7 @@
 	return r.value
 }
 
+// add adds tokens at the given time.
 func (r *decayingRate) add(now time.Duration, tokens float64) {
 	r.decay(now)
 	r.value += tokens / r.window.Seconds()
@@ -69,10 +71,12 @@
 	return own / (own + float64(u.peers.Recent))
 }
 
+// servedRate returns the rate at which all routers serve a team.
 func (u *teamUsage) servedRate(now time.Duration) float64 {
 	return u.served.decay(now) + float64(u.peers.Served)
 }
 
+// offeredRate returns a team's demand at all routers.
 func (u *teamUsage) offeredRate(now time.Duration) float64 {
 	return u.offered.decay(now) + float64(u.peers.Offered)
 }
