--- a/direct/server.go
+++ b/direct/server.go
@@ -18,14 +18,14 @@
 	maxDownTime           = 2 * time.Second
 	maxLapseGrace         = 1200 * time.Millisecond // upper bound; see lapseDuration
 	massLapseFraction     = 0.3                     // of a service's servers that vanish at once
-	minMassLapse          = 2
-	maxLastResortTime     = 800 * time.Millisecond // upper bound; see lastResortDuration
-	defaultFullPause      = 60 * time.Millisecond  // after a server declined a request and named no duration
-	rateWeight            = 0.1
-	minRateSampleTokens   = 1500
-	minTokenRate          = 4.0   // tokens per millisecond
-	maxTokenRate          = 600.0 // tokens per millisecond
-	firstEventOverhead    = 40 * time.Millisecond
+	minMassLapse          = 2                       // servers that vanish at once
+	maxLastResortTime     = 800 * time.Millisecond  // upper bound; see lastResortDuration
+	defaultFullPause      = 60 * time.Millisecond   // after a server declined a request and named no duration
+	rateWeight            = 0.1                     // weight of one sample in a server's token rate or latency
+	minRateSampleTokens   = 1500                    // minimum number of tokens that a token rate is measured over
+	minTokenRate          = 4.0                     // tokens per millisecond
+	maxTokenRate          = 600.0                   // tokens per millisecond
+	firstEventOverhead    = 40 * time.Millisecond   // time to a first event besides reading tokens
 	initialPlainLatencyMS = 40.0
 )
 
@@ -45,7 +45,7 @@
 	hallUnreachable bool // no server in its data hall is reachable; see hallReach
 	cold            coldState
 
-	listedAt      time.Duration // when it was last added to the list
+	listedAt      time.Duration // when it was first listed, or last listed again after draining
 	respondedAt   time.Duration // of the last response to this router
 	target        bool          // runs the version that is rolled out
 	versionBarred bool          // its version gets no requests at present
@@ -122,7 +122,7 @@
 }
 
 // movingAverage returns an exponentially weighted moving average after a new value. An old
-// average of 0 is unset and replaced by first.
+// average of 0 means that nothing was measured yet; the average then starts at first.
 func movingAverage(old, value, first float64) float64 {
 	if old == 0 {
 		old = first
