--- a/direct/sending.go
+++ b/direct/sending.go
@@ -4,6 +4,7 @@
 	"time"
 )
 
+// send sends a request to the chosen server and adds it to the loads.
 func (m *Machine) send(now time.Duration, p *pool, r *requestState, c choice) {
 	c = m.recordSent(now, p, r, c)
 	s := c.server
@@ -78,6 +79,6 @@
 	r.started = true
 	m.recordResponse(msg.Now, r.currentServer)
 	r.currentServer.recordFirstEvent(p, r, msg.Now-r.sentAt)
-	r.currentServer.promptRead(r)
+	r.currentServer.markPromptRead(r)
 	m.serveQueue(msg.Now, p, serveBatch)
 }
--- a/direct/share.go
+++ b/direct/share.go
@@ -23,14 +23,14 @@
 )
 
 // updateShares computes how much each team may get. Together, teams may get the configured
-// capacity of the engines, and more of it while the engines have room.
+// capacity of the engines, and up to maxHeadroom times as much while the engines are not busy.
 func (m *Machine) updateShares(now time.Duration) {
 	if now < m.sharesUpdatedAt+shareInterval {
 		return
 	}
 	elapsed := now - m.sharesUpdatedAt
 	m.sharesUpdatedAt = now
-	m.group()
+	m.assignTeamGroups()
 	demands, served := m.demands(now)
 	busy := 0.0
 	for _, p := range m.pools {
