--- a/rollout/confirm_test.go
+++ b/rollout/confirm_test.go
@@ -36,9 +36,9 @@
 
 // writesCompleted reports whether a machine writes `completed` within maxFailedWritePause
 // while another router applies the given stage.
-func writesCompleted(s *sim, m *Machine, inForce Stage) bool {
+func writesCompleted(s *sim, m *Machine, applied Stage) bool {
 	other := m.Reports()[0]
-	other.MinAppliedStage = inForce
+	other.MinAppliedStage = applied
 	for end := s.now + maxFailedWritePause; s.now < end; {
 		s.now += TickInterval
 		m.Update(PeerReportsMsg{Now: s.now, Reports: []Report{other}})
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -55,6 +55,6 @@
 // their ratio to the others is assumed to be the same at all routers as at this one.
 func (r *rollout) estimatedRequests() float64 {
 	requests := float64(r.requests)
-	unjudged := max(1, requests/max(1, r.own.responses()))
-	return max(requests, unjudged*r.all.responses())
+	requestsPerResponse := max(1, requests/max(1, r.own.responses()))
+	return max(requests, requestsPerResponse*r.all.responses())
 }
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -35,38 +35,38 @@
 	return &c
 }
 
-// ratio is the log likelihood ratio of one cohort's responses, of a slice or of one evaluation.
-type ratio struct {
+// cohortRatio is the log likelihood cohortRatio of one cohort's responses, of a slice or of one evaluation.
+type cohortRatio struct {
 	cohort    string
-	ratio     float64
+	logRatio  float64
 	responses float64
 }
 
-type ratios []ratio
+type cohortRatios []cohortRatio
 
-func (r ratios) of(cohort string) float64 {
-	i := slices.IndexFunc(r, func(x ratio) bool { return x.cohort == cohort })
+func (r cohortRatios) of(cohort string) float64 {
+	i := slices.IndexFunc(r, func(x cohortRatio) bool { return x.cohort == cohort })
 	if i < 0 {
 		return 0
 	}
-	return r[i].ratio
+	return r[i].logRatio
 }
 
-func (r ratios) plus(add ratio) ratios {
-	i := slices.IndexFunc(r, func(x ratio) bool { return x.cohort == add.cohort })
+func (r cohortRatios) plus(add cohortRatio) cohortRatios {
+	i := slices.IndexFunc(r, func(x cohortRatio) bool { return x.cohort == add.cohort })
 	if i < 0 {
 		return append(r, add)
 	}
-	r[i].ratio += add.ratio
+	r[i].logRatio += add.logRatio
 	r[i].responses += add.responses
 	return r
 }
 
 // addAgainst adds the responses of one evaluation to the sums against the target.
-func (e *evidence) addAgainst(increment ratios) {
+func (e *evidence) addAgainst(increment cohortRatios) {
 	sum := 0.0
 	for _, r := range increment {
-		sum += r.ratio
+		sum += r.logRatio
 		e.getOrAddCohort(r.cohort).responses += r.responses
 	}
 	for i := range e.cohorts {
@@ -79,11 +79,11 @@
 }
 
 // addInFavour adds the responses of a slice to the sum in favour of the target.
-func (e *evidence) addInFavour(slice ratios) {
+func (e *evidence) addInFavour(slice cohortRatios) {
 	sum, largest := 0.0, 0.0
 	for _, r := range slice {
-		sum += r.ratio
-		largest = max(largest, r.ratio)
+		sum += r.logRatio
+		largest = max(largest, r.logRatio)
 	}
 	e.inFavour = min(0, e.inFavour+sum-largest)
 }
--- a/rollout/exposure_test.go
+++ b/rollout/exposure_test.go
@@ -21,9 +21,9 @@
 			t.Parallel()
 			maxShare, maxDelay := 0.0, time.Duration(0)
 			for seed := range int64(seeds) {
-				part, after, state := measureExposure(t, seed, c.at, maxBad)
+				share, delay, state := measureExposure(t, seed, c.at, maxBad)
 				require.Equal(t, RolledBack, state)
-				maxShare, maxDelay = max(maxShare, part), max(maxDelay, after)
+				maxShare, maxDelay = max(maxShare, share), max(maxDelay, delay)
 			}
 			t.Logf("bad %s: at most %.3f of the requests; %s after %d bad responses", c.name, maxShare, maxDelay, maxBad)
 			require.LessOrEqual(t, maxShare, 0.1)
@@ -66,8 +66,8 @@
 	plan := newTimeline(simWithin)
 	maxShare := 0.0
 	for seed := range int64(seeds) {
-		part, _, _ := measureExposure(t, seed, (plan.stageAt(All)+plan.writeAt)/2, maxBad)
-		maxShare = max(maxShare, part)
+		share, _, _ := measureExposure(t, seed, (plan.stageAt(All)+plan.writeAt)/2, maxBad)
+		maxShare = max(maxShare, share)
 	}
 	t.Logf("at most %.3f of the requests", maxShare)
 	require.LessOrEqual(t, maxShare, 0.1)
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -77,7 +77,7 @@
 	d.clockStepped = true
 }
 
-func (d *faultyFleet) replaceOrder(t *rapid.T, mark string) {
+func (d *faultyFleet) replaceOrder(t *rapid.T, made string) {
 	target := rapid.SampledFrom([]string{newVersion, "v3", "v4"}).Draw(t, "target")
 	if d.store.order != nil && d.store.order.Target == target {
 		return
@@ -85,16 +85,16 @@
 	if d.store.order == nil {
 		d.ordersMade++ // each Order.Made is used once
 	}
-	d.placeRecordedOrder(target, fmt.Sprint(mark, d.ordersMade))
+	d.placeRecordedOrder(target, fmt.Sprint(made, d.ordersMade))
 }
 
 // placeRecordedOrder places an order and lets a router see and record it: without any router
 // that has seen the order its age is unknown.
-func (d *faultyFleet) placeRecordedOrder(target, mark string) {
+func (d *faultyFleet) placeRecordedOrder(target, made string) {
 	before := *d.store
 	d.store.down, d.store.losesReplies, d.store.delaysWrites = false, false, false
 	d.routers[0].paused, d.routers[0].partitioned = false, false
-	d.placeOrder(target, mark, simWithin)
+	d.placeOrder(target, made, simWithin)
 	d.run(3 * time.Second)
 	d.store.down, d.store.losesReplies, d.store.delaysWrites = before.down, before.losesReplies, before.delaysWrites
 }
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -46,7 +46,7 @@
 	case All:
 		g.Fraction, g.Limit, g.ServerFraction = 1, 1, 1
 		g.OldClosed = true
-		g.MoveStreams = r.age >= r.plan.moveAt
+		g.MoveStreams = r.age >= r.plan.moveStreamsAt
 	}
 	return g
 }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -149,8 +149,8 @@
 
 // ratios returns, for each test, the likelihood ratios of counts by cohort, relative to the old
 // servers' responses in the open slice.
-func (j *Judge) ratios(counts cells, routes map[routePhase]weightedCount) map[testKey]ratios {
-	found := map[testKey]ratios{}
+func (j *Judge) ratios(counts cells, routes map[routePhase]weightedCount) map[testKey]cohortRatios {
+	found := map[testKey]cohortRatios{}
 	for _, k := range counts.targetKeys() {
 		r := j.ratio(k, counts[k], routes)
 		for _, key := range testsOf(k) {
@@ -162,8 +162,8 @@
 
 // overallRatios returns the ratios of the open slice for the test over all routes and phases,
 // the only test that can find a version good.
-func (j *Judge) overallRatios(routes map[routePhase]weightedCount) ratios {
-	var found ratios
+func (j *Judge) overallRatios(routes map[routePhase]weightedCount) cohortRatios {
+	var found cohortRatios
 	for _, k := range j.slice.targetKeys() {
 		found = found.plus(j.ratio(k, j.slice[k], routes))
 	}
@@ -171,8 +171,8 @@
 }
 
 // ratio returns the likelihood ratio of one cell's counts.
-func (j *Judge) ratio(k cellKey, t Tally, routes map[routePhase]weightedCount) ratio {
-	return ratio{k.Cohort, logLikelihoodRatio(t, j.baseline.expected(j.slice, routes, k)), t.responses()}
+func (j *Judge) ratio(k cellKey, t Tally, routes map[routePhase]weightedCount) cohortRatio {
+	return cohortRatio{k.Cohort, logLikelihoodRatio(t, j.baseline.expected(j.slice, routes, k)), t.responses()}
 }
 
 // logLikelihoodRatio returns the log likelihood ratio of t, for a bad version against a good one.
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -88,11 +88,11 @@
 
 type badRate = func(at float64, route, cohort, server int, target bool) float64
 
-const simBase = 0.01
+const simBaseRate = 0.01
 
 func eitherFails(a, b float64) float64 { return 1 - (1-a)*(1-b) }
 
-func baseRate(float64, int, int, int, bool) float64 { return simBase }
+func baseRate(float64, int, int, int, bool) float64 { return simBaseRate }
 
 func goodCases() map[string]badRate {
 	return map[string]badRate{
@@ -101,36 +101,36 @@
 			if target && cohort == 0 && server == 0 {
 				return 0.4
 			}
-			return simBase
+			return simBaseRate
 		},
 		"beside a grey old server": func(_ float64, _, cohort, server int, target bool) float64 {
 			if !target && cohort == 0 && server == 0 {
 				return 0.4
 			}
-			return simBase
+			return simBaseRate
 		},
 		"beside a lossy hall": func(_ float64, _, cohort, _ int, _ bool) float64 {
 			if cohort == 1 {
 				return 0.4
 			}
-			return simBase
+			return simBaseRate
 		},
 		"in a flood": func(float64, int, int, int, bool) float64 { return 0.4 },
 		"as a flood begins and ends": func(at float64, _, _, _ int, _ bool) float64 {
 			if at > 5.3 && at < 12.7 {
 				return 0.4
 			}
-			return simBase
+			return simBaseRate
 		},
 	}
 }
 
-func worse(extra float64, when func(at float64, route int) bool) badRate {
+func worseTarget(extra float64, when func(at float64, route int) bool) badRate {
 	return func(at float64, route, _, _ int, target bool) float64 {
 		if target && when(at, route) {
-			return eitherFails(simBase, extra)
+			return eitherFails(simBaseRate, extra)
 		}
-		return simBase
+		return simBaseRate
 	}
 }
 
@@ -148,13 +148,13 @@
 
 func badCases() map[string]badCase {
 	return map[string]badCase{
-		"30% at once":       {worse(0.3, atOnce), false, true, true},
-		"40% at once":       {worse(0.4, atOnce), false, true, true},
-		"30% slow at once":  {worse(0.3, atOnce), true, true, true},
-		"30% later":         {worse(0.3, afterTenSeconds), false, false, true},
-		"35% under load":    {worse(0.35, inWaves), false, false, true},
-		"35% on one route":  {worse(0.35, onOneRoute), false, false, true},
-		"35% slow, a route": {worse(0.35, onOneRoute), true, false, true},
+		"30% at once":       {worseTarget(0.3, atOnce), false, true, true},
+		"40% at once":       {worseTarget(0.4, atOnce), false, true, true},
+		"30% slow at once":  {worseTarget(0.3, atOnce), true, true, true},
+		"30% later":         {worseTarget(0.3, afterTenSeconds), false, false, true},
+		"35% under load":    {worseTarget(0.35, inWaves), false, false, true},
+		"35% on one route":  {worseTarget(0.35, onOneRoute), false, false, true},
+		"35% slow, a route": {worseTarget(0.35, onOneRoute), true, false, true},
 		"40% in a flood": {func(_ float64, _, _, _ int, target bool) float64 {
 			if target {
 				return eitherFails(0.4, 0.4)
--- a/rollout/paused_test.go
+++ b/rollout/lowtraffic_test.go
@@ -53,30 +53,30 @@
 // version got 390 of 589 requests.
 func TestRolloutUnjudgedIsNotQuiet(t *testing.T) {
 	for _, c := range []struct {
-		routers, calls, every int // calls at the leading router, once every so many ticks
-		judged                int // responses in the evidence of all others
-		quiet                 bool
+		routers, requests, every int // calls at the leading router, once every so many ticks
+		judged                   int // responses in the evidence of all others
+		lowTraffic               bool
 	}{
-		{routers: 3, calls: 0, every: 1, quiet: true},
-		{routers: 3, calls: 3, every: 1, quiet: false},
+		{routers: 3, requests: 0, every: 1, lowTraffic: true},
+		{routers: 3, requests: 3, every: 1, lowTraffic: false},
 		// None of the leading router's responses count as evidence, and few of the others'.
-		{routers: 3, calls: 1, every: 1, judged: 9, quiet: false},
+		{routers: 3, requests: 1, every: 1, judged: 9, lowTraffic: false},
 		// In a large fleet, one of twenty requests arrives at the leading router.
-		{routers: 384, calls: 1, every: 100, judged: 20, quiet: true},
+		{routers: 384, requests: 1, every: 100, judged: 20, lowTraffic: true},
 	} {
 		m, _ := newLeader(c.routers)
-		others := Report{Service: "llm", Order: m.Reports()[0].Order, Routers: uint32(c.routers - 1), MaxStage: Trial, MinAppliedStage: Trial}
-		others.Cells = []Cell{{Route: "r", Cohort: "a", Good: uint32(c.judged)}}
+		peers := Report{Service: "llm", Order: m.Reports()[0].Order, Routers: uint32(c.routers - 1), MaxStage: Trial, MinAppliedStage: Trial}
+		peers.Cells = []Cell{{Route: "r", Cohort: "a", Good: uint32(c.judged)}}
 		requests := 0
 		for tick := 0; time.Duration(tick)*TickInterval < newTimeline(6*time.Second).latestRampAt; tick++ {
 			now := time.Duration(tick) * TickInterval
 			if tick%c.every == 0 {
-				requests += c.calls
+				requests += c.requests
 			}
-			m.Update(PeerReportsMsg{Now: now, Reports: []Report{others}})
+			m.Update(PeerReportsMsg{Now: now, Reports: []Report{peers}})
 			m.Update(TickMsg{Now: now, Leads: true, Routers: c.routers, Requests: map[string]int{"llm": requests}})
 		}
-		require.Equal(t, c.quiet, m.Snapshots()[0].Stage > Trial, "%+v", c)
+		require.Equal(t, c.lowTraffic, m.Snapshots()[0].Stage > Trial, "%+v", c)
 	}
 }
 
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -144,7 +144,7 @@
 		}
 		merged := Report{}
 		for _, r := range msg.Reports {
-			if r.Service == s.name && r.Order == s.rollout.key {
+			if r.Service == s.name && r.Order == s.rollout.orderKey {
 				merged = Merge(merged, r)
 			}
 		}
@@ -194,8 +194,8 @@
 }
 
 // emitStep emits a StepCmd, which logs a step of the service's rollout.
-func (m *Machine) emitStep(s *service, name, cause string) {
-	c := StepCmd{Service: s.name, Step: name, Cause: cause, Leads: m.leads, Routers: 1}
+func (m *Machine) emitStep(s *service, step, cause string) {
+	c := StepCmd{Service: s.name, Step: step, Cause: cause, Leads: m.leads, Routers: 1}
 	if s.order != nil {
 		c.Target = s.order.Target
 	}
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -11,7 +11,7 @@
 		return a
 	}
 	if a.Order != b.Order {
-		return higher(a, b)
+		return withHigherKey(a, b)
 	}
 	sum := a
 	sum.Routers += b.Routers
@@ -27,7 +27,7 @@
 	return sum
 }
 
-func higher(a, b Report) Report {
+func withHigherKey(a, b Report) Report {
 	if a.Order > b.Order {
 		return a
 	}
--- a/rollout/merge_test.go
+++ b/rollout/merge_test.go
@@ -55,13 +55,13 @@
 func TestRolloutMergeCountsAll(t *testing.T) {
 	t.Parallel()
 	cell := Cell{Route: "r", Cohort: "h", Good: 2, Bad: 1}
-	later := Cell{Route: "r", Cohort: "h", AfterStart: true, Good: 4}
+	afterStart := Cell{Route: "r", Cohort: "h", AfterStart: true, Good: 4}
 	got := Merge(
-		Report{Service: "s", Order: 1, Routers: 2, MaxStage: Half, MinAppliedStage: Quarter, Age: 5, OldRunning: 3, Cells: []Cell{later, cell}},
+		Report{Service: "s", Order: 1, Routers: 2, MaxStage: Half, MinAppliedStage: Quarter, Age: 5, OldRunning: 3, Cells: []Cell{afterStart, cell}},
 		Report{Service: "s", Order: 1, Routers: 1, MaxStage: Quarter, MinAppliedStage: Trial, Age: 7, OldRunning: 1, Cells: []Cell{cell}},
 	)
 	require.Equal(t, Report{
 		Service: "s", Order: 1, Routers: 3, MaxStage: Half, MinAppliedStage: Trial, Age: 7, OldRunning: 4,
-		Cells: []Cell{{Route: "r", Cohort: "h", Good: 4, Bad: 2}, later},
+		Cells: []Cell{{Route: "r", Cohort: "h", Good: 4, Bad: 2}, afterStart},
 	}, got)
 }
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -23,7 +23,7 @@
 	if s.rollout != nil && s.order == nil {
 		m.abandon(s, causeDeleted)
 	}
-	if s.rollout != nil && s.order.Key() != s.rollout.key {
+	if s.rollout != nil && s.order.Key() != s.rollout.orderKey {
 		m.abandon(s, causeReplaced)
 	}
 	if s.order == nil {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -8,9 +8,9 @@
 // rollout is one router's view of a running rollout. Ages are times since the order was made;
 // other times are on this router's monotonic clock.
 type rollout struct {
-	order Order
-	key   uint64
-	plan  timeline
+	order    Order
+	orderKey uint64
+	plan     timeline
 	// trusted is set if the target is among the versions in use: it needs no trial.
 	trusted bool
 	// age is the order's age at ageUpdatedAt.
@@ -23,7 +23,7 @@
 	stage         Stage
 	raisedAtAge   time.Duration // age at which the stage was last raised
 	own           cells         // evidence of this router
-	evaluated     cells         // own, at the last evaluation
+	evaluatedOwn  cells         // own, at the last evaluation
 	peers         Report        // merged reports of the other routers
 	peerCount     uint32        // number of other routers in peers at the last evaluation
 	maxPeerCount  uint32        // largest peerCount so far
@@ -63,7 +63,7 @@
 func newRollout(o Order, now time.Duration) *rollout {
 	return &rollout{
 		order:        o,
-		key:          o.Key(),
+		orderKey:     o.Key(),
 		plan:         newTimeline(o.Within),
 		ageUpdatedAt: now,
 		firstSeenAt:  now,
@@ -112,7 +112,7 @@
 func (r *rollout) report() Report {
 	return Report{
 		Service:         r.order.Service,
-		Order:           r.key,
+		Order:           r.orderKey,
 		Routers:         1,
 		MaxStage:        r.stage,
 		MinAppliedStage: r.appliedStage(),
@@ -148,10 +148,10 @@
 	}
 	if r.peersChanged() {
 		counts := cellsOf(r.peers.Cells)
-		counts.add(r.evaluated)
+		counts.add(r.evaluatedOwn)
 		r.judge.skip(now, counts)
 	}
-	r.evaluated = maps.Clone(r.own)
+	r.evaluatedOwn = maps.Clone(r.own)
 	return r.judge.evaluate(now, r.all)
 }
 
@@ -190,8 +190,8 @@
 		return Trial, true
 	}
 	next := r.stage + 1
-	late := r.stage > Trial && r.age < r.raisedAtAge+r.plan.minStepInterval
-	return next, r.age >= r.plan.stageAt(next) && !late
+	tooSoon := r.stage > Trial && r.age < r.raisedAtAge+r.plan.minStepInterval
+	return next, r.age >= r.plan.stageAt(next) && !tooSoon
 }
 
 // oldDrained reports whether the old servers of all routers have been idle for long enough.
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -55,14 +55,14 @@
 		}
 		return
 	}
-	late := slices.Contains(s.endedOrders, o.Made)
-	if late && s.order != nil {
+	ended := slices.Contains(s.endedOrders, o.Made)
+	if ended && s.order != nil {
 		return
 	}
 	if s.order != nil {
 		s.endedOrders = appendBounded(s.endedOrders, s.order.Made)
 	}
-	s.reappeared = late
+	s.reappeared = ended
 	s.setOrder(o)
 }
 
--- a/rollout/suspect_test.go
+++ b/rollout/suspect_test.go
@@ -38,13 +38,13 @@
 // TestRolloutSuspectedGoesBack verifies that a version that responds badly for a moment in the
 // last stage gets fewer requests until the evidence is clear, and then all again if it is good.
 func TestRolloutSuspectedGoesBack(t *testing.T) {
-	m, pass := leaderInLastStage(t)
-	pass(2, 1)
-	pass(2, 1)
+	m, advance := leaderInLastStage(t)
+	advance(2, 1)
+	advance(2, 1)
 	require.Equal(t, Undecided, m.Snapshots()[0].Verdict)
 	require.InDelta(t, quarterFraction, m.Snapshots()[0].Part, 0)
 	for range 4 {
-		pass(5, 0)
+		advance(5, 0)
 	}
 	require.Equal(t, Good, m.Snapshots()[0].Verdict)
 	require.InDelta(t, 1, m.Snapshots()[0].Part, 0)
@@ -53,14 +53,14 @@
 // TestRolloutSuspectedIsNotCompleted verifies that a version is not completed if it responds
 // badly shortly before, but not enough for the verdict Bad: all callers would depend on it.
 func TestRolloutSuspectedIsNotCompleted(t *testing.T) {
-	m, pass := leaderInLastStage(t)
+	m, advance := leaderInLastStage(t)
 	plan := newTimeline(6 * time.Second)
 	for m.Snapshots()[0].Age < plan.writeAt-2*TickInterval {
-		pass(2, 0)
+		advance(2, 0)
 	}
 	for m.Snapshots()[0].Age < plan.deadline {
-		pass(2, 1)
-		pass(5, 0)
+		advance(2, 1)
+		advance(5, 0)
 	}
 	require.False(t, m.services["llm"].rollout.confirmed)
 }
@@ -69,10 +69,10 @@
 // deadline: the version must be completed, since one faulty server may be the cause, but only
 // when no time is left for the other servers to show that it is the version.
 func TestRolloutDoubtedWaits(t *testing.T) {
-	m, pass := leaderInLastStage(t)
+	m, advance := leaderInLastStage(t)
 	plan := newTimeline(6 * time.Second)
 	for m.Snapshots()[0].Age < plan.rejectAt-2*TickInterval {
-		pass(2, 0)
+		advance(2, 0)
 		for range 3 {
 			m.Update(ResponseMsg{Service: "llm", Route: "r", Cohort: "a", Target: true, Bad: true})
 		}
@@ -80,7 +80,7 @@
 	require.Equal(t, Good, m.Snapshots()[0].Verdict)
 	require.False(t, m.services["llm"].rollout.confirmed)
 	for range 3 {
-		pass(2, 0)
+		advance(2, 0)
 	}
 	require.True(t, m.services["llm"].rollout.confirmed)
 }
--- a/rollout/timeline.go
+++ b/rollout/timeline.go
@@ -11,9 +11,9 @@
 	// Settling is the time in which old servers finish their requests before `completed`
 	// stops them: most responses of a few seconds end by themselves. It is no longer than
 	// that, since a version that turns bad during this time gets all requests.
-	settleFraction = 0.08
-	minSettle      = 1200 * time.Millisecond
-	maxSettle      = 2400 * time.Millisecond
+	drainFraction = 0.08
+	minDrain      = 1200 * time.Millisecond
+	maxDrain      = 2400 * time.Millisecond
 	// The ramp is short, as a version that is bad only under load costs most there, but each of
 	// its steps is long enough to show that.
 	rampFraction = 0.06
@@ -27,9 +27,9 @@
 	// minStepFraction is the fraction of their planned time that steps and settling last at
 	// least if the evidence arrives late.
 	minStepFraction = 0.3
-	// moveFraction of the settling time is left when streams are moved from old servers: most
+	// moveStreamsFraction of the settling time is left when streams are moved from old servers: most
 	// have ended by themselves by then, and the others need time to restart.
-	moveFraction = 0.4
+	moveStreamsFraction = 0.4
 	// graceFraction of the margin is for a router that confirms late. After it, a rollout that
 	// is not done is rolled back while there is time to write that.
 	graceFraction = 0.5
@@ -41,7 +41,7 @@
 	latestRampAt    time.Duration // latest age for stage Quarter
 	minStepInterval time.Duration // least time between steps, if the evidence arrives late
 	stepInterval    time.Duration // planned time between steps
-	moveAt          time.Duration
+	moveStreamsAt   time.Duration
 	writeAt         time.Duration // final status, whatever still runs
 	rejectAt        time.Duration
 	deadline        time.Duration
@@ -49,20 +49,20 @@
 
 func newTimeline(within time.Duration) timeline {
 	margin := clampedFraction(within, marginFraction, minMargin, maxMargin)
-	settle := clampedFraction(within, settleFraction, minSettle, maxSettle)
+	drain := clampedFraction(within, drainFraction, minDrain, maxDrain)
 	ramp := clampedFraction(within, rampFraction, minRamp, maxRamp)
-	reserved := margin + settle + ramp
+	reserved := margin + drain + ramp
 	if maxReserved := scale(within, maxReservedFraction); reserved > maxReserved {
 		shrink := float64(maxReserved) / float64(reserved)
-		margin, settle, ramp = scale(margin, shrink), scale(settle, shrink), scale(ramp, shrink)
+		margin, drain, ramp = scale(margin, shrink), scale(drain, shrink), scale(ramp, shrink)
 	}
 	t := timeline{deadline: within, writeAt: within - margin}
 	t.rejectAt = t.writeAt + scale(margin, graceFraction)
-	t.moveAt = t.writeAt - scale(settle, moveFraction)
-	t.rampAt = t.writeAt - settle - ramp
+	t.moveStreamsAt = t.writeAt - scale(drain, moveStreamsFraction)
+	t.rampAt = t.writeAt - drain - ramp
 	t.stepInterval = ramp / rampSteps
 	t.minStepInterval = scale(t.stepInterval, minStepFraction)
-	t.latestRampAt = t.writeAt - scale(settle+ramp, minStepFraction)
+	t.latestRampAt = t.writeAt - scale(drain+ramp, minStepFraction)
 	return t
 }
 
--- a/rollout/write.go
+++ b/rollout/write.go
@@ -15,7 +15,7 @@
 	}
 	if desired := s.desiredRecord(wall); len(desired.InUse) > 0 && !s.recordCurrent(desired) {
 		c := WriteCmd{Kind: WriteRecord, Service: s.name, Record: desired}
-		m.cmds = append(m.cmds, s.writer.send(c, s.key(), now))
+		m.cmds = append(m.cmds, s.writer.send(c, s.orderKey(), now))
 		return
 	}
 	if s.rollout != nil && s.order.status() == Ordered && s.order.Target != "" {
@@ -26,7 +26,7 @@
 func (m *Machine) writeStatus(s *service, state State, now time.Duration) {
 	status := Status{State: state, Target: s.order.Target, Revision: s.order.Revision}
 	c := WriteCmd{Kind: WriteStatus, Service: s.name, Status: status}
-	m.cmds = append(m.cmds, s.writer.send(c, s.key(), now))
+	m.cmds = append(m.cmds, s.writer.send(c, s.orderKey(), now))
 }
 
 // dueFinalState returns the final status to write now; Ordered: none.
@@ -44,8 +44,8 @@
 	return Ordered
 }
 
-// key returns the key of the service's order; 0: no order.
-func (s *service) key() uint64 {
+// orderKey returns the orderKey of the service's order; 0: no order.
+func (s *service) orderKey() uint64 {
 	if s.order == nil {
 		return 0
 	}
@@ -67,7 +67,7 @@
 		s.recordWritten(cmd.Record)
 		return
 	}
-	if s.order != nil && s.writer.key == s.order.Key() && s.order.Revision == cmd.Status.Revision {
+	if s.order != nil && s.writer.orderKey == s.order.Key() && s.order.Revision == cmd.Status.Revision {
 		s.order.State, s.order.StateTarget = cmd.Status.State, cmd.Status.Target
 	}
 }
--- a/rollout/writer.go
+++ b/rollout/writer.go
@@ -19,7 +19,7 @@
 // writer allows one write of a service at a time, and schedules retries.
 type writer struct {
 	pending      *WriteCmd
-	key          uint64 // key of the order that the write is based on
+	orderKey     uint64 // key of the order that the write is based on
 	sentAt       time.Duration
 	retryAt      time.Duration
 	backoff      time.Duration
@@ -34,8 +34,8 @@
 	return w.pending == nil && now >= w.retryAt
 }
 
-func (w *writer) send(c WriteCmd, key uint64, now time.Duration) Cmd {
-	w.pending, w.key, w.sentAt, w.changed = &c, key, now, false
+func (w *writer) send(c WriteCmd, orderKey uint64, now time.Duration) Cmd {
+	w.pending, w.orderKey, w.sentAt, w.changed = &c, orderKey, now, false
 	return c
 }
 
