--- a/rollout/baseline.go
+++ b/rollout/baseline.go
@@ -4,8 +4,8 @@
 	// priorRate is the assumed rate of bad responses of old servers without any responses
 	// yet: healthy servers stay below it.
 	priorRate = 0.05
-	// priorWeight is the weight of priorRate, in responses: one second of a small service
-	// outweighs it.
+	// priorWeight is the weight of priorRate, in responses: even a small service gives more
+	// responses in a second.
 	priorWeight = 10
 	// shrinkageWeight is the weight, in responses, of the broader rate (of the route, of the
 	// earlier slices) next to a cell's own responses: the rate of fewer responses is mostly noise.
@@ -16,7 +16,8 @@
 	// minRate is the lower bound of the expected rate: near a rate of 0, a single bad response
 	// would decide.
 	minRate = 0.03
-	// maxRate is the upper bound, which leaves room for a worse rate.
+	// maxRate is the upper bound of the expected rate: with badRateIncrease added, the rate must
+	// stay below 1.
 	maxRate = 0.75
 )
 
@@ -29,6 +30,7 @@
 // weightedCount holds weighted counts of bad and of all responses.
 type weightedCount struct{ bad, all float64 }
 
+// rate returns the rate of bad responses, with a prior rate that counts as weight responses.
 func (s weightedCount) rate(prior, weight float64) float64 {
 	return (s.bad + prior*weight) / (s.all + weight)
 }
@@ -36,8 +38,8 @@
 // baseline holds the recent counts of bad responses of old servers, with exponential decay.
 type baseline map[routePhase]weightedCount
 
-// update adds the old servers' responses of a slice. Routes without any keep their counts,
-// since in a rollout's last stage old servers get no requests.
+// update adds the old servers' responses of a slice. The counts of a route without any do not
+// decay, since in a rollout's last stage old servers get no requests.
 func (b baseline) update(slice cells) {
 	for rk, s := range oldByRoute(slice) {
 		if s.all == 0 {
@@ -60,6 +62,7 @@
 	return min(max(cell, minRate), maxRate)
 }
 
+// oldByRoute sums the old servers' responses of a slice by route and phase.
 func oldByRoute(slice cells) map[routePhase]weightedCount {
 	routes := map[routePhase]weightedCount{}
 	for k, t := range slice {
--- a/rollout/cells.go
+++ b/rollout/cells.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// cellKey identifies a cell.
+// cellKey identifies a Cell: it holds all its fields but the counts.
 type cellKey struct {
 	Route, Cohort      string
 	Target, AfterStart bool
@@ -33,8 +33,8 @@
 	}
 }
 
-// since returns the counts added since an earlier sum. A router that is lost takes its counts
-// with it, so a cell may hold less than before; then its difference is 0.
+// since returns the counts added since an earlier sum. The counts of a lost router are missing
+// from c, so a cell may hold less than before; then its difference is 0.
 func (c cells) since(before cells) cells {
 	d := make(cells, len(c))
 	for k, t := range c {
@@ -53,7 +53,7 @@
 	return d
 }
 
-// sortedKeys returns the keys in a fixed order, since sums of floats depend on it.
+// sortedKeys returns the keys in a fixed order, since the results of float addition depend on it.
 func (c cells) sortedKeys() []cellKey {
 	return slices.SortedFunc(maps.Keys(c), compareKeys)
 }
@@ -98,7 +98,8 @@
 	return list
 }
 
-// total returns the counts of responses by their start: of the target's servers, or of the old ones.
+// total counts the starts of responses, and so each response once: of the target's servers if
+// target is set, otherwise of the old ones.
 func (c cells) total(target bool) Tally {
 	var sum Tally
 	for k, t := range c {
@@ -109,10 +110,10 @@
 	return sum
 }
 
-// responses returns the number of responses, counting each once.
+// responses returns the number of responses of all servers, counting each once.
 func (c cells) responses() float64 { return c.total(true).responses() + c.total(false).responses() }
 
-// targetBad returns the number of the target's bad counts, of both phases.
+// targetBad returns the number of the target's bad outcomes, of both phases.
 func targetBad(list []Cell) uint32 {
 	bad := uint32(0)
 	for _, c := range list {
--- a/rollout/commands.go
+++ b/rollout/commands.go
@@ -56,11 +56,11 @@
 	Step    string // what happened: one of the constants Step...
 	Cause   string
 	Stage   Stage
-	Age     time.Duration
-	Within  time.Duration
-	Leads   bool
-	Routers int // routers whose reports were merged, including this one
-	// New and Old count the responses of the target's and of the old servers by their start.
+	Age     time.Duration // time since the order was made
+	Within  time.Duration // time from the order to its deadline
+	Leads   bool          // this router is the leader
+	Routers int           // routers whose reports were merged, including this one
+	// New and Old count the starts of responses of the target's and of the old servers.
 	New, Old Tally
 }
 
--- a/rollout/confirm_test.go
+++ b/rollout/confirm_test.go
@@ -30,8 +30,8 @@
 	require.Less(t, s.now-s.orderAt, newTimeline(simWithin).rejectAt, "both writes must have been possible before the rejection")
 }
 
-// maxFailedWritePause bounds the pauses between writes that fail within minOldIdle: each is
-// twice the one before.
+// maxFailedWritePause bounds the retry delay after writes have failed for minOldIdle: each delay
+// is twice the one before.
 const maxFailedWritePause = minOldIdle
 
 // writesCompleted reports whether a machine writes `completed` within maxFailedWritePause
@@ -51,8 +51,8 @@
 	return false
 }
 
-// TestRolloutSettledNeedsAllRouters verifies that `completed` isn't written early while a
-// live router has not reported.
+// TestRolloutSettledNeedsAllRouters verifies that a rollout isn't confirmed early while a live
+// router has not reported.
 func TestRolloutSettledNeedsAllRouters(t *testing.T) {
 	t.Parallel()
 	s := newSimInLastStage()
@@ -60,7 +60,8 @@
 	require.True(t, confirms(s, 1))
 }
 
-// confirms reports whether a router soon confirms the rollout, given the number of live routers.
+// confirms reports whether a router confirms the rollout within 2*minOldIdle, given the number of
+// live routers.
 func confirms(s *sim, routers int) bool {
 	m := s.routers[0].machine
 	for end := s.now + 2*minOldIdle; s.now < end; {
--- a/rollout/demand.go
+++ b/rollout/demand.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Demand is the rate of requests that one router, or several together, receive from callers.
+// Demand is the rate of requests that one router, or several together, receives from callers.
 type Demand struct {
-	// Complete is set if every router whose requests are included has reported them. Routers of
-	// earlier builds don't.
+	// Complete is set if every included router has reported its demand. Routers of earlier builds
+	// report none.
 	Complete bool
 	// PerSecond is the rate of requests per second, over the time that each router has observed.
 	PerSecond float64
@@ -25,12 +25,14 @@
 // expected returns the number of requests to expect within a time, at the present rate.
 func (d Demand) expected(within time.Duration) float64 { return d.PerSecond * within.Seconds() }
 
-// ownDemand returns this router's demand: at least one request for each response in its evidence.
+// ownDemand returns this router's demand, with at least one request for each response in its
+// evidence.
 func (r *rollout) ownDemand() Demand {
 	return r.demandOf(max(float64(r.requests), r.own.responses()))
 }
 
-// demand returns the demand of all routers.
+// demand returns the demand of all routers. If a peer does not report its own, the demand is
+// estimated from the evidence.
 func (r *rollout) demand() Demand {
 	switch {
 	case r.peers.Routers == 0:
--- a/rollout/early_test.go
+++ b/rollout/early_test.go
@@ -9,7 +9,7 @@
 
 // TestRolloutEarlyGate verifies that a router that was partitioned, and learns that an order is
 // completed before it learns of the new servers, keeps sending to the old ones until then. A
-// rejected version is not kept in this way.
+// rejected version gets no requests from then on.
 func TestRolloutEarlyGate(t *testing.T) {
 	newLoadedMachine := func(inUse ...string) *Machine {
 		m := NewMachine(Bounds{Share: 0.1})
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // minOtherFraction is the fraction of a test's responses that must come from other cohorts
-// for one to be excluded: with a tenth, a bad version is still found, if more slowly.
+// for one to be excluded: with a tenth, a bad version is still found, but more slowly.
 const minOtherFraction = 0.1
 
 // secondFraction is the fraction of the largest cohort sum that the second largest must reach
@@ -35,7 +35,8 @@
 	return &c
 }
 
-// cohortRatio is the log likelihood cohortRatio of one cohort's responses, of a slice or of one evaluation.
+// cohortRatio holds the log likelihood ratio of one cohort's responses, of a slice or of one
+// evaluation.
 type cohortRatio struct {
 	cohort    string
 	logRatio  float64
@@ -44,6 +45,7 @@
 
 type cohortRatios []cohortRatio
 
+// of returns the log likelihood ratio of a cohort, 0 without responses.
 func (r cohortRatios) of(cohort string) float64 {
 	i := slices.IndexFunc(r, func(x cohortRatio) bool { return x.cohort == cohort })
 	if i < 0 {
@@ -113,7 +115,8 @@
 	return min(largest, second/secondFraction)
 }
 
-// against returns the evidence against the target without the cohort that contributes most.
+// against returns the evidence against the target without the cohort that contributes most: one
+// cohort may be faulty whatever its version.
 func (e *evidence) against() float64 {
 	total := 0.0
 	for _, c := range e.cohorts {
--- a/rollout/exposure_test.go
+++ b/rollout/exposure_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutExposure measures how much a bad version gets, by when it turns bad: its fraction
-// of the requests until the deadline, and for how long it gets any after its 50th bad response.
+// TestRolloutExposure bounds how much traffic a version gets that turns bad at various times: its
+// fraction of the requests until the deadline, and for how long it gets any after its 50th bad
+// response.
 func TestRolloutExposure(t *testing.T) {
 	t.Parallel()
 	const maxBad, seeds = 50, 40
@@ -32,8 +33,9 @@
 	}
 }
 
-// measureExposure returns the fraction of the requests that a version got which turns bad at
-// the given time, how long it got any after maxBad bad responses, and the order's final state.
+// measureExposure runs a rollout of a version that turns bad at the given time. It returns the
+// version's fraction of the requests, how long it got any after maxBad bad responses, and the
+// order's final state.
 func measureExposure(t *testing.T, seed int64, at time.Duration, maxBad int) (float64, time.Duration, State) {
 	s := newSimWithOrder(seed, 0, simWithin)
 	s.run(at)
--- a/rollout/flapping_test.go
+++ b/rollout/flapping_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestRolloutReturningRouterCountsOnce verifies that the responses of a router whose reports
-// are repeatedly missing for some time count once: a few bad ones do not end a rollout, and
-// stay in the evidence.
+// repeatedly stop and resume count once: a few bad ones do not end a rollout, and stay in the
+// evidence.
 func TestRolloutReturningRouterCountsOnce(t *testing.T) {
 	order := Order{Service: "s", Target: newVersion, Within: time.Minute, Made: "1", Revision: 2}
 	m := NewMachine(Bounds{Share: 0.1})
--- a/rollout/fleet_fuzz_test.go
+++ b/rollout/fleet_fuzz_test.go
@@ -16,7 +16,7 @@
 	// clockStepped is set once the wall clock was stepped, routersLost once routers were lost.
 	// Only both together can give the fleet a wrong age of an order.
 	clockStepped, routersLost bool
-	bad                       bool
+	bad                       bool // all versions but the old one are bad
 }
 
 func (d *faultyFleet) router(t *rapid.T) *simRouter {
@@ -88,8 +88,8 @@
 	d.placeRecordedOrder(target, fmt.Sprint(made, d.ordersMade))
 }
 
-// placeRecordedOrder places an order and lets a router see and record it: without any router
-// that has seen the order its age is unknown.
+// placeRecordedOrder places an order and runs the fleet without store faults until a router has
+// received and recorded it: the age of an order that no router has received is unknown.
 func (d *faultyFleet) placeRecordedOrder(target, made string) {
 	before := *d.store
 	d.store.down, d.store.losesReplies, d.store.delaysWrites = false, false, false
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -108,7 +108,7 @@
 	started     time.Duration
 	paused      bool
 	partitioned bool
-	leads       bool // even if it is not the first live one
+	leads       bool // leads even if it is not the first live router
 	gate        Gate
 	stage       Stage
 	orderKey    uint64
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -6,8 +6,8 @@
 // neither in use nor the target gets no requests.
 type Gate struct {
 	Service string
-	// InUse holds the versions that get requests whether or not a rollout is running; nil: nothing
-	// is known about the service yet, and no version gets requests.
+	// InUse holds the versions that get requests whether or not a rollout is running; nil: they
+	// are not determined yet, and no version gets requests.
 	InUse []string
 	// Target is the version that the service is moving to; empty: no rollout is running.
 	Target string
--- a/rollout/gates.go
+++ b/rollout/gates.go
@@ -6,9 +6,9 @@
 	// trialFraction is the fraction of the exposure bound that the trial may use. The rest is
 	// for requests in flight when the version is found to be bad, and for the ramp.
 	trialFraction = 0.5
-	// passedTrialFraction is the fraction of the bound that a version gets between passing the
-	// trial and the ramp: enough to detect that it turns bad, while the rest is left for one that
-	// does so later.
+	// passedTrialFraction is the fraction of the exposure bound that a version gets after it has
+	// passed the trial, until the ramp: enough to detect that it turns bad. The rest is reserved
+	// for a version that turns bad later.
 	passedTrialFraction = 0.25
 	// rampSlack lets a router send slightly more than the ramp's fraction, by count: prompts do
 	// not divide evenly.
@@ -26,7 +26,7 @@
 	}
 	r := s.rollout
 	if r.trusted && r.appliedStage() == Waiting {
-		// Its servers already take requests, and there may be no others.
+		// The target's servers already take requests, and there may be no others.
 		return g
 	}
 	g.Target = r.order.Target
--- a/rollout/hold.go
+++ b/rollout/hold.go
@@ -15,10 +15,11 @@
 // verdict is Bad. The leader's rejection, in contrast, is final and applies to all routers.
 type hold struct {
 	active     bool
-	until      time.Duration
+	until      time.Duration // when the hold ends
 	lastLength time.Duration // length of the last hold
 }
 
+// begin starts a hold that lasts holdGrowth times as long as the one before.
 func (h *hold) begin(now time.Duration) {
 	h.active = true
 	h.lastLength = max(initialHold, h.lastLength*holdGrowth)
--- a/rollout/hold_test.go
+++ b/rollout/hold_test.go
@@ -7,9 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutHoldIsNotForEver verifies that a partitioned router that has few responses, most of
-// them bad, stops sending to the target and resumes after some seconds, while the others
-// continue.
+// TestRolloutHoldIsNotForEver verifies that a partitioned router with few responses, most of them
+// bad, stops sending to the target and resumes after initialHold, while the others continue.
 func TestRolloutHoldIsNotForEver(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -53,8 +52,8 @@
 	require.Equal(t, initialHold*holdGrowth, h.until)
 }
 
-// TestRolloutRejectionIsTold verifies that a target that the leader has rejected stays closed
-// at all routers while the store can't be written.
+// TestRolloutRejectionIsTold verifies that all routers keep a target closed that the leader has
+// rejected while the store is down, and that the next leader then writes the rollback.
 func TestRolloutRejectionIsTold(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
--- a/rollout/interleaving_test.go
+++ b/rollout/interleaving_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// turn runs a tick of one router after the time of two.
+// turn advances the time by two ticks and runs a tick of one router only.
 func (s *sim) turn(i int) {
 	s.now += 2 * TickInterval
 	s.tickRouter(i, s.routers[i])
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -33,14 +33,15 @@
 	// minGood is the least number of good responses for the verdict Good: fewer can't show a
 	// fault that affects only some requests.
 	minGood = 20
-	// suspectFraction of badThreshold makes the ramp wait or go back. Two or three bad
-	// responses more than expected reach it.
+	// suspectFraction is the fraction of badThreshold from which a version is suspected: the
+	// ramp waits or goes back. Two or three bad responses more than expected reach it.
 	suspectFraction = 0.5
-	// retainedFraction of badThreshold is the evidence kept against a version that is retried.
+	// retainedFraction is the fraction of badThreshold that evidence against a version is capped
+	// at when the version is retried.
 	retainedFraction = 0.4
 	// sliceDuration is the length of the slices of time in which the target's responses are
-	// compared with those of the old servers. In shorter slices a cell holds too few responses; in longer
-	// ones a beginning overload is compared with the normal load before it.
+	// compared with those of the old servers. In shorter slices a cell holds too few responses;
+	// in longer ones, an overload that has just begun is compared with the normal load before it.
 	sliceDuration = time.Second
 )
 
@@ -50,6 +51,8 @@
 	Phase phase
 }
 
+// phase selects the outcomes that a test includes: of the starts of responses, of the rest
+// after the first event, or both.
 type phase uint8
 
 const (
@@ -61,18 +64,18 @@
 // Judge decides from counts of responses whether a version is bad. It compares the target's
 // responses with those of the old servers in the same second, route and cohort by sequential
 // tests: Wald's likelihood ratio, summed over the period up to now for which the sum is largest
-// (Page's CUSUM). Such a sum finds both a version that is bad from its start and one
-// that turns bad later, without windows of a fixed length. The sums follow the order of the
-// evaluations, also within a second: good responses at its start don't offset bad ones at its end.
+// (Page's CUSUM). Such a sum finds both a version that is bad from its start and one that turns
+// bad later, without windows of a fixed length. The sums follow the order of the evaluations, also
+// within a second: good responses at its start don't offset bad ones at its end.
 type Judge struct {
 	sliceBase      cells                 // all counts at the start of the open slice
 	slice          cells                 // counts of the open slice, at the last evaluation
 	increments     []cells               // the target's counts that each evaluation of the open slice added
 	incrementSum   cells                 // sum of increments
 	sliceStartedAt time.Duration         // start of the open slice
-	started        bool                  // a slice is open
-	tests          map[testKey]*evidence // up to the open slice
-	current        map[testKey]*evidence // tests with the open slice added
+	started        bool                  // the first slice has been opened
+	tests          map[testKey]*evidence // evidence before the open slice
+	current        map[testKey]*evidence // evidence including the open slice
 	baseline       baseline
 	good           uint32 // total good responses of the target
 }
@@ -87,7 +90,7 @@
 	}
 }
 
-// Evaluate evaluates the counts of all routers since the order, and returns the verdict.
+// Evaluate evaluates the counts of all routers, summed since the order, and returns the verdict.
 func (j *Judge) Evaluate(now time.Duration, counts []Cell) Verdict {
 	return j.evaluate(now, cellsOf(counts))
 }
@@ -147,8 +150,8 @@
 	return sums[key]
 }
 
-// ratios returns, for each test, the likelihood ratios of counts by cohort, relative to the old
-// servers' responses in the open slice.
+// ratios returns, for each test, the log likelihood ratios of counts by cohort, relative to the
+// old servers' responses in the open slice.
 func (j *Judge) ratios(counts cells, routes map[routePhase]weightedCount) map[testKey]cohortRatios {
 	found := map[testKey]cohortRatios{}
 	for _, k := range counts.targetKeys() {
@@ -170,7 +173,7 @@
 	return found
 }
 
-// ratio returns the likelihood ratio of one cell's counts.
+// ratio returns the log likelihood ratio of one cell's counts.
 func (j *Judge) ratio(k cellKey, t Tally, routes map[routePhase]weightedCount) cohortRatio {
 	return cohortRatio{k.Cohort, logLikelihoodRatio(t, j.baseline.expected(j.slice, routes, k)), t.responses()}
 }
@@ -207,8 +210,8 @@
 	return Good
 }
 
-// Suspected reports whether the evidence is too weak to reject the version, but strong enough
-// to limit it to the requests needed for a verdict: more responses may yet clear it.
+// Suspected reports whether the evidence is strong enough to limit the version to the requests
+// needed for a verdict. It may be too weak to reject the version: more responses may clear it.
 func (j *Judge) Suspected() bool { return j.against() >= suspectThreshold() }
 
 // WeaklySuspected reports whether any test reaches the suspect threshold with no cohort
@@ -228,7 +231,7 @@
 // suspectThreshold returns the sum at which a version is suspected.
 func suspectThreshold() float64 { return suspectFraction * badThreshold() }
 
-// against returns the largest sum of all tests.
+// against returns the largest sum of all tests against the target.
 func (j *Judge) against() float64 {
 	largest := 0.0
 	for _, e := range j.current {
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -13,21 +13,22 @@
 type judgeSim struct {
 	perSecond float64 // responses of the target, in the trial
 	seconds   float64 // time until the ramp
-	// bad returns the rate of bad responses at a time.
+	// bad returns the rate of bad responses at a time, in seconds.
 	bad func(at float64, route, cohort, server int, target bool) float64
-	// afterStart is set if the bad responses start well and fail after their start.
+	// afterStart is set if bad responses have a good start and fail after it.
 	afterStart bool
 }
 
 const (
 	simRoutes      = 3
 	simCohorts     = 3
-	simServers     = 2 // in each cohort, that take requests
-	simOldFactor   = 19
-	simEvaluations = 5 // a second; fewer than routers make, to save time
+	simServers     = 2  // servers that take requests, in each cohort
+	simOldFactor   = 19 // responses of old servers for each of the target
+	simEvaluations = 5  // evaluations a second; fewer than routers make, to save time
 )
 
-// run returns the verdict, when it became Bad and how many bad responses the target gave.
+// run returns the verdict, the time in seconds at which it became Bad, and how many bad responses
+// the target gave until then.
 func (s judgeSim) run(seed int64) (Verdict, float64, int) {
 	rng := rand.New(rand.NewSource(seed))
 	judge := NewJudge()
--- a/rollout/judge_turn_test.go
+++ b/rollout/judge_turn_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutTurnWithinASecond has a version turn bad in the middle of a second in which it gets
+// TestRolloutTurnWithinASecond makes a version turn bad in the middle of a second in which it gets
 // all requests of a busy service: the good responses before must not hide the bad ones.
 func TestRolloutTurnWithinASecond(t *testing.T) {
 	const (
@@ -34,8 +34,8 @@
 	require.Equal(t, Bad, judge.Verdict())
 }
 
-// TestRolloutJudgeAfterLoss has the counts of a router vanish and come back within a second. Its
-// new responses are then not among those of that second, and must be evaluated all the same.
+// TestRolloutJudgeAfterLoss makes the counts of a router disappear and return within a second. The
+// bad responses counted after that must be evaluated, although the counts had decreased.
 func TestRolloutJudgeAfterLoss(t *testing.T) {
 	judge := NewJudge()
 	now := time.Duration(0)
@@ -57,7 +57,7 @@
 	require.Equal(t, Bad, evaluate(10, 20))
 }
 
-// TestRolloutHallsTurnOneAfterAnother has the servers of three halls turn bad one after another,
+// TestRolloutHallsTurnOneAfterAnother makes the servers of three halls turn bad one after another,
 // like a version that fails after a number of requests. Two bad halls must suffice, although the
 // good responses of the third hide most of the evidence in the common sum.
 func TestRolloutHallsTurnOneAfterAnother(t *testing.T) {
--- a/rollout/killed_test.go
+++ b/rollout/killed_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutKilledAnywhere restarts all routers at each tick of a rollout in turn; the new
-// ones continue from the store's state and are done by the deadline.
+// TestRolloutKilledAnywhere restarts all routers of a rollout at a tick, for each tick in turn: the
+// new ones continue from the store's state and end the rollout by the deadline.
 func TestRolloutKilledAnywhere(t *testing.T) {
 	t.Parallel()
 	within := 20 * time.Second
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestRolloutLeaderKilledAnywhere removes the leader at each tick in turn: the next one
-// continues, and a good version is always completed in time.
+// TestRolloutLeaderKilledAnywhere removes the leader at a tick, for each tick in turn: the next
+// leader continues, and a good version is always completed in time.
 func TestRolloutLeaderKilledAnywhere(t *testing.T) {
 	t.Parallel()
 	within := 20 * time.Second
--- a/rollout/lowtraffic_test.go
+++ b/rollout/lowtraffic_test.go
@@ -33,8 +33,8 @@
 	require.Equal(t, Trial, m.Snapshots()[0].Stage)
 }
 
-// TestRolloutUnheardIsNotQuiet verifies that a leading router without requests of its own and
-// without the report of another router does not assume low traffic.
+// TestRolloutUnheardIsNotQuiet verifies that a leading router without requests of its own does
+// not assume low traffic while the report of another router is missing.
 func TestRolloutUnheardIsNotQuiet(t *testing.T) {
 	for _, routers := range []int{1, 2} {
 		m, tick := newLeader(routers)
@@ -45,23 +45,23 @@
 	}
 }
 
-// TestRolloutUnjudgedIsNotQuiet guards against moving a busy service without evidence. If its
-// servers are cold, links are cut and engines are slow, no response counts as evidence, and
-// without evidence the service was taken for one without callers: a version that fails 30% of
-// its responses was taken into use on 152 requests without a judged response (rollout_step with
-// new_good=0 new_bad=0 old_good=0 old_bad=0 for the stages quarter, half and all). Another such
-// version got 390 of 589 requests.
+// TestRolloutUnjudgedIsNotQuiet guards against moving a busy service without evidence. While its
+// servers are cold, links are cut and engines are slow, no response counts as evidence, and a
+// service without evidence was treated as one without callers. A version that failed 30% of its
+// responses was then completed after 152 requests without any evidence (rollout_step with
+// new_good=0 new_bad=0 old_good=0 old_bad=0 for the stages quarter, half and all); another one
+// got 390 of 589 requests.
 func TestRolloutUnjudgedIsNotQuiet(t *testing.T) {
 	for _, c := range []struct {
-		routers, requests, every int // calls at the leading router, once every so many ticks
-		judged                   int // responses in the evidence of all others
+		routers, requests, every int // requests at the leading router, once every so many ticks
+		judged                   int // responses in the evidence of all other routers together
 		lowTraffic               bool
 	}{
 		{routers: 3, requests: 0, every: 1, lowTraffic: true},
 		{routers: 3, requests: 3, every: 1, lowTraffic: false},
 		// None of the leading router's responses count as evidence, and few of the others'.
 		{routers: 3, requests: 1, every: 1, judged: 9, lowTraffic: false},
-		// In a large fleet, one of twenty requests arrives at the leading router.
+		// In a large fleet, the leading router receives one of twenty requests.
 		{routers: 384, requests: 1, every: 100, judged: 20, lowTraffic: true},
 	} {
 		m, _ := newLeader(c.routers)
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -53,7 +53,7 @@
 	return append(m.changedGates(), m.cmds...)
 }
 
-// Reports returns this router's reports to its peers, sorted by service.
+// Reports returns this router's reports to its peers on the running rollouts, sorted by service.
 func (m *Machine) Reports() []Report {
 	var reports []Report
 	for _, s := range m.sortedServices() {
@@ -170,7 +170,7 @@
 	}
 }
 
-// raiseStage raises the stage of a rollout.
+// raiseStage raises the stage of a rollout and reports the step.
 func (m *Machine) raiseStage(s *service, stage Stage, cause string) {
 	s.rollout.stage = stage
 	s.rollout.raisedAtAge = s.rollout.age
--- a/rollout/merge.go
+++ b/rollout/merge.go
@@ -27,6 +27,7 @@
 	return sum
 }
 
+// withHigherKey returns the report on the order with the higher key.
 func withHigherKey(a, b Report) Report {
 	if a.Order > b.Order {
 		return a
--- a/rollout/messages.go
+++ b/rollout/messages.go
@@ -26,8 +26,8 @@
 	Services map[string][]string // sorted
 }
 
-// ResponseMsg carries the outcome of one response, of its start or of the rest up to its end,
-// from a server of a service with a running rollout.
+// ResponseMsg carries the outcome of one phase of a response, of its start or of the rest up to
+// its end, from a server of a service with a running rollout.
 type ResponseMsg struct {
 	Now        time.Duration
 	Service    string
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -21,7 +21,7 @@
 	StateTarget string
 }
 
-// Key identifies the order: all routers compute the same key, and other orders have others.
+// Key returns a hash that identifies the order and is the same at all routers.
 func (o *Order) Key() uint64 {
 	return xxhash.Sum64String(o.Service + "\x00" + o.Target + "\x00" + o.Made)
 }
--- a/rollout/order_test.go
+++ b/rollout/order_test.go
@@ -7,10 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
+// simWithin is the time from an order to its deadline in most tests.
 const simWithin = 30 * time.Second
 
-// TestRolloutOfTheOrder verifies how rollouts end, by what happens to the order, the version
-// and its servers.
+// TestRolloutOfTheOrder verifies the final state of rollouts, depending on what happens to the
+// order, the version and its servers.
 func TestRolloutOfTheOrder(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
@@ -133,8 +134,8 @@
 	require.Equal(t, Completed, s.status())
 }
 
-// TestRolloutOrderDeletedWhileRoutersDown verifies how a rollout ends of which only the record
-// is left: completed if only servers of its target are listed, else rejected.
+// TestRolloutOrderDeletedWhileRoutersDown verifies how a rollout ends if only its record is left
+// when the routers start: completed if only servers of its target are listed, else rejected.
 func TestRolloutOrderDeletedWhileRoutersDown(t *testing.T) {
 	t.Parallel()
 	for _, versions := range [][]string{{newVersion}, {oldVersion, newVersion}} {
@@ -149,7 +150,7 @@
 	}
 }
 
-// TestRolloutOrderSeenLate verifies that a stale version of an order reverts nothing.
+// TestRolloutOrderSeenLate verifies that a stale copy of a completed order changes nothing.
 func TestRolloutOrderSeenLate(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -163,8 +164,8 @@
 	require.Empty(t, r.machine.Reports())
 }
 
-// TestRolloutOrderSeenLateMidway verifies that a stale version of a running order causes no
-// other write.
+// TestRolloutOrderSeenLateMidway verifies that a stale copy of a running order causes no further
+// write.
 func TestRolloutOrderSeenLateMidway(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
@@ -176,8 +177,8 @@
 	require.Empty(t, r.machine.Update(tick))
 }
 
-// TestRolloutOrderWithMarkOfEarlierOne verifies that an order that was followed by another one
-// with another Made is not started again when it arrives late.
+// TestRolloutOrderWithMarkOfEarlierOne verifies that an order that was replaced by one with
+// another Made is not started again when a stale copy of it arrives.
 func TestRolloutOrderWithMarkOfEarlierOne(t *testing.T) {
 	t.Parallel()
 	s := newSimWithOrder(1, 0, simWithin)
--- a/rollout/reconcile.go
+++ b/rollout/reconcile.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if s.order.State.Final() && s.order.StateTarget != "" && s.endedKey == 0 {
-		// The status is that of the previous order. Its leader may have stopped before it wrote
+		// The status is that of the previous order. The leader may have stopped before it wrote
 		// the record, so the status is applied here.
 		s.applyFinalState(s.order.StateTarget, s.order.State)
 	}
@@ -66,7 +66,8 @@
 	s.rollout = nil
 }
 
-// reconcileVersions determines the versions in use that the record does not contain.
+// reconcileVersions determines the versions in use if no record has set them, and ends a rollout
+// that is left in the record without its order.
 func (m *Machine) reconcileVersions(s *service) {
 	if s.inUse == nil {
 		s.inUse = s.initialVersions()
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -25,7 +25,7 @@
 // Cell counts the responses of one route from the servers of one cohort.
 type Cell struct {
 	Route      string
-	Cohort     string // servers that may fail together whatever their version: a data hall
+	Cohort     string // group of servers that may fail together whatever their version: a data hall
 	Target     bool   // true: servers of the target; false: old servers
 	AfterStart bool   // true: outcomes after the first event of a response; false: outcomes of its start
 	Good       uint32
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -15,8 +15,8 @@
 	trusted bool
 	// age is the order's age at ageUpdatedAt.
 	age, ageUpdatedAt time.Duration
-	// recordedAge is the age from the record, for a router that starts after all others have
-	// lost it; 0 if there is none or it was already applied.
+	// recordedAge is the age from the record, for a router that starts after all routers with the
+	// age were lost; 0 if there is none or it was already applied.
 	recordedAge   time.Duration
 	firstSeenAt   time.Duration // when this router first received the order
 	observed      time.Duration // time since firstSeenAt in which this router was running
@@ -31,9 +31,9 @@
 	all           cells         // evidence of all routers, at the last evaluation
 	judge         *Judge
 	hold          hold
-	suspected     bool // evidence against the target, not enough to reject it
-	rejected      bool // rejected by a leader, permanently
-	cause         string
+	suspected     bool          // evidence against the target, not enough to reject it
+	rejected      bool          // rejected by a leader, permanently
+	cause         string        // cause of the rejection
 	confirmed     bool          // the rollout is to be completed
 	trialPassed   bool          // the trial has shown that the target is good
 	oldRunning    uint32        // this router's requests running on old servers
@@ -89,8 +89,8 @@
 	}
 }
 
-// applyRecordedAge uses the record's age, unless a peer has reported an age from before this
-// router started.
+// applyRecordedAge uses the record's age, unless a peer has reported an age greater than the
+// time for which this router has observed the order.
 func (r *rollout) applyRecordedAge(observed time.Duration) {
 	if r.age < observed+peerAgeWait/2 {
 		r.raiseAge(r.recordedAge + observed)
@@ -98,6 +98,7 @@
 	r.recordedAge = 0
 }
 
+// raiseAge raises the age to the given one, up to maxOverdue after the deadline.
 func (r *rollout) raiseAge(age time.Duration) {
 	r.age = max(r.age, min(age, r.order.Within+maxOverdue))
 }
@@ -159,9 +160,9 @@
 // at the last evaluation.
 func (r *rollout) peersReportMoreBad() bool { return targetBad(r.peers.Cells) > r.peerBad }
 
-// peersChanged reports whether routers were lost or came back since the last evaluation. The
+// peersChanged reports whether routers were lost or returned since the last evaluation. The
 // counts of a returning router were evaluated before and must not be evaluated again. Routers
-// beyond the largest number seen so far are new, and so are all their counts.
+// beyond the largest number seen so far are new, and all their counts are evaluated.
 func (r *rollout) peersChanged() bool {
 	n := r.peers.Routers
 	changed := n != r.peerCount && n <= r.maxPeerCount
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -28,11 +28,12 @@
 	unorderedLogged []string
 }
 
-// maxRemembered limits the lists of rejected versions, of ended orders and of unordered
-// versions. The first two only matter for messages that are delayed, by minutes at most, and
-// a service gets far fewer orders in that time.
+// maxRemembered is the maximum length of the lists of rejected versions, of ended orders and of
+// unordered versions. The first two matter only for messages that are delayed, by minutes at
+// most, and a service gets far fewer orders in that time.
 const maxRemembered = 16
 
+// appendBounded appends s unless the list contains it, and keeps the last maxRemembered entries.
 func appendBounded(list []string, s string) []string {
 	if slices.Contains(list, s) {
 		return list
@@ -179,9 +180,9 @@
 	return r.Target
 }
 
-// orphanState returns how a rollout ended of which only the record is left. Old servers stop
-// once a rollout is completed. So if servers of the target are listed, and none of the versions
-// in use, it was completed, and rejecting the target would leave no server.
+// orphanState returns the final state of a rollout that is left only in the record. Old servers
+// stop once a rollout is completed. So if servers of the target are listed, and none of the
+// versions in use, it was completed, and rejecting the target would leave no server.
 func (s *service) orphanState(target string) State {
 	if s.hasServers(target) && !slices.ContainsFunc(s.inUse, s.hasServers) {
 		return Completed
--- a/rollout/snapshot.go
+++ b/rollout/snapshot.go
@@ -23,7 +23,7 @@
 	WaitsFor    Wait
 }
 
-// RouteEvidence counts the responses of one route, both their starts and their later phases.
+// RouteEvidence counts the outcomes of one route's responses, of both phases.
 type RouteEvidence struct {
 	Route    string
 	New, Old Tally
--- a/rollout/snapshot_test.go
+++ b/rollout/snapshot_test.go
@@ -41,8 +41,8 @@
 	require.Equal(t, "order", s.routers[0].machine.Snapshots()[0].WaitsFor.String())
 }
 
-// TestRolloutTimeline verifies that the steps are in order for any time of an order, and that
-// a part of it is left for evaluation.
+// TestRolloutTimeline verifies that the steps are in order for any time from an order to its
+// deadline, and that part of that time is left for evaluation.
 func TestRolloutTimeline(t *testing.T) {
 	t.Parallel()
 	for within := 10 * time.Millisecond; within < time.Hour; within = within*5/4 + 1 {
--- a/rollout/steps.go
+++ b/rollout/steps.go
@@ -4,12 +4,12 @@
 const (
 	StepBegan      = "began"       // this router has received the order
 	StepRaised     = "raised"      // this router has raised the stage
-	StepHeld       = "held"        // this router has paused sending to the target, on its own
-	StepReleased   = "released"    // that pause is over
+	StepHeld       = "held"        // this router has begun a hold: it sends nothing to the target
+	StepReleased   = "released"    // the hold has ended
 	StepSuspected  = "suspected"   // there is evidence against the target: it gets at most a quarter of the requests
 	StepCleared    = "cleared"     // the evidence against the target has decayed
 	StepRejected   = "rejected"    // the target is bad or late, and will be rolled back
-	StepConfirmed  = "confirmed"   // the rollout will be completed
+	StepConfirmed  = "confirmed"   // the leader has decided to complete the rollout
 	StepCompleted  = "completed"   // the order's status is completed
 	StepRolledBack = "rolled_back" // the order's status is rolled_back
 	StepAbandoned  = "abandoned"   // the order was replaced or deleted
--- a/rollout/suspect_test.go
+++ b/rollout/suspect_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestRolloutSuspectedGoesBack verifies that a version that responds badly for a moment in the
-// last stage gets fewer requests until the evidence is clear, and then all again if it is good.
+// last stage gets fewer requests until there is a verdict, and all again if it is good.
 func TestRolloutSuspectedGoesBack(t *testing.T) {
 	m, advance := leaderInLastStage(t)
 	advance(2, 1)
@@ -50,8 +50,8 @@
 	require.InDelta(t, 1, m.Snapshots()[0].Part, 0)
 }
 
-// TestRolloutSuspectedIsNotCompleted verifies that a version is not completed if it responds
-// badly shortly before, but not enough for the verdict Bad: all callers would depend on it.
+// TestRolloutSuspectedIsNotCompleted verifies that a version is not completed if it responds badly
+// shortly before, but too little for the verdict Bad: after completion all callers depend on it.
 func TestRolloutSuspectedIsNotCompleted(t *testing.T) {
 	m, advance := leaderInLastStage(t)
 	plan := newTimeline(6 * time.Second)
--- a/rollout/tick.go
+++ b/rollout/tick.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// minTrialTime is the least time a version gets the trial's full fraction, however good its
-// evidence is: the first seconds show little about later ones.
+// minTrialTime is the least time for which a version gets the trial's full fraction, however
+// good its evidence is: the first seconds show little about later ones.
 const minTrialTime = 3 * time.Second
 
 // advance evaluates a rollout and, on the leader, moves it to its next step.
@@ -41,8 +41,8 @@
 	m.confirm(s, now)
 }
 
-// evaluate evaluates the evidence and applies the verdict: at each tick, and as soon as peers
-// report more bad responses.
+// evaluate evaluates the evidence and applies the verdict. It is called at each tick, and as soon
+// as peers report more bad responses.
 func (m *Machine) evaluate(s *service, now time.Duration) {
 	verdict := s.rollout.evaluate(now)
 	m.updateSuspicion(s)
@@ -67,8 +67,8 @@
 	m.emitStep(s, StepSuspected, causeEvidence)
 }
 
-// applyVerdict stops sending to a bad target: permanently on the leader, which rejects it, and
-// for the time of a hold elsewhere. It releases the hold when that time is over.
+// applyVerdict stops sending to a bad target: the leader rejects it permanently, other routers
+// begin a hold. It also ends a hold whose time is over.
 func (m *Machine) applyVerdict(s *service, verdict Verdict, now time.Duration) {
 	r := s.rollout
 	if verdict == Bad && m.leads {
@@ -93,7 +93,7 @@
 	}
 }
 
-// rejectOverdue rejects a target to which the service can't be moved before the deadline.
+// rejectOverdue rejects a target to which the service can no longer move before the deadline.
 func (m *Machine) rejectOverdue(s *service, now time.Duration) {
 	r := s.rollout
 	if r.age >= r.plan.latestRampAt && r.stage <= Trial && !r.mayRamp(m.routers) {
@@ -110,15 +110,15 @@
 	}
 }
 
-// awaitsMoreEvidence reports whether there is some evidence against the target and time for
-// more is left: a completed rollout can't be undone. One faulty server does not prevent a good
-// version from being completed in the end.
+// awaitsMoreEvidence reports whether there is some evidence against the target and time left for
+// more: a completed rollout can't be undone. When no time is left, the rollout is completed all
+// the same, so one faulty server does not prevent the completion of a good version.
 func (r *rollout) awaitsMoreEvidence() bool {
 	return !r.trusted && r.judge.WeaklySuspected() && r.age < r.plan.rejectAt
 }
 
-// confirm decides to complete the rollout: once the old servers are drained, or at the latest
-// time for the final write.
+// confirm decides to complete the rollout, once the old servers are drained or when the final
+// status is due.
 func (m *Machine) confirm(s *service, now time.Duration) {
 	r := s.rollout
 	drained := r.oldDrained(now, m.routers)
--- a/rollout/timeline.go
+++ b/rollout/timeline.go
@@ -4,13 +4,13 @@
 
 const (
 	// The margin is the time between the last write and the deadline. It suffices for a store
-	// that is slow or responds 503 once.
+	// that is slow or responds with 503 once.
 	marginFraction = 0.06
 	minMargin      = 800 * time.Millisecond
 	maxMargin      = 2 * time.Second
-	// Settling is the time in which old servers finish their requests before `completed`
-	// stops them: most responses of a few seconds end by themselves. It is no longer than
-	// that, since a version that turns bad during this time gets all requests.
+	// The drain is the time in which old servers finish their requests before `completed` stops
+	// them: most responses of a few seconds end by themselves. It is no longer than that, since
+	// a version that turns bad during this time gets all requests.
 	drainFraction = 0.08
 	minDrain      = 1200 * time.Millisecond
 	maxDrain      = 2400 * time.Millisecond
@@ -19,19 +19,19 @@
 	rampFraction = 0.06
 	minRamp      = 800 * time.Millisecond
 	maxRamp      = 2500 * time.Millisecond
-	// maxReservedFraction is the largest fraction of an order's time for margin, settling and
-	// ramp together. It applies to short orders; the rest is needed for evaluation.
+	// maxReservedFraction is the largest fraction of an order's time for margin, drain and ramp
+	// together. Only short orders reach it; the rest is needed for evaluation.
 	maxReservedFraction = 0.7
 	// rampSteps is the number of steps from Quarter to All.
 	rampSteps = 2
-	// minStepFraction is the fraction of their planned time that steps and settling last at
-	// least if the evidence arrives late.
+	// minStepFraction is the least fraction of their planned time that the ramp's steps and the
+	// drain last if the evidence arrives late.
 	minStepFraction = 0.3
-	// moveStreamsFraction of the settling time is left when streams are moved from old servers: most
-	// have ended by themselves by then, and the others need time to restart.
+	// moveStreamsFraction is the fraction of the drain that is left when streams are moved from
+	// old servers: most have ended by themselves by then, and the others need time to resume.
 	moveStreamsFraction = 0.4
-	// graceFraction of the margin is for a router that confirms late. After it, a rollout that
-	// is not done is rolled back while there is time to write that.
+	// graceFraction is the fraction of the margin for a router that confirms late. After it, a
+	// rollout that is not done is rolled back while there is still time to write the status.
 	graceFraction = 0.5
 )
 
@@ -41,9 +41,9 @@
 	latestRampAt    time.Duration // latest age for stage Quarter
 	minStepInterval time.Duration // least time between steps, if the evidence arrives late
 	stepInterval    time.Duration // planned time between steps
-	moveStreamsAt   time.Duration
-	writeAt         time.Duration // final status, whatever still runs
-	rejectAt        time.Duration
+	moveStreamsAt   time.Duration // resumable streams move off the old servers
+	writeAt         time.Duration // final status, even if requests still run on old servers
+	rejectAt        time.Duration // rollback of a rollout that has not reached the last stage everywhere
 	deadline        time.Duration
 }
 
@@ -72,7 +72,7 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// stageAt returns the planned age for a stage of the ramp.
+// stageAt returns the age at which a stage of the ramp, Quarter or higher, is planned.
 func (t timeline) stageAt(s Stage) time.Duration {
 	return t.rampAt + time.Duration(s-Quarter)*t.stepInterval
 }
--- a/rollout/wait.go
+++ b/rollout/wait.go
@@ -5,7 +5,7 @@
 // Wait is what a rollout waits for.
 type Wait uint8
 
-// The values of Wait.
+// The conditions that a rollout can wait for.
 const (
 	WaitNothing    Wait = iota
 	WaitStore           // orders and records from the store
--- a/rollout/write.go
+++ b/rollout/write.go
@@ -3,8 +3,8 @@
 import "time"
 
 // write emits the write that is due, one at a time for each service. A final status comes
-// first. The record of a rollout is written before the status InProgress, since only the
-// record gives the order's age to a router that starts.
+// first. The record of a rollout is written before the status InProgress, since a router that
+// starts without peers can get the order's age only from the record.
 func (m *Machine) write(s *service, now time.Duration, wall time.Time) {
 	if !s.writer.ready(now) {
 		return
@@ -44,7 +44,7 @@
 	return Ordered
 }
 
-// orderKey returns the orderKey of the service's order; 0: no order.
+// orderKey returns the key of the service's order; 0: no order.
 func (s *service) orderKey() uint64 {
 	if s.order == nil {
 		return 0
@@ -72,6 +72,7 @@
 	}
 }
 
+// recordWritten uses a written record until the store delivers it with its new revision.
 func (s *service) recordWritten(r Record) {
 	if s.record.Revision == r.Revision {
 		s.record = r
--- a/rollout/writer.go
+++ b/rollout/writer.go
@@ -4,29 +4,30 @@
 
 const (
 	// initialBackoff is the delay before the first retry of a write that the store refused or
-	// did not answer: a store that restarts a component is available again by then.
+	// did not respond to: a store that restarts a component is available again by then.
 	initialBackoff = 200 * time.Millisecond
-	// maxBackoff limits the growing delays, so that a recovered store is used soon.
+	// maxBackoff limits the growing backoff, so that a recovered store is used soon.
 	maxBackoff = 2 * time.Second
 	// conflictWait is how long a write waits, after a conflict, for the store to deliver the
 	// change that caused it.
 	conflictWait = 2 * time.Second
-	// writeTimeout is the time after which a write without a WriteDoneMsg counts as unanswered;
-	// routers' timeouts of single calls are far below it.
+	// writeTimeout is the time after which a write without a WriteDoneMsg is abandoned; the
+	// routers' timeouts for single calls are far shorter.
 	writeTimeout = 15 * time.Second
 )
 
 // writer allows one write of a service at a time, and schedules retries.
 type writer struct {
-	pending      *WriteCmd
-	orderKey     uint64 // key of the order that the write is based on
+	pending      *WriteCmd // write without a result yet; nil: none
+	orderKey     uint64    // key of the order that the write is based on
 	sentAt       time.Duration
 	retryAt      time.Duration
 	backoff      time.Duration
-	awaitsChange bool // for the change that caused a conflict
+	awaitsChange bool // waits until the store delivers the change that caused a conflict
 	changed      bool // the object has changed since the write was sent
 }
 
+// ready reports whether a write may be sent now. It abandons a pending write that has timed out.
 func (w *writer) ready(now time.Duration) bool {
 	if w.pending != nil && now-w.sentAt >= writeTimeout {
 		w.pending = nil
