--- a/rollout/lowtraffic_test.go
+++ b/rollout/lowtraffic_test.go
@@ -48,7 +48,7 @@
 // TestRolloutUnjudgedIsNotQuiet guards against moving a busy service without evidence. While its
 // servers are cold, links are cut and engines are slow, no response counts as evidence, and a
 // service without evidence was treated as one without callers. A version that failed 30% of its
-// responses was then completed after 152 requests without any evidence (rollout_step with
+// responses was then completed after 152 requests, none of them in the evidence (rollout_step with
 // new_good=0 new_bad=0 old_good=0 old_bad=0 for the stages quarter, half and all); another one
 // got 390 of 589 requests.
 func TestRolloutUnjudgedIsNotQuiet(t *testing.T) {
