--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // minOtherFraction is the fraction of a test's responses that must come from other cohorts
-// for one to be excluded: with a tenth, a bad version is still found, if more slowly.
+// for one to be excluded: with a tenth, a bad version is still found, but more slowly.
 const minOtherFraction = 0.1
 
 // secondFraction is the fraction of the largest cohort sum that the second largest must reach
@@ -35,38 +35,40 @@
 	return &c
 }
 
-// ratio is the log likelihood ratio of one cohort's responses, of a slice or of one evaluation.
-type ratio struct {
+// cohortRatio holds the log likelihood ratio of one cohort's responses, of a slice or of one
+// evaluation.
+type cohortRatio struct {
 	cohort    string
-	ratio     float64
+	logRatio  float64
 	responses float64
 }
 
-type ratios []ratio
+type cohortRatios []cohortRatio
 
-func (r ratios) of(cohort string) float64 {
-	i := slices.IndexFunc(r, func(x ratio) bool { return x.cohort == cohort })
+// of returns the log likelihood ratio of a cohort, 0 without responses.
+func (r cohortRatios) of(cohort string) float64 {
+	i := slices.IndexFunc(r, func(x cohortRatio) bool { return x.cohort == cohort })
 	if i < 0 {
 		return 0
 	}
-	return r[i].ratio
+	return r[i].logRatio
 }
 
-func (r ratios) plus(add ratio) ratios {
-	i := slices.IndexFunc(r, func(x ratio) bool { return x.cohort == add.cohort })
+func (r cohortRatios) plus(add cohortRatio) cohortRatios {
+	i := slices.IndexFunc(r, func(x cohortRatio) bool { return x.cohort == add.cohort })
 	if i < 0 {
 		return append(r, add)
 	}
-	r[i].ratio += add.ratio
+	r[i].logRatio += add.logRatio
 	r[i].responses += add.responses
 	return r
 }
 
 // addAgainst adds the responses of one evaluation to the sums against the target.
-func (e *evidence) addAgainst(increment ratios) {
+func (e *evidence) addAgainst(increment cohortRatios) {
 	sum := 0.0
 	for _, r := range increment {
-		sum += r.ratio
+		sum += r.logRatio
 		e.getOrAddCohort(r.cohort).responses += r.responses
 	}
 	for i := range e.cohorts {
@@ -79,11 +81,11 @@
 }
 
 // addInFavour adds the responses of a slice to the sum in favour of the target.
-func (e *evidence) addInFavour(slice ratios) {
+func (e *evidence) addInFavour(slice cohortRatios) {
 	sum, largest := 0.0, 0.0
 	for _, r := range slice {
-		sum += r.ratio
-		largest = max(largest, r.ratio)
+		sum += r.logRatio
+		largest = max(largest, r.logRatio)
 	}
 	e.inFavour = min(0, e.inFavour+sum-largest)
 }
@@ -113,7 +115,8 @@
 	return min(largest, second/secondFraction)
 }
 
-// against returns the evidence against the target without the cohort that contributes most.
+// against returns the evidence against the target without the cohort that contributes most: one
+// cohort may be faulty whatever its version.
 func (e *evidence) against() float64 {
 	total := 0.0
 	for _, c := range e.cohorts {
--- a/rollout/exposure_test.go
+++ b/rollout/exposure_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRolloutExposure measures how much a bad version gets, by when it turns bad: its fraction
-// of the requests until the deadline, and for how long it gets any after its 50th bad response.
+// TestRolloutExposure bounds how much traffic a version gets that turns bad at various times: its
+// fraction of the requests until the deadline, and for how long it gets any after its 50th bad
+// response.
 func TestRolloutExposure(t *testing.T) {
 	t.Parallel()
 	const maxBad, seeds = 50, 40
@@ -21,9 +22,9 @@
 			t.Parallel()
 			maxShare, maxDelay := 0.0, time.Duration(0)
 			for seed := range int64(seeds) {
-				part, after, state := measureExposure(t, seed, c.at, maxBad)
+				share, delay, state := measureExposure(t, seed, c.at, maxBad)
 				require.Equal(t, RolledBack, state)
-				maxShare, maxDelay = max(maxShare, part), max(maxDelay, after)
+				maxShare, maxDelay = max(maxShare, share), max(maxDelay, delay)
 			}
 			t.Logf("bad %s: at most %.3f of the requests; %s after %d bad responses", c.name, maxShare, maxDelay, maxBad)
 			require.LessOrEqual(t, maxShare, 0.1)
@@ -32,8 +33,9 @@
 	}
 }
 
-// measureExposure returns the fraction of the requests that a version got which turns bad at
-// the given time, how long it got any after maxBad bad responses, and the order's final state.
+// measureExposure runs a rollout of a version that turns bad at the given time. It returns the
+// version's fraction of the requests, how long it got any after maxBad bad responses, and the
+// order's final state.
 func measureExposure(t *testing.T, seed int64, at time.Duration, maxBad int) (float64, time.Duration, State) {
 	s := newSimWithOrder(seed, 0, simWithin)
 	s.run(at)
@@ -66,8 +68,8 @@
 	plan := newTimeline(simWithin)
 	maxShare := 0.0
 	for seed := range int64(seeds) {
-		part, _, _ := measureExposure(t, seed, (plan.stageAt(All)+plan.writeAt)/2, maxBad)
-		maxShare = max(maxShare, part)
+		share, _, _ := measureExposure(t, seed, (plan.stageAt(All)+plan.writeAt)/2, maxBad)
+		maxShare = max(maxShare, share)
 	}
 	t.Logf("at most %.3f of the requests", maxShare)
 	require.LessOrEqual(t, maxShare, 0.1)
--- a/rollout/machine.go
+++ b/rollout/machine.go
@@ -53,7 +53,7 @@
 	return append(m.changedGates(), m.cmds...)
 }
 
-// Reports returns this router's reports to its peers, sorted by service.
+// Reports returns this router's reports to its peers on the running rollouts, sorted by service.
 func (m *Machine) Reports() []Report {
 	var reports []Report
 	for _, s := range m.sortedServices() {
@@ -144,7 +144,7 @@
 		}
 		merged := Report{}
 		for _, r := range msg.Reports {
-			if r.Service == s.name && r.Order == s.rollout.key {
+			if r.Service == s.name && r.Order == s.rollout.orderKey {
 				merged = Merge(merged, r)
 			}
 		}
@@ -170,7 +170,7 @@
 	}
 }
 
-// raiseStage raises the stage of a rollout.
+// raiseStage raises the stage of a rollout and reports the step.
 func (m *Machine) raiseStage(s *service, stage Stage, cause string) {
 	s.rollout.stage = stage
 	s.rollout.raisedAtAge = s.rollout.age
@@ -194,8 +194,8 @@
 }
 
 // emitStep emits a StepCmd, which logs a step of the service's rollout.
-func (m *Machine) emitStep(s *service, name, cause string) {
-	c := StepCmd{Service: s.name, Step: name, Cause: cause, Leads: m.leads, Routers: 1}
+func (m *Machine) emitStep(s *service, step, cause string) {
+	c := StepCmd{Service: s.name, Step: step, Cause: cause, Leads: m.leads, Routers: 1}
 	if s.order != nil {
 		c.Target = s.order.Target
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -8,22 +8,22 @@
 // rollout is one router's view of a running rollout. Ages are times since the order was made;
 // other times are on this router's monotonic clock.
 type rollout struct {
-	order Order
-	key   uint64
-	plan  timeline
+	order    Order
+	orderKey uint64
+	plan     timeline
 	// trusted is set if the target is among the versions in use: it needs no trial.
 	trusted bool
 	// age is the order's age at ageUpdatedAt.
 	age, ageUpdatedAt time.Duration
-	// recordedAge is the age from the record, for a router that starts after all others have
-	// lost it; 0 if there is none or it was already applied.
+	// recordedAge is the age from the record, for a router that starts after all routers with the
+	// age were lost; 0 if there is none or it was already applied.
 	recordedAge   time.Duration
 	firstSeenAt   time.Duration // when this router first received the order
 	observed      time.Duration // time since firstSeenAt in which this router was running
 	stage         Stage
 	raisedAtAge   time.Duration // age at which the stage was last raised
 	own           cells         // evidence of this router
-	evaluated     cells         // own, at the last evaluation
+	evaluatedOwn  cells         // own, at the last evaluation
 	peers         Report        // merged reports of the other routers
 	peerCount     uint32        // number of other routers in peers at the last evaluation
 	maxPeerCount  uint32        // largest peerCount so far
@@ -31,9 +31,9 @@
 	all           cells         // evidence of all routers, at the last evaluation
 	judge         *Judge
 	hold          hold
-	suspected     bool // evidence against the target, not enough to reject it
-	rejected      bool // rejected by a leader, permanently
-	cause         string
+	suspected     bool          // evidence against the target, not enough to reject it
+	rejected      bool          // rejected by a leader, permanently
+	cause         string        // cause of the rejection
 	confirmed     bool          // the rollout is to be completed
 	trialPassed   bool          // the trial has shown that the target is good
 	oldRunning    uint32        // this router's requests running on old servers
@@ -63,7 +63,7 @@
 func newRollout(o Order, now time.Duration) *rollout {
 	return &rollout{
 		order:        o,
-		key:          o.Key(),
+		orderKey:     o.Key(),
 		plan:         newTimeline(o.Within),
 		ageUpdatedAt: now,
 		firstSeenAt:  now,
@@ -89,8 +89,8 @@
 	}
 }
 
-// applyRecordedAge uses the record's age, unless a peer has reported an age from before this
-// router started.
+// applyRecordedAge uses the record's age, unless a peer has reported an age greater than the
+// time for which this router has observed the order.
 func (r *rollout) applyRecordedAge(observed time.Duration) {
 	if r.age < observed+peerAgeWait/2 {
 		r.raiseAge(r.recordedAge + observed)
@@ -98,6 +98,7 @@
 	r.recordedAge = 0
 }
 
+// raiseAge raises the age to the given one, up to maxOverdue after the deadline.
 func (r *rollout) raiseAge(age time.Duration) {
 	r.age = max(r.age, min(age, r.order.Within+maxOverdue))
 }
@@ -112,7 +113,7 @@
 func (r *rollout) report() Report {
 	return Report{
 		Service:         r.order.Service,
-		Order:           r.key,
+		Order:           r.orderKey,
 		Routers:         1,
 		MaxStage:        r.stage,
 		MinAppliedStage: r.appliedStage(),
@@ -148,10 +149,10 @@
 	}
 	if r.peersChanged() {
 		counts := cellsOf(r.peers.Cells)
-		counts.add(r.evaluated)
+		counts.add(r.evaluatedOwn)
 		r.judge.skip(now, counts)
 	}
-	r.evaluated = maps.Clone(r.own)
+	r.evaluatedOwn = maps.Clone(r.own)
 	return r.judge.evaluate(now, r.all)
 }
 
@@ -159,9 +160,9 @@
 // at the last evaluation.
 func (r *rollout) peersReportMoreBad() bool { return targetBad(r.peers.Cells) > r.peerBad }
 
-// peersChanged reports whether routers were lost or came back since the last evaluation. The
+// peersChanged reports whether routers were lost or returned since the last evaluation. The
 // counts of a returning router were evaluated before and must not be evaluated again. Routers
-// beyond the largest number seen so far are new, and so are all their counts.
+// beyond the largest number seen so far are new, and all their counts are evaluated.
 func (r *rollout) peersChanged() bool {
 	n := r.peers.Routers
 	changed := n != r.peerCount && n <= r.maxPeerCount
@@ -190,8 +191,8 @@
 		return Trial, true
 	}
 	next := r.stage + 1
-	late := r.stage > Trial && r.age < r.raisedAtAge+r.plan.minStepInterval
-	return next, r.age >= r.plan.stageAt(next) && !late
+	tooSoon := r.stage > Trial && r.age < r.raisedAtAge+r.plan.minStepInterval
+	return next, r.age >= r.plan.stageAt(next) && !tooSoon
 }
 
 // oldDrained reports whether the old servers of all routers have been idle for long enough.
--- a/rollout/snapshot_test.go
+++ b/rollout/snapshot_test.go
@@ -41,15 +41,15 @@
 	require.Equal(t, "order", s.routers[0].machine.Snapshots()[0].WaitsFor.String())
 }
 
-// TestRolloutTimeline verifies that the steps are in order for any time of an order, and that
-// a part of it is left for evaluation.
+// TestRolloutTimeline verifies that the steps are in order for any time from an order to its
+// deadline, and that part of that time is left for evaluation.
 func TestRolloutTimeline(t *testing.T) {
 	t.Parallel()
 	for within := 10 * time.Millisecond; within < time.Hour; within = within*5/4 + 1 {
 		p := newTimeline(within)
 		require.GreaterOrEqual(t, p.rampAt, scale(within, 1-maxReservedFraction)-time.Microsecond, within)
 		require.Less(t, p.rampAt, p.latestRampAt, within)
-		require.Less(t, p.stageAt(All), p.moveAt, within)
+		require.Less(t, p.stageAt(All), p.moveStreamsAt, within)
 		require.Less(t, p.latestRampAt+rampSteps*p.minStepInterval, p.writeAt, within)
 		require.Less(t, p.writeAt, p.rejectAt, within)
 		require.Less(t, p.rejectAt, p.deadline, within)
--- a/rollout/timeline.go
+++ b/rollout/timeline.go
@@ -4,34 +4,34 @@
 
 const (
 	// The margin is the time between the last write and the deadline. It suffices for a store
-	// that is slow or responds 503 once.
+	// that is slow or responds with 503 once.
 	marginFraction = 0.06
 	minMargin      = 800 * time.Millisecond
 	maxMargin      = 2 * time.Second
-	// Settling is the time in which old servers finish their requests before `completed`
-	// stops them: most responses of a few seconds end by themselves. It is no longer than
-	// that, since a version that turns bad during this time gets all requests.
-	settleFraction = 0.08
-	minSettle      = 1200 * time.Millisecond
-	maxSettle      = 2400 * time.Millisecond
+	// The drain is the time in which old servers finish their requests before `completed` stops
+	// them: most responses of a few seconds end by themselves. It is no longer than that, since
+	// a version that turns bad during this time gets all requests.
+	drainFraction = 0.08
+	minDrain      = 1200 * time.Millisecond
+	maxDrain      = 2400 * time.Millisecond
 	// The ramp is short, as a version that is bad only under load costs most there, but each of
 	// its steps is long enough to show that.
 	rampFraction = 0.06
 	minRamp      = 800 * time.Millisecond
 	maxRamp      = 2500 * time.Millisecond
-	// maxReservedFraction is the largest fraction of an order's time for margin, settling and
-	// ramp together. It applies to short orders; the rest is needed for evaluation.
+	// maxReservedFraction is the largest fraction of an order's time for margin, drain and ramp
+	// together. Only short orders reach it; the rest is needed for evaluation.
 	maxReservedFraction = 0.7
 	// rampSteps is the number of steps from Quarter to All.
 	rampSteps = 2
-	// minStepFraction is the fraction of their planned time that steps and settling last at
-	// least if the evidence arrives late.
+	// minStepFraction is the least fraction of their planned time that the ramp's steps and the
+	// drain last if the evidence arrives late.
 	minStepFraction = 0.3
-	// moveFraction of the settling time is left when streams are moved from old servers: most
-	// have ended by themselves by then, and the others need time to restart.
-	moveFraction = 0.4
-	// graceFraction of the margin is for a router that confirms late. After it, a rollout that
-	// is not done is rolled back while there is time to write that.
+	// moveStreamsFraction is the fraction of the drain that is left when streams are moved from
+	// old servers: most have ended by themselves by then, and the others need time to resume.
+	moveStreamsFraction = 0.4
+	// graceFraction is the fraction of the margin for a router that confirms late. After it, a
+	// rollout that is not done is rolled back while there is still time to write the status.
 	graceFraction = 0.5
 )
 
@@ -41,28 +41,28 @@
 	latestRampAt    time.Duration // latest age for stage Quarter
 	minStepInterval time.Duration // least time between steps, if the evidence arrives late
 	stepInterval    time.Duration // planned time between steps
-	moveAt          time.Duration
-	writeAt         time.Duration // final status, whatever still runs
-	rejectAt        time.Duration
+	moveStreamsAt   time.Duration // resumable streams move off the old servers
+	writeAt         time.Duration // final status, even if requests still run on old servers
+	rejectAt        time.Duration // rollback of a rollout that has not reached the last stage everywhere
 	deadline        time.Duration
 }
 
 func newTimeline(within time.Duration) timeline {
 	margin := clampedFraction(within, marginFraction, minMargin, maxMargin)
-	settle := clampedFraction(within, settleFraction, minSettle, maxSettle)
+	drain := clampedFraction(within, drainFraction, minDrain, maxDrain)
 	ramp := clampedFraction(within, rampFraction, minRamp, maxRamp)
-	reserved := margin + settle + ramp
+	reserved := margin + drain + ramp
 	if maxReserved := scale(within, maxReservedFraction); reserved > maxReserved {
 		shrink := float64(maxReserved) / float64(reserved)
-		margin, settle, ramp = scale(margin, shrink), scale(settle, shrink), scale(ramp, shrink)
+		margin, drain, ramp = scale(margin, shrink), scale(drain, shrink), scale(ramp, shrink)
 	}
 	t := timeline{deadline: within, writeAt: within - margin}
 	t.rejectAt = t.writeAt + scale(margin, graceFraction)
-	t.moveAt = t.writeAt - scale(settle, moveFraction)
-	t.rampAt = t.writeAt - settle - ramp
+	t.moveStreamsAt = t.writeAt - scale(drain, moveStreamsFraction)
+	t.rampAt = t.writeAt - drain - ramp
 	t.stepInterval = ramp / rampSteps
 	t.minStepInterval = scale(t.stepInterval, minStepFraction)
-	t.latestRampAt = t.writeAt - scale(settle+ramp, minStepFraction)
+	t.latestRampAt = t.writeAt - scale(drain+ramp, minStepFraction)
 	return t
 }
 
@@ -72,7 +72,7 @@
 
 func scale(d time.Duration, by float64) time.Duration { return time.Duration(float64(d) * by) }
 
-// stageAt returns the planned age for a stage of the ramp.
+// stageAt returns the age at which a stage of the ramp, Quarter or higher, is planned.
 func (t timeline) stageAt(s Stage) time.Duration {
 	return t.rampAt + time.Duration(s-Quarter)*t.stepInterval
 }
