--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -168,8 +168,8 @@
 	sum := &h.hallState(a.hall).fromAgents
 	for _, r := range msg.Rows {
 		i := h.teams.indexOf(r.Team)
-		grown := a.service.merge(i, entry{service: r.Service, lift: r.Lift})
-		sum.add(i, entry{service: grown, lift: r.Lift})
+		increase := a.service.merge(i, entry{service: r.Service, lift: r.Lift})
+		sum.add(i, entry{service: increase, lift: r.Lift})
 		h.changed.mark(i)
 	}
 }
--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -79,9 +79,9 @@
 		if j == i {
 			continue
 		}
-		pair := s.halls[i] != s.halls[j] && i%2 == j%2
-		s.perform(i, s.hubs[i].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(j), Hall: s.halls[j], Paired: pair}))
-		s.perform(j, s.hubs[j].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(i), Hall: s.halls[i], Paired: pair}))
+		paired := s.halls[i] != s.halls[j] && i%2 == j%2
+		s.perform(i, s.hubs[i].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(j), Hall: s.halls[j], Paired: paired}))
+		s.perform(j, s.hubs[j].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(i), Hall: s.halls[i], Paired: paired}))
 	}
 }
 
@@ -235,9 +235,9 @@
 	if m.from < 0 {
 		return // agents report all their counters repeatedly
 	}
-	pair := s.halls[m.from] != s.halls[m.hub] && m.from%2 == m.hub%2
+	paired := s.halls[m.from] != s.halls[m.hub] && m.from%2 == m.hub%2
 	s.perform(m.from, s.hubs[m.from].Update(PeerDownMsg{Now: s.now, Peer: s.hubName(m.hub)}))
-	s.perform(m.from, s.hubs[m.from].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(m.hub), Hall: s.halls[m.hub], Paired: pair}))
+	s.perform(m.from, s.hubs[m.from].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(m.hub), Hall: s.halls[m.hub], Paired: paired}))
 }
 
 // deliverTo delivers all messages to a new hub before any can be lost.
--- a/once/keytable.go
+++ b/once/keytable.go
@@ -143,8 +143,8 @@
 		return
 	}
 	t.sweptAt = now
-	for k, n := range t.entries {
-		if now-n.reservedAt > KeyTTL {
+	for k, e := range t.entries {
+		if now-e.reservedAt > KeyTTL {
 			delete(t.entries, k)
 		}
 	}
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -21,7 +21,7 @@
 	routers           []*Coordinator
 	inFlight          []func()
 	runs              map[Key]int
-	next              uint64
+	lastRequest       uint64
 	attempts          map[uint64]Key
 	overclaimsHistory bool // owners claim a longer history than they have
 	violation         string
@@ -98,12 +98,12 @@
 func (s *simulation) step(pick func(int) int) {
 	switch pick(9) {
 	case 0, 1:
-		s.next++
+		s.lastRequest++
 		k := NewKey("team", "tag", fmt.Sprint(pick(3)))
-		s.attempts[s.next] = k
+		s.attempts[s.lastRequest] = k
 		r := pick(len(s.routers))
 		s.perform(r, s.routers[r].Update(AcquireMsg{
-			Now: s.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: s.next}, Key: k, Agents: s.agents,
+			Now: s.now, Holder: Holder{Router: fleet.Name(fmt.Sprint(r)), Request: s.lastRequest}, Key: k, Agents: s.agents,
 		}))
 	case 2, 3, 4:
 		for range 6 {
@@ -172,10 +172,10 @@
 
 func acquire(t *testing.T, s *simulation, createdAt time.Time) []Command {
 	t.Helper()
-	s.next++
-	k := NewKey("team", "tag", fmt.Sprint("k", s.next))
-	s.attempts[s.next] = k
-	s.perform(0, s.routers[0].Update(AcquireMsg{Now: s.now, Holder: Holder{Request: s.next}, Key: k, Agents: s.agents, CreatedAt: createdAt}))
+	s.lastRequest++
+	k := NewKey("team", "tag", fmt.Sprint("k", s.lastRequest))
+	s.attempts[s.lastRequest] = k
+	s.perform(0, s.routers[0].Update(AcquireMsg{Now: s.now, Holder: Holder{Request: s.lastRequest}, Key: k, Agents: s.agents, CreatedAt: createdAt}))
 	for len(s.inFlight) > 0 {
 		s.deliver(func(int) int { return 0 })
 	}
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -46,4 +46,4 @@
 }
 
 // String returns the fingerprint as 16 hexadecimal digits.
-func (c Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(c)) }
+func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -12,7 +12,7 @@
 func TestFingerprintOf(t *testing.T) {
 	body := []byte("body")
 	seen := map[Fingerprint]bool{}
-	for _, c := range []Fingerprint{
+	for _, f := range []Fingerprint{
 		FingerprintOf("red", "POST", "h.example", "/a/x", body),
 		FingerprintOf("blue", "POST", "h.example", "/a/x", body),
 		FingerprintOf("red", "PUT", "h.example", "/a/x", body),
@@ -23,9 +23,9 @@
 		FingerprintOf("red", "POST", "h.example", "/a/xb", []byte("ody")),
 		FingerprintOf("redP", "OST", "h.example", "/a/x", body),
 	} {
-		require.NotZero(t, c)
-		require.False(t, seen[c])
-		seen[c] = true
+		require.NotZero(t, f)
+		require.False(t, seen[f])
+		seen[f] = true
 	}
 	require.Equal(t, FingerprintOf("red", "POST", "h.example", "/a/x", []byte("body")), FingerprintOf("red", "POST", "h.example", "/a/x", body))
 	require.Equal(t, "000000000000002a", Fingerprint(42).String())
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -12,17 +12,17 @@
 func (s *Suspects) SetRecorded(now time.Duration, listed []Fingerprint) {
 	previous := s.listed
 	s.listed = make(map[Fingerprint]bool, len(listed))
-	for _, c := range listed {
-		s.listed[c] = true
-		if previous[c] {
+	for _, f := range listed {
+		s.listed[f] = true
+		if previous[f] {
 			continue
 		}
-		x := s.getOrAdd(now, c)
+		x := s.getOrAdd(now, f)
 		x.recorded, x.multiCrash = true, true
 		x.refused.advance(now)
 	}
-	for c := range previous {
-		if x := s.byFingerprint[c]; x != nil && !s.listed[c] {
+	for f := range previous {
+		if x := s.byFingerprint[f]; x != nil && !s.listed[f] {
 			s.clear(x, now)
 			x.sendsLeft = ownSends
 		}
@@ -33,9 +33,9 @@
 // Unrecorded returns the fingerprints that are barred and not in the store.
 func (s *Suspects) Unrecorded() []Fingerprint {
 	var out []Fingerprint
-	for c, x := range s.byFingerprint {
-		if x.barred && !s.listed[c] {
-			out = append(out, c)
+	for f, x := range s.byFingerprint {
+		if x.barred && !s.listed[f] {
+			out = append(out, f)
 		}
 	}
 	slices.Sort(out)
@@ -45,9 +45,9 @@
 // Outdated returns the fingerprints that are in the store and no longer barred.
 func (s *Suspects) Outdated() []Fingerprint {
 	var out []Fingerprint
-	for _, c := range slices.Sorted(maps.Keys(s.listed)) {
-		if x := s.byFingerprint[c]; x == nil || !x.barred {
-			out = append(out, c)
+	for _, f := range slices.Sorted(maps.Keys(s.listed)) {
+		if x := s.byFingerprint[f]; x == nil || !x.barred {
+			out = append(out, f)
 		}
 	}
 	return out
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -8,10 +8,10 @@
 )
 
 // newBarred returns suspects in which c is barred by crashes.
-func newBarred(c Fingerprint) *Suspects {
+func newBarred(f Fingerprint) *Suspects {
 	s := &Suspects{}
 	for i := range Server(CrashThreshold) {
-		s.RecordCrash(at(0), c, i)
+		s.RecordCrash(at(0), f, i)
 	}
 	return s
 }
@@ -81,10 +81,10 @@
 }
 
 func TestParseFingerprint(t *testing.T) {
-	for _, c := range []Fingerprint{1, bad, 1 << 63} {
-		back, err := ParseFingerprint(c.String())
+	for _, f := range []Fingerprint{1, bad, 1 << 63} {
+		back, err := ParseFingerprint(f.String())
 		require.NoError(t, err)
-		require.Equal(t, c, back)
+		require.Equal(t, f, back)
 	}
 	for _, text := range []string{"", "x", "1", "0000000000000000", "00000000000000001", "000000000000000G", "-000000000000001", "000000000000000A"} {
 		_, err := ParseFingerprint(text)
--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -148,21 +148,21 @@
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += 2 * crashDedupWindow // a server needs seconds to restart
-			content := Fingerprint(rapid.IntRange(1, 4).Draw(t, "content"))
+			fingerprint := Fingerprint(rapid.IntRange(1, 4).Draw(t, "content"))
 			sender := rapid.IntRange(0, len(routers)-1).Draw(t, "router")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				server := Server(rapid.IntRange(1, 6).Draw(t, "server"))
-				observer.RecordCrash(now, content, server)
-				routers[sender].RecordCrash(now, content, server)
+				observer.RecordCrash(now, fingerprint, server)
+				routers[sender].RecordCrash(now, fingerprint, server)
 				if second := rapid.IntRange(0, len(routers)-1).Draw(t, "also seen by"); second != sender {
-					routers[second].RecordCrash(now+ageTolerance/2, content, server)
+					routers[second].RecordCrash(now+ageTolerance/2, fingerprint, server)
 				}
 			case 1:
 				if rapid.IntRange(0, 5).Draw(t, "answered") == 0 {
 					// Only a router with recorded crashes has anything to clear.
-					routers[sender].RecordSuccess(now, content)
-					observer.clearSeen(now, content, &routers[sender])
+					routers[sender].RecordSuccess(now, fingerprint)
+					observer.clearIfClearedBy(now, fingerprint, &routers[sender])
 				}
 			case 2:
 				list := routers[sender].TakeReports(now, rapid.IntRange(1, 4).Draw(t, "most"))
@@ -191,23 +191,23 @@
 			}
 		}
 		for i := range routers {
-			for c := Fingerprint(1); c <= 4; c++ {
-				require.Equal(t, observer.Crashes(c), routers[i].Crashes(c), fmt.Sprintf("router %d, content %d", i, c))
-				require.Equal(t, observer.byFingerprint[c] != nil && observer.byFingerprint[c].barred, routers[i].byFingerprint[c] != nil && routers[i].byFingerprint[c].barred)
+			for f := Fingerprint(1); f <= 4; f++ {
+				require.Equal(t, observer.Crashes(f), routers[i].Crashes(f), fmt.Sprintf("router %d, content %d", i, f))
+				require.Equal(t, observer.byFingerprint[f] != nil && observer.byFingerprint[f].barred, routers[i].byFingerprint[f] != nil && routers[i].byFingerprint[f].barred)
 			}
 			require.Equal(t, observer.Digest(), routers[i].Digest())
 		}
 	})
 }
 
-// clearSeen clears a fingerprint if the router that executed it has cleared it.
-func (s *Suspects) clearSeen(now time.Duration, c Fingerprint, router *Suspects) {
-	x := router.byFingerprint[c]
+// clearIfClearedBy clears a fingerprint if the router that executed it has cleared it.
+func (s *Suspects) clearIfClearedBy(now time.Duration, f Fingerprint, router *Suspects) {
+	x := router.byFingerprint[f]
 	if x == nil || !x.cleared.valid || x.cleared.at != now {
 		return
 	}
-	mine := s.getOrAdd(now, c)
-	s.clear(mine, now)
+	observed := s.getOrAdd(now, f)
+	s.clear(observed, now)
 	s.updateBarred()
 }
 
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -20,8 +20,8 @@
 // crashes.
 func (s *Suspects) States(now time.Duration, limit int) []State {
 	out := make([]State, 0, len(s.byFingerprint))
-	for c, x := range s.byFingerprint {
-		out = append(out, State{Content: c.String(), Barred: x.barred, Recorded: s.listed[c], Crashes: len(x.crashes), Known: now - x.lastUpdate()})
+	for f, x := range s.byFingerprint {
+		out = append(out, State{Content: f.String(), Barred: x.barred, Recorded: s.listed[f], Crashes: len(x.crashes), Known: now - x.lastUpdate()})
 	}
 	slices.SortFunc(out, func(a, b State) int {
 		if a.Barred != b.Barred {
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -34,9 +34,9 @@
 }
 
 // advance sets the time to at if that is later.
-func (m *optionalTime) advance(at time.Duration) {
-	if !m.valid || at > m.at {
-		*m = optionalTime{at: at, valid: true}
+func (t *optionalTime) advance(at time.Duration) {
+	if !t.valid || at > t.at {
+		*t = optionalTime{at: at, valid: true}
 	}
 }
 
@@ -45,9 +45,9 @@
 const crashDedupWindow = 1500 * time.Millisecond
 
 // hasCrash reports whether a crash is already recorded.
-func (x *suspect) hasCrash(one crash) bool {
+func (x *suspect) hasCrash(other crash) bool {
 	return slices.ContainsFunc(x.crashes, func(c crash) bool {
-		return c.server == one.server && (c.at-one.at).Abs() < crashDedupWindow
+		return c.server == other.server && (c.at-other.at).Abs() < crashDedupWindow
 	})
 }
 
@@ -63,9 +63,9 @@
 // lastUpdate returns the time of the last event of the fingerprint.
 func (x *suspect) lastUpdate() time.Duration {
 	var last optionalTime
-	for _, m := range []optionalTime{x.cleared, x.refused} {
-		if m.valid {
-			last.advance(m.at)
+	for _, t := range []optionalTime{x.cleared, x.refused} {
+		if t.valid {
+			last.advance(t.at)
 		}
 	}
 	if n := len(x.crashes); n > 0 {
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -52,8 +52,8 @@
 
 // RecordCrash records that a server crashed while it executed a request with the fingerprint,
 // sent by this router.
-func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
-	if x := s.getOrAdd(now, c); s.addCrash(x, crash{server, now}) {
+func (s *Suspects) RecordCrash(now time.Duration, f Fingerprint, server Server) {
+	if x := s.getOrAdd(now, f); s.addCrash(x, crash{server, now}) {
 		x.sendsLeft = ownSends
 		s.urgent = s.urgent || x.nearlyBarred()
 		s.updateBarred()
@@ -71,8 +71,8 @@
 
 // RecordSuccess records a complete response to a request with the fingerprint: it did not cause
 // any earlier crash.
-func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
-	x := s.byFingerprint[c]
+func (s *Suspects) RecordSuccess(now time.Duration, f Fingerprint) {
+	x := s.byFingerprint[f]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
 		return
 	}
@@ -87,8 +87,8 @@
 
 // Barred reports whether requests with the fingerprint must be refused, and records that one
 // arrived.
-func (s *Suspects) Barred(now time.Duration, c Fingerprint) bool {
-	x := s.byFingerprint[c]
+func (s *Suspects) Barred(now time.Duration, f Fingerprint) bool {
+	x := s.byFingerprint[f]
 	if x == nil || !x.barred {
 		return false
 	}
@@ -101,15 +101,15 @@
 }
 
 // OneCrashFromBarred reports whether one more crash would bar the fingerprint.
-func (s *Suspects) OneCrashFromBarred(c Fingerprint) bool {
-	x := s.byFingerprint[c]
+func (s *Suspects) OneCrashFromBarred(f Fingerprint) bool {
+	x := s.byFingerprint[f]
 	return x != nil && shouldBar(len(x.crashes)+1, s.unexplained(x)+1)
 }
 
 // Crashes returns the number of crashes under the fingerprint, including those that another
 // one explains.
-func (s *Suspects) Crashes(c Fingerprint) int {
-	if x := s.byFingerprint[c]; x != nil {
+func (s *Suspects) Crashes(f Fingerprint) int {
+	if x := s.byFingerprint[f]; x != nil {
 		return len(x.crashes)
 	}
 	return 0
@@ -133,8 +133,8 @@
 }
 
 // getOrAdd returns the suspect of a fingerprint, and adds it if it is new.
-func (s *Suspects) getOrAdd(now time.Duration, c Fingerprint) *suspect {
-	if x := s.byFingerprint[c]; x != nil {
+func (s *Suspects) getOrAdd(now time.Duration, f Fingerprint) *suspect {
+	if x := s.byFingerprint[f]; x != nil {
 		return x
 	}
 	if s.byFingerprint == nil {
@@ -143,8 +143,8 @@
 	if len(s.byFingerprint) >= maxSuspects {
 		s.evict()
 	}
-	x := &suspect{fingerprint: c}
-	s.byFingerprint[c] = x
+	x := &suspect{fingerprint: f}
+	s.byFingerprint[f] = x
 	return x
 }
 
@@ -195,9 +195,9 @@
 func (s *Suspects) clear(x *suspect, at time.Duration) {
 	x.cleared.advance(at)
 	x.recorded = false
-	later := x.crashes
+	crashes := x.crashes
 	s.dropCrashes(x)
-	for _, c := range later {
+	for _, c := range crashes {
 		s.addCrash(x, c)
 	}
 }
--- a/queue/agentview.go
+++ b/queue/agentview.go
@@ -26,13 +26,13 @@
 
 // recordSent records the count of a queue that is being sent to the agent.
 func (a *agentView) recordSent(q *requestQueue, waiting int) {
-	was := a.sentCounts[q.key] > 0
+	wasInformed := a.sentCounts[q.key] > 0
 	a.sentCounts[q.key] = waiting
-	is := waiting > 0
+	isInformed := waiting > 0
 	switch {
-	case is && !was:
+	case isInformed && !wasInformed:
 		q.informedAgents++
-	case was && !is:
+	case wasInformed && !isInformed:
 		q.informedAgents--
 	}
 }
--- a/queue/budget.go
+++ b/queue/budget.go
@@ -1,28 +1,28 @@
 package queue
 
 const (
-	// maxTokens is the maximum number of retries that can accumulate.
-	maxTokens = 20
-	// initialTokens allows retries of the first failures after a router starts.
-	initialTokens = 5
+	// maxRetryTokens is the maximum number of retries that can accumulate.
+	maxRetryTokens = 20
+	// initialRetryTokens allows retries of the first failures after a router starts.
+	initialRetryTokens = 5
 )
 
 // retryBudget limits retries to a fraction of first attempts, so that retries do
 // not add load to a failing fleet. It is a token bucket.
 type retryBudget struct {
-	tokens  float64
-	started bool
+	tokens      float64
+	initialized bool
 }
 
 // earn adds ratio retries for one first attempt.
 func (b *retryBudget) earn(ratio float64) {
-	b.ensureStarted()
-	b.tokens = min(b.tokens+ratio, maxTokens)
+	b.ensureInitialized()
+	b.tokens = min(b.tokens+ratio, maxRetryTokens)
 }
 
 // spend takes one retry from the budget and reports whether one was available.
 func (b *retryBudget) spend() bool {
-	b.ensureStarted()
+	b.ensureInitialized()
 	if b.tokens < 1 {
 		return false
 	}
@@ -30,9 +30,9 @@
 	return true
 }
 
-func (b *retryBudget) ensureStarted() {
-	if !b.started {
-		b.started = true
-		b.tokens = initialTokens
+func (b *retryBudget) ensureInitialized() {
+	if !b.initialized {
+		b.initialized = true
+		b.tokens = initialRetryTokens
 	}
 }
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -91,11 +91,11 @@
 // only if the request is repeatable and no response has started.
 func TestDoubtIsNotRepeated(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		repeatable bool
-		answered   bool
-		ran        Ran
-		retried    bool
+		name            string
+		repeatable      bool
+		responseStarted bool
+		ran             Ran
+		retried         bool
 	}{
 		{"may not be repeated", false, false, RanUnknown, false},
 		{"may be repeated", true, false, RanNo, true},
@@ -103,11 +103,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newTestMachine(10)
-			a := requestMsg(2, 1)
-			a.Request.Repeatable = c.repeatable
-			m.Update(a)
+			msg := requestMsg(2, 1)
+			msg.Request.Repeatable = c.repeatable
+			m.Update(msg)
 			m.Update(claimMsg(1))
-			if c.answered {
+			if c.responseStarted {
 				m.Update(ResponseStartedMsg{Now: 3, ID: 1})
 			}
 			cmds := m.Update(EndMsg{Now: 4, ID: 1, Outcome: OutcomeUnknown})
@@ -125,9 +125,9 @@
 	m := newTestMachine(10_000)
 	retries := 0
 	for id := range RequestID(500) {
-		a := requestMsg(2, id+1)
-		a.Request.Repeatable = true
-		m.Update(a)
+		msg := requestMsg(2, id+1)
+		msg.Request.Repeatable = true
+		m.Update(msg)
 		for m.Waiting() > 0 && retries < 5000 {
 			m.Update(claimMsg(uint64(id)))
 			m.Update(EndMsg{Now: 2, ID: id + 1, Outcome: OutcomeUnknown})
@@ -135,7 +135,7 @@
 		}
 	}
 	retries -= 500
-	require.InDelta(t, 500*0.1+initialTokens, retries, 2)
+	require.InDelta(t, 500*0.1+initialRetryTokens, retries, 2)
 }
 
 // TestUnrunRequestKeepsItsPlace checks that a request that an agent returns
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -28,17 +28,17 @@
 // acceptOpenClaim creates a claim for a request that uses an open claim, if a
 // slot is still idle. Each open claim can be used once.
 func (m *Machine) acceptOpenClaim(msg ArriveMsg) (*claim, bool) {
-	for _, v := range m.routers {
-		if !v.openClaims.has(msg.Seq) || m.usedOpenClaims[msg.Seq] {
+	for _, r := range m.routers {
+		if !r.openClaims.has(msg.Seq) || m.usedOpenClaims[msg.Seq] {
 			continue
 		}
 		m.usedOpenClaims[msg.Seq] = true
-		v.openClaims.used++
+		r.openClaims.used++
 		if m.idleSlots() <= 0 || m.leaving || !m.serving || !m.cfg.canRun(msg.Key.Work) {
-			v.openClaims.used = int(v.openClaims.end - v.openClaims.first) // the others would be rejected too
+			r.openClaims.used = int(r.openClaims.end - r.openClaims.first) // the others would be rejected too
 			return nil, false
 		}
-		return m.newClaim(msg.Now, msg.Seq, v.name, msg.Key), true
+		return m.newClaim(msg.Now, msg.Seq, r.name, msg.Key), true
 	}
 	return nil, false
 }
@@ -57,7 +57,7 @@
 // updateRemaining records the router's count of the requests that remain in the
 // queue of an arrived request.
 func (m *Machine) updateRemaining(msg ArriveMsg, c *claim) {
-	if router, known := m.claimRouter(c); known {
+	if router, connected := m.claimRouter(c); connected {
 		m.setCount(msg.Now, router, fleet.Count{Key: c.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -57,8 +57,8 @@
 	}
 	m.dropPending(c)
 	m.resumeRouter(c.router)
-	if src, known := m.claimRouter(c); known {
-		m.setCount(msg.Now, src, msg.Count)
+	if router, connected := m.claimRouter(c); connected {
+		m.setCount(msg.Now, router, msg.Count)
 	}
 }
 
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -112,12 +112,12 @@
 	var bestOldest time.Duration
 	for _, t := range m.teams {
 		for _, q := range t.queues {
-			s := q.oldest()
-			if s == nil {
+			d := q.oldest()
+			if d == nil {
 				continue
 			}
-			if best == nil || s.oldest < bestOldest {
-				best, bestOldest = t, s.oldest
+			if best == nil || d.oldest < bestOldest {
+				best, bestOldest = t, d.oldest
 			}
 		}
 	}
@@ -141,7 +141,7 @@
 // ones, or after reannounceAfter in case some were lost.
 func (m *Machine) announceIdleSlots(now time.Duration) []Command {
 	idle := m.idleSlots()
-	if idle <= 0 || m.hasWork() {
+	if idle <= 0 || m.hasDemand() {
 		return nil
 	}
 	var cmds []Command
@@ -157,7 +157,7 @@
 	return cmds
 }
 
-func (m *Machine) hasWork() bool {
+func (m *Machine) hasDemand() bool {
 	for _, t := range m.teams {
 		if t.waiting() > 0 {
 			return true
--- a/sched/queuedemand.go
+++ b/sched/queuedemand.go
@@ -19,11 +19,11 @@
 }
 
 // claimable returns the number of requests that may be claimed from the router.
-func (s *routerDemand) claimable() int {
-	if s.suspended {
+func (d *routerDemand) claimable() int {
+	if d.suspended {
 		return 0
 	}
-	return s.waiting
+	return d.waiting
 }
 
 // queueDemand holds the demand in one queue, that is, the waiting requests of
@@ -35,8 +35,8 @@
 }
 
 func (q *queueDemand) find(router fleet.Name) (int, bool) {
-	return slices.BinarySearchFunc(q.routers, router, func(s routerDemand, n fleet.Name) int {
-		return cmp.Compare(s.router, n)
+	return slices.BinarySearchFunc(q.routers, router, func(d routerDemand, n fleet.Name) int {
+		return cmp.Compare(d.router, n)
 	})
 }
 
@@ -47,11 +47,11 @@
 	if !ok {
 		q.routers = slices.Insert(q.routers, i, routerDemand{router: router})
 	}
-	s := &q.routers[i]
-	before := s.claimable()
-	s.waiting = waiting
-	s.oldest = oldest
-	q.waiting += s.claimable() - before
+	d := &q.routers[i]
+	before := d.claimable()
+	d.waiting = waiting
+	d.oldest = oldest
+	q.waiting += d.claimable() - before
 }
 
 // setSuspended excludes the requests at one router from the claimable count, or
@@ -61,10 +61,10 @@
 	if !ok {
 		return
 	}
-	s := &q.routers[i]
-	before := s.claimable()
-	s.suspended = suspended
-	q.waiting += s.claimable() - before
+	d := &q.routers[i]
+	before := d.claimable()
+	d.suspended = suspended
+	q.waiting += d.claimable() - before
 }
 
 // removeRouter removes one router and its requests from the count.
@@ -81,12 +81,12 @@
 func (q *queueDemand) oldest() *routerDemand {
 	var best *routerDemand
 	for i := range q.routers {
-		s := &q.routers[i]
-		if s.claimable() == 0 {
+		d := &q.routers[i]
+		if d.claimable() == 0 {
 			continue
 		}
-		if best == nil || s.oldest < best.oldest {
-			best = s
+		if best == nil || d.oldest < best.oldest {
+			best = d
 		}
 	}
 	return best
@@ -94,7 +94,7 @@
 
 // decrement removes one claimed request from the counts of router s and of the
 // queue.
-func (q *queueDemand) decrement(s *routerDemand) {
-	s.waiting--
+func (q *queueDemand) decrement(d *routerDemand) {
+	d.waiting--
 	q.waiting--
 }
--- a/sched/team.go
+++ b/sched/team.go
@@ -92,12 +92,12 @@
 		if bestQueue != nil && q.key.Class > bestQueue.key.Class {
 			continue
 		}
-		s := q.oldest()
-		if s == nil {
+		d := q.oldest()
+		if d == nil {
 			continue
 		}
-		if bestQueue == nil || q.key.Class < bestQueue.key.Class || s.oldest < bestRouter.oldest {
-			bestQueue, bestRouter = q, s
+		if bestQueue == nil || q.key.Class < bestQueue.key.Class || d.oldest < bestRouter.oldest {
+			bestQueue, bestRouter = q, d
 		}
 	}
 	return bestQueue, bestRouter
