--- a/ledger/hallstate.go
+++ b/ledger/hallstate.go
@@ -9,11 +9,11 @@
 
 // hallState holds a hub's service counters for one hall.
 type hallState struct {
-	fromAgents   vector // sum over the agent incarnations that this hub holds
-	fromHubs     vector // totals reported by hubs that serve or served the hall
-	recovered    vector // in fromHubs but missing from fromAgents when the warm-up ended
-	linkedAgents int    // agents of the hall that this hub serves
-	linkedSince  time.Duration
+	fromAgents   vector        // sum over the agent incarnations that this hub holds
+	fromHubs     vector        // totals reported by hubs that serve or served the hall
+	recovered    vector        // in fromHubs but missing from fromAgents when the warm-up ended
+	linkedAgents int           // agents of the hall that this hub serves
+	linkedSince  time.Duration // when the first of them was linked; starts the warm-up
 	warmedUp     bool
 }
 
--- a/ledger/hub.go
+++ b/ledger/hub.go
@@ -15,11 +15,11 @@
 	teams        *teamIndex
 	incarnations map[Source]*agentService
 	halls        map[fleet.Hall]*hallState
-	hallNames    []fleet.Hall // the halls, ordered by name
-	agents       []*agentLink // ordered by name
-	peers        []*peerLink  // ordered by name
-	changed      changeSet    // teams whose total may have changed since the last round
-	sentAt       time.Duration
+	hallNames    []fleet.Hall  // the halls, ordered by name
+	agents       []*agentLink  // ordered by name
+	peers        []*peerLink   // ordered by name
+	changed      changeSet     // teams whose total may have changed since the last round
+	sentAt       time.Duration // when the last round was sent
 }
 
 // NewHub returns a hub without counters, agents or peers.
@@ -66,12 +66,16 @@
 // Incarnations returns the number of agent incarnations that the hub holds.
 func (h *Hub) Incarnations() int { return len(h.incarnations) }
 
+// agent returns the index of an agent in h.agents, or the index at which to
+// insert it, and whether it exists.
 func (h *Hub) agent(n fleet.Name) (int, bool) {
 	return slices.BinarySearchFunc(h.agents, n, func(a *agentLink, n fleet.Name) int {
 		return cmp.Compare(a.source.Agent, n)
 	})
 }
 
+// peer returns the index of a hub in h.peers, or the index at which to insert
+// it, and whether it exists.
 func (h *Hub) peer(n fleet.Name) (int, bool) {
 	return slices.BinarySearchFunc(h.peers, n, func(p *peerLink, n fleet.Name) int {
 		return cmp.Compare(p.name, n)
@@ -195,7 +199,7 @@
 	}
 }
 
-// total returns the counters of the team at index i in the whole fleet.
+// total returns the fleet-wide counters of the team at index i.
 func (h *Hub) total(i int) entry {
 	var e entry
 	for _, hall := range h.hallNames {
--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -30,7 +30,7 @@
 	own  serviceByTeam
 }
 
-// serviceByTeam is slot time by team.
+// serviceByTeam is the slot time that an agent has given each team.
 type serviceByTeam map[fleet.Team]time.Duration
 
 func (t serviceByTeam) rows() []fleet.ServiceRow {
@@ -66,7 +66,7 @@
 
 func (s *simulation) hubName(i int) fleet.Name { return fleet.Name(fmt.Sprintf("h%d", i)) }
 
-// connect connects a hub that has just started to its agents and peers.
+// connect links a hub that has just started to its agents and peers.
 func (s *simulation) connect(i int) {
 	for _, a := range s.agents {
 		if a.hall != s.halls[i] {
@@ -240,7 +240,8 @@
 	s.perform(m.from, s.hubs[m.from].Update(PeerUpMsg{Now: s.now, Peer: s.hubName(m.hub), Hall: s.halls[m.hub], Paired: paired}))
 }
 
-// deliverTo delivers all messages to a new hub before any can be lost.
+// deliverTo delivers all messages that are in flight to a hub, so that none of
+// its first messages is lost.
 func (s *simulation) deliverTo(hub int) {
 	var rest []message
 	for _, m := range s.inFlight {
--- a/ledger/round.go
+++ b/ledger/round.go
@@ -31,6 +31,8 @@
 	totals  vector // by team index
 }
 
+// takeUpdate returns an update with the teams that changed since the last round,
+// and starts collecting changes for the next one.
 func (h *Hub) takeUpdate() update {
 	u := update{indexes: h.changed.drain()}
 	for i := range h.teams.names {
--- a/once/coordinator.go
+++ b/once/coordinator.go
@@ -36,10 +36,10 @@
 	holder     Holder
 	key        Key
 	owners     []fleet.Name
-	unanswered []fleet.Name // owners without a verdict yet
-	reserved   int          // owners that returned VerdictReserved
-	deadline   time.Duration
-	granted    bool // the request may run; kept until NotRunMsg or DoneMsg
+	unanswered []fleet.Name  // owners without a verdict yet
+	reserved   int           // owners that returned VerdictReserved
+	deadline   time.Duration // for the verdicts
+	granted    bool          // the request may run; kept until NotRunMsg or DoneMsg
 }
 
 // NewCoordinator returns a coordinator without reservations.
@@ -49,8 +49,9 @@
 // message is the time since the process started.
 type CoordinatorMsg interface{ isCoordinatorMsg() }
 
-// AcquireMsg requests a decision on a request and its key. CreatedAt is when the
-// caller first used the key, by the caller's clock, or zero if unknown.
+// AcquireMsg asks whether a request with an idempotency key may run. CreatedAt
+// is when the caller first used the key, by the caller's clock, or zero if
+// unknown.
 type AcquireMsg struct {
 	Now       time.Duration
 	Holder    Holder
@@ -80,7 +81,7 @@
 	Request uint64
 }
 
-// TickMsg advances the time.
+// TickMsg advances the time, so that reservations expire.
 type TickMsg struct{ Now time.Duration }
 
 func (AcquireMsg) isCoordinatorMsg() {}
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// decide ends the vote on a reservation. If the request may not run, the
-// reservation is released so that the caller can retry.
+// decide ends the wait for the owners' verdicts. If the request may not run, its
+// key is released so that the caller can retry.
 func (c *Coordinator) decide(r *reservation, d Decision) []Command {
 	cmds := []Command{DecideCmd{Request: r.holder.Request, Decision: d}}
 	if d == DecisionRun {
@@ -188,6 +189,7 @@
 	return append(cmds, c.release(r)...)
 }
 
+// release removes a reservation and asks the owners to release its key.
 func (c *Coordinator) release(r *reservation) []Command {
 	delete(c.reservations, r.holder.Request)
 	var cmds []Command
--- a/once/key.go
+++ b/once/key.go
@@ -52,13 +52,13 @@
 
 // Verdicts of an owner.
 const (
-	// VerdictReserved means that the owner has reserved the key and would know of
-	// any earlier reservation.
+	// VerdictReserved means that the owner has reserved the key and would have
+	// a record of any earlier reservation.
 	VerdictReserved Verdict = iota
 	// VerdictDuplicate means that another request holds the key.
 	VerdictDuplicate
-	// VerdictUncertain means that the owner has reserved the key but may not know
-	// of an earlier reservation, or that its table is full and the key is not
+	// VerdictUncertain means that the owner has reserved the key but may have no
+	// record of an earlier reservation, or that its table is full and the key is not
 	// reserved.
 	VerdictUncertain
 )
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -59,6 +59,7 @@
 	s.owners[n] = o
 }
 
+// age returns the time since an owner started, by its own account.
 func (s *simulation) age(o *simOwner) time.Duration { return s.now - o.startedAt }
 
 func (s *simulation) perform(router int, cmds []Command) {
@@ -170,6 +171,8 @@
 	t.Fatal("no key ran twice, so the simulation would not detect the fault")
 }
 
+// acquire submits a request with a new key to the first router and delivers all
+// messages.
 func acquire(t *testing.T, s *simulation, createdAt time.Time) []Command {
 	t.Helper()
 	s.lastRequest++
--- a/quarantine/barring.go
+++ b/quarantine/barring.go
@@ -18,8 +18,8 @@
 
 // shouldBar reports whether to bar a fingerprint, given its crashes and how many of them no
 // other fingerprint explains. Of two fingerprints that crash servers together, the one with
-// more crashes explains the other's; a fingerprint with more than CrashThreshold crashes of its
-// own is barred by a single unexplained one.
+// more crashes explains the other's. A fingerprint with more than CrashThreshold crashes is
+// barred by a single unexplained one.
 func shouldBar(crashes, unexplained int) bool {
 	return unexplained >= CrashThreshold || crashes > CrashThreshold && unexplained > 0
 }
@@ -30,8 +30,8 @@
 	return slices.ContainsFunc(s.byServer[server], func(other *suspect) bool { return len(other.crashes) > len(x.crashes) })
 }
 
-// updateBarred decides again what is barred, after any change: a change to one fingerprint
-// may explain the crashes under another.
+// updateBarred recomputes which fingerprints are barred, and the digest, after any change: a
+// change to one fingerprint may explain the crashes under another.
 func (s *Suspects) updateBarred() {
 	s.digest = Digest{}
 	for _, x := range s.byFingerprint {
@@ -44,6 +44,7 @@
 	slices.SortStableFunc(s.changed, func(a, b Change) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 }
 
+// setBarred bars a fingerprint, or ends that, and records the change.
 func (s *Suspects) setBarred(x *suspect, barred bool) {
 	x.barred = barred
 	s.urgent = s.urgent || barred
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -9,9 +9,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint identifies what a request asks for: requests of one team with the same method,
-// host, target and body have the same fingerprint, at any router and on any retry. Request ids
-// are not included, since each attempt of a caller has its own. The zero value identifies no
+// Fingerprint identifies equal requests: requests of one team with the same method, host,
+// target and body have the same fingerprint, at any router and on any retry. Request ids are
+// not included, since each attempt of a caller has its own. The zero value identifies no
 // request.
 //
 // It is a 64-bit hash. Requests whose fingerprints collide are treated as one: with a thousand
@@ -24,7 +24,7 @@
 	h.Reset()
 	var length [8]byte
 	for _, field := range []string{team, method, host, target} {
-		// The length prefixes keep different fields from having the same encoding.
+		// Without the length prefixes, different fields could have the same concatenation.
 		binary.LittleEndian.PutUint64(length[:], uint64(len(field)))
 		_, _ = h.Write(length[:]) // writes to an in-memory hash never fail
 		_, _ = h.WriteString(field)
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SetRecorded sets the fingerprints that the store lists as barred, so that routers which all
-// lost their state still bar them. A fingerprint that is no longer listed was released: its
+// SetRecorded sets the fingerprints that the store lists as barred, so that they stay barred
+// even if all routers lose their state. A fingerprint that is no longer listed was released: its
 // earlier crashes are cleared.
 func (s *Suspects) SetRecorded(now time.Duration, listed []Fingerprint) {
 	previous := s.listed
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestOutdatedRecords verifies that listed fingerprints that are no longer barred are
-// returned for removal, and that their records don't bar them again meanwhile.
+// returned for removal, and that their records do not bar them again meanwhile.
 func TestOutdatedRecords(t *testing.T) {
 	s := newBarred(bad)
 	s.SetRecorded(at(1), []Fingerprint{bad, harmless})
@@ -80,6 +80,7 @@
 	require.Empty(t, refusing.TakeReports(now, 8))
 }
 
+// TestParseFingerprint verifies that only the output of String is accepted.
 func TestParseFingerprint(t *testing.T) {
 	for _, f := range []Fingerprint{1, bad, 1 << 63} {
 		back, err := ParseFingerprint(f.String())
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// ownSends is how many lists report what this router observed itself: one list in ten may
-	// be lost. relaySends is the same for multi-crash fingerprints that others reported, since in
-	// a large fleet a list reaches only some routers. A fingerprint with one crash, like most of
-	// those on a crashed server, is reported only by the router that observed it: if a second
-	// crash follows, some router has received both reports, and relays them.
+	// ownSends is how many times this router reports what it observed itself, since one list of
+	// reports in ten may be lost. relaySends is how many times it reports multi-crash fingerprints
+	// that others reported, since in a large fleet a list reaches only some routers. A fingerprint
+	// with one crash, like most of those on a crashed server, is reported only by the router that
+	// observed it: if a second crash follows, some router receives both reports and relays them.
 	ownSends   = 3
 	relaySends = 1
-	// resendInterval is the least time between two resends of all barred and nearly barred
-	// fingerprints, which a differing digest of another router triggers.
+	// resendInterval is the minimum time between two resends of all barred and nearly barred
+	// fingerprints. A differing digest of another router triggers a resend.
 	resendInterval = 500 * time.Millisecond
 )
 
@@ -28,9 +28,9 @@
 	Grave    bool
 	Crashes  []CrashReport
 	Cleared  bool
-	ClearAge Age // since it was cleared
-	Asked    bool
-	AskAge   Age // since a request was last refused
+	ClearAge Age  // since it was cleared
+	Asked    bool // a request was refused
+	AskAge   Age  // since a request was last refused
 }
 
 // CrashReport is one crash of a server that was executing the fingerprint.
@@ -113,13 +113,13 @@
 	}
 	x.multiCrash = x.multiCrash || r.Grave
 	if x.multiCrash && (changed || stale) {
-		// The sender of crashes that were already cleared hasn't received the clearing.
+		// The sender of crashes that were already cleared has not received the clearing.
 		x.sendsLeft = max(x.sendsLeft, relaySends)
 	}
 }
 
-// ageTolerance is how much the age of one event may differ between the reports of two routers:
-// the delivery time of a list.
+// ageTolerance is how much the age of one event may differ between the reports of two routers.
+// It covers the delivery time of a list of reports.
 const ageTolerance = 100 * time.Millisecond
 
 // expired reports whether everything in the report is too old to be kept.
@@ -132,10 +132,11 @@
 // nearlyBarred reports whether one more crash may bar the fingerprint.
 func (x *suspect) nearlyBarred() bool { return !x.barred && len(x.crashes) >= CrashThreshold-1 }
 
-// Digest holds sums of fingerprints, with which routers detect that their states differ; 0 for none.
+// Digest holds sums of fingerprints, by which routers detect that their states differ. A sum is
+// 0 if there are no fingerprints.
 type Digest struct {
 	Barred       uint64
-	NearlyBarred uint64 // one more crash may bar them
+	NearlyBarred uint64 // see suspect.nearlyBarred
 }
 
 // add adds a fingerprint to the sum it belongs to.
@@ -151,8 +152,9 @@
 // Digest returns the digest of the state that all routers should share.
 func (s *Suspects) Digest() Digest { return s.digest }
 
-// CompareDigest compares the digest of another router. If it differs, the barred and nearly
-// barred fingerprints are sent again, so that a router that was away or just started learns them.
+// CompareDigest compares the digest of another router with this one's. If they differ, the
+// barred and nearly barred fingerprints are reported again, for a router that was away or has
+// just started.
 func (s *Suspects) CompareDigest(now time.Duration, digest Digest) {
 	if digest == s.Digest() || now-s.lastResend < resendInterval {
 		return
--- a/quarantine/report_test.go
+++ b/quarantine/report_test.go
@@ -192,7 +192,7 @@
 		}
 		for i := range routers {
 			for f := Fingerprint(1); f <= 4; f++ {
-				require.Equal(t, observer.Crashes(f), routers[i].Crashes(f), fmt.Sprintf("router %d, content %d", i, f))
+				require.Equal(t, observer.Crashes(f), routers[i].Crashes(f), fmt.Sprintf("router %d, fingerprint %d", i, f))
 				require.Equal(t, observer.byFingerprint[f] != nil && observer.byFingerprint[f].barred, routers[i].byFingerprint[f] != nil && routers[i].byFingerprint[f].barred)
 			}
 			require.Equal(t, observer.Digest(), routers[i].Digest())
@@ -200,7 +200,7 @@
 	})
 }
 
-// clearIfClearedBy clears a fingerprint if the router that executed it has cleared it.
+// clearIfClearedBy clears a fingerprint if the given router has just cleared it.
 func (s *Suspects) clearIfClearedBy(now time.Duration, f Fingerprint, router *Suspects) {
 	x := router.byFingerprint[f]
 	if x == nil || !x.cleared.valid || x.cleared.at != now {
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -15,19 +15,20 @@
 type suspect struct {
 	fingerprint     Fingerprint
 	crashes         []crash      // oldest first
-	cleared         optionalTime // last found harmless: earlier crashes don't count
+	cleared         optionalTime // last found harmless: earlier crashes do not count
 	refused         optionalTime // last refused
 	refusedReported optionalTime // value of refused in the last report
 	// recorded is set if the store lists it as barred and it was not cleared since.
 	recorded bool
 	barred   bool
-	// multiCrash is set if more than one server has crashed under it, so that all routers must learn it.
+	// multiCrash is set once it has had more than one crash or the store has listed it: all
+	// routers must receive it.
 	multiCrash bool
-	sendsLeft  int // number of lists that are yet to report it
+	sendsLeft  int // number of further lists to report it in
 }
 
-// optionalTime is a time, or none. Events that others report may have happened before this
-// router started, at a negative time.
+// optionalTime is a time, or none. Zero and negative times are valid: events that others report
+// may have happened before this router started.
 type optionalTime struct {
 	at    time.Duration
 	valid bool
@@ -40,11 +41,12 @@
 	}
 }
 
-// crashDedupWindow is how far apart two reports of the same crash may be. A server that has
-// restarted without announcing it crashes again, seconds later, under its old Server value.
+// crashDedupWindow is how far apart two reports of the same crash may be. It must be shorter
+// than the seconds between two crashes of a server that restarts unnoticed, which have the same
+// Server value.
 const crashDedupWindow = 1500 * time.Millisecond
 
-// hasCrash reports whether a crash is already recorded.
+// hasCrash reports whether a crash is already recorded, perhaps at a slightly different time.
 func (x *suspect) hasCrash(other crash) bool {
 	return slices.ContainsFunc(x.crashes, func(c crash) bool {
 		return c.server == other.server && (c.at-other.at).Abs() < crashDedupWindow
@@ -56,8 +58,8 @@
 	return slices.ContainsFunc(x.crashes, func(c crash) bool { return c.server == s })
 }
 
-// clearedSince reports whether a crash at the given time doesn't count, since the fingerprint
-// was cleared later.
+// clearedSince reports whether the fingerprint was cleared after a crash at the given time, so
+// that the crash does not count.
 func (x *suspect) clearedSince(at time.Duration) bool { return x.cleared.valid && at <= x.cleared.at }
 
 // lastUpdate returns the time of the last event of the fingerprint.
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -9,8 +9,8 @@
 
 const (
 	// CrashThreshold is the number of servers that crash under a fingerprint before it is
-	// barred. One server may crash by itself; two in a row under one request are rare but happen
-	// when hosts fail in series.
+	// barred. One server may crash for another reason; two in a row under one request are rare
+	// but happen when hosts fail in series.
 	CrashThreshold = 3
 	// Retention is how long a fingerprint is kept after the last crash under it, or after its
 	// last request while it was barred. It is far longer than the retry interval of requests that
@@ -21,10 +21,10 @@
 	// maxCrashesKept limits the crashes kept per fingerprint; the oldest are dropped.
 	maxCrashesKept = 16
 	// maxSuspects limits the fingerprints kept, which take about 150 bytes each. It covers a
-	// hundred crashes of servers that each run forty requests at their beginning.
+	// hundred crashes of servers that each run forty requests that have just begun.
 	maxSuspects = 4096
-	// evictionBatch is how many suspects are removed when the limit is reached. Finding them
-	// takes a millisecond, too long for each new suspect.
+	// evictionBatch is how many suspects are removed at a time when the limit is reached. Finding
+	// them takes a millisecond, too long to be done for each new suspect.
 	evictionBatch = maxSuspects / 8
 )
 
@@ -35,7 +35,7 @@
 // zero value is empty. Times are on the router's monotonic clock.
 type Suspects struct {
 	byFingerprint map[Fingerprint]*suspect
-	byServer      map[Server][]*suspect // suspects that were on the server when it crashed
+	byServer      map[Server][]*suspect // suspects with a crash of the server
 	changed       []Change
 	listed        map[Fingerprint]bool // by the store, see SetRecorded
 	digest        Digest
@@ -62,7 +62,7 @@
 
 // TakeUrgent reports whether anything happened since the last call that other routers must
 // receive at once: a crash after which one more may bar a fingerprint, or a fingerprint that was
-// barred. Until they receive it they send copies of the request to other servers.
+// barred. Until they receive it they may send the same request to other servers.
 func (s *Suspects) TakeUrgent() bool {
 	out := s.urgent
 	s.urgent = false
@@ -94,7 +94,7 @@
 	}
 	x.refused.advance(now)
 	if !x.refusedReported.valid || now-x.refusedReported.at >= refusedReportInterval {
-		// Routers that receive no such requests would otherwise expire it.
+		// Routers that receive no such requests would otherwise let it expire.
 		x.sendsLeft = max(x.sendsLeft, 1)
 	}
 	return true
@@ -191,7 +191,7 @@
 	return true
 }
 
-// clear discards all crashes up to the given time.
+// clear discards all crashes up to the given time, and the store's record.
 func (s *Suspects) clear(x *suspect, at time.Duration) {
 	x.cleared.advance(at)
 	x.recorded = false
@@ -209,6 +209,7 @@
 	x.crashes = nil
 }
 
+// unlink removes a suspect from those of a server in byServer.
 func (s *Suspects) unlink(x *suspect, server Server) {
 	rest := slices.DeleteFunc(s.byServer[server], func(other *suspect) bool { return other == x })
 	if len(rest) == 0 {
--- a/queue/arrive.go
+++ b/queue/arrive.go
@@ -85,6 +85,8 @@
 	return best
 }
 
+// cancel ends a waiting request. A request that was sent to an agent stays until
+// its EndMsg.
 func (m *Machine) cancel(msg CancelMsg) []Command {
 	r, ok := m.requests[msg.ID]
 	if !ok {
--- a/queue/budget.go
+++ b/queue/budget.go
@@ -3,14 +3,15 @@
 const (
 	// maxRetryTokens is the maximum number of retries that can accumulate.
 	maxRetryTokens = 20
-	// initialRetryTokens allows retries of the first failures after a router starts.
+	// initialRetryTokens is the number of retries in a new budget. It allows
+	// retries of the first failures after a router starts.
 	initialRetryTokens = 5
 )
 
 // retryBudget limits retries to a fraction of first attempts, so that retries do
 // not add load to a failing fleet. It is a token bucket.
 type retryBudget struct {
-	tokens      float64
+	tokens      float64 // retries available
 	initialized bool
 }
 
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -83,8 +83,8 @@
 	return m.dispatch(msg.Now, m.queues[r.Key])
 }
 
-// handleUnknownOutcome retries or refuses a request whose last run may or may
-// not have taken place.
+// handleUnknownOutcome retries or refuses a request whose last run may have
+// taken place.
 func (m *Machine) handleUnknownOutcome(msg EndMsg, r *request) []Command {
 	r.possibleRuns++
 	canRetry := r.Repeatable && r.state == stateRunning && msg.Now < r.expiresAt
--- a/queue/config.go
+++ b/queue/config.go
@@ -13,11 +13,12 @@
 	Hall              fleet.Hall
 	MaxWaiting        int                // waiting requests, all teams together
 	MaxWaitingPerTeam map[fleet.Team]int // waiting requests of one team
-	MaxWait           time.Duration
-	RetryBudget       float64 // retries per first attempt
+	MaxWait           time.Duration      // longest wait of one request
+	RetryBudget       float64            // retries per first attempt
 }
 
-// teamLimit returns the maximum number of waiting requests of a team.
+// teamLimit returns the maximum number of waiting requests of a team. A team
+// without a limit of its own is limited by MaxWaiting only.
 func (c Config) teamLimit(t fleet.Team) int {
 	if n, ok := c.MaxWaitingPerTeam[t]; ok {
 		return n
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -79,6 +79,8 @@
 	return ok
 }
 
+// agent returns the view of an agent, its index in m.agents and whether it
+// exists. If not, the index is where to insert it.
 func (m *Machine) agent(n fleet.Name) (*agentView, int, bool) {
 	i, ok := slices.BinarySearchFunc(m.agents, n, func(a *agentView, n fleet.Name) int {
 		return cmp.Compare(a.name, n)
@@ -103,6 +105,7 @@
 	return q
 }
 
+// team returns the state of a team and creates it if necessary.
 func (m *Machine) team(t fleet.Team) *teamState {
 	s, ok := m.byTeam[t]
 	if !ok {
@@ -126,8 +129,8 @@
 	heap.Push(&m.expiry, r)
 }
 
-// recordDequeue records that a request no longer waits. The caller updates the
-// queue itself.
+// recordDequeue records that a request no longer waits. The caller removes it
+// from its requestQueue.
 func (m *Machine) recordDequeue(now time.Duration, r *request) {
 	m.waiting--
 	m.queues[r.Key].lastRemoved = now
@@ -145,6 +148,7 @@
 	delete(m.requests, r.ID)
 }
 
+// finish ends a request that is not waiting.
 func (m *Machine) finish(r *request) {
 	r.state = stateEnded
 	delete(m.requests, r.ID)
--- a/queue/machine_test.go
+++ b/queue/machine_test.go
@@ -10,6 +10,8 @@
 
 var reportKey = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
 
+// newTestMachine returns a machine with one agent, in which at most limit
+// requests of team ajax may wait.
 func newTestMachine(limit int) *Machine {
 	m := New(Config{
 		MaxWaiting: 100, MaxWait: time.Minute, RetryBudget: 0.1,
--- a/queue/openclaims.go
+++ b/queue/openclaims.go
@@ -14,7 +14,8 @@
 	expiresAt time.Duration // claims are not used from this time on
 }
 
-// openClaimTTL is how long an agent's report of idle slots is considered valid.
+// openClaimTTL is how long a router uses the open claims of an agent, whose slots
+// may have been taken since.
 const openClaimTTL = 3 * time.Second
 
 // take uses one open claim and reports whether one was available.
--- a/queue/teamstate.go
+++ b/queue/teamstate.go
@@ -8,9 +8,10 @@
 	// minWindowClaims is the minimum number of claims in a window for the drain
 	// rate to be used.
 	minWindowClaims = 5
-	// noServerRetryAfter is the Retry-After time if no server can take the work.
+	// noServerRetryAfter is the Retry-After time if no server can take the work,
+	// and the minimum for every other refusal.
 	noServerRetryAfter = time.Second
-	// maxRetryAfter limits the expected wait that callers are sent.
+	// maxRetryAfter limits the expected wait, from which Retry-After is computed.
 	maxRetryAfter = 30 * time.Second
 )
 
@@ -54,9 +55,9 @@
 	return min(time.Duration(t.waiting)*perClaim, maxRetryAfter)
 }
 
-// jitter spreads the retry times of refused callers. It returns between 1 and
-// 1.5 times the wait, chosen by a hash of the request ID. The wait is at least
-// noServerRetryAfter.
+// jitter spreads the retry times of refused callers. It raises the wait to
+// noServerRetryAfter if it is shorter, and returns between 1 and 1.5 times the
+// result, chosen by a hash of the request ID.
 func jitter(id RequestID, wait time.Duration) time.Duration {
 	wait = max(wait, noServerRetryAfter)
 	const steps = 16
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -20,8 +20,8 @@
 	// all agents were informed of a short queue, each would claim from it and
 	// most claims would be denied.
 	informedPerRequest = 2
-	// informMoreEvery is the wait of the oldest request after which one more
-	// agent is informed.
+	// informMoreEvery is the interval at which one more agent is informed while
+	// the oldest request waits.
 	informMoreEvery = 100 * time.Millisecond
 )
 
--- a/sched/claim.go
+++ b/sched/claim.go
@@ -21,8 +21,8 @@
 	key       fleet.DemandKey
 	router    fleet.Name
 	state     claimState
-	claimedAt time.Duration // when the claim was sent or an open claim was used
+	claimedAt time.Duration // when the claim was sent, or the open claim was used
 	startedAt time.Duration // when the request started
-	estimate  time.Duration
+	estimate  time.Duration // estimated slot time of the request
 	charged   time.Duration // slot time charged so far to the team's own service
 }
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -35,7 +35,8 @@
 		m.usedOpenClaims[msg.Seq] = true
 		r.openClaims.used++
 		if m.idleSlots() <= 0 || m.leaving || !m.serving || !m.cfg.canRun(msg.Key.Work) {
-			r.openClaims.used = int(r.openClaims.end - r.openClaims.first) // the others would be rejected too
+			// Count the remaining ones as used: they would be rejected too.
+			r.openClaims.used = int(r.openClaims.end - r.openClaims.first)
 			return nil, false
 		}
 		return m.newClaim(msg.Now, msg.Seq, r.name, msg.Key), true
@@ -116,8 +117,8 @@
 	c.charged = c.estimate
 }
 
-// end settles the charge of a request that ran, or removes one that did not
-// start.
+// end settles the charge of a request that ran, or removes the claim of a
+// request that did not start.
 func (m *Machine) end(msg EndMsg) {
 	c, ok := m.claims[msg.Seq]
 	if !ok {
@@ -141,7 +142,7 @@
 	delete(m.claims, c.seq)
 }
 
-// settle replaces the charge with the actual cost.
+// settle replaces the charge of an ended request with its actual cost.
 func (m *Machine) settle(now time.Duration, c *claim) {
 	cost := now - c.startedAt
 	t := m.byName[c.key.Team]
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -21,6 +21,8 @@
 	}
 }
 
+// setCount records the count of one queue at a router. Counts of works that the
+// server does not run are ignored.
 func (m *Machine) setCount(now time.Duration, router fleet.Name, c fleet.Count) {
 	if !m.cfg.canRun(c.Key.Work) {
 		return
@@ -49,7 +51,8 @@
 	return t.queues[i]
 }
 
-// handleDeny ends a pending claim whose queue was empty.
+// handleDeny ends a pending claim that the router refused, and records the
+// queue's count.
 func (m *Machine) handleDeny(msg DenyMsg) {
 	c, ok := m.claims[msg.Seq]
 	if !ok || c.state != claimPending {
--- a/sched/doc.go
+++ b/sched/doc.go
@@ -10,6 +10,6 @@
 //
 // A team's virtual service is the slot time that it has received from the whole
 // fleet, divided by its share. The waiting team with the least virtual service
-// is served next. A lift is an amount added to a team's virtual service so that
-// idle time earns no credit and the deficits that are repaid stay bounded.
+// is served next. A lift is an amount added to a team's virtual service, so that
+// idle time earns no credit and only a bounded deficit is repaid.
 package sched
--- a/sched/estimate.go
+++ b/sched/estimate.go
@@ -24,6 +24,7 @@
 	byWork map[fleet.Work]time.Duration
 }
 
+// newEstimator returns an estimator without observations, whose estimates are 0.
 func newEstimator() estimator {
 	return estimator{byTeam: map[costKey]time.Duration{}, byWork: map[fleet.Work]time.Duration{}}
 }
@@ -35,6 +36,7 @@
 	return e.byWork[k.Work]
 }
 
+// observe updates the estimates with the actual cost of a completed request.
 func (e estimator) observe(k fleet.DemandKey, cost time.Duration) {
 	ck := costKey{k.Team, k.Work}
 	e.byTeam[ck] = movingAverage(e.byTeam[ck], cost)
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -16,11 +16,11 @@
 	// claimTimeout is the age at which a claim that received neither a request
 	// nor a denial ends. A request that arrives later is rejected and not run.
 	claimTimeout = 500 * time.Millisecond
-	// idleAfter is how long a team must have no demand and no service before
-	// its next request counts as newly backlogged.
+	// idleAfter is how long a team must have had no demand and no service to
+	// count as idle. Its next request then lifts its virtual service.
 	idleAfter = 2 * time.Second
-	// reannounceAfter is how long the agent assumes that a router holds its open
-	// claims before it sends new ones.
+	// reannounceAfter is the time after which a router that has not used all its
+	// open claims is sent new ones.
 	reannounceAfter = 2 * time.Second
 )
 
@@ -32,17 +32,17 @@
 	byName         map[fleet.Team]*team
 	routers        []*routerView // ordered by name
 	claims         map[uint64]*claim
-	usedOpenClaims map[uint64]bool // open claims already used
+	usedOpenClaims map[uint64]bool // sequence numbers of open claims already used
 	ready          []uint64        // arrived requests that wait for a slot, oldest first
-	seq            uint64
-	pendingClaims  int // claims for which no request has arrived yet
-	running        int // slots in use
+	seq            uint64          // last sequence number given to a claim
+	pendingClaims  int             // claims for which no request has arrived yet
+	running        int             // slots in use
 	serving        bool
 	leaving        bool
 	costs          estimator
 	sampledAt      time.Duration // when own service was last sampled
 	serviceSentAt  time.Duration // when a service message was last sent to any hub
-	virtualFloor   time.Duration // least virtual service of a team that returns from idle
+	virtualFloor   time.Duration // minimum virtual service after a return from idle
 }
 
 // New returns a machine with no routers. It takes no work until a HealthMsg
@@ -131,8 +131,8 @@
 	return names
 }
 
-// team returns the account of a team and creates it if necessary. A team that
-// is not in the bundle has a share of 1.
+// team returns the account of a team and creates it if necessary. A team
+// without a configured share has a share of 1 until it gets one.
 func (m *Machine) team(now time.Duration, name fleet.Team) *team {
 	if t, ok := m.byName[name]; ok {
 		return t
@@ -146,6 +146,8 @@
 	return t
 }
 
+// router returns the view of a router, its index in m.routers and whether it
+// exists. If not, the index is where to insert it.
 func (m *Machine) router(n fleet.Name) (*routerView, int, bool) {
 	i, ok := slices.BinarySearchFunc(m.routers, n, func(r *routerView, n fleet.Name) int {
 		return cmp.Compare(r.name, n)
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -41,8 +41,8 @@
 	return out
 }
 
-// serveOne runs the claimed request for one second and returns the claims made
-// when it ends.
+// serveOne delivers the claimed request, ends it after one second, and returns
+// the claims made when it ends.
 func serveOne(t *testing.T, m *Machine, now time.Duration, c ClaimCmd) []ClaimCmd {
 	t.Helper()
 	m.Update(ArriveMsg{Now: now, Seq: c.Seq, Remaining: 1000})
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -89,9 +89,10 @@
 	return best
 }
 
-// capDeficits lifts each waiting team that is more than CatchUp behind the team
-// with the most virtual service. After a partition heals, a team that received
-// less service is repaid at most CatchUp, so the others do not wait for long.
+// capDeficits lifts each waiting team that is more than CatchUp behind most, the
+// largest virtual service of a waiting team. After a partition heals, a team
+// that received less service is repaid at most CatchUp, so the others do not
+// wait for long.
 func (m *Machine) capDeficits(most time.Duration) {
 	if m.cfg.CatchUp <= 0 {
 		return
@@ -124,8 +125,8 @@
 	return best
 }
 
-// liftIdle raises the virtual service of a team that returns from idle to that
-// of the other teams, so that idle time earns no credit.
+// liftIdle raises the virtual service of a team that returns from idle to
+// virtualFloor, the level of the other teams, so that idle time earns no credit.
 func (m *Machine) liftIdle(now time.Duration, t *team) {
 	idle := t.waiting() == 0 && t.running == 0 && now-t.lastActive >= idleAfter
 	if !idle || m.cfg.Mode == ModeFIFO {
--- a/sched/queuedemand.go
+++ b/sched/queuedemand.go
@@ -8,7 +8,7 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// routerDemand holds the requests of one queue that wait at one router.
+// routerDemand holds the demand in one queue at one router.
 type routerDemand struct {
 	router  fleet.Name
 	waiting int
@@ -92,8 +92,8 @@
 	return best
 }
 
-// decrement removes one claimed request from the counts of router s and of the
-// queue.
+// decrement removes one claimed request from the count of its router, d, and of
+// the queue.
 func (q *queueDemand) decrement(d *routerDemand) {
 	d.waiting--
 	q.waiting--
--- a/sched/router.go
+++ b/sched/router.go
@@ -13,10 +13,10 @@
 	hub         bool
 	nothingSent bool // the hub has received no service message yet
 	openClaims  openClaims
-	announcedAt time.Duration
-	suspended   bool // the router does not answer claims
-	sent        map[fleet.Team]fleet.ServiceRow
-	sentAt      time.Duration
+	announcedAt time.Duration                   // when it was last sent open claims
+	suspended   bool                            // the router does not answer claims
+	sent        map[fleet.Team]fleet.ServiceRow // rows last sent, by team
+	sentAt      time.Duration                   // when it was last sent service rows
 }
 
 // setSuspended stops or resumes claiming from a router. Without it, a router
--- a/sched/share.go
+++ b/sched/share.go
@@ -23,7 +23,8 @@
 	}
 }
 
-// sampleService samples the own service of every team at regular intervals.
+// sampleService samples the service that this agent has given every team,
+// samplesPerShare times per ShareEvery.
 func (m *Machine) sampleService(now time.Duration) {
 	if now-m.sampledAt < m.cfg.ShareEvery/samplesPerShare {
 		return
@@ -74,7 +75,7 @@
 	}
 }
 
-// dropStaleOpenClaims forgets used open claims that are no longer in the range
+// dropStaleOpenClaims removes used open claims that are no longer in the range
 // of any router. An arrival with such a claim is rejected as unknown.
 func (m *Machine) dropStaleOpenClaims() {
 	for seq := range m.usedOpenClaims {
--- a/sched/team.go
+++ b/sched/team.go
@@ -64,10 +64,10 @@
 )
 
 // estimatedPeerService estimates the service that other agents have given the
-// team and that is not yet in the totals. All agents see the same totals and
-// pick the same team, so together they would overshoot. This agent's own recent
-// service, scaled by the peer ratio, stands in for theirs until the next totals
-// arrive.
+// team and that is not yet in the totals. All agents see the same totals, so
+// without the estimate they would all pick the same team and together give it
+// too much. The estimate is this agent's own recent service, scaled by the peer
+// ratio. The next totals replace it.
 func (t *team) estimatedPeerService() time.Duration {
 	recent := t.own + t.pending - t.samples[0]
 	return time.Duration(min(t.peerSlotRatio*peerServiceFraction, maxPeerRatio) * float64(recent))
