--- a/ledger/hub_test.go
+++ b/ledger/hub_test.go
@@ -30,7 +30,7 @@
 	own  serviceByTeam
 }
 
-// serviceByTeam is the slot time that an agent has given each team.
+// serviceByTeam holds slot time by team.
 type serviceByTeam map[fleet.Team]time.Duration
 
 func (t serviceByTeam) rows() []fleet.ServiceRow {
--- a/once/keytable.go
+++ b/once/keytable.go
@@ -116,8 +116,8 @@
 }
 
 // hasFullHistory reports whether the agent would have a record of any earlier
-// reservation of the key. This holds if it has been running, and has owned the key in every
-// pool, for KeyTTL or since before the key was created.
+// reservation of the key. This holds if it has been running, and has owned the
+// key in every pool, for KeyTTL or since before the key was created.
 func (t *KeyTable) hasFullHistory(msg ReserveMsg) bool {
 	horizon := msg.Now - KeyTTL
 	if !msg.CreatedAt.IsZero() {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -5,8 +5,8 @@
 // same request later, through any router. Suspects records, by fingerprint of the request,
 // which servers crashed while they executed it, for longer than any request lasts. Such a crash
 // is a crash under the fingerprint. Routers exchange reports of their suspects, so that each
-// has the observations of all. A fingerprint under which three servers crashed is barred: its
-// requests are refused at once.
+// has the observations of all. A fingerprint with three crashes is barred: its requests are
+// refused at once.
 //
 // A server executes many requests at a time, and a crash ends all of them. Therefore a crash
 // counts only for requests that had just begun. Of these, the one whose fingerprint has more
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newBarred returns suspects in which c is barred by crashes.
+// newBarred returns suspects in which f is barred by crashes.
 func newBarred(f Fingerprint) *Suspects {
 	s := &Suspects{}
 	for i := range Server(CrashThreshold) {
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -23,8 +23,8 @@
 // clocks of hosts differ.
 type Report struct {
 	Content Fingerprint
-	// Grave is set if more than one server has crashed under the fingerprint. Other reports
-	// need not be sent to other regions.
+	// Grave is set if there was more than one crash under the fingerprint. Other reports need
+	// not be sent to other regions.
 	Grave    bool
 	Crashes  []CrashReport
 	Cleared  bool
@@ -135,8 +135,8 @@
 // Digest holds sums of fingerprints, by which routers detect that their states differ. A sum is
 // 0 if there are no fingerprints.
 type Digest struct {
-	Barred       uint64
-	NearlyBarred uint64 // see suspect.nearlyBarred
+	Barred       uint64 // of barred fingerprints
+	NearlyBarred uint64 // of those that one more crash may bar
 }
 
 // add adds a fingerprint to the sum it belongs to.
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// CrashThreshold is the number of servers that crash under a fingerprint before it is
-	// barred. One server may crash for another reason; two in a row under one request are rare
+	// CrashThreshold is the number of unexplained crashes under a fingerprint after which it is
+	// barred; they may be of one server that restarts. One server may crash for another reason; two in a row under one request are rare
 	// but happen when hosts fail in series.
 	CrashThreshold = 3
 	// Retention is how long a fingerprint is kept after the last crash under it, or after its
--- a/sched/machine.go
+++ b/sched/machine.go
@@ -34,7 +34,7 @@
 	claims         map[uint64]*claim
 	usedOpenClaims map[uint64]bool // sequence numbers of open claims already used
 	ready          []uint64        // arrived requests that wait for a slot, oldest first
-	seq            uint64          // last sequence number given to a claim
+	seq            uint64          // last sequence number of a claim or open claim
 	pendingClaims  int             // claims for which no request has arrived yet
 	running        int             // slots in use
 	serving        bool
