--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -9,8 +9,8 @@
 
 const (
 	// CrashThreshold is the number of unexplained crashes under a fingerprint after which it is
-	// barred; they may be of one server that restarts. One server may crash for another reason; two in a row under one request are rare
-	// but happen when hosts fail in series.
+	// barred; they may be of one server that restarts. One server may crash for another reason;
+	// two in a row under one request are rare but happen when hosts fail in series.
 	CrashThreshold = 3
 	// Retention is how long a fingerprint is kept after the last crash under it, or after its
 	// last request while it was barred. It is far longer than the retry interval of requests that
