--- a/once/keytable.go
+++ b/once/keytable.go
@@ -115,9 +115,9 @@
 	return VerdictUncertain
 }
 
-// hasFullHistory reports whether the agent would know of any earlier reservation
-// of the key. This holds if it has been running, and has owned the key in every
-// pool, for KeyTTL or since before the key was created.
+// hasFullHistory reports whether the agent would have a record of any earlier
+// reservation of the key. This holds if it has been running, and has owned the
+// key in every pool, for KeyTTL or since before the key was created.
 func (t *KeyTable) hasFullHistory(msg ReserveMsg) bool {
 	horizon := msg.Now - KeyTTL
 	if !msg.CreatedAt.IsZero() {
@@ -143,8 +143,8 @@
 		return
 	}
 	t.sweptAt = now
-	for k, n := range t.entries {
-		if now-n.reservedAt > KeyTTL {
+	for k, e := range t.entries {
+		if now-e.reservedAt > KeyTTL {
 			delete(t.entries, k)
 		}
 	}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newBarred returns suspects in which c is barred by crashes.
-func newBarred(c Fingerprint) *Suspects {
+// newBarred returns suspects in which f is barred by crashes.
+func newBarred(f Fingerprint) *Suspects {
 	s := &Suspects{}
 	for i := range Server(CrashThreshold) {
-		s.RecordCrash(at(0), c, i)
+		s.RecordCrash(at(0), f, i)
 	}
 	return s
 }
@@ -50,7 +50,7 @@
 }
 
 // TestOutdatedRecords verifies that listed fingerprints that are no longer barred are
-// returned for removal, and that their records don't bar them again meanwhile.
+// returned for removal, and that their records do not bar them again meanwhile.
 func TestOutdatedRecords(t *testing.T) {
 	s := newBarred(bad)
 	s.SetRecorded(at(1), []Fingerprint{bad, harmless})
@@ -80,11 +80,12 @@
 	require.Empty(t, refusing.TakeReports(now, 8))
 }
 
+// TestParseFingerprint verifies that only the output of String is accepted.
 func TestParseFingerprint(t *testing.T) {
-	for _, c := range []Fingerprint{1, bad, 1 << 63} {
-		back, err := ParseFingerprint(c.String())
+	for _, f := range []Fingerprint{1, bad, 1 << 63} {
+		back, err := ParseFingerprint(f.String())
 		require.NoError(t, err)
-		require.Equal(t, c, back)
+		require.Equal(t, f, back)
 	}
 	for _, text := range []string{"", "x", "1", "0000000000000000", "00000000000000001", "000000000000000G", "-000000000000001", "000000000000000A"} {
 		_, err := ParseFingerprint(text)
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// CrashThreshold is the number of servers that crash under a fingerprint before it is
-	// barred. One server may crash by itself; two in a row under one request are rare but happen
-	// when hosts fail in series.
+	// CrashThreshold is the number of unexplained crashes under a fingerprint after which it is
+	// barred; they may be of one server that restarts. One server may crash for another reason;
+	// two in a row under one request are rare but happen when hosts fail in series.
 	CrashThreshold = 3
 	// Retention is how long a fingerprint is kept after the last crash under it, or after its
 	// last request while it was barred. It is far longer than the retry interval of requests that
@@ -21,10 +21,10 @@
 	// maxCrashesKept limits the crashes kept per fingerprint; the oldest are dropped.
 	maxCrashesKept = 16
 	// maxSuspects limits the fingerprints kept, which take about 150 bytes each. It covers a
-	// hundred crashes of servers that each run forty requests at their beginning.
+	// hundred crashes of servers that each run forty requests that have just begun.
 	maxSuspects = 4096
-	// evictionBatch is how many suspects are removed when the limit is reached. Finding them
-	// takes a millisecond, too long for each new suspect.
+	// evictionBatch is how many suspects are removed at a time when the limit is reached. Finding
+	// them takes a millisecond, too long to be done for each new suspect.
 	evictionBatch = maxSuspects / 8
 )
 
@@ -35,7 +35,7 @@
 // zero value is empty. Times are on the router's monotonic clock.
 type Suspects struct {
 	byFingerprint map[Fingerprint]*suspect
-	byServer      map[Server][]*suspect // suspects that were on the server when it crashed
+	byServer      map[Server][]*suspect // suspects with a crash of the server
 	changed       []Change
 	listed        map[Fingerprint]bool // by the store, see SetRecorded
 	digest        Digest
@@ -52,8 +52,8 @@
 
 // RecordCrash records that a server crashed while it executed a request with the fingerprint,
 // sent by this router.
-func (s *Suspects) RecordCrash(now time.Duration, c Fingerprint, server Server) {
-	if x := s.getOrAdd(now, c); s.addCrash(x, crash{server, now}) {
+func (s *Suspects) RecordCrash(now time.Duration, f Fingerprint, server Server) {
+	if x := s.getOrAdd(now, f); s.addCrash(x, crash{server, now}) {
 		x.sendsLeft = ownSends
 		s.urgent = s.urgent || x.nearlyBarred()
 		s.updateBarred()
@@ -62,7 +62,7 @@
 
 // TakeUrgent reports whether anything happened since the last call that other routers must
 // receive at once: a crash after which one more may bar a fingerprint, or a fingerprint that was
-// barred. Until they receive it they send copies of the request to other servers.
+// barred. Until they receive it they may send the same request to other servers.
 func (s *Suspects) TakeUrgent() bool {
 	out := s.urgent
 	s.urgent = false
@@ -71,8 +71,8 @@
 
 // RecordSuccess records a complete response to a request with the fingerprint: it did not cause
 // any earlier crash.
-func (s *Suspects) RecordSuccess(now time.Duration, c Fingerprint) {
-	x := s.byFingerprint[c]
+func (s *Suspects) RecordSuccess(now time.Duration, f Fingerprint) {
+	x := s.byFingerprint[f]
 	if x == nil || (len(x.crashes) == 0 && !x.recorded) {
 		return
 	}
@@ -87,29 +87,29 @@
 
 // Barred reports whether requests with the fingerprint must be refused, and records that one
 // arrived.
-func (s *Suspects) Barred(now time.Duration, c Fingerprint) bool {
-	x := s.byFingerprint[c]
+func (s *Suspects) Barred(now time.Duration, f Fingerprint) bool {
+	x := s.byFingerprint[f]
 	if x == nil || !x.barred {
 		return false
 	}
 	x.refused.advance(now)
 	if !x.refusedReported.valid || now-x.refusedReported.at >= refusedReportInterval {
-		// Routers that receive no such requests would otherwise expire it.
+		// Routers that receive no such requests would otherwise let it expire.
 		x.sendsLeft = max(x.sendsLeft, 1)
 	}
 	return true
 }
 
 // OneCrashFromBarred reports whether one more crash would bar the fingerprint.
-func (s *Suspects) OneCrashFromBarred(c Fingerprint) bool {
-	x := s.byFingerprint[c]
+func (s *Suspects) OneCrashFromBarred(f Fingerprint) bool {
+	x := s.byFingerprint[f]
 	return x != nil && shouldBar(len(x.crashes)+1, s.unexplained(x)+1)
 }
 
 // Crashes returns the number of crashes under the fingerprint, including those that another
 // one explains.
-func (s *Suspects) Crashes(c Fingerprint) int {
-	if x := s.byFingerprint[c]; x != nil {
+func (s *Suspects) Crashes(f Fingerprint) int {
+	if x := s.byFingerprint[f]; x != nil {
 		return len(x.crashes)
 	}
 	return 0
@@ -133,8 +133,8 @@
 }
 
 // getOrAdd returns the suspect of a fingerprint, and adds it if it is new.
-func (s *Suspects) getOrAdd(now time.Duration, c Fingerprint) *suspect {
-	if x := s.byFingerprint[c]; x != nil {
+func (s *Suspects) getOrAdd(now time.Duration, f Fingerprint) *suspect {
+	if x := s.byFingerprint[f]; x != nil {
 		return x
 	}
 	if s.byFingerprint == nil {
@@ -143,8 +143,8 @@
 	if len(s.byFingerprint) >= maxSuspects {
 		s.evict()
 	}
-	x := &suspect{fingerprint: c}
-	s.byFingerprint[c] = x
+	x := &suspect{fingerprint: f}
+	s.byFingerprint[f] = x
 	return x
 }
 
@@ -191,13 +191,13 @@
 	return true
 }
 
-// clear discards all crashes up to the given time.
+// clear discards all crashes up to the given time, and the store's record.
 func (s *Suspects) clear(x *suspect, at time.Duration) {
 	x.cleared.advance(at)
 	x.recorded = false
-	later := x.crashes
+	crashes := x.crashes
 	s.dropCrashes(x)
-	for _, c := range later {
+	for _, c := range crashes {
 		s.addCrash(x, c)
 	}
 }
@@ -209,6 +209,7 @@
 	x.crashes = nil
 }
 
+// unlink removes a suspect from those of a server in byServer.
 func (s *Suspects) unlink(x *suspect, server Server) {
 	rest := slices.DeleteFunc(s.byServer[server], func(other *suspect) bool { return other == x })
 	if len(rest) == 0 {
--- a/sched/pick.go
+++ b/sched/pick.go
@@ -89,9 +89,10 @@
 	return best
 }
 
-// capDeficits lifts each waiting team that is more than CatchUp behind the team
-// with the most virtual service. After a partition heals, a team that received
-// less service is repaid at most CatchUp, so the others do not wait for long.
+// capDeficits lifts each waiting team that is more than CatchUp behind most, the
+// largest virtual service of a waiting team. After a partition heals, a team
+// that received less service is repaid at most CatchUp, so the others do not
+// wait for long.
 func (m *Machine) capDeficits(most time.Duration) {
 	if m.cfg.CatchUp <= 0 {
 		return
@@ -112,20 +113,20 @@
 	var bestOldest time.Duration
 	for _, t := range m.teams {
 		for _, q := range t.queues {
-			s := q.oldest()
-			if s == nil {
+			d := q.oldest()
+			if d == nil {
 				continue
 			}
-			if best == nil || s.oldest < bestOldest {
-				best, bestOldest = t, s.oldest
+			if best == nil || d.oldest < bestOldest {
+				best, bestOldest = t, d.oldest
 			}
 		}
 	}
 	return best
 }
 
-// liftIdle raises the virtual service of a team that returns from idle to that
-// of the other teams, so that idle time earns no credit.
+// liftIdle raises the virtual service of a team that returns from idle to
+// virtualFloor, the level of the other teams, so that idle time earns no credit.
 func (m *Machine) liftIdle(now time.Duration, t *team) {
 	idle := t.waiting() == 0 && t.running == 0 && now-t.lastActive >= idleAfter
 	if !idle || m.cfg.Mode == ModeFIFO {
@@ -141,7 +142,7 @@
 // ones, or after reannounceAfter in case some were lost.
 func (m *Machine) announceIdleSlots(now time.Duration) []Command {
 	idle := m.idleSlots()
-	if idle <= 0 || m.hasWork() {
+	if idle <= 0 || m.hasDemand() {
 		return nil
 	}
 	var cmds []Command
@@ -157,7 +158,7 @@
 	return cmds
 }
 
-func (m *Machine) hasWork() bool {
+func (m *Machine) hasDemand() bool {
 	for _, t := range m.teams {
 		if t.waiting() > 0 {
 			return true
