--- a/gateway/age_test.go
+++ b/gateway/age_test.go
@@ -11,16 +11,16 @@
 // TestAges checks that retries are distinguished from first tries by their remaining time,
 // separately for each route.
 func TestAges(t *testing.T) {
-	var a ageEstimator
-	require.Zero(t, a.estimate(0, "reports", 15*time.Second))
-	require.Zero(t, a.estimate(time.Second, "reports", 14900*time.Millisecond), "within the transit time")
-	require.Equal(t, 1200*time.Millisecond, a.estimate(time.Second, "reports", 13800*time.Millisecond))
-	require.Zero(t, a.estimate(time.Second, "tags", 2500*time.Millisecond))
-	require.Equal(t, 500*time.Millisecond, a.estimate(time.Second, "tags", 2*time.Second))
-	require.Zero(t, a.estimate(time.Second, "tags", 0), "no time limit given")
-	require.Zero(t, a.estimate(time.Minute, "tags", 2*time.Second), "the longest time has expired")
-	a.retainRoutes(func(route string) bool { return route == "reports" })
-	require.Len(t, a.maxTimeLeft, 1)
+	var e ageEstimator
+	require.Zero(t, e.estimate(0, "reports", 15*time.Second))
+	require.Zero(t, e.estimate(time.Second, "reports", 14900*time.Millisecond), "within the transit time")
+	require.Equal(t, 1200*time.Millisecond, e.estimate(time.Second, "reports", 13800*time.Millisecond))
+	require.Zero(t, e.estimate(time.Second, "tags", 2500*time.Millisecond))
+	require.Equal(t, 500*time.Millisecond, e.estimate(time.Second, "tags", 2*time.Second))
+	require.Zero(t, e.estimate(time.Second, "tags", 0), "no time limit given")
+	require.Zero(t, e.estimate(time.Minute, "tags", 2*time.Second), "the longest time has expired")
+	e.retainRoutes(func(route string) bool { return route == "reports" })
+	require.Len(t, e.maxTimeLeft, 1)
 }
 
 // TestAgesOfUnevenCallers guards against first tries that count as retries, so that new
@@ -32,30 +32,30 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	const longest = 12 * time.Second
 	newTimeLeft := func() time.Duration { return time.Duration((1 - 0.15*rng.Float64()) * float64(longest)) }
-	var a ageEstimator
+	var e ageEstimator
 	for range 300 {
 		timeLeft := newTimeLeft()
-		a.estimate(time.Second, "r", timeLeft)
-		a.observeFirstTry("r", timeLeft)
+		e.estimate(time.Second, "r", timeLeft)
+		e.observeFirstTry("r", timeLeft)
 	}
 	overestimated, underestimated := 0, 0
 	for range 1000 {
 		timeLeft := newTimeLeft()
-		if a.estimate(time.Second, "r", timeLeft) > 200*time.Millisecond {
+		if e.estimate(time.Second, "r", timeLeft) > 200*time.Millisecond {
 			overestimated++
 		}
-		if a.estimate(time.Second, "r", timeLeft*2/3) < time.Second {
+		if e.estimate(time.Second, "r", timeLeft*2/3) < time.Second {
 			underestimated++
 		}
 		if rng.IntN(25) == 0 {
 			timeLeft = timeLeft * 2 / 3 // some retry although their team is within its share
 		}
-		a.observeFirstTry("r", timeLeft)
+		e.observeFirstTry("r", timeLeft)
 	}
 	require.Less(t, overestimated, 50)
 	require.Zero(t, underestimated)
 	for range 1000 {
-		a.observeFirstTry("r", newTimeLeft()*2/3)
+		e.observeFirstTry("r", newTimeLeft()*2/3)
 	}
-	require.LessOrEqual(t, a.spread, maxSpread, "even if most requests are retries")
+	require.LessOrEqual(t, e.spread, maxSpread, "even if most requests are retries")
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -19,15 +19,15 @@
 	// minStreamStall is the shortest pause within a stream after which the stream
 	// continues on another server, if it may. streamStallPauses is the same limit as a
 	// multiple of the route's longest pause.
-	minStreamStall    = 800 * time.Millisecond
-	streamStallPauses = 4
-	// stallObjectives is the fraction of the objective after which a repeatable request is
+	minStreamStall         = 800 * time.Millisecond
+	streamStallPauseFactor = 4
+	// stallObjectiveFactor is the fraction of the objective after which a repeatable request is
 	// tried on another server. Streams use streamStallObjectives.
-	stallObjectives       = 0.6
-	streamStallObjectives = 3.0
-	// stallEstimates is the shortest stall timeout, as a multiple of the estimated time to
+	stallObjectiveFactor       = 0.6
+	streamStallObjectiveFactor = 3.0
+	// stallEstimateFactor is the shortest stall timeout, as a multiple of the estimated time to
 	// the first event.
-	stallEstimates = 3
+	stallEstimateFactor = 3
 	// minTimeLeft is the shortest remaining time for which a request is still sent.
 	minTimeLeft = 2 * time.Millisecond
 )
@@ -164,11 +164,11 @@
 	if !a.mayRetry() || !a.x.front.core.disabled.Enabled(direct.StallTimeout) {
 		return 0, false
 	}
-	objectives := stallObjectives
+	factor := stallObjectiveFactor
 	if route.Kind == direct.Stream {
-		objectives = streamStallObjectives
+		factor = streamStallObjectiveFactor
 	}
-	timeout := max(time.Duration(objectives*float64(route.Objective)), stallEstimates*a.cmd.PlacementBasis.Estimate)
+	timeout := max(time.Duration(factor*float64(route.Objective)), stallEstimateFactor*a.cmd.PlacementBasis.Estimate)
 	return timeout, timeout < timeLeft
 }
 
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -55,12 +55,12 @@
 	g.front.refusing.Store(true)
 	// A late router may still have unread requests, so it ends only after several polls
 	// without any request.
-	for quiet := 0; quiet < drainQuietPolls && time.Since(start) < grace-shutdownReserve; {
+	for quietPolls := 0; quietPolls < drainQuietPolls && time.Since(start) < grace-shutdownReserve; {
 		time.Sleep(drainPollInterval)
 		g.front.conns.closeIdle(drainIdleTimeout)
-		quiet++
+		quietPolls++
 		if g.front.active.Load() > 0 || g.front.conns.hasUnreadRequests() || g.front.conns.hasPendingResponses() {
-			quiet = 0
+			quietPolls = 0
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownReserve/3)
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -41,16 +41,16 @@
 
 func (mustNotReadBody) Close() error { return nil }
 
-// plainDialect is a dialect without any headers.
-type plainDialect struct{ Dialect }
+// fixedDialect is a dialect without any headers.
+type fixedDialect struct{ Dialect }
 
-func (plainDialect) ParseRequest(http.Header) (RequestInfo, error) {
+func (fixedDialect) ParseRequest(http.Header) (RequestInfo, error) {
 	return RequestInfo{ID: "a", TimeLeft: time.Minute, TeamKey: "key", PromptTokens: 5000, OutputTokens: 100}, nil
 }
 
-func (plainDialect) RequestID(http.Header) string { return "a" }
+func (fixedDialect) RequestID(http.Header) string { return "a" }
 
-func (plainDialect) SetRetryAfter(h http.Header, after time.Duration) {
+func (fixedDialect) SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Come-Back", after.String())
 }
 
@@ -63,7 +63,7 @@
 	counts := stats.New(tally.NoopScope)
 	feeds := feed.NewSet(feed.Options{StateMachine: c, Log: log, Stats: counts})
 	f := &front{
-		core: c, feeds: feeds, log: log, stats: counts, dialect: plainDialect{},
+		core: c, feeds: feeds, log: log, stats: counts, dialect: fixedDialect{},
 		sendQueues: newTestQueues(1 << 20), conns: newTestCallerConns(1000, 0),
 	}
 	feeds.Config.Offer(&direct.Config{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	dialTimeout        = 300 * time.Millisecond
-	peerSilenceTimeout = 1200 * time.Millisecond
-	maxIdleConns       = 64
-	sweepInterval      = time.Second
-	vitalsInterval     = 2 * time.Second
-	maxLoggedTeams     = 4
-	maxHeaderBytes     = 32 << 10
-	headerTimeout      = 5 * time.Second
-	defaultIdleTimeout = 120 * time.Second
+	dialTimeout          = 300 * time.Millisecond
+	serverSilenceTimeout = 1200 * time.Millisecond
+	maxIdlePerServer     = 64
+	sweepInterval        = time.Second
+	vitalsInterval       = 2 * time.Second
+	maxLoggedTeams       = 4
+	maxHeaderBytes       = 32 << 10
+	headerTimeout        = 5 * time.Second
+	defaultIdleTimeout   = 120 * time.Second
 	// heldMemoryDivisor bounds callers' bodies and unread responses to one eighth of the
 	// memory. With the copies that are made as buffers grow, and their garbage, they take
 	// up to three times that.
@@ -77,9 +77,9 @@
 	queues := sendqueue.NewQueues(memory.NewBudget(s.MemoryBytes/heldMemoryDivisor), g.log.Unread)
 	g.front = &front{
 		core: g.core, feeds: g.feeds, dialect: dialect, log: g.log, stats: g.stats,
-		pool:       backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: peerSilenceTimeout, MaxIdle: maxIdleConns}),
+		pool:       backend.NewPool(backend.Options{DialTimeout: dialTimeout, SilentPeer: serverSilenceTimeout, MaxIdle: maxIdlePerServer}),
 		sendQueues: queues, conns: newCallerConns(maxCallers(s.Descriptors), s.Cores, queues), maxEventDelay: s.MaxEventDelay,
-		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movable: s.RolloutBounds.Enabled(),
+		hall: s.Zone, traffic: g.traffic.Of(traffic.Requests), movesEnabled: s.RolloutBounds.Enabled(),
 	}
 	g.core.probe = (&prober{core: g.core, pool: g.front.pool}).probe
 	g.server = &http.Server{
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -14,8 +14,8 @@
 	// the router accepts none. It is well below the 200 ms after which a request sent on a
 	// closed connection counts as lost on the known deployments.
 	maxQueueTime = 50 * time.Millisecond
-	// maxQueuedClosed bounds the connections that are closed at once.
-	maxQueuedClosed = 1024
+	// maxCloseBatch bounds the connections that are closed at once.
+	maxCloseBatch = 1024
 )
 
 // callerListener accepts connections while a slot is free and the router has the processor
@@ -34,7 +34,7 @@
 func (l callerListener) Accept() (net.Conn, error) {
 	for waited := time.Duration(0); l.late() || l.conns.full(); waited += acceptPollInterval {
 		if waited >= maxQueueTime {
-			l.conns.unserved.Add(int64(socket.CloseQueued(l.Listener, maxQueuedClosed)))
+			l.conns.unserved.Add(int64(socket.CloseQueued(l.Listener, maxCloseBatch)))
 			waited = 0
 		}
 		l.sleep(acceptPollInterval)
--- a/gateway/moving.go
+++ b/gateway/moving.go
@@ -3,7 +3,7 @@
 // allowMove lets a MoveCmd abort the attempt by closing its connection, so that the request
 // continues on a server of another version.
 func (a *attempt) allowMove() {
-	if !a.x.front.movable || !a.x.route.MayRepeat() {
+	if !a.x.front.movesEnabled || !a.x.route.MayRepeat() {
 		return
 	}
 	a.movable = true
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -12,13 +12,13 @@
 func TestOutcomeCounts(t *testing.T) {
 	route := &direct.Route{Name: "r", Objective: 300 * time.Millisecond}
 	at := func(ms int) time.Duration { return time.Second + time.Duration(ms)*time.Millisecond }
-	var a outcomeCounters
+	var counters outcomeCounters
 	record := func(result string, age, first, end int) {
 		x := &exchange{route: route, team: "red", start: time.Second, age: time.Duration(age) * time.Millisecond}
 		if first > 0 {
 			x.respondedAt = at(first)
 		}
-		a.record(x, result, at(end))
+		counters.record(x, result, at(end))
 	}
 	record(resultServed, 0, 200, 2000) // in time, since its first event was
 	record(resultServed, 0, 0, 200)
@@ -27,10 +27,10 @@
 	record(resultRefused, 0, 0, 70)
 	record(resultFailed, 900, 0, 130)
 	record(resultCallerLeft, 0, 0, 500)
-	teams, routes := a.take()
+	teams, routes := counters.take()
 	want := OutcomeCounts{FirstOnTime: 2, FirstLate: 1, RetriesServed: 1, FirstUnserved: 1, RetriesUnserved: 1, UnservedMS: 200}
 	require.Equal(t, map[string]OutcomeCounts{"red": want}, teams)
 	require.Equal(t, map[string]OutcomeCounts{"r": want}, routes)
-	teams, _ = a.take()
+	teams, _ = counters.take()
 	require.Empty(t, teams, "counts are returned once")
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -28,8 +28,8 @@
 type QuarantineStore interface {
 	// AddQuarantine records that a fingerprint is barred; RemoveQuarantine deletes its
 	// record. Both may be repeated.
-	AddQuarantine(ctx context.Context, c quarantine.Fingerprint) error
-	RemoveQuarantine(ctx context.Context, c quarantine.Fingerprint) error
+	AddQuarantine(ctx context.Context, f quarantine.Fingerprint) error
+	RemoveQuarantine(ctx context.Context, f quarantine.Fingerprint) error
 }
 
 // quarantineRecorder writes the records of barred fingerprints while its router is the
@@ -68,12 +68,12 @@
 func (r *quarantineRecorder) write(ctx context.Context, w *recordWriter, fingerprints []quarantine.Fingerprint) bool {
 	now := r.core.Now()
 	w.expire(now)
-	for _, c := range fingerprints {
-		if _, recent := w.writtenAt[c]; recent {
+	for _, f := range fingerprints {
+		if _, recent := w.writtenAt[f]; recent {
 			continue
 		}
-		err := w.write(ctx, now, c)
-		r.log.Event("quarantine_write").Str("content", c.String()).Str("what", w.what).Err(err).Msg("")
+		err := w.write(ctx, now, f)
+		r.log.Event("quarantine_write").Str("content", f.String()).Str("what", w.what).Err(err).Msg("")
 		if err != nil {
 			return false
 		}
@@ -84,7 +84,7 @@
 // recordWriter makes one kind of call for fingerprints and remembers its recent calls.
 type recordWriter struct {
 	what      string // name of the call in logs
-	call      func(ctx context.Context, c quarantine.Fingerprint) error
+	call      func(ctx context.Context, f quarantine.Fingerprint) error
 	writtenAt map[quarantine.Fingerprint]time.Duration // time of the last successful call
 }
 
@@ -97,12 +97,12 @@
 	maps.DeleteFunc(w.writtenAt, func(_ quarantine.Fingerprint, at time.Duration) bool { return now-at > recordRepeatDelay })
 }
 
-func (w *recordWriter) write(ctx context.Context, now time.Duration, c quarantine.Fingerprint) error {
+func (w *recordWriter) write(ctx context.Context, now time.Duration, f quarantine.Fingerprint) error {
 	callCtx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	err := w.call(callCtx, c)
+	err := w.call(callCtx, f)
 	if err == nil {
-		w.writtenAt[c] = now
+		w.writtenAt[f] = now
 	}
 	return err
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -23,30 +23,30 @@
 	records map[quarantine.Fingerprint]bool
 }
 
-func (s *recordStore) write(c quarantine.Fingerprint, present bool) error {
+func (s *recordStore) write(f quarantine.Fingerprint, present bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
 		return errors.New("the store is down")
 	}
-	s.records[c] = present
+	s.records[f] = present
 	return nil
 }
 
-func (s *recordStore) AddQuarantine(_ context.Context, c quarantine.Fingerprint) error {
-	return s.write(c, true)
+func (s *recordStore) AddQuarantine(_ context.Context, f quarantine.Fingerprint) error {
+	return s.write(f, true)
 }
 
-func (s *recordStore) RemoveQuarantine(_ context.Context, c quarantine.Fingerprint) error {
-	return s.write(c, false)
+func (s *recordStore) RemoveQuarantine(_ context.Context, f quarantine.Fingerprint) error {
+	return s.write(f, false)
 }
 
 // has reports whether a record exists.
-func (s *recordStore) has(c quarantine.Fingerprint) bool {
+func (s *recordStore) has(f quarantine.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.records[c]
+	return s.records[f]
 }
 
 // TestQuarantineRecorder bars and releases a fingerprint while the store is down and while
--- a/gateway/refusal_bench_test.go
+++ b/gateway/refusal_bench_test.go
@@ -44,7 +44,7 @@
 			}
 			fd := open()
 			resp := make([]byte, 4096)
-			all, own := cpuTime(syscall.RUSAGE_SELF), cpuTime(syscall.RUSAGE_THREAD)
+			processBefore, threadBefore := cpuTime(syscall.RUSAGE_SELF), cpuTime(syscall.RUSAGE_THREAD)
 			for b.Loop() {
 				if !kept {
 					_ = syscall.Close(fd)
@@ -56,7 +56,7 @@
 				require.NoError(b, err)
 				require.True(b, bytes.HasPrefix(resp[:n], []byte("HTTP/1.1 503")))
 			}
-			spent := cpuTime(syscall.RUSAGE_SELF) - all - (cpuTime(syscall.RUSAGE_THREAD) - own)
+			spent := cpuTime(syscall.RUSAGE_SELF) - processBefore - (cpuTime(syscall.RUSAGE_THREAD) - threadBefore)
 			b.ReportMetric(float64(spent)/float64(b.N)/1000, "server-us/op")
 		})
 	}
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -22,8 +22,8 @@
 			g.cluster.Peers.Add(host)
 		}
 	}
-	moved := s.FrontAddress != g.settings.FrontAddress || s.ReadyAddress != g.settings.ReadyAddress || s.ControlAddress != g.settings.ControlAddress
-	g.log.Event("reload").Bool("restart_needed", moved).Msg("")
+	addressChanged := s.FrontAddress != g.settings.FrontAddress || s.ReadyAddress != g.settings.ReadyAddress || s.ControlAddress != g.settings.ControlAddress
+	g.log.Event("reload").Bool("restart_needed", addressChanged).Msg("")
 }
 
 // ReloadFailed logs that the settings cannot be read. The last valid ones remain in effect.
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -68,7 +68,7 @@
 func (a *attempt) setStallDeadline() {
 	timeLeft := a.x.deadline - a.x.front.core.Now()
 	if a.mayRetry() && a.x.headSent {
-		timeLeft = min(timeLeft, max(minStreamStall, streamStallPauses*a.x.route.Pause))
+		timeLeft = min(timeLeft, max(minStreamStall, streamStallPauseFactor*a.x.route.Pause))
 	} else if timeout, bounded := a.stallTimeout(timeLeft); bounded && !a.x.headSent {
 		timeLeft = timeout
 	}
