--- a/gateway/age.go
+++ b/gateway/age.go
@@ -9,18 +9,19 @@
 	// maxTimeLeftTTL is how long the longest remaining time sent by a route's callers is
 	// kept.
 	maxTimeLeftTTL = 30 * time.Second
-	// transitFraction is the fraction of that time within which a request always counts as
-	// new. It covers the time that a request is in transit.
+	// transitFraction is the fraction of the longest remaining time by which a request may
+	// lie below that of first tries and still count as new. It covers the time that a
+	// request is in transit.
 	transitFraction = 0.02
 	// misjudgedFraction is the fraction of first tries that may count as older than they
-	// are. The remaining times of first tries on one route differ, by as much as a
+	// are, since the remaining times of first tries on one route differ by as much as a
 	// seventh.
 	misjudgedFraction = 0.05
 	// spreadStep is how much one first try changes the estimated spread; about fifty first
 	// tries bring the estimate to within 0.02.
 	spreadStep = 0.02
-	// maxSpread caps the estimated spread, so that retries are still detected where many
-	// of the served requests are retries: they have used up a third of their time.
+	// maxSpread caps the estimated spread. Retries have used up a third of their time, so
+	// they are still detected if many of the served requests are retries.
 	maxSpread = 0.25
 )
 
@@ -37,7 +38,7 @@
 // timeLeftRecord holds the longest remaining time that a route's callers sent recently.
 type timeLeftRecord struct {
 	timeLeft time.Duration
-	at       time.Duration
+	at       time.Duration // when it was recorded
 }
 
 // estimate returns the age of a request that arrives with timeLeft. It returns 0 if the
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -16,17 +16,16 @@
 )
 
 const (
-	// minStreamStall is the shortest pause within a stream after which the stream
-	// continues on another server, if it may. streamStallPauses is the same limit as a
-	// multiple of the route's longest pause.
+	// A stream that may continue on another server does so after a pause of minStreamStall,
+	// or of streamStallPauseFactor times the route's longest pause if that is longer.
 	minStreamStall         = 800 * time.Millisecond
 	streamStallPauseFactor = 4
-	// stallObjectiveFactor is the fraction of the objective after which a repeatable request is
-	// tried on another server. Streams use streamStallObjectives.
+	// stallObjectiveFactor times the objective is the time after which a repeatable request
+	// without a response is tried on another server. Streams use streamStallObjectiveFactor.
 	stallObjectiveFactor       = 0.6
 	streamStallObjectiveFactor = 3.0
-	// stallEstimateFactor is the shortest stall timeout, as a multiple of the estimated time to
-	// the first event.
+	// stallEstimateFactor is the shortest stall timeout, as a multiple of the estimated time
+	// to the first event.
 	stallEstimateFactor = 3
 	// minTimeLeft is the shortest remaining time for which a request is still sent.
 	minTimeLeft = 2 * time.Millisecond
@@ -57,7 +56,7 @@
 // run sends the request and forwards the response. It returns the outcome of the attempt
 // and whether the caller's request has ended.
 func (a *attempt) run() (direct.Outcome, bool) {
-	// The caller's deadline also passes while the host is suspended.
+	// Time for which the host was suspended counts towards the caller's deadline.
 	a.x.front.core.checkSuspension()
 	timeLeft := a.x.deadline - a.x.front.core.Now()
 	if timeLeft < minTimeLeft {
@@ -225,7 +224,8 @@
 }
 
 // release returns the connection to the pool. It closes the connection instead if the
-// caller has left, since that may close the connection at any time.
+// caller has left, since stopWatch then came too late: the watch may close the connection
+// at any time.
 func (a *attempt) release() {
 	a.forbidMove()
 	if !a.stopWatch() {
--- a/gateway/body.go
+++ b/gateway/body.go
@@ -64,7 +64,8 @@
 }
 
 // readBody reads the caller's body, of at most maxSize bytes, before the request's
-// deadline.
+// deadline, and computes the fingerprint of the request. It returns a refusal if the body
+// could not be read.
 func (x *exchange) readBody(maxSize int) *refusal {
 	if x.r.ContentLength == 0 {
 		x.memory.Kept = true
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// bufferBody reads the body and marks its memory as not reclaimable.
+// bufferBody reads the body before the request's deadline and marks its memory as not
+// reclaimable.
 func (x *exchange) bufferBody(maxSize int64) error {
 	// The response writers of tests do not support deadlines.
 	control := http.NewResponseController(x.w)
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -21,15 +21,15 @@
 	// If all of them send a request at once, the last is read about 70 ms later, at 75 us
 	// each.
 	lateConnsPerCore = 900
-	// minStall is how long a caller must have read and sent nothing before its slot may go
-	// to a new caller. It is longer than the delay that a lost packet causes.
+	// minStall is how long a caller must have neither read nor sent anything before its
+	// slot may go to a new caller. It is longer than the delay that a lost packet causes.
 	minStall = time.Second
 )
 
 // callerConns tracks the connections of callers and bounds their number and their idle
 // time. If all slots are taken, a new connection replaces the one that has stalled longest.
 type callerConns struct {
-	slots       chan struct{}
+	slots       chan struct{} // holds one element for each open connection
 	queues      *sendqueue.Queues
 	mu          sync.Mutex
 	open        map[*callerConn]bool
@@ -135,8 +135,9 @@
 	}
 }
 
-// closedByRouter reports whether a request arrived on a connection that was just being
-// closed. Such a request must not be forwarded, since its response could not be delivered.
+// closedByRouter reports whether this router closed the connection of a request as idle,
+// just as the request arrived. Such a request must not be forwarded, since its response
+// could not be delivered.
 func (c *callerConns) closedByRouter(ctx context.Context) bool {
 	caller := callerConnOf(ctx)
 	if caller == nil {
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -94,8 +94,8 @@
 	require.Error(t, err, "closed unread")
 }
 
-// TestUnreadConnectionsHoldOthersBack opens as many connections as the host reads in time:
-// the next one is accepted only after one of them is read.
+// TestUnreadConnectionsHoldOthersBack checks that with as many unread connections as the
+// host can read in time, the next one is accepted only after one of them has been read.
 func TestUnreadConnectionsHoldOthersBack(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -119,8 +119,8 @@
 	require.Equal(t, pressure.MinUnreadConns, c.unreadConns.Count())
 }
 
-// TestLateRouterKeepsFewConnections checks that a router closes some connections while it
-// runs late, and otherwise keeps as many as it may hold.
+// TestLateRouterKeepsFewConnections checks that a late router closes connections above its
+// lower limit, and that other routers close them only above closeFraction of the slots.
 func TestLateRouterKeepsFewConnections(t *testing.T) {
 	c := newTestCallerConns(1000, 0.1)
 	for range c.maxWhenLate {
@@ -142,9 +142,9 @@
 	require.False(t, newTestCallerConns(10, 0).shouldClose(true), "the number of cores is unknown")
 }
 
-// TestNewCallerReplacesLongestStalled fills all slots with callers that stopped while
-// sending their bodies. A new connection closes the one that stopped longest ago, and none
-// that has sent data recently.
+// TestNewCallerReplacesLongestStalled checks that if callers that stopped while sending
+// their bodies hold all slots, a new connection closes the one that stopped longest ago, and
+// none that has sent data recently.
 func TestNewCallerReplacesLongestStalled(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -47,7 +47,8 @@
 // suspended.
 func (c *core) Now() time.Duration { return c.clock.Now() }
 
-// checkSuspension detects whether the host was suspended, so that Now includes that time.
+// checkSuspension detects whether the host was suspended, adds that time to Now, and logs
+// it.
 func (c *core) checkSuspension() {
 	if suspended := c.clock.Look(); suspended > 0 {
 		c.log.Event("host_suspended").Dur("for", suspended).Msg("")
@@ -114,8 +115,8 @@
 	return r.ID, w.commands
 }
 
-// checkAdmission reports whether the machine would refuse a request on arrival, and returns
-// that refusal.
+// checkAdmission returns the refusal of a request that the machine would refuse on arrival,
+// and reports whether there is one. It does not submit the request.
 func (c *core) checkAdmission(r direct.Request) (direct.RefuseCmd, bool) {
 	if !c.disabled.Enabled(direct.EarlyRefusal) {
 		return direct.RefuseCmd{}, false
@@ -146,8 +147,8 @@
 	delete(c.waiters, id)
 }
 
-// cancel removes a waiting request. If the request has just been placed, its attempt ends
-// unused.
+// cancel removes a waiting request. If the request has just been placed on a server, its
+// attempt ends without being sent.
 func (c *core) cancel(id direct.RequestID, commands <-chan direct.Cmd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -8,6 +8,9 @@
 // a deployment (headers, objects, settings) is behind the interfaces Source and Dialect,
 // which a translating package implements.
 //
+// Comments call a router late if its process gets too little processor time, so that its
+// timers fire late and requests wait before it reads them.
+//
 //	g, err := gateway.New(settings, source, dialect, out)
 //	err = g.Run(ctx)
 package gateway
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -24,7 +24,8 @@
 // be first tries: such teams are hardly ever refused.
 const firstTryShare = 0.8
 
-// exchange tracks a caller's request until its final response.
+// exchange tracks a caller's request until its final response. Points in time are on the
+// clock of the core.
 type exchange struct {
 	front       *front
 	w           http.ResponseWriter
@@ -40,7 +41,7 @@
 	memory      memory.Account         // for the body, and for a response that is buffered before it is forwarded
 	fingerprint quarantine.Fingerprint // 0 until the body has been read
 	start       time.Duration
-	age         time.Duration // estimated time since the caller's first try
+	age         time.Duration // estimated time since the caller's first try; 0: this may be it
 	deadline    time.Duration
 
 	id            direct.RequestID
@@ -170,7 +171,8 @@
 	}
 }
 
-// abort closes the caller's connection, since a truncated response must not look complete.
+// abort ends a request whose response has begun. It panics, so that net/http closes the
+// caller's connection: a truncated response must not look complete.
 func (x *exchange) abort(reason string) {
 	x.finish(resultCut, http.StatusOK, reason)
 	panic(http.ErrAbortHandler)
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -19,22 +19,22 @@
 const reasonPressure = "pressure"
 
 const (
-	// noConfigRetryAfter is when callers should retry if the router has no configuration
-	// yet.
+	// noConfigRetryAfter is the retry delay for callers of a router that has no
+	// configuration yet.
 	noConfigRetryAfter = 300 * time.Millisecond
-	// drainRetryAfter is when callers of a draining router should retry; another router
+	// drainRetryAfter is the retry delay for callers of a draining router; another router
 	// serves them.
 	drainRetryAfter = 50 * time.Millisecond
 	// defaultTimeout bounds a request if neither its route nor its caller sets a limit.
 	defaultTimeout = 60 * time.Second
-	// shedRetryAfter is when callers should retry whose requests were shed: soon, since
-	// they reach another router.
+	// shedRetryAfter is the retry delay for callers whose requests were shed. It is short,
+	// since the retry reaches another router.
 	shedRetryAfter = 20 * time.Millisecond
 	// writeGrace is how long after the deadline the caller may still read the end of the
 	// response.
 	writeGrace = 2 * time.Second
-	// memoryRetryAfter is when callers should retry whose bodies do not fit into memory:
-	// responses that are read slowly take seconds, and another router has memory.
+	// memoryRetryAfter is the retry delay for callers whose bodies do not fit into memory.
+	// Responses that are read slowly hold memory for seconds, but another router has some.
 	memoryRetryAfter = 300 * time.Millisecond
 )
 
@@ -190,7 +190,7 @@
 	_ = http.NewResponseController(x.w).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
 
-// reject answers a request that was not admitted, and counts and logs it.
+// reject refuses a request that was not admitted, and counts and logs it.
 func (f *front) reject(w http.ResponseWriter, r *http.Request, refused refusal) {
 	retryAfter := refused.retryAfter
 	if refused.status != http.StatusServiceUnavailable {
@@ -215,9 +215,9 @@
 
 // setConnectionClose makes the response close its connection if this router is draining or
 // holds too many connections, so that callers reconnect to other routers. Even a late
-// router keeps a few: callers reuse a connection only after a response, so they send no
-// faster than the router responds, and a new connection costs the router twice as much as a
-// request on an existing one.
+// router keeps a few. Callers reuse a connection only after a response, so they send no
+// faster than the router responds, and a request on a new connection costs the router twice
+// as much as one on an existing connection.
 func (f *front) setConnectionClose(w http.ResponseWriter) {
 	if f.draining.Load() || f.conns.shouldClose(f.core.pressure.TooLateToAccept()) {
 		w.Header().Set("Connection", "close")
--- a/gateway/front_test.go
+++ b/gateway/front_test.go
@@ -41,7 +41,7 @@
 
 func (mustNotReadBody) Close() error { return nil }
 
-// fixedDialect is a dialect without any headers.
+// fixedDialect returns the same information for every request, whatever its headers.
 type fixedDialect struct{ Dialect }
 
 func (fixedDialect) ParseRequest(http.Header) (RequestInfo, error) {
@@ -82,8 +82,8 @@
 	return f
 }
 
-// TestFloodIsRefusedUnread has a team request far more than its share: its requests are
-// refused with a time to retry, and their bodies are not read.
+// TestFloodIsRefusedUnread checks that the requests of a team far above its share are
+// refused with a retry delay, and that their bodies are not read.
 func TestFloodIsRefusedUnread(t *testing.T) {
 	f := floodedFront(t)
 	w := httptest.NewRecorder()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -190,7 +190,8 @@
 	return t.Config.Limits.IdleTimeout * 5 / 4
 }
 
-// logVitals logs the state of the process every few seconds.
+// logVitals logs the state of the process, the shares of teams, the outcome counts and the
+// traffic every few seconds.
 func (g *Gateway) logVitals(ctx context.Context) error {
 	for ctx.Err() == nil {
 		wait.Sleep(ctx, vitalsInterval)
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -8,13 +8,14 @@
 )
 
 const (
-	// acceptPollInterval is the time between checks whether the router may accept more.
+	// acceptPollInterval is the time between checks of whether the router may accept a
+	// connection.
 	acceptPollInterval = 5 * time.Millisecond
 	// maxQueueTime is the longest time that a connection waits in the socket's queue while
 	// the router accepts none. It is well below the 200 ms after which a request sent on a
 	// closed connection counts as lost on the known deployments.
 	maxQueueTime = 50 * time.Millisecond
-	// maxCloseBatch bounds the connections that are closed at once.
+	// maxCloseBatch bounds the queued connections that one call closes.
 	maxCloseBatch = 1024
 )
 
--- a/gateway/moving.go
+++ b/gateway/moving.go
@@ -13,8 +13,8 @@
 	})
 }
 
-// forbidMove reverts allowMove. It must be called before the connection serves another
-// request.
+// forbidMove reverts allowMove, if that took effect. It must be called before the
+// connection serves another request.
 func (a *attempt) forbidMove() {
 	if a.movable {
 		a.movable = false
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -10,9 +10,9 @@
 // OutcomeCounts counts requests by outcome, as seen by callers: whether they were served,
 // on the first try or on a retry, within the objective or late.
 type OutcomeCounts struct {
-	FirstOnTime     int64 `json:"first_in_time"` // first tries answered within the objective
-	RetriesServed   int64 `json:"later_tries"`   // retries answered
-	FirstLate       int64 `json:"late"`          // first tries answered after the objective
+	FirstOnTime     int64 `json:"first_in_time"` // first tries with a response within the objective
+	RetriesServed   int64 `json:"later_tries"`   // retries served
+	FirstLate       int64 `json:"late"`          // first tries with a response after the objective
 	FirstUnserved   int64 `json:"refused"`       // first tries not served
 	RetriesUnserved int64 `json:"again"`         // retries not served
 	UnservedMS      int64 `json:"held_ms"`       // total time for which unserved requests were held, in milliseconds
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOutcomeCounts counts requests of each result, by team and by route.
+// TestOutcomeCounts checks the counts of requests of each result, by team and by route.
 func TestOutcomeCounts(t *testing.T) {
 	route := &direct.Route{Name: "r", Objective: 300 * time.Millisecond}
 	at := func(ms int) time.Duration { return time.Second + time.Duration(ms)*time.Millisecond }
--- a/gateway/path.go
+++ b/gateway/path.go
@@ -5,7 +5,8 @@
 	"github.com/croftvale/croftvale/gateway/traffic"
 )
 
-// pathTo returns the path to the server that a request is sent to.
+// pathTo classifies the traffic to the server of cmd: within this router's data hall, to
+// another hall of its region, or to another region.
 func (f *front) pathTo(cmd direct.SendCmd) traffic.Path {
 	switch {
 	case cmd.Server.Zone == f.hall:
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -49,9 +49,9 @@
 	return s.records[f]
 }
 
-// TestQuarantineRecorder bars and releases a fingerprint while the store is down and while
-// another router leads. The leader writes the record once the store is back, with one call
-// for each record while the store responds.
+// TestQuarantineRecorder checks that only the leader writes records. It writes a record once
+// the store is back, with one call for each change while the store responds, and removes the
+// record once the fingerprint is no longer barred.
 func TestQuarantineRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -87,7 +87,7 @@
 		require.LessOrEqual(t, store.calls, 2)
 		core.Update(direct.PeerReportMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
 		time.Sleep(2 * time.Second)
-		require.False(t, store.has(7), "it isn't barred any more")
+		require.False(t, store.has(7), "it is no longer barred")
 		stop()
 		require.NoError(t, <-ended)
 	})
--- a/gateway/refusal_bench_test.go
+++ b/gateway/refusal_bench_test.go
@@ -13,15 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cpuTime returns the processor time used so far by the process or thread, as who selects.
+// cpuTime returns the processor time used so far by the process (RUSAGE_SELF) or by the
+// calling thread (RUSAGE_THREAD).
 func cpuTime(who int) time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(who, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRefusal refuses requests with a body of 6 KB over TCP, on kept and on new
-// connections. server-us/op is the processor time of the router's side alone.
+// BenchmarkRefusal measures refusals of requests with a body of 6 KB over TCP, on kept and
+// on new connections. server-us/op is the router's processor time per request, without that
+// of the caller's thread.
 func BenchmarkRefusal(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		b.Run(fmt.Sprintf("kept=%v", kept), func(b *testing.B) {
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -118,7 +118,8 @@
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Expect": true,
 }
 
-// copyHeader copies the headers that do not belong to the server's connection.
+// copyHeader copies the headers that do not belong to the server's connection. It keeps
+// net/http from adding a Content-Type or a Date that the server did not send.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !connectionHeaders[name] {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -12,7 +12,7 @@
 // Settings holds the settings of a router.
 type Settings struct {
 	Name    string
-	Zone    string
+	Zone    string  // data hall of this router
 	Region  string  // empty: unknown
 	Cores   float64 // processor cores that the process may use
 	Address string  // of this host, without a port
@@ -27,7 +27,7 @@
 	Seeds         []string // control addresses of some routers
 	FirstStart    bool     // the whole fleet starts for the first time
 	MemoryBytes   int64
-	Descriptors   int
+	Descriptors   int           // file descriptors that the process may open; 0: unknown
 	Grace         time.Duration // from the shutdown request to the end of the process
 	MaxDrainTime  time.Duration // longest time that a leaving server gets requests after its notice; 0: unknown
 	MaxEventDelay time.Duration // longest time that an event of a stream may take to reach its caller; 0: unknown
--- a/gateway/waiter.go
+++ b/gateway/waiter.go
@@ -2,11 +2,12 @@
 
 import "github.com/croftvale/croftvale/direct"
 
-// waiter is the state of a request's goroutine in the core, guarded by the core's lock.
+// waiter holds what the core needs to reach the goroutine of a request. The core's lock
+// guards it.
 type waiter struct {
 	commands chan direct.Cmd
 	// abort aborts the running attempt, so that its stream continues on another server. It
-	// is nil if no attempt is running that may be aborted. It must not block.
+	// must not block. It is nil if no attempt is running or the attempt must not be aborted.
 	abort       func()
 	movePending bool // a move arrived before an attempt could be aborted
 }
