--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -29,7 +29,7 @@
 // callerConns tracks the connections of callers and bounds their number and their idle
 // time. If all slots are taken, a new connection replaces the one that has stalled longest.
 type callerConns struct {
-	slots       chan struct{} // holds one element for each open connection
+	slots       chan struct{} // one element for each connection, from before it is accepted until it is closed
 	queues      *sendqueue.Queues
 	mu          sync.Mutex
 	open        map[*callerConn]bool
--- a/gateway/front.go
+++ b/gateway/front.go
@@ -34,7 +34,7 @@
 	// response.
 	writeGrace = 2 * time.Second
 	// memoryRetryAfter is the retry delay for callers whose bodies do not fit into memory.
-	// Responses that are read slowly hold memory for seconds, but another router has some.
+	// Responses that are read slowly hold memory for seconds, and another router has memory.
 	memoryRetryAfter = 300 * time.Millisecond
 )
 
@@ -216,8 +216,8 @@
 // setConnectionClose makes the response close its connection if this router is draining or
 // holds too many connections, so that callers reconnect to other routers. Even a late
 // router keeps a few. Callers reuse a connection only after a response, so they send no
-// faster than the router responds, and a request on a new connection costs the router twice
-// as much as one on an existing connection.
+// faster than the router responds, and a new connection costs the router twice as much as a
+// request on an existing one.
 func (f *front) setConnectionClose(w http.ResponseWriter) {
 	if f.draining.Load() || f.conns.shouldClose(f.core.pressure.TooLateToAccept()) {
 		w.Header().Set("Connection", "close")
