--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -23,35 +23,35 @@
 	records map[quarantine.Fingerprint]bool
 }
 
-func (s *recordStore) write(c quarantine.Fingerprint, present bool) error {
+func (s *recordStore) write(f quarantine.Fingerprint, present bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 	if s.down {
 		return errors.New("the store is down")
 	}
-	s.records[c] = present
+	s.records[f] = present
 	return nil
 }
 
-func (s *recordStore) AddQuarantine(_ context.Context, c quarantine.Fingerprint) error {
-	return s.write(c, true)
+func (s *recordStore) AddQuarantine(_ context.Context, f quarantine.Fingerprint) error {
+	return s.write(f, true)
 }
 
-func (s *recordStore) RemoveQuarantine(_ context.Context, c quarantine.Fingerprint) error {
-	return s.write(c, false)
+func (s *recordStore) RemoveQuarantine(_ context.Context, f quarantine.Fingerprint) error {
+	return s.write(f, false)
 }
 
 // has reports whether a record exists.
-func (s *recordStore) has(c quarantine.Fingerprint) bool {
+func (s *recordStore) has(f quarantine.Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.records[c]
+	return s.records[f]
 }
 
-// TestQuarantineRecorder bars and releases a fingerprint while the store is down and while
-// another router leads. The leader writes the record once the store is back, with one call
-// for each record while the store responds.
+// TestQuarantineRecorder checks that only the leader writes records. It writes a record once
+// the store is back, with one call for each change while the store responds, and removes the
+// record once the fingerprint is no longer barred.
 func TestQuarantineRecorder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
@@ -87,7 +87,7 @@
 		require.LessOrEqual(t, store.calls, 2)
 		core.Update(direct.PeerReportMsg{Now: core.Now(), Peer: "b", Report: direct.Report{Suspects: []quarantine.Report{{Content: 7, Cleared: true}}}})
 		time.Sleep(2 * time.Second)
-		require.False(t, store.has(7), "it isn't barred any more")
+		require.False(t, store.has(7), "it is no longer barred")
 		stop()
 		require.NoError(t, <-ended)
 	})
--- a/gateway/refusal_bench_test.go
+++ b/gateway/refusal_bench_test.go
@@ -13,15 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// cpuTime returns the processor time used so far by the process or thread, as who selects.
+// cpuTime returns the processor time used so far by the process (RUSAGE_SELF) or by the
+// calling thread (RUSAGE_THREAD).
 func cpuTime(who int) time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(who, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRefusal refuses requests with a body of 6 KB over TCP, on kept and on new
-// connections. server-us/op is the processor time of the router's side alone.
+// BenchmarkRefusal measures refusals of requests with a body of 6 KB over TCP, on kept and
+// on new connections. server-us/op is the router's processor time per request, without that
+// of the caller's thread.
 func BenchmarkRefusal(b *testing.B) {
 	for _, kept := range []bool{true, false} {
 		b.Run(fmt.Sprintf("kept=%v", kept), func(b *testing.B) {
@@ -44,7 +46,7 @@
 			}
 			fd := open()
 			resp := make([]byte, 4096)
-			all, own := cpuTime(syscall.RUSAGE_SELF), cpuTime(syscall.RUSAGE_THREAD)
+			processBefore, threadBefore := cpuTime(syscall.RUSAGE_SELF), cpuTime(syscall.RUSAGE_THREAD)
 			for b.Loop() {
 				if !kept {
 					_ = syscall.Close(fd)
@@ -56,7 +58,7 @@
 				require.NoError(b, err)
 				require.True(b, bytes.HasPrefix(resp[:n], []byte("HTTP/1.1 503")))
 			}
-			spent := cpuTime(syscall.RUSAGE_SELF) - all - (cpuTime(syscall.RUSAGE_THREAD) - own)
+			spent := cpuTime(syscall.RUSAGE_SELF) - processBefore - (cpuTime(syscall.RUSAGE_THREAD) - threadBefore)
 			b.ReportMetric(float64(spent)/float64(b.N)/1000, "server-us/op")
 		})
 	}
