--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -68,7 +68,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			source := &configSource{}
 			p := startConfig(t, source, self)
-			time.Sleep(settleTime + maxPeerWaitAtStart())
+			time.Sleep(warmUpTime + timeToReadConfig())
 			require.Equal(t, self == "a", p.IsPrimary())
 			source.watches.Store(0)
 			time.Sleep(20 * time.Second)
@@ -78,5 +78,5 @@
 	}
 }
 
-// maxPeerWaitAtStart is longer than a starting router waits for its peers to send what it lacks.
-func maxPeerWaitAtStart() time.Duration { return 3 * time.Second }
+// timeToReadConfig is longer than a starting router waits for its peers to send what it lacks.
+func timeToReadConfig() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -49,7 +49,7 @@
 	c.heartbeats = newHeartbeats(s, heartbeatConn, c.Peers, deps)
 	c.discovery = discovery{
 		registry: deps.Registry, self: s.Self, onMember: func(m Member) { c.Peers.Add(m.Address) },
-		heardAny: c.Peers.HasLivePeers, firstStart: s.FirstStart, era: deps.Feeds.Era, countCall: deps.Stats.CountSourceCall,
+		hasLivePeers: c.Peers.HasLivePeers, firstStart: s.FirstStart, era: deps.Feeds.Era, countCall: deps.Stats.CountSourceCall,
 	}
 	deps.Feeds.OnChange = c.heartbeats.sendNow
 	return c, nil
--- a/gateway/cluster/compatibility_test.go
+++ b/gateway/cluster/compatibility_test.go
@@ -145,20 +145,20 @@
 func TestUnreadableSenderIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	l := eventlog.New(&out, "test")
-	parts := Dependencies{Log: l, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
-	over, err := openTransport("127.0.0.1:0", traffic.Heartbeats, parts)
+	deps := Dependencies{Log: l, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
+	udp, err := openTransport("127.0.0.1:0", traffic.Heartbeats, deps)
 	require.NoError(t, err)
 	read := make(chan error)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		defer close(read)
-		_ = over.receive(ctx, func(body []byte) error {
+		_ = udp.receive(ctx, func(body []byte) error {
 			_, err := decodeHeartbeat(body)
 			read <- err
 			return err
 		})
 	}()
-	conn, err := net.Dial("udp", over.conn.LocalAddr().String())
+	conn, err := net.Dial("udp", udp.conn.LocalAddr().String())
 	require.NoError(t, err)
 	defer conn.Close()
 	short, err := encode([]int{1, 2})
--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -36,8 +36,8 @@
 	registry Registry
 	self     Member
 	onMember func(Member)
-	// heardAny reports whether a heartbeat of another router has arrived.
-	heardAny func() bool
+	// hasLivePeers reports whether a heartbeat of another router has arrived.
+	hasLivePeers func() bool
 	// firstStart reports that the whole fleet starts for the first time, so that this router is not
 	// registered yet.
 	firstStart bool
@@ -48,15 +48,15 @@
 }
 
 // run registers this router and finds the others, until ctx ends.
-func (m discovery) run(ctx context.Context) error {
-	registered, lists, restored := m.firstStart && m.register(ctx), 0, false
-	m.awaitPeer(ctx)
-	era := m.era()
+func (d discovery) run(ctx context.Context) error {
+	registered, lists, restored := d.firstStart && d.register(ctx), 0, false
+	d.awaitPeer(ctx)
+	era := d.era()
 	for ctx.Err() == nil {
 		// Heartbeats name the routers that have joined since. Only a router that has received none,
 		// because its seeds are away, needs an up-to-date list.
-		listed, err := m.list(ctx, !restored && (lists > 0 || m.heardAny()))
-		registered = registered || listed || m.register(ctx)
+		listed, err := d.list(ctx, !restored && (lists > 0 || d.hasLivePeers()))
+		registered = registered || listed || d.register(ctx)
 		if err != nil || !registered {
 			wait.Sleep(ctx, registryRetryDelay)
 			continue
@@ -66,8 +66,8 @@
 		if lists < earlyLists {
 			pause = earlyListInterval
 		}
-		restored = m.awaitNextList(ctx, pause, era)
-		era = m.era()
+		restored = d.awaitNextList(ctx, pause, era)
+		era = d.era()
 		if restored || pause == listInterval {
 			registered = false // unless the next list names this router
 		}
@@ -77,9 +77,9 @@
 
 // awaitPeer waits for firstListDelay and then, at most for maxPeerWait, for a heartbeat of another
 // router.
-func (m discovery) awaitPeer(ctx context.Context) {
+func (d discovery) awaitPeer(ctx context.Context) {
 	wait.Sleep(ctx, firstListDelay)
-	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !m.heardAny() && time.Now().Before(end); {
+	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !d.hasLivePeers() && time.Now().Before(end); {
 		wait.Sleep(ctx, firstListDelay/5)
 	}
 }
@@ -87,11 +87,11 @@
 // awaitNextList waits for a time limit, or until the registry is in a later era than the given one
 // and this router's turn has come. The turn depends on the address, so that routers that started
 // together do not call the registry together. It reports whether the era has changed.
-func (m discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
+func (d discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
 	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
 		wait.Sleep(ctx, min(eraPollInterval, time.Until(end)))
-		if m.era() > era {
-			turn := time.Duration(xxhash.Sum64String(m.self.Address) % uint64(reregisterSpread))
+		if d.era() > era {
+			turn := time.Duration(xxhash.Sum64String(d.self.Address) % uint64(reregisterSpread))
 			wait.Sleep(ctx, turn)
 			return true
 		}
@@ -100,21 +100,21 @@
 }
 
 // register registers this router and reports whether that succeeded.
-func (m discovery) register(ctx context.Context) bool {
+func (d discovery) register(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	m.countCall("registration")
-	return m.registry.Register(call, m.self) == nil
+	d.countCall("registration")
+	return d.registry.Register(call, d.self) == nil
 }
 
 // list adds the routers that the registry lists, and reports whether this one is among them.
-func (m discovery) list(ctx context.Context, stale bool) (bool, error) {
+func (d discovery) list(ctx context.Context, stale bool) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	m.countCall("list of routers")
-	listed, err := m.registry.Members(call, stale)
-	for _, one := range listed {
-		m.onMember(one)
+	d.countCall("list of routers")
+	listed, err := d.registry.Members(call, stale)
+	for _, member := range listed {
+		d.onMember(member)
 	}
-	return slices.Contains(listed, m.self), err
+	return slices.Contains(listed, d.self), err
 }
--- a/gateway/cluster/discovery_test.go
+++ b/gateway/cluster/discovery_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memberSource is a registry that records which lists were allowed to be stale.
-type memberSource struct {
+// memoryRegistry is a registry that records which lists were allowed to be stale.
+type memoryRegistry struct {
 	mu         sync.Mutex
 	down       atomic.Bool
 	stale      []bool
@@ -21,14 +21,14 @@
 	during     func() // called during each list; may be nil
 }
 
-func (s *memberSource) Register(_ context.Context, m Member) error {
+func (s *memoryRegistry) Register(_ context.Context, m Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.registered = append(s.registered, m)
 	return nil
 }
 
-func (s *memberSource) Members(_ context.Context, stale bool) ([]Member, error) {
+func (s *memoryRegistry) Members(_ context.Context, stale bool) ([]Member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stale = append(s.stale, stale)
@@ -42,7 +42,7 @@
 }
 
 // taken returns the recorded registrations and lists, and clears both.
-func (s *memberSource) taken() (registered []Member, stale []bool) {
+func (s *memoryRegistry) taken() (registered []Member, stale []bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	registered, stale = s.registered, s.stale
@@ -55,22 +55,22 @@
 func TestMembersAreListedFreshFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		source := &memberSource{}
-		source.down.Store(true)
+		registry := &memoryRegistry{}
+		registry.down.Store(true)
 		found := 0
-		m := discovery{registry: source, self: Member{Name: "self"}, heardAny: func() bool { return false }, era: func() uint64 { return 0 }, countCall: func(string) {}}
-		m.onMember = func(one Member) {
+		d := discovery{registry: registry, self: Member{Name: "self"}, hasLivePeers: func() bool { return false }, era: func() uint64 { return 0 }, countCall: func(string) {}}
+		d.onMember = func(one Member) {
 			if one.Name == "other" {
 				found++
 			}
 		}
-		go func() { _ = m.run(ctx) }()
+		go func() { _ = d.run(ctx) }()
 		time.Sleep(registryRetryDelay + registryRetryDelay/2 + firstListDelay + maxPeerWait)
-		source.down.Store(false)
+		registry.down.Store(false)
 		time.Sleep(3 * earlyListInterval)
 		cancel()
 		synctest.Wait()
-		require.Equal(t, []bool{false, false, false, true, true}, source.stale)
+		require.Equal(t, []bool{false, false, false, true, true}, registry.stale)
 		require.Equal(t, 3, found)
 	})
 }
@@ -79,23 +79,23 @@
 // address.
 func TestRegistersOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source := &memberSource{}
+		registry := &memoryRegistry{}
 		start := func(address string, firstStart bool) {
 			ctx, cancel := context.WithCancel(t.Context())
-			m := discovery{
-				registry: source, self: Member{Name: "self", Address: address}, onMember: func(Member) {},
-				heardAny: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, countCall: func(string) {},
+			d := discovery{
+				registry: registry, self: Member{Name: "self", Address: address}, onMember: func(Member) {},
+				hasLivePeers: func() bool { return true }, firstStart: firstStart, era: func() uint64 { return 0 }, countCall: func(string) {},
 			}
-			go func() { _ = m.run(ctx) }()
+			go func() { _ = d.run(ctx) }()
 			time.Sleep(earlyListInterval)
 			cancel()
 			synctest.Wait()
 		}
 		start("10.0.0.1", true)
 		start("10.0.0.1", false)
-		require.Len(t, source.registered, 1, "it is registered already")
+		require.Len(t, registry.registered, 1, "it is registered already")
 		start("10.0.0.9", false)
-		require.Len(t, source.registered, 2, "it has another address")
+		require.Len(t, registry.registered, 2, "it has another address")
 	})
 }
 
@@ -103,28 +103,28 @@
 // for itself in an up-to-date list, register once, and make no other call because of it.
 func TestRegistersAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source, era := &memberSource{}, atomic.Uint64{}
+		registry, era := &memoryRegistry{}, atomic.Uint64{}
 		ctx, cancel := context.WithCancel(t.Context())
-		m := discovery{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
-			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
+		d := discovery{
+			registry: registry, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			hasLivePeers: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.run(ctx) }()
+		go func() { _ = d.run(ctx) }()
 		time.Sleep(2 * time.Minute)
-		registered, _ := source.taken()
+		registered, _ := registry.taken()
 		require.Len(t, registered, 1)
 		era.Store(1)
 		time.Sleep(eraPollInterval + reregisterSpread)
-		registered, stale := source.taken()
+		registered, stale := registry.taken()
 		require.Len(t, registered, 1)
 		require.Equal(t, []bool{false}, stale)
-		source.mu.Lock()
-		source.registered = registered // it is listed again
-		source.mu.Unlock()
+		registry.mu.Lock()
+		registry.registered = registered // it is listed again
+		registry.mu.Unlock()
 		time.Sleep(2 * time.Minute)
 		cancel()
 		synctest.Wait()
-		registered, _ = source.taken()
+		registered, _ = registry.taken()
 		require.Len(t, registered, 1)
 	})
 }
@@ -133,18 +133,18 @@
 // look for itself in an up-to-date list soon after, not at the next interval.
 func TestEraDuringAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		source, era := &memberSource{}, atomic.Uint64{}
-		source.during = func() { era.Store(1) }
+		registry, era := &memoryRegistry{}, atomic.Uint64{}
+		registry.during = func() { era.Store(1) }
 		ctx, cancel := context.WithCancel(t.Context())
-		m := discovery{
-			registry: source, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
-			heardAny: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
+		d := discovery{
+			registry: registry, self: Member{Name: "self", Address: "10.0.0.1"}, onMember: func(Member) {},
+			hasLivePeers: func() bool { return true }, firstStart: true, era: era.Load, countCall: func(string) {},
 		}
-		go func() { _ = m.run(ctx) }()
+		go func() { _ = d.run(ctx) }()
 		time.Sleep(firstListDelay + eraPollInterval + reregisterSpread)
 		cancel()
 		synctest.Wait()
-		_, stale := source.taken()
+		_, stale := registry.taken()
 		require.Equal(t, []bool{true, false}, stale)
 	})
 }
--- a/gateway/cluster/extension.go
+++ b/gateway/cluster/extension.go
@@ -42,18 +42,18 @@
 // packGossip encodes updates as rows. It skips addresses other than IPv4, which no router has.
 func packGossip(updates []detector.PeerUpdate) []byte {
 	var rows []byte
-	for _, n := range updates {
-		address, err := netip.ParseAddr(n.Address)
+	for _, u := range updates {
+		address, err := netip.ParseAddr(u.Address)
 		if err != nil || !address.Is4() {
 			continue
 		}
 		ip := address.As4()
-		age := uint32(min(max(n.Age.Milliseconds(), 0), 1<<30)) << 1
-		if n.Alive {
+		age := uint32(min(max(u.Age.Milliseconds(), 0), 1<<30)) << 1
+		if u.Alive {
 			age |= 1
 		}
 		rows = append(rows, ip[:]...)
-		rows = binary.BigEndian.AppendUint32(rows, n.Incarnation)
+		rows = binary.BigEndian.AppendUint32(rows, u.Incarnation)
 		rows = binary.BigEndian.AppendUint32(rows, age)
 	}
 	return rows
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -19,11 +19,11 @@
 // memoryFleet simulates routers in memory on a fake clock. Their peers, heartbeats and detectors
 // are real; datagrams are delivered at once.
 type memoryFleet struct {
-	now      time.Duration
-	random   *rand.Rand
-	routers  []*memoryRouter
-	byName   map[string]*memoryRouter
-	lossRate float64 // fraction of the datagrams that is lost
+	now       time.Duration
+	random    *rand.Rand
+	routers   []*memoryRouter
+	byAddress map[string]*memoryRouter
+	lossRate  float64 // fraction of the datagrams that is lost
 }
 
 type memoryRouter struct {
@@ -48,7 +48,7 @@
 
 // send delivers a datagram to another router.
 func (r *memoryRouter) send(address string, _ traffic.Path, body []byte) {
-	to := r.fleet.byName[address]
+	to := r.fleet.byAddress[address]
 	if r.dead || to == nil || to.dead || r.fleet.random.Float64() < r.fleet.lossRate {
 		return
 	}
@@ -58,23 +58,23 @@
 // newMemoryFleet returns routers in five halls that have received a heartbeat of one another. One
 // in seven is powerful.
 func newMemoryFleet(size int) *memoryFleet {
-	f := &memoryFleet{now: 10 * time.Second, random: rand.New(rand.NewPCG(uint64(size), 3)), byName: make(map[string]*memoryRouter)}
+	f := &memoryFleet{now: 10 * time.Second, random: rand.New(rand.NewPCG(uint64(size), 3)), byAddress: make(map[string]*memoryRouter)}
 	counts := stats.New(tally.NoopScope)
 	for i := range size {
 		m := &memoryMachine{fleet: f}
-		parts := Dependencies{Decisions: m, Pressure: &pressure.Gauge{}, Log: quietLog, Stats: counts, Traffic: traffic.NewCounter(tally.NoopScope)}
-		parts.Feeds = newTestFeeds(nil, m)
+		deps := Dependencies{Decisions: m, Pressure: &pressure.Gauge{}, Log: quietLog, Stats: counts, Traffic: traffic.NewCounter(tally.NoopScope)}
+		deps.Feeds = newTestFeeds(nil, m)
 		s := Settings{
 			Self: Member{Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250+1)}, Hall: fmt.Sprint("hall-", i%5), Power: 0.144, startNanos: int64(i+1) * int64(time.Second),
 		}
 		if i%7 == 0 {
 			s.Power = 1.6
 		}
-		r := &memoryRouter{fleet: f, peers: newPeers(s, parts)}
+		r := &memoryRouter{fleet: f, peers: newPeers(s, deps)}
 		r.peers.onLive = func([]loads.Router) {}
-		r.heartbeats = newHeartbeats(s, r, r.peers, parts)
+		r.heartbeats = newHeartbeats(s, r, r.peers, deps)
 		f.routers = append(f.routers, r)
-		f.byName[s.Self.Address] = r
+		f.byAddress[s.Self.Address] = r
 	}
 	for _, r := range f.routers {
 		r.nextHeartbeat = f.now + time.Duration(f.random.Int64N(int64(250*time.Millisecond)))
@@ -197,7 +197,7 @@
 func (f *memoryFleet) peerHasChange(r *memoryRouter) bool {
 	for _, ahead := range r.peers.Ahead() {
 		for _, address := range ahead.All() {
-			if !f.byName[address].dead {
+			if !f.byAddress[address].dead {
 				return true
 			}
 		}
--- a/gateway/cluster/heartbeat_test.go
+++ b/gateway/cluster/heartbeat_test.go
@@ -58,10 +58,10 @@
 	p.onLive = func([]loads.Router) {}
 	p.Add("127.0.0.4")
 	p.deps.Log, p.deps.Stats, p.deps.Traffic = quietLog, stats.New(tally.NoopScope), traffic.NewCounter(tally.NoopScope)
-	over, err := openTransport("127.0.0.1:0", traffic.Heartbeats, p.deps)
+	udp, err := openTransport("127.0.0.1:0", traffic.Heartbeats, p.deps)
 	require.NoError(t, err)
-	defer over.conn.Close()
-	h := newHeartbeats(Settings{}, over, p, p.deps)
+	defer udp.conn.Close()
+	h := newHeartbeats(Settings{}, udp, p, p.deps)
 	h.rounds = membersEveryRounds
 	h.sendRound()
 	sent := p.deps.Traffic.Sums()["heartbeats"]
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -27,11 +27,11 @@
 // newTestLoads returns a loadExchange that receives no datagrams.
 func newTestLoads(t *testing.T, s Settings) (*loadExchange, *copyRecorder) {
 	d := &copyRecorder{testMachine: newTestMachine()}
-	parts := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
-	over, err := openTransport("127.0.0.1:0", traffic.Loads, parts)
+	deps := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
+	udp, err := openTransport("127.0.0.1:0", traffic.Loads, deps)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = over.conn.Close() })
-	return newLoadExchange(s, over, parts), d
+	t.Cleanup(func() { _ = udp.conn.Close() })
+	return newLoadExchange(s, udp, deps), d
 }
 
 // TestListsBetweenRegions has a router send lists to a router of another region and receive a copy.
--- a/gateway/cluster/peer.go
+++ b/gateway/cluster/peer.go
@@ -30,8 +30,8 @@
 	return p.lastHeard > 0 && now-p.lastHeard <= limit
 }
 
-// settling reports whether a router has just restarted and thus does not lead yet. When a whole
-// fleet starts, no router counts as settling.
-func (p *peer) settling(now time.Duration) bool {
-	return p.restartedAt > 0 && now-p.restartedAt < settleTime
+// warmingUp reports whether a router has just restarted and thus does not lead yet. When a whole
+// fleet starts, no router counts as warmingUp.
+func (p *peer) warmingUp(now time.Duration) bool {
+	return p.restartedAt > 0 && now-p.restartedAt < warmUpTime
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -83,7 +83,7 @@
 	defer p.mu.Unlock()
 	now := p.deps.Decisions.Now()
 	timeout := p.peerTimeoutLocked()
-	var lost, away []string
+	var lost, dead []string
 	var alive []loads.Router
 	var hall pressure.Hall
 	for address, peer := range p.known {
@@ -105,7 +105,7 @@
 		if p.detector.Alive(address, now) {
 			targets = append(targets, address)
 		} else {
-			away = append(away, address)
+			dead = append(dead, address)
 		}
 		if peer.live && len(members) < membersPerHeartbeat {
 			members = append(members, address)
@@ -114,7 +114,7 @@
 	p.deps.Log.Routers("routers_lost", lost)
 	p.deps.Log.Routers("routers_heard", p.newlyLive)
 	p.newlyLive = nil
-	targets = pickTargets(targets, away)
+	targets = pickTargets(targets, dead)
 	p.onLive(alive)
 	// A late router may not have read its datagrams yet, so it keeps the previous state.
 	if !p.deps.Pressure.Slow() {
@@ -171,14 +171,14 @@
 
 // pickTargets picks the targets of a heartbeat at random from the live routers, and one from those
 // that are away, so that parts of a fleet that were disconnected find one another again.
-func pickTargets(alive, away []string) []string {
+func pickTargets(alive, dead []string) []string {
 	shuffle(alive)
 	alive = alive[:min(len(alive), heartbeatFanout)]
-	if len(away) == 0 {
+	if len(dead) == 0 {
 		return alive
 	}
 	alive = alive[:min(len(alive), heartbeatFanout-1)]
-	return append(alive, away[rand.IntN(len(away))])
+	return append(alive, dead[rand.IntN(len(dead))])
 }
 
 func shuffle(addresses []string) {
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -18,9 +18,9 @@
 const stuckAfter = 500 * time.Millisecond
 
 const (
-	// settleTime is the time after its start during which a router leaves following to the seeds:
+	// warmUpTime is the time after its start during which a router leaves following to the seeds:
 	// it has not received enough heartbeats yet to know which routers come first.
-	settleTime = 1500 * time.Millisecond
+	warmUpTime = 1500 * time.Millisecond
 	// startupWait is how long a starting router waits for a peer to send the list of servers before
 	// it reads the list from the source. It is the time of several calls to a live seed. The
 	// router's callers wait too.
@@ -65,7 +65,7 @@
 	if p.stuck() || !p.without.Enabled(direct.StoreFollowers) {
 		return true
 	}
-	if p.deps.Decisions.Now() < settleTime {
+	if p.deps.Decisions.Now() < warmUpTime {
 		return p.isSeed
 	}
 	p.mu.Lock()
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -15,7 +15,7 @@
 // A router that has just started does not lead, because it has not received enough heartbeats yet.
 func (p *Peers) Leads() bool {
 	now := p.deps.Decisions.Now()
-	if now < settleTime || p.deps.Feeds.SourceFailing() {
+	if now < warmUpTime || p.deps.Feeds.SourceFailing() {
 		return false
 	}
 	p.mu.Lock()
@@ -28,7 +28,7 @@
 		if !peer.live {
 			continue
 		}
-		if address < p.self && !peer.sourceLost && !peer.settling(now) {
+		if address < p.self && !peer.sourceLost && !peer.warmingUp(now) {
 			return false
 		}
 		live++
--- a/gateway/cluster/rollouts_test.go
+++ b/gateway/cluster/rollouts_test.go
@@ -47,7 +47,7 @@
 	require.False(t, p.Leads())
 	p.onHeartbeat(heartbeat{Address: "a", Life: 2, Seq: 1})
 	require.True(t, p.Leads())
-	p.known["a"].restartedAt -= settleTime
+	p.known["a"].restartedAt -= warmUpTime
 	p.onHeartbeat(heartbeat{Address: "a", Life: 2, Seq: 2})
 	require.False(t, p.Leads())
 }
--- a/gateway/detector/detector.go
+++ b/gateway/detector/detector.go
@@ -50,8 +50,8 @@
 	case HeartbeatMsg:
 		d.onHeartbeat(msg)
 	case GossipMsg:
-		for _, n := range msg.Updates {
-			d.applyUpdate(msg.Now, n)
+		for _, u := range msg.Updates {
+			d.applyUpdate(msg.Now, u)
 		}
 	case TickMsg:
 		d.tick(msg)
@@ -167,5 +167,5 @@
 		d.ring = slices.Delete(d.ring, i, i+1)
 	}
 	p.probedAt, p.suspectedSince, p.update = 0, 0, nil
-	d.updates = slices.DeleteFunc(d.updates, func(r *pendingUpdate) bool { return r.peer == p })
+	d.updates = slices.DeleteFunc(d.updates, func(u *pendingUpdate) bool { return u.peer == p })
 }
--- a/gateway/detector/detector_test.go
+++ b/gateway/detector/detector_test.go
@@ -101,8 +101,8 @@
 	require.Equal(t, 1.0, fraction)
 	f.nodes[5].dead = false
 	f.run(f.now + time.Second)
-	_, falsely := f.detected()
-	require.Zero(t, falsely)
+	_, falsePositives := f.detected()
+	require.Zero(t, falsePositives)
 }
 
 // BenchmarkLossIsKnown simulates failures in fleets up to twice the largest known one. It reports
--- a/gateway/detector/fleet_test.go
+++ b/gateway/detector/fleet_test.go
@@ -12,7 +12,7 @@
 type fleet struct {
 	random    *rand.Rand
 	nodes     []*node
-	byName    map[string]*node
+	byAddress map[string]*node
 	now       time.Duration
 	events    events
 	order     uint64
@@ -62,16 +62,16 @@
 // newFleet returns routers that have all received a heartbeat of one another.
 func newFleet(routers int, seed uint64) *fleet {
 	f := &fleet{
-		byName:  make(map[string]*node),
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		blocked: func(int, int) bool { return false },
-		delay:   func(int) time.Duration { return 0 },
+		byAddress: make(map[string]*node),
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		blocked:   func(int, int) bool { return false },
+		delay:     func(int) time.Duration { return 0 },
 	}
 	for i := range routers {
 		address := fmt.Sprintf("10.%d.%d.1", i/250, i%250)
 		n := &node{id: i, address: address, detector: New(address, 1)}
 		f.nodes = append(f.nodes, n)
-		f.byName[address] = n
+		f.byAddress[address] = n
 	}
 	for _, n := range f.nodes {
 		for _, other := range f.nodes {
@@ -125,7 +125,7 @@
 }
 
 // send delivers a heartbeat with updates to another router, and calls then on arrival.
-func (f *fleet) send(from, to *node, then func()) {
+func (f *fleet) send(from, to *node, onArrival func()) {
 	if from == to {
 		return
 	}
@@ -142,8 +142,8 @@
 		if len(updates) > 0 {
 			f.execute(to, to.detector.Update(GossipMsg{Now: f.now, Updates: updates}))
 		}
-		if then != nil {
-			then()
+		if onArrival != nil {
+			onArrival()
 		}
 	})
 }
@@ -157,10 +157,10 @@
 			to := f.node(cmd.To)
 			f.send(n, to, func() { f.datagrams++; f.send(to, n, nil) })
 		case IndirectProbeCmd:
-			through, of := f.node(cmd.Via), f.node(cmd.Target)
-			f.send(n, through, func() {
+			via, target := f.node(cmd.Via), f.node(cmd.Target)
+			f.send(n, via, func() {
 				f.datagrams++
-				f.send(through, of, func() { f.datagrams++; f.send(of, n, nil) })
+				f.send(via, target, func() { f.datagrams++; f.send(target, n, nil) })
 			})
 		case RefuteCmd:
 			for range fanout {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (f *fleet) node(address string) *node { return f.byName[address] }
+func (f *fleet) node(address string) *node { return f.byAddress[address] }
 
 // detected returns the fraction of pairs of a live and a dead router in which the first has
 // detected the failure, and the number of pairs of live routers in which the first counts the
--- a/gateway/detector/gossip.go
+++ b/gateway/detector/gossip.go
@@ -16,12 +16,12 @@
 
 // enqueueUpdate queues an update for sending. It replaces an older update about the same router.
 func (d *Detector) enqueueUpdate(p *peer, alive bool, at time.Duration) {
-	switch r := p.update; {
-	case r == nil:
+	switch u := p.update; {
+	case u == nil:
 		p.update = &pendingUpdate{peer: p, alive: alive, at: at, sendsLeft: sendsPerUpdate}
 		d.updates = append(d.updates, p.update)
-	case r.alive != alive || at > r.at:
-		r.alive, r.at, r.sendsLeft = alive, at, sendsPerUpdate
+	case u.alive != alive || at > u.at:
+		u.alive, u.at, u.sendsLeft = alive, at, sendsPerUpdate
 	}
 }
 
@@ -36,15 +36,15 @@
 	batch := d.updates[:n]
 	unreachable := d.maybeDead(to)
 	rest := append([]*pendingUpdate(nil), d.updates[n:]...)
-	for _, r := range batch {
-		out = append(out, PeerUpdate{Address: r.peer.address, Incarnation: r.peer.incarnation, Alive: r.alive, Age: now - r.at})
+	for _, u := range batch {
+		out = append(out, PeerUpdate{Address: u.peer.address, Incarnation: u.peer.incarnation, Alive: u.alive, Age: now - u.at})
 		if !unreachable {
-			r.sendsLeft--
+			u.sendsLeft--
 		}
-		if r.sendsLeft > 0 {
-			rest = append(rest, r)
+		if u.sendsLeft > 0 {
+			rest = append(rest, u)
 		} else {
-			r.peer.update = nil
+			u.peer.update = nil
 		}
 	}
 	d.updates = rest
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -54,66 +54,66 @@
 }
 
 // Observe records how late a tick came.
-func (p *Gauge) Observe(now, late time.Duration) {
-	decayed := time.Duration(lagDecay * float64(p.lag.Load()))
-	lag := max(late, decayed, 0)
-	p.lag.Store(int64(lag))
-	p.tickDelay.Store(int64(late))
+func (g *Gauge) Observe(now, tickDelay time.Duration) {
+	decayed := time.Duration(lagDecay * float64(g.lag.Load()))
+	lag := max(tickDelay, decayed, 0)
+	g.lag.Store(int64(lag))
+	g.tickDelay.Store(int64(tickDelay))
 	fraction := 0.0
-	if p.Without.Enabled(direct.LoadShedding) {
-		fraction = p.shedder.update(late)
+	if g.Without.Enabled(direct.LoadShedding) {
+		fraction = g.shedder.update(tickDelay)
 	}
-	p.shedFraction.Store(math.Float64bits(fraction))
+	g.shedFraction.Store(math.Float64bits(fraction))
 	var hall Hall
-	if h := p.hall.Load(); h != nil {
+	if h := g.hall.Load(); h != nil {
 		hall = *h
 	}
-	p.yields.Store(p.Without.Enabled(direct.UnreadyUnderLoad) && p.yielder.update(now, fraction, hall))
+	g.yields.Store(g.Without.Enabled(direct.UnreadyUnderLoad) && g.yielder.update(now, fraction, hall))
 	switch {
 	case lag >= overloadLag:
-		p.score = min(p.score+lateScoreStep*max(1, float64(late)/float64(direct.TickInterval)), maxScore)
+		g.score = min(g.score+lateScoreStep*max(1, float64(tickDelay)/float64(direct.TickInterval)), maxScore)
 	case lag < keepsUpLag:
-		p.score = max(p.score-keepsUpScoreStep, 0)
+		g.score = max(g.score-keepsUpScoreStep, 0)
 	}
 	switch {
-	case p.score >= overloadScore:
-		p.overloaded.Store(true)
-	case p.score == 0:
-		p.overloaded.Store(false)
+	case g.score >= overloadScore:
+		g.overloaded.Store(true)
+	case g.score == 0:
+		g.overloaded.Store(false)
 	}
 }
 
 // Lag returns how late this process currently runs.
-func (p *Gauge) Lag() time.Duration { return time.Duration(p.lag.Load()) }
+func (g *Gauge) Lag() time.Duration { return time.Duration(g.lag.Load()) }
 
 // WantsLessTraffic reports whether callers should go to other routers.
-func (p *Gauge) WantsLessTraffic() bool { return p.overloaded.Load() || p.yields.Load() }
+func (g *Gauge) WantsLessTraffic() bool { return g.overloaded.Load() || g.yields.Load() }
 
 // TooLateToAccept reports whether the process runs too late to accept new connections.
-func (p *Gauge) TooLateToAccept() bool { return time.Duration(p.tickDelay.Load()) >= maxAcceptLag }
+func (g *Gauge) TooLateToAccept() bool { return time.Duration(g.tickDelay.Load()) >= maxAcceptLag }
 
 // TooLateToRead reports whether the process runs so late that the requests it reads would be
 // refused anyway.
-func (p *Gauge) TooLateToRead() bool { return p.Lag() >= shedAllLag }
+func (g *Gauge) TooLateToRead() bool { return g.Lag() >= shedAllLag }
 
 // Yields reports whether the load balancer should send callers to the other routers of the hall.
-func (p *Gauge) Yields() bool { return p.yields.Load() }
+func (g *Gauge) Yields() bool { return g.yields.Load() }
 
 // SetHall sets the state of the other routers of the hall.
-func (p *Gauge) SetHall(h Hall) { p.hall.Store(&h) }
+func (g *Gauge) SetHall(h Hall) { g.hall.Store(&h) }
 
 // Slow reports whether the process runs so late that its time measurements of other processes are
 // unreliable.
-func (p *Gauge) Slow() bool { return time.Duration(p.lag.Load()) > slowLag }
+func (g *Gauge) Slow() bool { return time.Duration(g.lag.Load()) > slowLag }
 
 // Sheds reports whether a request should be refused on arrival, by its ID and the weight of its
 // team; see selectedForShedding.
-func (p *Gauge) Sheds(id string, weight float64) bool {
-	return selectedForShedding(id, p.ShedFraction(), weight)
+func (g *Gauge) Sheds(id string, weight float64) bool {
+	return selectedForShedding(id, g.ShedFraction(), weight)
 }
 
 // ShedFraction returns the fraction of the new requests that is refused on arrival.
-func (p *Gauge) ShedFraction() float64 { return math.Float64frombits(p.shedFraction.Load()) }
+func (g *Gauge) ShedFraction() float64 { return math.Float64frombits(g.shedFraction.Load()) }
 
 // Shedding reports whether the router currently refuses some requests on arrival.
-func (p *Gauge) Shedding() bool { return p.shedFraction.Load() != 0 }
+func (g *Gauge) Shedding() bool { return g.shedFraction.Load() != 0 }
--- a/gateway/pressure/shed.go
+++ b/gateway/pressure/shed.go
@@ -30,17 +30,17 @@
 // shedder computes the fraction of the new requests that a router short of CPU time refuses at
 // once, so that their callers try another router. The zero value sheds nothing.
 type shedder struct {
-	fraction float64
-	late     time.Duration // at the last tick
+	fraction  float64
+	lastDelay time.Duration // at the last tick
 }
 
 // update records how late a tick came and returns the fraction to shed.
-func (s *shedder) update(late time.Duration) float64 {
-	step := shedErrorGain*(late-shedTarget).Seconds() + shedTrendGain*(late-s.late).Seconds()
-	s.late = late
-	least := float64(late-shedSomeLag) / float64(shedAllLag-shedSomeLag)
-	s.fraction = min(max(s.fraction+min(max(step, -maxShedStep), maxShedStep), least, 0), 1)
-	if late < shedTarget/2 {
+func (s *shedder) update(tickDelay time.Duration) float64 {
+	step := shedErrorGain*(tickDelay-shedTarget).Seconds() + shedTrendGain*(tickDelay-s.lastDelay).Seconds()
+	s.lastDelay = tickDelay
+	minFraction := float64(tickDelay-shedSomeLag) / float64(shedAllLag-shedSomeLag)
+	s.fraction = min(max(s.fraction+min(max(step, -maxShedStep), maxShedStep), minFraction, 0), 1)
+	if tickDelay < shedTarget/2 {
 		s.fraction *= shedDecay
 	}
 	if s.fraction < minShedFraction {
--- a/loads/bytes_test.go
+++ b/loads/bytes_test.go
@@ -67,10 +67,10 @@
 }
 
 const (
-	sizeRunning = 50 // servers at which each router has requests
-	sizeChanges = 1  // loads that change per round: 40 requests begin or end per second
-	sizeTeams   = 20
-	sizeCopies  = 20 // made by each router per second
+	serversPerRouter = 50 // servers at which each router has requests
+	changesPerRound  = 1  // loads that change per round: 40 requests begin or end per second
+	teamsPerRouter   = 20
+	copiesPerSecond  = 20 // made by each router per second
 )
 
 var simulatedFleets = []simulatedFleet{
@@ -133,9 +133,9 @@
 // heartbeat.
 func (f simulatedFleet) addHeartbeats(out *traffic, sent map[string]float64) {
 	targets := min(f.routers-1, 24)
-	beats := min(float64(targets)*10, 100)
+	heartbeatsPerSecond := min(float64(targets)*10, 100)
 	row := float64(bytesOf(&Copy{Part: 1 << 63, Server: 1 << 31}))
-	each := beats * row * min(sizeCopies*copyTTL.Seconds(), 64)
+	each := heartbeatsPerSecond * row * min(copiesPerSecond*copyTTL.Seconds(), 64)
 	for from := range sent {
 		sent[from] += each
 	}
@@ -165,9 +165,9 @@
 
 // loads returns the loads of a router at servers of its region.
 func (f simulatedFleet) loads(random *rand.Rand, region int) []Load {
-	of := f.servers / f.regions
+	serversInRegion := f.servers / f.regions
 	var out []Load
-	for _, i := range random.Perm(of)[:min(of, sizeRunning)] {
+	for _, i := range random.Perm(serversInRegion)[:min(serversInRegion, serversPerRouter)] {
 		one := Load{Server: ServerKey(fmt.Sprint("server", region, "-", i)), Running: 1 + random.Int32N(8)}
 		if random.IntN(2) == 0 {
 			one.Pending = random.Int32N(4000)
@@ -179,7 +179,7 @@
 
 // churn changes some of a router's loads.
 func (f simulatedFleet) churn(random *rand.Rand, own []Load) {
-	for range sizeChanges {
+	for range changesPerRound {
 		one := &own[random.IntN(len(own))]
 		one.Running = 1 + random.Int32N(8)
 		one.Pending = random.Int32N(2) * random.Int32N(4000)
@@ -189,7 +189,7 @@
 // rounds runs rounds in which no list is lost.
 func (f simulatedFleet) rounds(s *lossyNetwork, rounds int, regions bool) {
 	var teams []TeamUse
-	for i := range sizeTeams {
+	for i := range teamsPerRouter {
 		teams = append(teams, TeamUse{Team: fmt.Sprint("team-", i), Offered: 5e3, Recent: 5e3, Served: 4e3})
 	}
 	for range rounds {
@@ -201,7 +201,7 @@
 			if s.rounds%int(TeamsInterval/RoundInterval) == 0 {
 				tick.HasTeams, tick.Teams = true, teams
 			}
-			if every := int(time.Second / RoundInterval / sizeCopies); regions && (s.rounds+i)%every == 0 {
+			if every := int(time.Second / RoundInterval / copiesPerSecond); regions && (s.rounds+i)%every == 0 {
 				tick.Copies = []Copy{{Part: s.random.Uint64(), Server: s.random.Uint32()}}
 			}
 			s.update(r.Address, tick)
--- a/loads/copies.go
+++ b/loads/copies.go
@@ -93,10 +93,10 @@
 // next returns the copies for the next list to a receiver: those added since the oldest of its last
 // copyRepeats lists, so that each copy is in as many lists. If more than limit match, it returns
 // the newest.
-func (l *copyLog) next(r *copyCursor, limit int, match func(copyEntry) bool) []Copy {
-	begin := max(r.ends[copyRepeats-1], l.dropped) - l.dropped
-	copy(r.ends[1:], r.ends[:])
-	r.ends[0] = l.end()
+func (l *copyLog) next(cursor *copyCursor, limit int, match func(copyEntry) bool) []Copy {
+	begin := max(cursor.ends[copyRepeats-1], l.dropped) - l.dropped
+	copy(cursor.ends[1:], cursor.ends[:])
+	cursor.ends[0] = l.end()
 	var out []Copy
 	for i := len(l.entries) - 1; i >= int(begin) && len(out) < limit; i-- {
 		if match(l.entries[i]) {
@@ -108,25 +108,25 @@
 
 // addCopies adds received copies to the log and returns the new ones.
 func (e *Exchange) addCopies(now time.Duration, received []Copy, origin copyOrigin, from string) []Copy {
-	var fresh []Copy
+	var added []Copy
 	for _, c := range received {
 		if e.copies.add(copyEntry{Copy: c, at: now, origin: origin, from: from}) {
-			fresh = append(fresh, c)
+			added = append(added, c)
 		}
 	}
-	return fresh
+	return added
 }
 
 // copiesFor returns the copies for the next list to a router.
 func (e *Exchange) copiesFor(now time.Duration, to string, kind Kind) []Copy {
 	key := listKey{to: to, kind: kind}
-	r := e.copyCursors[key]
-	if r == nil {
-		r = &copyCursor{}
-		e.copyCursors[key] = r
+	cursor := e.copyCursors[key]
+	if cursor == nil {
+		cursor = &copyCursor{}
+		e.copyCursors[key] = cursor
 	}
-	r.usedAt = now
-	return e.copies.next(r, e.copiesPerList(), func(c copyEntry) bool { return carriesOrigin(kind, c.origin) && c.from != to })
+	cursor.usedAt = now
+	return e.copies.next(cursor, e.copiesPerList(), func(c copyEntry) bool { return carriesOrigin(kind, c.origin) && c.from != to })
 }
 
 // carriesOrigin reports whether lists of a kind announce copies of an origin.
@@ -150,7 +150,7 @@
 // dropCopies removes expired copies, and the cursors of receivers that are no longer sent lists.
 func (e *Exchange) dropCopies(now time.Duration) {
 	e.copies.dropExpired(now)
-	maps.DeleteFunc(e.copyCursors, func(_ listKey, r *copyCursor) bool { return now-r.usedAt > copyTTL })
+	maps.DeleteFunc(e.copyCursors, func(_ listKey, cursor *copyCursor) bool { return now-cursor.usedAt > copyTTL })
 }
 
 // listKey identifies the lists of one kind that are sent to one router.
--- a/loads/delta.go
+++ b/loads/delta.go
@@ -98,12 +98,12 @@
 // checksum returns a hash of loads, which is never 0.
 func checksum(loads []Load) uint64 {
 	var row [12]byte
-	digest := xxhash.New()
+	hash := xxhash.New()
 	for _, l := range loads {
 		binary.LittleEndian.PutUint32(row[0:], l.Server)
 		binary.LittleEndian.PutUint32(row[4:], uint32(l.Running))
 		binary.LittleEndian.PutUint32(row[8:], uint32(l.Pending))
-		_, _ = digest.Write(row[:]) // a hash returns no error
+		_, _ = hash.Write(row[:]) // a hash returns no error
 	}
-	return max(digest.Sum64(), 1)
+	return max(hash.Sum64(), 1)
 }
--- a/loads/exchange.go
+++ b/loads/exchange.go
@@ -144,11 +144,11 @@
 	if !ok { // the next report names the digest that this router holds
 		return
 	}
-	e.emitOthers(msg.Now, PeerTotalsCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
+	e.emitPeerTotals(msg.Now, PeerTotalsCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
 }
 
-// emitOthers emits what all other routers have, including those of other regions.
-func (e *Exchange) emitOthers(now time.Duration, inRegion PeerTotalsCmd) {
+// emitPeerTotals emits what all other routers have, including those of other regions.
+func (e *Exchange) emitPeerTotals(now time.Duration, inRegion PeerTotalsCmd) {
 	others := e.addOtherRegions(now, inRegion)
 	others.Copies, e.newCopies = e.newCopies, nil
 	e.emit(others)
@@ -175,7 +175,7 @@
 	e.chooseAggregator(msg.Now)
 	e.addCopies(msg.Now, msg.Copies, fromSelf, "")
 	if e.aggregator == e.self.Address {
-		e.emitOthers(msg.Now, e.othersInRegion(msg))
+		e.emitPeerTotals(msg.Now, e.peerTotalsInRegion(msg))
 	} else {
 		e.sendReport(msg)
 	}
@@ -185,8 +185,8 @@
 	}
 }
 
-// othersInRegion returns what all other routers of the region have, as this aggregator knows it.
-func (e *Exchange) othersInRegion(msg TickMsg) PeerTotalsCmd {
+// peerTotalsInRegion returns what all other routers of the region have, as this aggregator knows it.
+func (e *Exchange) peerTotalsInRegion(msg TickMsg) PeerTotalsCmd {
 	others := PeerTotalsCmd{Loads: e.loadsExcept(e.self.Address), HasTeams: msg.HasTeams}
 	if msg.HasTeams {
 		others.Teams, others.Rollouts = e.teamsExcept(msg.Now, e.self.Address), e.rolloutsExcept(msg.Now, e.self.Address)
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -124,12 +124,12 @@
 // requireConverged checks that every router has exactly what all the others have.
 func (n *network) requireConverged(t require.TestingT) {
 	for _, r := range n.routers {
-		n.requireKnowsAll(t, r)
+		n.requireReceivedAll(t, r)
 	}
 }
 
-// requireKnowsAll checks that a router has received exactly what all the others have.
-func (n *network) requireKnowsAll(t require.TestingT, r Router) {
+// requireReceivedAll checks that a router has received exactly what all the others have.
+func (n *network) requireReceivedAll(t require.TestingT, r Router) {
 	var lists [][]Load
 	for _, other := range n.routers {
 		if other.Address != r.Address {
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -243,7 +243,7 @@
 		s.run(int((RegionTTL+regionTimeout)/RoundInterval), func() { s.requireCountedAtMost(t, 2) })
 		for _, r := range s.routers {
 			if !s.down[r.Address] {
-				s.requireKnowsAll(t, r)
+				s.requireReceivedAll(t, r)
 			}
 		}
 		s.requireRolloutsMerged(t)
