--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestStandbyPollsLessOften checks the calls for changes while nothing changes: the first follower
-// polls the source once a second, the standby followers a quarter as often.
+// TestStandbyPollsLessOften checks how often followers poll the source while nothing changes: the
+// first follower once a second, the standby followers a quarter as often.
 func TestStandbyPollsLessOften(t *testing.T) {
 	for self, atMost := range map[string]int64{"a": 21, "c0b": 7} {
 		synctest.Test(t, func(t *testing.T) {
@@ -78,5 +78,6 @@
 	}
 }
 
-// timeToReadConfig is longer than a starting router waits for its peers to send what it lacks.
+// timeToReadConfig returns a time that is longer than a starting router waits for its peers and then
+// takes to read the configuration.
 func timeToReadConfig() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -14,10 +14,11 @@
 	// heartbeats have arrived, if there are other routers.
 	firstListDelay = 500 * time.Millisecond
 	// maxPeerWait is how long after that a router waits for a heartbeat of another one. Once one
-	// has arrived, a list that may be some seconds old suffices, which costs the registry a tenth.
+	// has arrived, a list that may be some seconds old suffices. It costs the registry a tenth of
+	// an up-to-date list.
 	maxPeerWait = 2 * time.Second
-	// earlyListInterval is the time between the first earlyLists lists of routers, listInterval
-	// that between later ones: by then heartbeats name the other routers.
+	// earlyListInterval is the time between the first earlyLists lists of routers. listInterval is
+	// the time between later ones, when heartbeats name the other routers.
 	earlyListInterval = 6 * time.Second
 	earlyLists        = 3
 	listInterval      = 30 * time.Second
@@ -25,8 +26,9 @@
 	// call after a failed one.
 	registryTimeout    = 1500 * time.Millisecond
 	registryRetryDelay = time.Second
-	// eraPollInterval is how often a router checks whether the registry was restored from a backup.
-	// After that, all routers look for themselves in it, spread over reregisterSpread.
+	// eraPollInterval is the time between two checks whether the registry was restored from a
+	// backup. After a restore, all routers look for themselves in the registry, spread over
+	// reregisterSpread.
 	eraPollInterval  = 500 * time.Millisecond
 	reregisterSpread = 5 * time.Second
 )
@@ -53,8 +55,8 @@
 	d.awaitPeer(ctx)
 	era := d.era()
 	for ctx.Err() == nil {
-		// Heartbeats name the routers that have joined since. Only a router that has received none,
-		// because its seeds are away, needs an up-to-date list.
+		// Heartbeats name the routers that have joined since a stale list was made. Only a router
+		// that has received no heartbeat, because its seeds are down, needs an up-to-date list.
 		listed, err := d.list(ctx, !restored && (lists > 0 || d.hasLivePeers()))
 		registered = registered || listed || d.register(ctx)
 		if err != nil || !registered {
@@ -84,9 +86,9 @@
 	}
 }
 
-// awaitNextList waits for a time limit, or until the registry is in a later era than the given one
-// and this router's turn has come. The turn depends on the address, so that routers that started
-// together do not call the registry together. It reports whether the era has changed.
+// awaitNextList waits for at most limit until the registry is in a later era than the given one, and
+// reports whether it is. After a change of era it also waits for a delay that depends on this
+// router's address, so that routers that started together do not call the registry together.
 func (d discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
 	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
 		wait.Sleep(ctx, min(eraPollInterval, time.Until(end)))
@@ -107,7 +109,8 @@
 	return d.registry.Register(call, d.self) == nil
 }
 
-// list adds the routers that the registry lists, and reports whether this one is among them.
+// list passes the routers that the registry lists to onMember, and reports whether this one is among
+// them.
 func (d discovery) list(ctx context.Context, stale bool) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
--- a/gateway/cluster/discovery_test.go
+++ b/gateway/cluster/discovery_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryRegistry is a registry that records which lists were allowed to be stale.
+// memoryRegistry is a registry in memory that records which lists were allowed to be stale.
 type memoryRegistry struct {
 	mu         sync.Mutex
 	down       atomic.Bool
@@ -36,7 +36,7 @@
 		s.during()
 	}
 	if s.down.Load() {
-		return nil, errors.New("the source is down")
+		return nil, errors.New("the registry is down")
 	}
 	return append([]Member{{Name: "other", Address: "10.0.0.2"}}, s.registered...), nil
 }
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -52,7 +52,7 @@
 	if r.dead || to == nil || to.dead || r.fleet.random.Float64() < r.fleet.lossRate {
 		return
 	}
-	_ = to.heartbeats.receive(body) // always decodes; the messages have their own tests
+	_ = to.heartbeats.receive(body) // heartbeats of this build always decode; see TestDatagrams
 }
 
 // newMemoryFleet returns routers in five halls that have received a heartbeat of one another. One
--- a/gateway/cluster/halls.go
+++ b/gateway/cluster/halls.go
@@ -43,8 +43,8 @@
 }
 
 // silentAfter is the time without a heartbeat from any router of a data hall after which the hall
-// counts as silent. It is at least two heartbeat intervals of a hall's only router in a small
-// fleet.
+// counts as silent. In a small fleet, the only router of a hall sends at least two heartbeats in
+// that time.
 const silentAfter = 450 * time.Millisecond
 
 // silentHalls returns the data halls whose live routers have all been silent for silentAfter, while
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestQuietHalls silences the routers of no hall, of one hall, and of all halls.
+// TestQuietHalls stops the heartbeats of no hall, of one hall, and of all halls. Only the one hall
+// may count as silent.
 func TestQuietHalls(t *testing.T) {
 	p := newTestPeers("a1", &peer{address: "a2", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "b2", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	now := p.deps.Decisions.Now()
@@ -26,7 +27,8 @@
 	require.NotContains(t, p.silentHalls(now), "b", "routers that are no longer live do not count")
 }
 
-// TestOwnHallIsAskedFirst has newer revisions in this hall, in another one, and in both.
+// TestOwnHallIsAskedFirst has newer revisions in another hall, and then in this hall too. The router
+// of this hall must come first.
 func TestOwnHallIsAskedFirst(t *testing.T) {
 	p := newTestPeers("a2", &peer{address: "a1", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	p.place.Hall = "a"
@@ -40,7 +42,7 @@
 	require.False(t, p.Ahead()[0].OnlyInOtherHalls())
 	require.Equal(t, []string{"a1", "b1"}, p.Ahead()[0].All())
 	p.known["a1"].live = false
-	require.True(t, p.FirstOfHall(), "the first is away")
+	require.True(t, p.FirstOfHall(), "the first is not live")
 }
 
 // TestOwnRegionBeforeOthers has a newer revision at each distance. The nearest router must come
--- a/gateway/cluster/heartbeat.go
+++ b/gateway/cluster/heartbeat.go
@@ -13,10 +13,10 @@
 	heartbeatsPerSecond  = 100                    // received by each router, in large fleets
 	heartbeatFanout      = 24                     // peers that receive a heartbeat
 	membersPerHeartbeat  = 16                     // peers named in a heartbeat
-	membersEveryRounds   = 8                      // rounds, of which one names peers
-	// farMembersEveryRounds is the number of rounds for heartbeats to other regions, where bytes
-	// cost most. Routers learn of peers mainly from their own region, and about every 15 seconds
-	// from other regions, in case they know no router of their own.
+	membersEveryRounds   = 8                      // one round in so many names peers
+	// farMembersEveryRounds replaces membersEveryRounds for heartbeats to other regions, where
+	// bytes cost most. Routers learn of peers mainly from their own region, and about every 15
+	// seconds from other regions, in case they know no router of their own region.
 	farMembersEveryRounds = 8 * membersEveryRounds
 )
 
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -84,7 +84,8 @@
 	h.sendEach(targets, near, far)
 }
 
-// graveReports returns the reports that are sent to other regions.
+// graveReports returns the grave reports, which are the only ones sent to other regions in most
+// rounds.
 func graveReports(all []quarantine.Report) []quarantine.Report {
 	return slices.DeleteFunc(slices.Clone(all), func(r quarantine.Report) bool { return !r.Grave })
 }
@@ -106,7 +107,7 @@
 	}
 }
 
-// encode encodes a heartbeat as a datagram, which is empty if that fails.
+// encode encodes a heartbeat as a datagram. If that fails, it counts the failure and returns nil.
 func (h *heartbeats) encode(b heartbeat) []byte {
 	body, err := encodeHeartbeat(b)
 	if err != nil {
@@ -120,7 +121,7 @@
 func (h *heartbeats) sendExtra(address string, extension heartbeatExtension) {
 	last := h.lastSent.Load()
 	if last == nil || address == h.peers.self {
-		return // other routers do not know yet that this one answers probes
+		return // without a round, no other router has learned yet that this one answers probes
 	}
 	b := *last
 	b.Seq, b.Knows = h.seq.Add(1), h.deps.Feeds.Revisions()
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -21,7 +21,7 @@
 	mu           sync.Mutex
 	exchange     *loads.Exchange
 	lastReceived time.Duration // when the last peer totals were received
-	number       uint64        // of the last list sent; starts at the start time in nanoseconds
+	number       uint64        // of the last list sent; starts at the router's start time in nanoseconds since 1970
 }
 
 func newLoadExchange(s Settings, conn *transport, deps Dependencies) *loadExchange {
@@ -102,7 +102,8 @@
 	}
 }
 
-// deliver passes the totals of the other routers to the state machine.
+// deliver passes the totals of the other routers to the state machine, and their rollout reports to
+// the rollouts.
 func (l *loadExchange) deliver(others loads.PeerTotalsCmd) {
 	now := l.deps.Decisions.Now()
 	if l.lastReceived > 0 {
--- a/gateway/cluster/peer.go
+++ b/gateway/cluster/peer.go
@@ -31,7 +31,7 @@
 }
 
 // warmingUp reports whether a router has just restarted and thus does not lead yet. When a whole
-// fleet starts, no router counts as warmingUp.
+// fleet starts, no router counts as warming up.
 func (p *peer) warmingUp(now time.Duration) bool {
 	return p.restartedAt > 0 && now-p.restartedAt < warmUpTime
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -22,7 +22,8 @@
 	place     traffic.Place
 	deps      Dependencies
 	seedCount int
-	// isSeed reports that starting routers ask this router, or that it has no others to ask.
+	// isSeed reports that this router is a seed, which starting routers ask first, or that it has
+	// no seeds to ask.
 	isSeed bool
 	// startupWait is how long this router waits, as it starts, for its peers to send what it would
 	// otherwise read from the source.
@@ -169,8 +170,8 @@
 	return cmds
 }
 
-// pickTargets picks the targets of a heartbeat at random from the live routers, and one from those
-// that are away, so that parts of a fleet that were disconnected find one another again.
+// pickTargets picks the targets of a heartbeat at random: most from the live routers, and one from
+// those that count as dead, so that parts of a fleet that were disconnected find one another again.
 func pickTargets(alive, dead []string) []string {
 	shuffle(alive)
 	alive = alive[:min(len(alive), heartbeatFanout)]
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -18,8 +18,8 @@
 const stuckAfter = 500 * time.Millisecond
 
 const (
-	// warmUpTime is the time after its start during which a router leaves following to the seeds:
-	// it has not received enough heartbeats yet to know which routers come first.
+	// warmUpTime is the time after its start in which a router follows the source only if it is a
+	// seed: it has not received enough heartbeats yet to determine which routers come first.
 	warmUpTime = 1500 * time.Millisecond
 	// startupWait is how long a starting router waits for a peer to send the list of servers before
 	// it reads the list from the source. It is the time of several calls to a live seed. The
@@ -110,7 +110,7 @@
 }
 
 // stuck reports whether this router has been behind another one for too long. It compares with the
-// revisions that the other router had at the beginning: where things change all the time, some
+// revisions that the other routers had at behindSince: while objects change all the time, some
 // router always has a newer revision.
 func (p *Peers) stuck() bool {
 	now := p.deps.Decisions.Now()
--- a/gateway/cluster/role_test.go
+++ b/gateway/cluster/role_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestOthersTakeOver checks that a router follows the source if a router before it has lost the
-// source or is away, or if it stays behind another router.
+// source or is not live, or if it stays behind another router.
 func TestOthersTakeOver(t *testing.T) {
 	before := func() []*peer {
 		return []*peer{{address: "a"}, {address: "b"}, {address: "c"}}
@@ -41,7 +41,7 @@
 	require.True(t, p.Follows(), "one has lost the source")
 	p = newTestPeers("d", before()...)
 	p.known["a"].live = false
-	require.True(t, p.Follows(), "one is away")
+	require.True(t, p.Follows(), "one is not live")
 	p = newTestPeers("d", before()...)
 	p.known["c"].revisions = feed.Revisions{0, 9, 0}
 	require.False(t, p.Follows(), "it may still pull")
--- a/gateway/cluster/rolloutrow.go
+++ b/gateway/cluster/rolloutrow.go
@@ -72,7 +72,7 @@
 		}
 		for _, c := range row.Cells {
 			if !inRange(row.Routes, c.Route) || !inRange(row.Cohorts, c.Cohort) {
-				continue // the datagram may come from any sender
+				continue // the datagram may come from any sender, so its indices are not trusted
 			}
 			r.Cells = append(r.Cells, rollout.Cell{
 				Route: row.Routes[c.Route], Cohort: row.Cohorts[c.Cohort], Target: c.Target, AfterStart: c.Later, Good: c.Good, Bad: c.Bad,
--- a/gateway/cluster/rolloutrow_test.go
+++ b/gateway/cluster/rolloutrow_test.go
@@ -12,7 +12,7 @@
 
 // TestRolloutDatagram checks that rollout reports survive encoding and decoding, and that the
 // evidence of a hundred routes in three halls takes less than a third of a datagram. Cells with
-// indices out of range are skipped.
+// indices out of range must be skipped.
 func TestRolloutDatagram(t *testing.T) {
 	sent := rollout.Report{
 		Service: "llm", Order: 1 << 63, Routers: 12, MaxStage: rollout.All, MinAppliedStage: rollout.Half, Age: time.Minute, OldRunning: 3, Rejected: true,
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -2,7 +2,7 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// Rollouts makes the decisions on rollouts, for which routers exchange reports.
+// Rollouts decides on rollouts by the reports that routers exchange.
 type Rollouts interface {
 	// Reports returns this router's reports of the rollouts in progress.
 	Reports() []rollout.Report
@@ -34,8 +34,8 @@
 		live++
 	}
 	// A router that receives heartbeats from fewer than half of the routers may be cut off from the
-	// rest, and would complete a rollout while they still use the old servers. Routers without any
-	// heartbeat do not count: they may have been replaced long ago.
+	// rest, and would complete a rollout while they still use the old servers. Routers from which no
+	// heartbeat has ever arrived do not count: they may have been replaced long ago.
 	return 2*live >= heard
 }
 
--- a/gateway/cluster/teamrow.go
+++ b/gateway/cluster/teamrow.go
@@ -6,9 +6,9 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// rateUnit is the unit of teams' rates in datagrams, in tokens per second: about a hundredth of a
-// common request per second. Most rates of a router then take one or two bytes, and the rounding
-// error is small compared with any team's share.
+// rateUnit is the unit of teams' rates in datagrams, in tokens per second. It is about the rate of
+// one typical request in 100 seconds. Most rates of a router then take one or two bytes, and the
+// rounding error is small compared with any team's share.
 const rateUnit = 64
 
 // teamRow is the encoding of a loads.TeamUse, with rates in units of rateUnit.
--- a/gateway/cluster/timing.go
+++ b/gateway/cluster/timing.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	minPeerTimeout      = time.Second // without a heartbeat a peer counts as away
+	minPeerTimeout      = time.Second // time without a heartbeat after which a peer is not live, in small fleets
 	maxMissedHeartbeats = 5           // heartbeats that may be missed in large fleets, where they are less frequent
 )
 
--- a/gateway/cluster/transport.go
+++ b/gateway/cluster/transport.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// recordUnreadable counts an unreadable datagram and logs the first one of each sender: there may
-// be a router of another build that this one cannot see.
+// recordUnreadable counts an unreadable datagram and logs the first one of each sender: the sender
+// may be a router of another build, which this one cannot see.
 func (t *transport) recordUnreadable(from net.Addr, err error) {
 	t.stats.DatagramUnreadable()
 	host, _, splitErr := net.SplitHostPort(from.String())
--- a/gateway/detector/detector.go
+++ b/gateway/detector/detector.go
@@ -15,9 +15,10 @@
 	// maxTickDelay is how late a tick may be. After a later tick, outstanding probes are dropped
 	// without being evaluated.
 	maxTickDelay = TickInterval
-	// deadAfter is the time from the unanswered probe after which a router counts as dead. After
-	// the suspicion starts this leaves 600 ms, two and a half heartbeat rounds of a large fleet, in
-	// which the suspicion reaches nearly all routers and a refutation can overtake it.
+	// deadAfter is the time from the unanswered probe after which a router counts as dead. The
+	// suspicion starts suspectAfter after the probe. That leaves 600 ms, two and a half heartbeat
+	// rounds of a large fleet, in which the suspicion reaches nearly all routers and a refutation
+	// can overtake it.
 	deadAfter = 1000 * time.Millisecond
 	// minSuspicionTime is how long a router waits for a refutation after it has received a
 	// suspicion, however old the suspicion is: one heartbeat round of a large fleet.
@@ -61,7 +62,7 @@
 	return d.cmds
 }
 
-// Alive reports whether a router counts as alive. A router without a heartbeat so far does.
+// Alive reports whether a router counts as alive. One from which no heartbeat has arrived yet does.
 func (d *Detector) Alive(address string, now time.Duration) bool {
 	p := d.peers[address]
 	return p == nil || !p.dead(now)
@@ -144,8 +145,8 @@
 	}
 }
 
-// expireSuspicions queues an update again for each router that counts as dead from now on. Where
-// many routers fail at once, earlier updates may have gone to routers that had failed too.
+// expireSuspicions queues another update about each suspect that now counts as dead. Where many
+// routers fail at once, earlier updates may have gone to routers that had failed too.
 func (d *Detector) expireSuspicions(now time.Duration) {
 	d.suspects = slices.DeleteFunc(d.suspects, func(p *peer) bool {
 		if p.dead(now) {
--- a/gateway/detector/detector_test.go
+++ b/gateway/detector/detector_test.go
@@ -24,7 +24,7 @@
 	return f.now - began
 }
 
-// losses maps names to the routers that fail at once, by the size of the fleet.
+// losses holds, by name, functions that return which routers fail at once in a fleet of a size.
 var losses = map[string]func(size int) func(id int) bool{
 	"one":       func(int) func(int) bool { return func(id int) bool { return id == 3 } },
 	"four":      func(int) func(int) bool { return func(id int) bool { return id < 4 } },
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestPausedRouterIsAliveAgain pauses a router for three seconds. It counts as dead meanwhile.
-// After it resumes it may take no other router for dead, and must count as alive at all routers
-// within a second.
+// TestPausedRouterIsAliveAgain pauses a router for three seconds, in which it counts as dead. Within
+// a second after it resumes, it must count as alive at all routers, and no other router may count as
+// dead at it.
 func TestPausedRouterIsAliveAgain(t *testing.T) {
 	f := newFleet(200, 9)
 	f.run(time.Second)
--- a/gateway/detector/fleet_test.go
+++ b/gateway/detector/fleet_test.go
@@ -15,7 +15,7 @@
 	byAddress map[string]*node
 	now       time.Duration
 	events    events
-	order     uint64
+	order     uint64                     // number of events scheduled; orders events of the same time
 	lossRate  float64                    // fraction of the datagrams that is lost
 	blocked   func(from, to int) bool    // one direction
 	delay     func(to int) time.Duration // how late a router reads
@@ -124,7 +124,8 @@
 	}
 }
 
-// send delivers a heartbeat with updates to another router, and calls then on arrival.
+// send sends a heartbeat with updates to another router. It calls onArrival, unless nil, when the
+// heartbeat arrives.
 func (f *fleet) send(from, to *node, onArrival func()) {
 	if from == to {
 		return
--- a/gateway/detector/messages.go
+++ b/gateway/detector/messages.go
@@ -9,7 +9,7 @@
 type HeartbeatMsg struct {
 	Now     time.Duration
 	Address string
-	// Incarnation differs between two starts of a router.
+	// Incarnation changes each time the router starts.
 	Incarnation uint32
 	// AnswersProbes reports that the router answers probes; routers of earlier builds do not.
 	AnswersProbes bool
@@ -40,20 +40,21 @@
 // Cmd is a command to the caller of Update.
 type Cmd interface{ isCmd() }
 
-// ProbeCmd asks the router To to answer at once.
+// ProbeCmd asks for a probe of the router To, which then answers at once.
 type ProbeCmd struct{ To string }
 
-// IndirectProbeCmd asks the router Via to have Target answer to this router.
+// IndirectProbeCmd asks for a probe of Target through the router Via. Target answers to this
+// router.
 type IndirectProbeCmd struct{ Via, Target string }
 
-// RefuteCmd sends a heartbeat at once, because other routers suspect this one.
+// RefuteCmd asks for a heartbeat to be sent at once, because other routers suspect this one.
 type RefuteCmd struct{}
 
 func (ProbeCmd) isCmd()         {}
 func (IndirectProbeCmd) isCmd() {}
 func (RefuteCmd) isCmd()        {}
 
-// PeerUpdate is what routers report to one another about a third one.
+// PeerUpdate is a report from one router to another about a third one.
 type PeerUpdate struct {
 	Address     string
 	Incarnation uint32
--- a/gateway/detector/probe.go
+++ b/gateway/detector/probe.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// probeAfterSilence is how long a router is not probed after it was last known to be alive.
+	// probeAfterSilence is the time since a router was last known to be alive before which it is
+	// not probed.
 	probeAfterSilence = 300 * time.Millisecond
 	// reprobeAfter is the time after which an unanswered probe is repeated, directly and through
 	// other routers. It is several times the round trip between regions.
 	reprobeAfter = 150 * time.Millisecond
-	// suspectAfter is the time after which a router that answers no probe is suspected. It leaves a
-	// router that runs 100 ms late enough time to answer the second and the indirect probes.
+	// suspectAfter is the time after the first unanswered probe at which a router is suspected. A
+	// router that runs 100 ms late has enough time to answer the second and the indirect probes.
 	suspectAfter = 400 * time.Millisecond
 	// indirectProbes is the number of other routers through which a router is probed.
 	indirectProbes = 3
@@ -68,8 +69,8 @@
 	p.probedAt = 0
 }
 
-// probeIndirectly probes a router through the next routers of the ring, so that each call uses
-// different ones.
+// probeIndirectly probes a router through the routers that this one probes next, so that repeated
+// calls use different ones.
 func (d *Detector) probeIndirectly(p *peer) {
 	sent := 0
 	for i := 0; i < min(len(d.ring), maxRingScan) && sent < indirectProbes; i++ {
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -12,8 +12,8 @@
 	// slowLag is the lag above which the router no longer judges servers by its own time
 	// measurements.
 	slowLag = 30 * time.Millisecond
-	// Below keepsUpLag a router keeps up. At overloadLag or more it becomes overloaded if the lag
-	// lasts.
+	// A router with a lag below keepsUpLag keeps up. One whose lag stays at overloadLag or more
+	// becomes overloaded.
 	keepsUpLag  = 40 * time.Millisecond
 	overloadLag = 120 * time.Millisecond
 	// lagDecay is the fraction of the recorded lag that remains after one tick.
@@ -30,8 +30,8 @@
 )
 
 // Gauge measures how late this process runs, by the delay of its ticks. A router that is short of
-// CPU time must neither accept more work than it can do nor take other processes for slow. The zero
-// value is the gauge of a process that keeps up.
+// CPU time must neither accept more work than it can do nor judge other processes to be slow. The
+// zero value is the gauge of a process that keeps up.
 type Gauge struct {
 	lag atomic.Int64
 	// tickDelay is how late the last tick came.
@@ -49,7 +49,7 @@
 	yielder yielder
 	yields  atomic.Bool
 	hall    atomic.Pointer[Hall]
-	// Without holds the mechanisms that are disabled.
+	// Without holds the disabled mechanisms.
 	Without direct.DisabledMechanisms
 }
 
@@ -96,7 +96,8 @@
 // refused anyway.
 func (g *Gauge) TooLateToRead() bool { return g.Lag() >= shedAllLag }
 
-// Yields reports whether the load balancer should send callers to the other routers of the hall.
+// Yields reports whether the router presents itself as not ready, so that the load balancer sends
+// callers to the other routers of the hall.
 func (g *Gauge) Yields() bool { return g.yields.Load() }
 
 // SetHall sets the state of the other routers of the hall.
--- a/gateway/pressure/probe_test.go
+++ b/gateway/pressure/probe_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestProbeCountsWhileItWaits checks that a wait that has not ended counts by its length so far.
-// Otherwise a router whose goroutines wait for seconds would not notice until they run.
+// Otherwise a router whose goroutines wait for seconds would measure no lag until they run.
 func TestProbeCountsWhileItWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/gateway/pressure/shed.go
+++ b/gateway/pressure/shed.go
@@ -10,20 +10,21 @@
 	// shedTarget is the lag that shedding aims at: a router refuses new requests, whose callers
 	// then try other routers, to keep its lag from exceeding it.
 	shedTarget = 12 * time.Millisecond
-	// shedErrorGain and shedTrendGain are what a second of lag above the target, and a second of
-	// growth of the lag, add to the shed fraction per tick: a proportional-integral controller
-	// after RFC 8033.
+	// shedErrorGain and shedTrendGain are the gains of a proportional-integral controller after RFC
+	// 8033. A second of lag above the target adds shedErrorGain to the shed fraction per tick, and
+	// a second by which the lag has grown since the last tick adds shedTrendGain.
 	shedErrorGain = 0.4
 	shedTrendGain = 3.0
 	// maxShedStep bounds the change of the fraction per tick.
 	maxShedStep = 0.1
-	// From shedSomeLag to shedAllLag, a minimum fraction of the requests is shed that rises from
-	// none to all: ticks come late then, and requests that are read late are read in vain.
+	// As the lag rises from shedSomeLag to shedAllLag, the minimum fraction that is shed rises from
+	// 0 to 1. At such a lag ticks are too rare to adjust the fraction step by step, and reading
+	// late requests is wasted work.
 	shedSomeLag = 40 * time.Millisecond
 	shedAllLag  = 100 * time.Millisecond
 	// shedDecay is the fraction that remains after a tick with a lag below half the target.
 	shedDecay = 0.97
-	// minShedFraction is the smallest fraction that counts; smaller ones become 0.
+	// minShedFraction is the smallest fraction that is used; smaller ones become 0.
 	minShedFraction = 0.001
 )
 
--- a/gateway/pressure/unreadconns.go
+++ b/gateway/pressure/unreadconns.go
@@ -4,21 +4,22 @@
 
 const (
 	// unreadConnsPerCore is the number of new connections that one core reads and refuses in about
-	// 50 ms. A refusal on a new connection takes 70 us of a core (see BenchmarkRefusal), and about
-	// twice that where CPU time is accounted per user.
+	// 50 ms. A refusal on a new connection takes 70 us of a core (see BenchmarkRefusal). It costs
+	// about twice as much in a deployment that charges the CPU time of its hosts by its own price
+	// list.
 	unreadConnsPerCore = 300
-	// MinUnreadConns is the minimum limit, for callers that connect to a small host at the same
+	// MinUnreadConns is the minimum limit. It lets some callers connect to a small host at the same
 	// time.
 	MinUnreadConns = 16
-	// unreadConnTTL is how long an unread connection counts. After that its caller has not sent
-	// anything, so no request is waiting.
+	// unreadConnTTL is how long an unread connection counts. A connection that is unread for longer
+	// has no request waiting, because its caller has not sent anything.
 	unreadConnTTL = 250 * time.Millisecond
 )
 
-// AcceptedConn is an accepted connection.
+// AcceptedConn records when a connection was accepted and whether it counts as unread.
 type AcceptedConn struct {
-	At      time.Time
-	counted bool // by UnreadConns
+	At      time.Time // when it was accepted
+	counted bool      // by UnreadConns
 }
 
 // UnreadConns counts the accepted connections whose first request has not been read because the
@@ -56,7 +57,8 @@
 // Count returns the number of unread connections.
 func (c *UnreadConns) Count() int { return c.count }
 
-// Full reports whether as many connections are unread as the router can read in about 50 ms.
+// Full reports whether as many connections are unread as the router can read in about 50 ms. It
+// first stops counting those that were accepted unreadConnTTL ago or earlier.
 func (c *UnreadConns) Full(now time.Time) bool {
 	for len(c.queue) > 0 {
 		oldest := c.queue[0]
--- a/gateway/pressure/unreadconns_test.go
+++ b/gateway/pressure/unreadconns_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFreshCountsWhatWaits checks that a connection counts until it is read, is closed, or has been
-// idle for unreadConnTTL.
+// TestFreshCountsWhatWaits checks that a connection counts until it is read or closed, and for at
+// most unreadConnTTL.
 func TestFreshCountsWhatWaits(t *testing.T) {
 	c := NewUnreadConns(0.144)
 	at := time.Now()
@@ -25,7 +25,7 @@
 	require.Equal(t, len(conns)-1, c.count, "a connection counts once")
 	c.Add(&AcceptedConn{At: at.Add(unreadConnTTL / 2)})
 	require.True(t, c.Full(at))
-	require.False(t, c.Full(at.Add(unreadConnTTL)), "idle connections no longer count")
+	require.False(t, c.Full(at.Add(unreadConnTTL)), "connections that are unread for too long no longer count")
 	require.Equal(t, 1, c.count)
 }
 
--- a/gateway/pressure/yield.go
+++ b/gateway/pressure/yield.go
@@ -14,7 +14,7 @@
 	maxYieldTime       = 48 * time.Second
 )
 
-// Hall is the state of the other routers of a router's hall.
+// Hall counts the other routers of a router's data hall by their state.
 type Hall struct {
 	Routers  int // alive
 	Yielding int // alive routers that yield
@@ -23,11 +23,11 @@
 
 // yielder decides when a router that is short of CPU time reports that it is not ready, so that the
 // load balancer sends its callers to the other routers of its hall. It keeps at least half of the
-// hall ready, because with fewer the load balancer uses all routers. The zero value is ready.
+// hall ready: if fewer are ready, the load balancer uses all routers. The zero value is ready.
 type yielder struct {
 	sheddingSince time.Duration // 0: not shedding enough
-	yieldUntil    time.Duration // end of the last yield
-	yieldTime     time.Duration // length of the last yield
+	yieldUntil    time.Duration // end of the current or last yield
+	yieldTime     time.Duration // length of the current or last yield
 }
 
 // update records the fraction of the new requests that is shed and reports whether the router
--- a/gateway/pressure/yield_test.go
+++ b/gateway/pressure/yield_test.go
@@ -8,8 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestYields checks that a router that sheds for a while yields, for twice as long each time that
-// it soon has to again, and that it is ready after the yield if it sheds no longer.
+// TestYields checks that a router yields after it has shed requests for yieldAfter, that a yield
+// soon after the last one is twice as long, and that the router is ready after a yield if it no
+// longer sheds.
 func TestYields(t *testing.T) {
 	hall := Hall{Routers: 6, Unloaded: 4}
 	now := time.Second
--- a/loads/bytes_test.go
+++ b/loads/bytes_test.go
@@ -59,8 +59,8 @@
 	return bytesOf(&list)
 }
 
-// simulatedFleet is a fleet whose bytes are counted. Each router has requests at some servers of
-// its region, sees some teams, and makes some copies.
+// simulatedFleet is a fleet whose traffic is counted. Each router has requests at some servers of
+// its region, reports the usage of some teams, and makes some copies.
 type simulatedFleet struct {
 	name                             string
 	routers, halls, regions, servers int
--- a/loads/copies.go
+++ b/loads/copies.go
@@ -7,8 +7,8 @@
 
 const (
 	// copyRepeats is the number of lists in which a copy is announced to each receiver. One in ten
-	// datagrams may be lost, and a receiver that misses a copy makes a server read the prompt once
-	// more.
+	// datagrams may be lost, and a receiver that misses a copy may send the prompt to a server that
+	// has to process it again.
 	copyRepeats = 3
 	// copyTTL is how long a copy is announced, and remembered so that a repeat is not taken for a
 	// new copy. It is longer than repeats take to arrive.
@@ -26,11 +26,11 @@
 	maxCopiesPerRound = 160
 )
 
-// copyOrigin is how a router learned of a copy. It decides which lists announce the copy.
+// copyOrigin is how a router learned of a copy. It determines which lists announce the copy.
 type copyOrigin uint8
 
 const (
-	fromSelf   copyOrigin = iota // sent to the aggregator and, as with fromReport, to others
+	fromSelf   copyOrigin = iota // sent to the aggregator, and to the receivers of fromReport
 	fromReport                   // sent to all routers that report here and to other halls
 	fromSum                      // sent to all routers that report here
 	fromDigest                   // not sent
@@ -91,7 +91,7 @@
 }
 
 // next returns the copies for the next list to a receiver: those added since the oldest of its last
-// copyRepeats lists, so that each copy is in as many lists. If more than limit match, it returns
+// copyRepeats lists. Each copy is thus in copyRepeats lists. If more than limit match, next returns
 // the newest.
 func (l *copyLog) next(cursor *copyCursor, limit int, match func(copyEntry) bool) []Copy {
 	begin := max(cursor.ends[copyRepeats-1], l.dropped) - l.dropped
--- a/loads/delta.go
+++ b/loads/delta.go
@@ -11,7 +11,7 @@
 	// of that many takes 2.5 kB, which costs a hall's aggregator 100 kB per second for each router
 	// that reports to it.
 	deltaThreshold = 256
-	// minDeltaRatio is how many times as many loads a full digest must hold as a delta. If more
+	// minDeltaRatio is the minimum ratio of the loads in a full digest to those in a delta. If more
 	// loads have changed, a full digest is sent, and the deltas to it are small again.
 	minDeltaRatio = 4
 )
--- a/loads/delta_test.go
+++ b/loads/delta_test.go
@@ -22,8 +22,8 @@
 }
 
 // TestDeltasUnderFaults uses so many servers that digests are sent as deltas, while lists are lost,
-// delayed and repeated, loads change and routers restart. Once the faults end, each router must
-// have exactly what the others have.
+// delayed and repeated, loads change and routers restart. After the faults end, each router must
+// receive exactly the total loads of the others.
 func TestDeltasUnderFaults(t *testing.T) {
 	for seed := range uint64(8) {
 		s := newLossyNetwork(seed, "north/a", "north/a", "north/a", "south/c")
--- a/loads/doc.go
+++ b/loads/doc.go
@@ -11,13 +11,13 @@
 // routers of another hall report crosses between the halls once per hall. Reports of rollouts are
 // sent along with it.
 //
-// Halls belong to regions. With the lists that carry team usage, the best router of a region sends
-// the totals of its region to one router of each other region, which forwards them to the
-// aggregators of its halls, and these to their routers. A region's totals are thus sent to another
-// region once, not to each of its routers. The loads of servers in other regions are a tenth of a
-// second older, which does little harm: they matter only when the servers of the own region are
-// full. All lists of a region cover the same routers, whoever sends them, so each router counts
-// exactly one list per other region.
+// Halls belong to regions. With the lists that carry team usage, the most powerful router of a
+// region sends the totals of its region to one router of each other region. That router forwards
+// them to the aggregators of its region's halls, and these forward them to their routers. A region's
+// totals are thus sent to another region once, not to each of its routers. The loads of servers in
+// other regions are a tenth of a second older, which does little harm: they matter only when the
+// servers of the router's own region are full. All lists of a region cover the same routers, whoever
+// sends them, so each router counts exactly one list per other region.
 //
 // Copies of prompt parts are announced in the lists within a region, each in a few lists to each
 // receiver. They are not sent to other regions: a request goes to another region only when its own
--- a/loads/exchange.go
+++ b/loads/exchange.go
@@ -55,8 +55,8 @@
 	// unansweredSince is when the first report was sent that the aggregator has not answered; 0:
 	// none.
 	unansweredSince time.Duration
-	aggregator      string
-	chosenAt        time.Duration
+	aggregator      string                   // address; see Aggregator
+	chosenAt        time.Duration            // when the aggregator was chosen; 0: it is the initial one
 	multiRegion     bool                     // there are other regions, or have been
 	avoidedUntil    map[string]time.Duration // by address; the time until which a router is avoided
 	reportedAt      time.Duration
@@ -147,14 +147,15 @@
 	e.emitPeerTotals(msg.Now, PeerTotalsCmd{Loads: loads, HasTeams: msg.HasTeams, Teams: msg.Teams, Rollouts: msg.Rollouts})
 }
 
-// emitPeerTotals emits what all other routers have, including those of other regions.
+// emitPeerTotals emits the totals of all other routers: the given ones of this region, and those of
+// other regions.
 func (e *Exchange) emitPeerTotals(now time.Duration, inRegion PeerTotalsCmd) {
 	others := e.addOtherRegions(now, inRegion)
 	others.Copies, e.newCopies = e.newCopies, nil
 	e.emit(others)
 }
 
-// answerReport answers a report with what all other routers of the region have.
+// answerReport answers a report with the totals of all other routers of the region.
 func (e *Exchange) answerReport(report ListMsg) {
 	now, to := report.Now, report.From
 	digest := SendCmd{To: to, Kind: Digest, HasTeams: report.HasTeams, Copies: e.copiesFor(now, to, Digest)}
@@ -185,7 +186,8 @@
 	}
 }
 
-// peerTotalsInRegion returns what all other routers of the region have, as this aggregator knows it.
+// peerTotalsInRegion returns the totals of all other routers of the region, as received by this
+// aggregator.
 func (e *Exchange) peerTotalsInRegion(msg TickMsg) PeerTotalsCmd {
 	others := PeerTotalsCmd{Loads: e.loadsExcept(e.self.Address), HasTeams: msg.HasTeams}
 	if msg.HasTeams {
@@ -194,7 +196,7 @@
 	return others
 }
 
-// sendReport sends what this router has to its aggregator.
+// sendReport sends the loads of this router to its aggregator.
 func (e *Exchange) sendReport(msg TickMsg) {
 	now := msg.Now
 	copies := e.copiesFor(now, e.aggregator, Report)
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -121,14 +121,14 @@
 
 func always(packet) bool { return true }
 
-// requireConverged checks that every router has exactly what all the others have.
+// requireConverged checks that every router has received exactly the total loads of all the others.
 func (n *network) requireConverged(t require.TestingT) {
 	for _, r := range n.routers {
 		n.requireReceivedAll(t, r)
 	}
 }
 
-// requireReceivedAll checks that a router has received exactly what all the others have.
+// requireReceivedAll checks that a router has received exactly the total loads of all the others.
 func (n *network) requireReceivedAll(t require.TestingT, r Router) {
 	var lists [][]Load
 	for _, other := range n.routers {
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestRoutersConverge checks that routers of three halls receive within four rounds what all the
-// others have.
+// TestRoutersConverge checks that routers of three halls receive the loads of all the others within
+// four rounds.
 func TestRoutersConverge(t *testing.T) {
 	n := newNetwork("a", "a", "a", "b", "b", "c")
 	n.connectAll()
@@ -215,8 +215,8 @@
 	}
 }
 
-// runLossPatterns runs each pattern of eight losses, which repeats where two rounds have more
-// lists.
+// runLossPatterns runs each pattern of eight lost or delivered lists. A pattern repeats if two rounds
+// have more lists.
 func runLossPatterns(t *testing.T, halls []string, unknown int) {
 	const decisions = 8
 	for pattern := range 1 << decisions {
--- a/loads/expire.go
+++ b/loads/expire.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// dropExpired removes everything that has not been renewed in time.
+// dropExpired removes the state that has expired.
 func (e *Exchange) dropExpired(now time.Duration) {
 	e.dropLoads(now)
 	e.dropTeams(now)
--- a/loads/load.go
+++ b/loads/load.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is what one or more routers have at a server.
+// Load is the load that one or more routers put on a server.
 type Load struct {
 	Server  uint32 // see ServerKey
-	Running int32  // requests that were sent and have not ended
+	Running int32  // requests that were sent to the server and have not ended
 	Pending int32  // prompt tokens of requests whose first event has not arrived
 }
 
--- a/loads/messages.go
+++ b/loads/messages.go
@@ -11,12 +11,12 @@
 
 // The kinds of lists that routers send to one another.
 const (
-	Report Kind = iota + 1 // what the sender has, for its aggregator
-	Digest                 // what all routers but the receiver have, in answer to a report
-	Sum                    // what the routers that report to the sender have
+	Report Kind = iota + 1 // of the sender itself, for its aggregator
+	Digest                 // totals of the region's routers other than the receiver, in answer to a report
+	Sum                    // totals of the routers that report to the sender, for other aggregators
 	// The other kinds cover all routers of one region.
-	RegionSum     // from the aggregator of a region to one of another region, which distributes it there
-	RegionAnswer  // the same, in answer to a RegionSum
+	RegionSum     // from the region's most powerful router to a router of another region, which distributes it there
+	RegionAnswer  // totals of the answering router's own region, in answer to a RegionSum
 	RegionForward // a region list forwarded to the aggregators of the region's other halls
 	RegionDigest  // a region list forwarded by an aggregator to the routers that report to it
 )
@@ -36,8 +36,8 @@
 // RoutersMsg holds the other routers that are alive.
 type RoutersMsg struct{ Routers []Router }
 
-// ListMsg is a list from another router. The numbers of one router increase; a list that is not
-// newer than the last one of its kind is ignored.
+// ListMsg is a list from another router. Each router numbers its lists in increasing order; a list
+// whose number is not higher than that of the last list of its kind is ignored.
 type ListMsg struct {
 	Now    time.Duration
 	From   string
@@ -49,15 +49,15 @@
 	// a digest the one that Loads are a delta to. 0: none.
 	Base  uint64
 	Loads []Load
-	// HasTeams reports whether the list carries team usage, as only some lists do.
+	// HasTeams reports whether the list carries team usage. Only some lists do.
 	HasTeams bool
 	Teams    []TeamUse
 	Rollouts []rollout.Report // set only if HasTeams
 	Copies   []Copy
 }
 
-// TickMsg starts a round with what this router has. Send one every RoundInterval, and with teams
-// every TeamsInterval.
+// TickMsg starts a round with the current loads of this router. Send one every RoundInterval, and
+// set HasTeams every TeamsInterval.
 type TickMsg struct {
 	Now      time.Duration
 	Own      []Load
@@ -87,7 +87,7 @@
 	Copies   []Copy
 }
 
-// PeerTotalsCmd holds what all other routers have and, in some rounds, their team usage.
+// PeerTotalsCmd returns the total loads of all other routers and, in some rounds, their team usage.
 type PeerTotalsCmd struct {
 	Loads    []Load
 	HasTeams bool
--- a/loads/regions.go
+++ b/loads/regions.go
@@ -13,8 +13,8 @@
 const RegionTTL = TeamsTTL
 
 // regionTimeout is how long a router of another region may leave lists unanswered before the next
-// router is sent them too, and the age at which its list gives way to a newer list of a less
-// preferred sender: the time in which three lists in a row may be lost.
+// router is sent them too. It is also the age from which a list counts less than a newer list of a
+// less preferred sender. Three lists in a row may be lost in that time.
 const regionTimeout = 4 * TeamsInterval
 
 // maxRegionTargets bounds the routers of one region that are sent lists while none of them answers:
@@ -33,8 +33,9 @@
 	rollouts []rollout.Report
 }
 
-// handleRegion stores the totals of another region and forwards them: the region's aggregator to
-// those of the other halls, and these to the routers that report to them.
+// handleRegion stores the totals of another region and forwards them: the router that received them
+// from the other region to the aggregators of its own region's halls, and these to the routers that
+// report to them.
 func (e *Exchange) handleRegion(msg ListMsg) {
 	if msg.Region == e.self.Region || !e.storeRegionIfNewer(msg) {
 		return
@@ -88,8 +89,8 @@
 // aggregates reports whether this router sums up the loads of others.
 func (e *Exchange) aggregates() bool { return e.aggregator == e.self.Address || len(e.reports) > 0 }
 
-// leadsRegion reports whether this router is the best of its region and thus sends its totals to
-// other regions.
+// leadsRegion reports whether this router is the best aggregator of its region and thus sends the
+// region's totals to other regions.
 func (e *Exchange) leadsRegion() bool {
 	return !slices.ContainsFunc(e.routers, func(r Router) bool { return r.Region == e.self.Region && betterAggregator(r, e.self) })
 }
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -20,7 +20,7 @@
 type lossyNetwork struct {
 	*network
 	random       *rand.Rand
-	faultRate    float64            // fraction of the lists that is lost; as many are delayed or repeated
+	faultRate    float64            // fraction of the lists that is lost; as many are delayed, half of them also repeated
 	blocked      map[[2]string]bool // by sender and receiver; nothing passes
 	listsBlocked map[[2]string]bool // by sender and receiver; only heartbeats pass
 	lastHeard    map[[2]string]time.Duration
@@ -325,8 +325,9 @@
 	})
 }
 
-// TestRegionCountsTheDeafTwiceAtMost has a router of a large hall receive no answers to its
-// reports, so that it switches from one aggregator to the next.
+// TestRegionCountsTheDeafTwiceAtMost has a router of a large hall receive no lists, and thus no
+// answers to its reports, so that it switches from one aggregator to the next. It may be counted
+// through two of them, but not three.
 func TestRegionCountsTheDeafTwiceAtMost(t *testing.T) {
 	s := newLossyNetwork(1, largeHall...)
 	s.run(20, nil)
@@ -336,8 +337,8 @@
 	s.run(200, func() { s.requireCountedAtMost(t, 2) })
 }
 
-// TestRegionCountsTheDeafBackTwiceAtMost has such a router receive nothing at all, and then
-// everything again, for each duration up to two seconds.
+// TestRegionCountsTheDeafBackTwiceAtMost has such a router receive nothing at all for each duration
+// up to two seconds, and then everything again. It may never be counted more than twice.
 func TestRegionCountsTheDeafBackTwiceAtMost(t *testing.T) {
 	for rounds := range int(2 * time.Second / RoundInterval) {
 		s := newLossyNetwork(uint64(rounds), largeHall...)
--- a/loads/rollouts.go
+++ b/loads/rollouts.go
@@ -8,7 +8,7 @@
 )
 
 // RolloutTTL is how long a list of rollout reports counts without a newer one. It is shorter than
-// TeamsTTL: a missing report delays a rollout only for a moment, whereas a router that counts twice
+// TeamsTTL: a missing report delays a rollout only briefly, whereas a router that is counted twice
 // could hide another one that has not reported yet.
 const RolloutTTL = 350 * time.Millisecond
 
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -15,16 +15,16 @@
 	TeamsInterval = 100 * time.Millisecond
 	// TeamsTTL is how long such a list counts in full without a newer one; a few may be lost.
 	TeamsTTL = 600 * time.Millisecond
-	// DemandTTL is how much longer the demand of a lost router's callers counts, after what they
-	// were served has expired. It is about the time in which other routers serve these callers
-	// again.
+	// DemandTTL is how much longer the demand of a lost router's callers counts after TeamsTTL, when
+	// what they were served no longer does. It is about the time in which other routers serve these
+	// callers again.
 	DemandTTL = 4 * time.Second
 )
 
 // TeamUse is the recent usage of a team as observed by one or more routers, in tokens per second.
 type TeamUse struct {
 	Team    string
-	Offered float32
+	Offered float32 // asked for by the team's callers
 	Recent  float32 // offered in the last half second
 	Served  float32
 }
@@ -69,11 +69,11 @@
 	return sumTeams(lists...)
 }
 
-// countedTeams returns the part of a list that counts: all of it while it is fresh, and after that,
-// until it is dropped, only the demand, since the callers of a lost router are about to return
-// through other routers. A router that is still alive now reports to another aggregator, and one
-// that was replaced as its hall's aggregator has passed its demand on to the next one; neither list
-// counts any longer.
+// countedTeams returns the part of a list that counts. For TeamsTTL the whole list counts. After
+// that, until it is dropped, only its demand counts, because the callers of a lost router are about
+// to return through other routers. Two kinds of older lists do not count at all: those of routers
+// that are alive, which now report to another aggregator, and those of replaced aggregators, whose
+// demand is included in the sums of the next aggregator.
 func (e *Exchange) countedTeams(now time.Duration, from string, l teamList, replaced bool) []TeamUse {
 	if now-l.receivedAt <= TeamsTTL {
 		return l.uses
