--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -78,6 +78,6 @@
 	}
 }
 
-// timeToReadConfig returns a time that is longer than a starting router waits for its peers and then
-// takes to read the configuration.
+// timeToReadConfig returns a time that is longer than a starting router waits for its peers and
+// then takes to read the configuration.
 func timeToReadConfig() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// awaitNextList waits for at most limit until the registry is in a later era than the given one, and
-// reports whether it is. After a change of era it also waits for a delay that depends on this
+// awaitNextList waits for at most limit until the registry is in a later era than the given one,
+// and reports whether it is. After a change of era it also waits for a delay that depends on this
 // router's address, so that routers that started together do not call the registry together.
 func (d discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
 	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
@@ -109,8 +109,8 @@
 	return d.registry.Register(call, d.self) == nil
 }
 
-// list passes the routers that the registry lists to onMember, and reports whether this one is among
-// them.
+// list passes the routers that the registry lists to onMember, and reports whether this one is
+// among them.
 func (d discovery) list(ctx context.Context, stale bool) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -27,8 +27,8 @@
 	require.NotContains(t, p.silentHalls(now), "b", "routers that are no longer live do not count")
 }
 
-// TestOwnHallIsAskedFirst has newer revisions in another hall, and then in this hall too. The router
-// of this hall must come first.
+// TestOwnHallIsAskedFirst has newer revisions in another hall, and then in this hall too. The
+// router of this hall must come first.
 func TestOwnHallIsAskedFirst(t *testing.T) {
 	p := newTestPeers("a2", &peer{address: "a1", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
 	p.place.Hall = "a"
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -32,6 +32,7 @@
 // sendNow sends a round of heartbeats ahead of schedule.
 func (h *heartbeats) sendNow() { notify(h.wake) }
 
+// notify sends on a channel unless a signal is already pending. It does not block.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -34,8 +34,8 @@
 		live++
 	}
 	// A router that receives heartbeats from fewer than half of the routers may be cut off from the
-	// rest, and would complete a rollout while they still use the old servers. Routers from which no
-	// heartbeat has ever arrived do not count: they may have been replaced long ago.
+	// rest, and would complete a rollout while they still use the old servers. Routers from which
+	// no heartbeat has ever arrived do not count: they may have been replaced long ago.
 	return 2*live >= heard
 }
 
--- a/gateway/cluster/rollouts_test.go
+++ b/gateway/cluster/rollouts_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestRolloutLeaderCutOff checks that a router does not lead if it receives heartbeats from fewer
-// than half of the routers: it cannot know what the others send to old servers.
+// than half of the routers: it does not learn which requests the others send to old servers.
 func TestRolloutLeaderCutOff(t *testing.T) {
 	p := newTestPeers("a", &peer{address: "b"}, &peer{address: "c"}, &peer{address: "d"})
 	p.known["b"].live, p.known["c"].live = false, false
--- a/gateway/detector/detector_test.go
+++ b/gateway/detector/detector_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestPausedRouterIsAliveAgain pauses a router for three seconds, in which it counts as dead. Within
-// a second after it resumes, it must count as alive at all routers, and no other router may count as
-// dead at it.
+// TestPausedRouterIsAliveAgain pauses a router for three seconds, in which it counts as dead.
+// Within a second after it resumes, it must count as alive at all routers, and no other router may
+// count as dead at it.
 func TestPausedRouterIsAliveAgain(t *testing.T) {
 	f := newFleet(200, 9)
 	f.run(time.Second)
--- a/gateway/detector/gossip.go
+++ b/gateway/detector/gossip.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// sendsPerUpdate is the number of datagrams in which each router sends an update, not counting those
-// to routers that may be dead. With 16, one router in nine million does not receive an update.
+// sendsPerUpdate is the number of datagrams in which each router sends an update, not counting
+// those to routers that may be dead. With 16, one router in nine million does not receive an
+// update.
 const sendsPerUpdate = 16
 
 // pendingUpdate is an update that is still to be sent.
@@ -25,8 +26,8 @@
 	}
 }
 
-// NextUpdates returns at most limit updates for the next datagram to a router. It rotates the queue,
-// so that every update is sent.
+// NextUpdates returns at most limit updates for the next datagram to a router. It rotates the
+// queue, so that every update is sent.
 func (d *Detector) NextUpdates(now time.Duration, to string, limit int) []PeerUpdate {
 	n := min(limit, len(d.updates))
 	if n == 0 {
--- a/gateway/pressure/doc.go
+++ b/gateway/pressure/doc.go
@@ -3,6 +3,6 @@
 // when the load balancer should send callers to other routers, and for how long streams batch
 // events.
 //
-// A Gauge receives the delay of each tick. Its methods may be called from any goroutine, except
-// Observe. It reads no clock.
+// A Gauge receives the delay of each tick and reads no clock. Observe must be called from one
+// goroutine at a time; the other methods may be called from any.
 package pressure
--- a/loads/aggregator.go
+++ b/loads/aggregator.go
@@ -55,14 +55,15 @@
 	return sortedKeys(to)
 }
 
-// mustReachHallLeader reports whether this router must send its sum to the best aggregator of its own
-// hall. While this router avoids that one and aggregates the hall itself, the other may still send
-// the region's totals to other regions, and they would lack this hall.
+// mustReachHallLeader reports whether this router must send its sum to the best aggregator of its
+// own hall. While this router avoids that one and aggregates the hall itself, the other may still
+// send the region's totals to other regions, and they would lack this hall.
 func (e *Exchange) mustReachHallLeader(best Router) bool {
 	return e.aggregator == e.self.Address && betterAggregator(best, e.self) && len(e.otherRegions()) > 0
 }
 
-// hallLeaders returns the best aggregator of each hall by hall, among all live routers but this one.
+// hallLeaders returns the best aggregator of each hall by hall, among all live routers but this
+// one.
 func (e *Exchange) hallLeaders() map[string]Router {
 	leaders := make(map[string]Router)
 	for _, r := range e.routers {
@@ -76,8 +77,8 @@
 // betterAggregator reports whether a is a better aggregator than b.
 func betterAggregator(a, b Router) bool { return compareAggregators(a, b) < 0 }
 
-// compareAggregators orders routers by power, highest first, and then by address. The best aggregator
-// comes first.
+// compareAggregators orders routers by power, highest first, and then by address. The best
+// aggregator comes first.
 func compareAggregators(a, b Router) int {
 	return cmp.Or(-cmp.Compare(a.Power, b.Power), cmp.Compare(a.Address, b.Address))
 }
--- a/loads/exchange_test.go
+++ b/loads/exchange_test.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// runLossPatterns runs each pattern of eight lost or delivered lists. A pattern repeats if two rounds
-// have more lists.
+// runLossPatterns runs each pattern of eight lost or delivered lists. A pattern repeats if two
+// rounds have more lists.
 func runLossPatterns(t *testing.T, halls []string, unknown int) {
 	const decisions = 8
 	for pattern := range 1 << decisions {
--- a/loads/messages.go
+++ b/loads/messages.go
@@ -17,8 +17,8 @@
 	// The other kinds cover all routers of one region.
 	RegionSum     // from the region's most powerful router to a router of another region, which distributes it there
 	RegionAnswer  // totals of the answering router's own region, in answer to a RegionSum
-	RegionForward // a region list forwarded to the aggregators of the region's other halls
-	RegionDigest  // a region list forwarded by an aggregator to the routers that report to it
+	RegionForward // a list of another region, forwarded to the aggregators of the receiving region's other halls
+	RegionDigest  // a list of another region, forwarded by an aggregator to the routers that report to it
 )
 
 // Router is a live router.
--- a/loads/regions.go
+++ b/loads/regions.go
@@ -243,7 +243,7 @@
 	return demandOnly(l.teams)
 }
 
-// dropRegions removes the lists that no longer count in any way.
+// dropRegions removes the lists of which not even the demand counts any longer.
 func (e *Exchange) dropRegions(now time.Duration) {
 	maps.DeleteFunc(e.regionLists, func(_ regionKey, l regionList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
 }
--- a/loads/regions_test.go
+++ b/loads/regions_test.go
@@ -270,7 +270,7 @@
 		s.run(200, func() {
 			s.requireCountedAtMost(t, 1)
 			require.Contains(t, s.others["r9"], Load{Server: 4, Running: 14}, name)
-			if name != "deaf" { // the next router of its hall retries r1 now and then
+			if name != "deaf" { // the next router of its hall occasionally reports to r1 again
 				require.Contains(t, s.others["r9"], Load{Server: 0, Running: 10}, name)
 			}
 			require.Contains(t, s.others["r6"], Load{Server: 4, Running: 14}, name)
--- a/loads/teams.go
+++ b/loads/teams.go
@@ -15,9 +15,9 @@
 	TeamsInterval = 100 * time.Millisecond
 	// TeamsTTL is how long such a list counts in full without a newer one; a few may be lost.
 	TeamsTTL = 600 * time.Millisecond
-	// DemandTTL is how much longer the demand of a lost router's callers counts after TeamsTTL, when
-	// what they were served no longer does. It is about the time in which other routers serve these
-	// callers again.
+	// DemandTTL is how much longer the demand of a lost router's callers counts after TeamsTTL,
+	// when what they were served no longer does. It is about the time in which other routers serve
+	// these callers again.
 	DemandTTL = 4 * time.Second
 )
 
@@ -84,7 +84,7 @@
 	return demandOnly(l.uses)
 }
 
-// demandOnly returns what the callers of teams ask for, without what they are served.
+// demandOnly returns the demand of teams, without their other usage.
 func demandOnly(uses []TeamUse) []TeamUse {
 	out := make([]TeamUse, 0, len(uses))
 	for _, u := range uses {
@@ -108,7 +108,7 @@
 	return ok
 }
 
-// dropTeams removes the lists that no longer count in any way.
+// dropTeams removes the lists of which not even the demand counts any longer.
 func (e *Exchange) dropTeams(now time.Duration) {
 	for _, lists := range []map[string]teamList{e.teamReports, e.teamSums} {
 		maps.DeleteFunc(lists, func(_ string, l teamList) bool { return now-l.receivedAt > TeamsTTL+DemandTTL })
