--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -61,14 +61,14 @@
 	})
 }
 
-// TestStandbyPollsLessOften checks the calls for changes while nothing changes: the first follower
-// polls the source once a second, the standby followers a quarter as often.
+// TestStandbyPollsLessOften checks how often followers poll the source while nothing changes: the
+// first follower once a second, the standby followers a quarter as often.
 func TestStandbyPollsLessOften(t *testing.T) {
 	for self, atMost := range map[string]int64{"a": 21, "c0b": 7} {
 		synctest.Test(t, func(t *testing.T) {
 			source := &configSource{}
 			p := startConfig(t, source, self)
-			time.Sleep(settleTime + maxPeerWaitAtStart())
+			time.Sleep(warmUpTime + timeToReadConfig())
 			require.Equal(t, self == "a", p.IsPrimary())
 			source.watches.Store(0)
 			time.Sleep(20 * time.Second)
@@ -78,5 +78,6 @@
 	}
 }
 
-// maxPeerWaitAtStart is longer than a starting router waits for its peers to send what it lacks.
-func maxPeerWaitAtStart() time.Duration { return 3 * time.Second }
+// timeToReadConfig returns a time that is longer than a starting router waits for its peers and
+// then takes to read the configuration.
+func timeToReadConfig() time.Duration { return 3 * time.Second }
--- a/gateway/cluster/discovery.go
+++ b/gateway/cluster/discovery.go
@@ -14,10 +14,11 @@
 	// heartbeats have arrived, if there are other routers.
 	firstListDelay = 500 * time.Millisecond
 	// maxPeerWait is how long after that a router waits for a heartbeat of another one. Once one
-	// has arrived, a list that may be some seconds old suffices, which costs the registry a tenth.
+	// has arrived, a list that may be some seconds old suffices. It costs the registry a tenth of
+	// an up-to-date list.
 	maxPeerWait = 2 * time.Second
-	// earlyListInterval is the time between the first earlyLists lists of routers, listInterval
-	// that between later ones: by then heartbeats name the other routers.
+	// earlyListInterval is the time between the first earlyLists lists of routers. listInterval is
+	// the time between later ones, when heartbeats name the other routers.
 	earlyListInterval = 6 * time.Second
 	earlyLists        = 3
 	listInterval      = 30 * time.Second
@@ -25,8 +26,9 @@
 	// call after a failed one.
 	registryTimeout    = 1500 * time.Millisecond
 	registryRetryDelay = time.Second
-	// eraPollInterval is how often a router checks whether the registry was restored from a backup.
-	// After that, all routers look for themselves in it, spread over reregisterSpread.
+	// eraPollInterval is the time between two checks whether the registry was restored from a
+	// backup. After a restore, all routers look for themselves in the registry, spread over
+	// reregisterSpread.
 	eraPollInterval  = 500 * time.Millisecond
 	reregisterSpread = 5 * time.Second
 )
@@ -36,8 +38,8 @@
 	registry Registry
 	self     Member
 	onMember func(Member)
-	// heardAny reports whether a heartbeat of another router has arrived.
-	heardAny func() bool
+	// hasLivePeers reports whether a heartbeat of another router has arrived.
+	hasLivePeers func() bool
 	// firstStart reports that the whole fleet starts for the first time, so that this router is not
 	// registered yet.
 	firstStart bool
@@ -48,15 +50,15 @@
 }
 
 // run registers this router and finds the others, until ctx ends.
-func (m discovery) run(ctx context.Context) error {
-	registered, lists, restored := m.firstStart && m.register(ctx), 0, false
-	m.awaitPeer(ctx)
-	era := m.era()
+func (d discovery) run(ctx context.Context) error {
+	registered, lists, restored := d.firstStart && d.register(ctx), 0, false
+	d.awaitPeer(ctx)
+	era := d.era()
 	for ctx.Err() == nil {
-		// Heartbeats name the routers that have joined since. Only a router that has received none,
-		// because its seeds are away, needs an up-to-date list.
-		listed, err := m.list(ctx, !restored && (lists > 0 || m.heardAny()))
-		registered = registered || listed || m.register(ctx)
+		// Heartbeats name the routers that have joined since a stale list was made. Only a router
+		// that has received no heartbeat, because its seeds are down, needs an up-to-date list.
+		listed, err := d.list(ctx, !restored && (lists > 0 || d.hasLivePeers()))
+		registered = registered || listed || d.register(ctx)
 		if err != nil || !registered {
 			wait.Sleep(ctx, registryRetryDelay)
 			continue
@@ -66,8 +68,8 @@
 		if lists < earlyLists {
 			pause = earlyListInterval
 		}
-		restored = m.awaitNextList(ctx, pause, era)
-		era = m.era()
+		restored = d.awaitNextList(ctx, pause, era)
+		era = d.era()
 		if restored || pause == listInterval {
 			registered = false // unless the next list names this router
 		}
@@ -77,21 +79,21 @@
 
 // awaitPeer waits for firstListDelay and then, at most for maxPeerWait, for a heartbeat of another
 // router.
-func (m discovery) awaitPeer(ctx context.Context) {
+func (d discovery) awaitPeer(ctx context.Context) {
 	wait.Sleep(ctx, firstListDelay)
-	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !m.heardAny() && time.Now().Before(end); {
+	for end := time.Now().Add(maxPeerWait); ctx.Err() == nil && !d.hasLivePeers() && time.Now().Before(end); {
 		wait.Sleep(ctx, firstListDelay/5)
 	}
 }
 
-// awaitNextList waits for a time limit, or until the registry is in a later era than the given one
-// and this router's turn has come. The turn depends on the address, so that routers that started
-// together do not call the registry together. It reports whether the era has changed.
-func (m discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
+// awaitNextList waits for at most limit until the registry is in a later era than the given one,
+// and reports whether it is. After a change of era it also waits for a delay that depends on this
+// router's address, so that routers that started together do not call the registry together.
+func (d discovery) awaitNextList(ctx context.Context, limit time.Duration, era uint64) (restored bool) {
 	for end := time.Now().Add(limit); ctx.Err() == nil && time.Now().Before(end); {
 		wait.Sleep(ctx, min(eraPollInterval, time.Until(end)))
-		if m.era() > era {
-			turn := time.Duration(xxhash.Sum64String(m.self.Address) % uint64(reregisterSpread))
+		if d.era() > era {
+			turn := time.Duration(xxhash.Sum64String(d.self.Address) % uint64(reregisterSpread))
 			wait.Sleep(ctx, turn)
 			return true
 		}
@@ -100,21 +102,22 @@
 }
 
 // register registers this router and reports whether that succeeded.
-func (m discovery) register(ctx context.Context) bool {
+func (d discovery) register(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	m.countCall("registration")
-	return m.registry.Register(call, m.self) == nil
+	d.countCall("registration")
+	return d.registry.Register(call, d.self) == nil
 }
 
-// list adds the routers that the registry lists, and reports whether this one is among them.
-func (m discovery) list(ctx context.Context, stale bool) (bool, error) {
+// list passes the routers that the registry lists to onMember, and reports whether this one is
+// among them.
+func (d discovery) list(ctx context.Context, stale bool) (bool, error) {
 	call, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	m.countCall("list of routers")
-	listed, err := m.registry.Members(call, stale)
-	for _, one := range listed {
-		m.onMember(one)
+	d.countCall("list of routers")
+	listed, err := d.registry.Members(call, stale)
+	for _, member := range listed {
+		d.onMember(member)
 	}
-	return slices.Contains(listed, m.self), err
+	return slices.Contains(listed, d.self), err
 }
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -22,7 +22,8 @@
 	place     traffic.Place
 	deps      Dependencies
 	seedCount int
-	// isSeed reports that starting routers ask this router, or that it has no others to ask.
+	// isSeed reports that this router is a seed, which starting routers ask first, or that it has
+	// no seeds to ask.
 	isSeed bool
 	// startupWait is how long this router waits, as it starts, for its peers to send what it would
 	// otherwise read from the source.
@@ -83,7 +84,7 @@
 	defer p.mu.Unlock()
 	now := p.deps.Decisions.Now()
 	timeout := p.peerTimeoutLocked()
-	var lost, away []string
+	var lost, dead []string
 	var alive []loads.Router
 	var hall pressure.Hall
 	for address, peer := range p.known {
@@ -105,7 +106,7 @@
 		if p.detector.Alive(address, now) {
 			targets = append(targets, address)
 		} else {
-			away = append(away, address)
+			dead = append(dead, address)
 		}
 		if peer.live && len(members) < membersPerHeartbeat {
 			members = append(members, address)
@@ -114,7 +115,7 @@
 	p.deps.Log.Routers("routers_lost", lost)
 	p.deps.Log.Routers("routers_heard", p.newlyLive)
 	p.newlyLive = nil
-	targets = pickTargets(targets, away)
+	targets = pickTargets(targets, dead)
 	p.onLive(alive)
 	// A late router may not have read its datagrams yet, so it keeps the previous state.
 	if !p.deps.Pressure.Slow() {
@@ -169,16 +170,16 @@
 	return cmds
 }
 
-// pickTargets picks the targets of a heartbeat at random from the live routers, and one from those
-// that are away, so that parts of a fleet that were disconnected find one another again.
-func pickTargets(alive, away []string) []string {
+// pickTargets picks the targets of a heartbeat at random: most from the live routers, and one from
+// those that count as dead, so that parts of a fleet that were disconnected find one another again.
+func pickTargets(alive, dead []string) []string {
 	shuffle(alive)
 	alive = alive[:min(len(alive), heartbeatFanout)]
-	if len(away) == 0 {
+	if len(dead) == 0 {
 		return alive
 	}
 	alive = alive[:min(len(alive), heartbeatFanout-1)]
-	return append(alive, away[rand.IntN(len(away))])
+	return append(alive, dead[rand.IntN(len(dead))])
 }
 
 func shuffle(addresses []string) {
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -2,7 +2,7 @@
 
 import "github.com/croftvale/croftvale/rollout"
 
-// Rollouts makes the decisions on rollouts, for which routers exchange reports.
+// Rollouts decides on rollouts by the reports that routers exchange.
 type Rollouts interface {
 	// Reports returns this router's reports of the rollouts in progress.
 	Reports() []rollout.Report
@@ -15,7 +15,7 @@
 // A router that has just started does not lead, because it has not received enough heartbeats yet.
 func (p *Peers) Leads() bool {
 	now := p.deps.Decisions.Now()
-	if now < settleTime || p.deps.Feeds.SourceFailing() {
+	if now < warmUpTime || p.deps.Feeds.SourceFailing() {
 		return false
 	}
 	p.mu.Lock()
@@ -28,14 +28,14 @@
 		if !peer.live {
 			continue
 		}
-		if address < p.self && !peer.sourceLost && !peer.settling(now) {
+		if address < p.self && !peer.sourceLost && !peer.warmingUp(now) {
 			return false
 		}
 		live++
 	}
 	// A router that receives heartbeats from fewer than half of the routers may be cut off from the
-	// rest, and would complete a rollout while they still use the old servers. Routers without any
-	// heartbeat do not count: they may have been replaced long ago.
+	// rest, and would complete a rollout while they still use the old servers. Routers from which
+	// no heartbeat has ever arrived do not count: they may have been replaced long ago.
 	return 2*live >= heard
 }
 
--- a/gateway/detector/gossip.go
+++ b/gateway/detector/gossip.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// sendsPerUpdate is the number of datagrams that carry an update, not counting those to routers
-// that may be dead. With 16, one router in nine million receives an update from nobody.
+// sendsPerUpdate is the number of datagrams in which each router sends an update, not counting
+// those to routers that may be dead. With 16, one router in nine million does not receive an
+// update.
 const sendsPerUpdate = 16
 
 // pendingUpdate is an update that is still to be sent.
@@ -16,17 +17,17 @@
 
 // enqueueUpdate queues an update for sending. It replaces an older update about the same router.
 func (d *Detector) enqueueUpdate(p *peer, alive bool, at time.Duration) {
-	switch r := p.update; {
-	case r == nil:
+	switch u := p.update; {
+	case u == nil:
 		p.update = &pendingUpdate{peer: p, alive: alive, at: at, sendsLeft: sendsPerUpdate}
 		d.updates = append(d.updates, p.update)
-	case r.alive != alive || at > r.at:
-		r.alive, r.at, r.sendsLeft = alive, at, sendsPerUpdate
+	case u.alive != alive || at > u.at:
+		u.alive, u.at, u.sendsLeft = alive, at, sendsPerUpdate
 	}
 }
 
-// NextUpdates returns the updates for the next datagram to a router, at most limit. It rotates the
-// queue, so that every update gets its turn.
+// NextUpdates returns at most limit updates for the next datagram to a router. It rotates the
+// queue, so that every update is sent.
 func (d *Detector) NextUpdates(now time.Duration, to string, limit int) []PeerUpdate {
 	n := min(limit, len(d.updates))
 	if n == 0 {
@@ -36,15 +37,15 @@
 	batch := d.updates[:n]
 	unreachable := d.maybeDead(to)
 	rest := append([]*pendingUpdate(nil), d.updates[n:]...)
-	for _, r := range batch {
-		out = append(out, PeerUpdate{Address: r.peer.address, Incarnation: r.peer.incarnation, Alive: r.alive, Age: now - r.at})
+	for _, u := range batch {
+		out = append(out, PeerUpdate{Address: u.peer.address, Incarnation: u.peer.incarnation, Alive: u.alive, Age: now - u.at})
 		if !unreachable {
-			r.sendsLeft--
+			u.sendsLeft--
 		}
-		if r.sendsLeft > 0 {
-			rest = append(rest, r)
+		if u.sendsLeft > 0 {
+			rest = append(rest, u)
 		} else {
-			r.peer.update = nil
+			u.peer.update = nil
 		}
 	}
 	d.updates = rest
