--- a/gateway/feed/objectfeed_test.go
+++ b/gateway/feed/objectfeed_test.go
@@ -89,7 +89,7 @@
 	defer server.Close()
 	receiver, recorded := newRolloutSet(orderSource{})
 	counter := traffic.NewCounter(tally.NoopScope)
-	p, err := NewPuller(receiver, PullOptions{Control: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: counter})
+	p, err := NewPuller(receiver, PullOptions{ControlAddress: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: counter})
 	require.NoError(t, err)
 	for i, f := range receiver.feeds[3:5] {
 		require.NoError(t, p.pull(t.Context(), 3+i, server.Listener.Addr().String()))
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -33,11 +33,11 @@
 
 // PullOptions configures a Puller.
 type PullOptions struct {
-	Address string   // address of this host, without a port
-	Control string   // control address (host:port) that serves pulls; all hosts use the same port
-	Seeds   []string // control addresses of some routers
-	Peers   Peers
-	Traffic *traffic.Counter
+	Address        string   // address of this host, without a port
+	ControlAddress string   // control address (host:port) that serves pulls; all hosts use the same port
+	Seeds          []string // control addresses of some routers
+	Peers          Peers
+	Traffic        *traffic.Counter
 }
 
 // Puller pulls newer content from other routers.
@@ -53,9 +53,9 @@
 
 // NewPuller returns a Puller that pulls newer content into a set.
 func NewPuller(set *Set, o PullOptions) (*Puller, error) {
-	_, port, err := net.SplitHostPort(o.Control)
+	_, port, err := net.SplitHostPort(o.ControlAddress)
 	if err != nil {
-		return nil, errors.Wrapf(err, "settings: the control address %q: give host:port", o.Control)
+		return nil, errors.Wrapf(err, "settings: the control address %q: give host:port", o.ControlAddress)
 	}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: pullDialTimeout}).DialContext,
--- a/gateway/feed/pull_test.go
+++ b/gateway/feed/pull_test.go
@@ -28,7 +28,7 @@
 	server := httptest.NewServer(sender.Handler())
 	defer server.Close()
 	receiver, counter := newTestSet(), traffic.NewCounter(tally.NoopScope)
-	p, err := NewPuller(receiver, PullOptions{Control: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: counter})
+	p, err := NewPuller(receiver, PullOptions{ControlAddress: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: counter})
 	require.NoError(t, err)
 	for i, f := range receiver.feeds {
 		require.Equal(t, f.Spec().Optional, receiver.Complete(), "complete without "+f.Spec().Name)
@@ -54,7 +54,7 @@
 	set := newTestSet()
 	set.Config.Offer(&direct.Config{Version: 3}, fromSource)
 	set.Servers.OfferAll(&direct.Directory{Revision: 9}, fromSource)
-	p, err := NewPuller(set, PullOptions{Control: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: traffic.NewCounter(tally.NoopScope)})
+	p, err := NewPuller(set, PullOptions{ControlAddress: "127.0.0.1:1", Peers: otherHallPeers{}, Traffic: traffic.NewCounter(tally.NoopScope)})
 	require.NoError(t, err)
 	for i := range set.feeds {
 		require.Error(t, p.pull(t.Context(), i, server.Listener.Addr().String()))
@@ -95,7 +95,7 @@
 	peers := peersWithPaths{paths: map[string]traffic.Path{"far": traffic.BetweenRegions, "near": traffic.BetweenHalls, "next": traffic.WithinHall}}
 	for _, self := range []string{"a", "b", "c", "d"} {
 		p, err := NewPuller(newTestSet(), PullOptions{
-			Address: self, Control: "127.0.0.1:1", Peers: peers, Traffic: traffic.NewCounter(tally.NoopScope),
+			Address: self, ControlAddress: "127.0.0.1:1", Peers: peers, Traffic: traffic.NewCounter(tally.NoopScope),
 			Seeds: []string{"far:1", "near:1", self + ":1", "no port", "next:1"},
 		})
 		require.NoError(t, err)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -99,7 +99,7 @@
 	}
 	if s.RolloutBounds.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
-			Bounds: s.RolloutBounds, Decisions: g.core, Store: g.source, Log: g.log, Stats: g.stats,
+			Bounds: s.RolloutBounds, StateMachine: g.core, Store: g.source, Log: g.log, Stats: g.stats,
 		})
 		g.core.notifyRollouts = g.rollouts.Enqueue
 		feeds.Rollouts, deps.Rollouts = g.rollouts, g.rollouts
@@ -113,7 +113,7 @@
 	}
 	g.core.reportNow = g.cluster.ReportNow
 	g.puller, err = feed.NewPuller(g.feeds, feed.PullOptions{
-		Address: s.Address, Control: s.ControlAddress, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
+		Address: s.Address, ControlAddress: s.ControlAddress, Seeds: s.Seeds, Peers: g.cluster.Peers, Traffic: g.traffic,
 	})
 	return err
 }
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -17,8 +17,8 @@
 // droppedLogInterval is the minimum time between two log lines on dropped responses.
 const droppedLogInterval = time.Second
 
-// Decisions is the state machine that routes requests, to which the gates apply.
-type Decisions interface {
+// StateMachine is the state machine that routes requests, to which the gates apply.
+type StateMachine interface {
 	// Now returns the time since the router started.
 	Now() time.Duration
 	// Update passes a message, such as a gate, to the state machine.
@@ -40,11 +40,11 @@
 
 // Options holds the bounds and dependencies of a Runner.
 type Options struct {
-	Bounds    rollout.Bounds
-	Decisions Decisions
-	Store     Store
-	Log       *eventlog.Log
-	Stats     *stats.Stats
+	Bounds       rollout.Bounds
+	StateMachine StateMachine
+	Store        Store
+	Log          *eventlog.Log
+	Stats        *stats.Stats
 }
 
 // Runner runs the rollout state machine. Feeds, requests and peers put messages into its queue;
@@ -89,19 +89,19 @@
 func (r *Runner) SetOrders(l feed.Listing[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyListing(l)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.StateMachine.Now(), Orders: r.orders.applyListing(l)})
 }
 
 // SetRecords applies a newer listing of records.
 func (r *Runner) SetRecords(l feed.Listing[rollout.Record]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyListing(l)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.StateMachine.Now(), Wall: time.Now(), Records: r.records.applyListing(l)})
 }
 
 // SetVersions passes on the versions of the listed servers, by service.
 func (r *Runner) SetVersions(services map[string][]string) {
-	r.queue.put(rollout.VersionsMsg{Now: r.o.Decisions.Now(), Services: services})
+	r.queue.put(rollout.VersionsMsg{Now: r.o.StateMachine.Now(), Services: services})
 }
 
 // Complete reports whether orders, records and versions have arrived and every service with
@@ -135,8 +135,8 @@
 		case <-ticker.C:
 			r.handleQueued(ctx)
 			r.update(ctx, rollout.TickMsg{
-				Now: r.o.Decisions.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
-				OldRunning: r.o.Decisions.AllOldRunning(), Requests: r.o.Decisions.RequestCounts(),
+				Now: r.o.StateMachine.Now(), Wall: time.Now(), Leads: peers.Leads(), Routers: peers.Routers(),
+				OldRunning: r.o.StateMachine.AllOldRunning(), Requests: r.o.StateMachine.RequestCounts(),
 			})
 		}
 	}
@@ -161,7 +161,7 @@
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case rollout.GateCmd:
-			r.o.Decisions.Update(direct.GateMsg{Now: r.o.Decisions.Now(), Gate: cmd.Gate})
+			r.o.StateMachine.Update(direct.GateMsg{Now: r.o.StateMachine.Now(), Gate: cmd.Gate})
 			r.readiness.recordGate(cmd.Gate.Service)
 		case rollout.WriteCmd:
 			go r.write(ctx, cmd)
--- a/gateway/rollouts/store.go
+++ b/gateway/rollouts/store.go
@@ -40,7 +40,7 @@
 		}
 	}
 	r.logWrite(cmd, result, err)
-	r.queue.put(rollout.WriteDoneMsg{Now: r.o.Decisions.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
+	r.queue.put(rollout.WriteDoneMsg{Now: r.o.StateMachine.Now(), Service: cmd.Service, Kind: cmd.Kind, Result: result})
 }
 
 // applyWrittenOrder applies an order that the store returned for a write. Other routers receive
@@ -48,12 +48,12 @@
 func (r *Runner) applyWrittenOrder(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.OrdersMsg{Now: r.o.Decisions.Now(), Orders: r.orders.applyWrite(order)})
+	r.queue.put(rollout.OrdersMsg{Now: r.o.StateMachine.Now(), Orders: r.orders.applyWrite(order)})
 }
 
 // applyWrittenRecord applies a record that the store returned for a write.
 func (r *Runner) applyWrittenRecord(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue.put(rollout.RecordsMsg{Now: r.o.Decisions.Now(), Wall: time.Now(), Records: r.records.applyWrite(record)})
+	r.queue.put(rollout.RecordsMsg{Now: r.o.StateMachine.Now(), Wall: time.Now(), Records: r.records.applyWrite(record)})
 }
