--- a/explain/fields.go
+++ b/explain/fields.go
@@ -37,7 +37,7 @@
 	switch value := value.(type) {
 	case float64:
 		if durationFields[name] {
-			return milliseconds(value)
+			return durationText(value)
 		}
 		return numberText(value) + fieldUnits[name]
 	case []any:
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -48,7 +48,7 @@
 	}
 	text := fmt.Sprintf("request %s %s at %s", t.Request, outcome, last.Process)
 	if took, ok := last.fields["took"].(float64); ok {
-		text += fmt.Sprintf(", %s after it arrived", milliseconds(took))
+		text += fmt.Sprintf(", %s after it arrived", durationText(took))
 	}
 	if reason := reasonTexts[stringField(last.fields, "reason")]; reason != "" {
 		text += ": " + reason
@@ -56,8 +56,8 @@
 	return text + "."
 }
 
-// milliseconds formats a duration that a log holds as a number of milliseconds.
-func milliseconds(ms float64) string {
+// durationText formats a duration that a log holds as a number of milliseconds.
+func durationText(ms float64) string {
 	return time.Duration(ms * float64(time.Millisecond)).Round(10 * time.Microsecond).String()
 }
 
--- a/gateway/feed/era_test.go
+++ b/gateway/feed/era_test.go
@@ -183,8 +183,8 @@
 				backups = append(backups, state{source.revision, slices.Collect(maps.Values(source.servers))})
 			case 1:
 				if len(backups) > 0 {
-					c := rapid.SampledFrom(backups).Draw(t, "copy")
-					source.restore(c.revision, c.servers...)
+					backup := rapid.SampledFrom(backups).Draw(t, "copy")
+					source.restore(backup.revision, backup.servers...)
 				}
 			case 2:
 				source.remove(fmt.Sprint("i-", rapid.IntRange(0, 4).Draw(t, "name")))
--- a/gateway/memory/budget_test.go
+++ b/gateway/memory/budget_test.go
@@ -44,8 +44,8 @@
 
 func growAndCheck(t *rapid.T, b *Budget, all []*Account, a *Account, n int) {
 	before := make(map[*Account]int64)
-	for _, one := range all {
-		before[one] = one.Bytes()
+	for _, account := range all {
+		before[account] = account.Bytes()
 	}
 	held := b.Held()
 	dropped, ok := b.Grow(a, n)
@@ -58,9 +58,9 @@
 		require.NotSame(t, a, victim)
 		teams := make(map[string]int64)
 		droppable := make(map[string]bool)
-		for one, bytes := range before {
-			teams[one.Team] += bytes
-			droppable[one.Team] = droppable[one.Team] || !one.Pinned && bytes > 0
+		for account, bytes := range before {
+			teams[account.Team] += bytes
+			droppable[account.Team] = droppable[account.Team] || !account.Pinned && bytes > 0
 		}
 		teams[a.Team] += int64(n)
 		for team, bytes := range teams {
@@ -99,8 +99,8 @@
 	_, ok := b.Grow(largest, 5)
 	require.False(t, ok, "the growing account is the largest")
 	require.EqualValues(t, 70, largest.Bytes(), "a refused account keeps what it holds")
-	one := &Account{Team: "red"}
-	dropped, ok := b.Grow(one, 5)
+	smaller := &Account{Team: "red"}
+	dropped, ok := b.Grow(smaller, 5)
 	require.True(t, ok)
 	require.Equal(t, []*Account{largest}, dropped)
 }
--- a/gateway/stats/stats.go
+++ b/gateway/stats/stats.go
@@ -118,16 +118,16 @@
 func (s *Stats) DatagramFailed() { s.counter(counterKey{"datagrams_failed", "", ""}).Inc(1) }
 
 // CountSourceCall counts a call to the source, by its purpose.
-func (s *Stats) CountSourceCall(what string) {
-	count, _ := s.sourceCalls.LoadOrStore(what, &atomic.Int64{})
+func (s *Stats) CountSourceCall(purpose string) {
+	count, _ := s.sourceCalls.LoadOrStore(purpose, &atomic.Int64{})
 	count.(*atomic.Int64).Add(1)
 }
 
 // SourceCalls returns the number of calls to the source since the start, by purpose.
 func (s *Stats) SourceCalls() map[string]int64 {
 	out := make(map[string]int64)
-	s.sourceCalls.Range(func(what, count any) bool {
-		out[what.(string)] = count.(*atomic.Int64).Load()
+	s.sourceCalls.Range(func(purpose, count any) bool {
+		out[purpose.(string)] = count.(*atomic.Int64).Load()
 		return true
 	})
 	return out
@@ -137,12 +137,12 @@
 func (s *Stats) DatagramUnreadable() { s.counter(counterKey{"datagrams_unreadable", "", ""}).Inc(1) }
 
 // RecordSourceCall records a call to the source with its duration and result.
-func (s *Stats) RecordSourceCall(feed string, took time.Duration, err error) {
-	s.CountSourceCall(feed)
+func (s *Stats) RecordSourceCall(source string, took time.Duration, err error) {
+	s.CountSourceCall(source)
 	result := "done"
 	if err != nil {
 		result = "failed"
 	}
-	labels := map[string]string{"feed": feed, "result": result}
+	labels := map[string]string{"feed": source, "result": result}
 	s.scope.Tagged(labels).Histogram("source_call", durationBuckets).RecordDuration(took)
 }
