--- a/explain/timeline.go
+++ b/explain/timeline.go
@@ -111,7 +111,7 @@
 
 // Write writes a summary, then the lines in order of time, then warnings of missing lines.
 func (t *Timeline) Write(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "%s\nlines on it: %d\n", t.summary()+t.versionSummary(), len(t.steps))
+	_, err := fmt.Fprintf(w, "%s\nlog lines on this request: %d\n", t.summary()+t.versionSummary(), len(t.steps))
 	begin := t.steps[0].Time
 	for _, step := range t.steps {
 		if err == nil {
--- a/explain/timeline_test.go
+++ b/explain/timeline_test.go
@@ -27,7 +27,7 @@
 	var out strings.Builder
 	require.NoError(t, timeline.Write(&out))
 	text := out.String()
-	require.True(t, strings.HasPrefix(text, "request abc was refused and has not run at edge-1: its team had used its share for the moment.\nlines on it: 2\n"), text)
+	require.True(t, strings.HasPrefix(text, "request abc was refused and has not run at edge-1: its team had used its share for the moment.\nlog lines on this request: 2\n"), text)
 	require.Less(t, strings.Index(text, "edge-2: attempt_ended"), strings.Index(text, "edge-1: request_refused"), "the steps are in order of time")
 	require.Contains(t, text, "400ms ago: config_in_force from=source version=7")
 	require.Contains(t, text, "300ms ago: server_ejected cause=hung for=1s server=i-2")
--- a/explain/versions.go
+++ b/explain/versions.go
@@ -7,8 +7,8 @@
 var sideTexts = map[string]string{
 	"old":          "requests that share parts of its prompt had not been moved to the target yet",
 	"target":       "requests that share parts of its prompt had been moved to the target",
-	"sample":       "it was part of the sample of its route's requests that goes to the target",
-	"limit":        "it was meant for the target, but its router had reached its limit there",
+	"sample":       "a small part of its route's requests goes to the target, and too few of them had gone there so far",
+	"limit":        "it was meant for the target, but its router could send no more requests there at the time",
 	"no_place":     "it was meant for the target, but no server there would have served it in time",
 	"after_target": "an attempt at the target had brought no response",
 	"moved":        "it had been broken off at a server of the old version to continue on one of the target",
@@ -36,13 +36,14 @@
 	return out
 }
 
-// isVersionEvent reports whether a line is on a service's versions.
+// isVersionEvent reports whether a line is about the versions of a service.
 func isVersionEvent(l logLine) bool {
 	return l.Event == "rollout_step" || l.Event == "version_not_ordered"
 }
 
-// recordVersions records a line on versions in latest: the newest step of a service's rollout,
-// and the versions without an order. The target of a rollout has an order.
+// recordVersions stores a line about versions in latest, which holds the newest step of each
+// service's rollout and each version without an order. A version that becomes the target of a
+// rollout has an order, so its entry is deleted.
 func recordVersions(l logLine, latest map[string]logLine) {
 	service := stringField(l.fields, "service")
 	if l.Event == "version_not_ordered" {
@@ -53,6 +54,7 @@
 	delete(latest, unorderedKey(service, stringField(l.fields, "target")))
 }
 
+// unorderedKey returns the key in latest of a version without an order.
 func unorderedKey(service, version string) string {
 	return "unordered version of " + service + ": " + version
 }
--- a/explain/versions_test.go
+++ b/explain/versions_test.go
@@ -25,7 +25,7 @@
 It went to version v1: requests that share parts of its prompt had not been moved to the target yet.
 Its stream was broken off there by edge-1, to continue on a server of the new version.
 It went to version v2: it had been broken off at a server of the old version to continue on one of the target.
-lines on it: 2
+log lines on this request: 2
 `), text)
 	require.Contains(t, text, "400ms ago: rollout_step age=2s cause=time new_good=40 service=llm stage=all step=raised target=v2 within=10s")
 	require.Contains(t, text, "1.4s ago: version_not_ordered service=llm version=v3")
