--- a/gateway/eventlog/log.go
+++ b/gateway/eventlog/log.go
@@ -14,10 +14,10 @@
 
 const (
 	maxQueuedLines       = 2048 // waiting to be written
-	successSampling      = 32   // one in so many ordinary successes is logged; the same ids on every host
+	successSampling      = 32   // one of this many ordinary successes is logged, with the same ids on every host
 	maxFailureLines      = 60   // per second, for failed and refused requests
 	maxServerStatusLines = 40   // per second
-	maxNamedRouters      = 4    // in one line on many routers
+	maxNamedRouters      = 4    // named in one line on many routers
 )
 
 // Log writes JSON lines. Lines that do not fit into its queue are dropped and counted.
--- a/gateway/feed/config.go
+++ b/gateway/feed/config.go
@@ -23,7 +23,7 @@
 	Content[direct.Config]
 	o         Options
 	table     atomic.Pointer[direct.Table]
-	appliedAt atomic.Int64 // when the current configuration was applied, as time since the router's start
+	appliedAt atomic.Int64 // when the current configuration was applied, in nanoseconds since the router's start
 }
 
 func newConfig(o Options, onChange func()) *Config {
--- a/gateway/feed/content.go
+++ b/gateway/feed/content.go
@@ -48,7 +48,8 @@
 	return 0
 }
 
-// Offer applies content if it is newer than the current content, and reports whether it is.
+// Offer applies content if it is newer than the current content, and reports whether it is. from
+// is the origin of the content in logs: an address or fromSource.
 // The content must include every change up to its revision: older content is dropped, so a
 // change that is missing here would never be applied. Content that this router wrote to the
 // source is offered too, so that the other routers receive it at once.
--- a/gateway/feed/evacuations.go
+++ b/gateway/feed/evacuations.go
@@ -9,7 +9,8 @@
 
 const (
 	// maxEvacuationsWait is the longest that one call waits for a change of the evacuated
-	// data halls. Evacuations are rare, and each call costs the source the same.
+	// data halls. Evacuations are rare, and each call costs the source the same, even if
+	// nothing has changed.
 	maxEvacuationsWait = 2 * time.Second
 	// evacuationsWaitFraction is the fraction of the evacuation deadline that one call may
 	// take, so that a call without a response leaves time for another.
--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -21,8 +21,8 @@
 	// Read reads everything from the source, offers it, and returns the source's revision.
 	Read(ctx context.Context) (uint64, error)
 	// Watch waits for changes after the revision since, offers the resulting content, and
-	// returns the source's revision. The previous call of Read or Watch must have returned
-	// since.
+	// returns the source's revision. since must be the revision that the previous call of
+	// Read or Watch returned.
 	Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error)
 	// ContentSince returns the content to send to a router that has the revision since.
 	// HasContent must be true.
--- a/gateway/feed/follower.go
+++ b/gateway/feed/follower.go
@@ -25,8 +25,8 @@
 	optionalStartupWait = 2 * time.Second
 	// peerReadWait is how much longer a starting router without content waits if it has live
 	// peers. By then the routers that follow the source have read it and announce their
-	// revisions. Without this wait, every router of a fleet that starts at once would read the
-	// source if the first few routers are not quick enough.
+	// revisions. Without this wait, all routers of a fleet that starts at once would read the
+	// source if the first few of them are slow to read it.
 	peerReadWait = 2 * time.Second
 	// Standby followers call the source less often than the primary: their calls wait
 	// standbyWaitFactor times as long, and they pause for standbyPause after each change. A
@@ -84,7 +84,7 @@
 }
 
 // awaitPeers waits briefly at startup for content from other routers, and reports whether it
-// arrived. If so, the router reads the source only once it follows it.
+// arrived. If so, the router does not read the source before it follows it.
 func (f *follower) awaitPeers(ctx context.Context, r Role) bool {
 	if !f.spec.PeersFirst {
 		return false
--- a/gateway/feed/objectfeed.go
+++ b/gateway/feed/objectfeed.go
@@ -77,8 +77,8 @@
 
 func (f *objectFeed[T]) offerListed(revision uint64) {
 	all := f.listed.all()
-	// An equal listing of a newer era is offered nevertheless: other routers would otherwise
-	// keep comparing with the old era.
+	// An equal listing of a newer era is offered nevertheless. Other routers would otherwise keep
+	// the old era in their revision and compare with that.
 	newest := f.Newest()
 	if newest != nil && EraOf(newest.Revision) == EraOf(revision) && f.source.equal != nil && f.source.equal(newest.All, all) {
 		return
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -46,7 +46,7 @@
 	client *http.Client
 	port   string
 	set    *Set
-	meters []*traffic.Meter // by feed
+	meters []*traffic.Meter // one per feed, in the order of the set
 	// seedFailing is set if the last pull from a seed failed.
 	seedFailing bool
 }
--- a/gateway/feed/quarantine.go
+++ b/gateway/feed/quarantine.go
@@ -11,7 +11,8 @@
 
 // maxQuarantineWait is the longest that one call waits for a change of the quarantine. Routers report
 // barred requests to one another. The source is needed only after a restart of all routers, and for
-// releases by operators, which end a waiting call at once. Each call costs the source the same.
+// releases by operators, which end a waiting call at once. Each call costs the source the same, even
+// if nothing has changed.
 const maxQuarantineWait = 30 * time.Second
 
 // QuarantineSource provides the fingerprints of barred requests.
--- a/gateway/feed/records.go
+++ b/gateway/feed/records.go
@@ -8,7 +8,8 @@
 )
 
 // maxRecordsWait is the longest that one call waits for a change of the records. A change ends
-// the wait at once, few routers write records, and each call costs the source the same.
+// the wait at once, few routers write records, and each call costs the source the same, even if
+// nothing has changed.
 const maxRecordsWait = 10 * time.Second
 
 // RecordSource provides the records of the versions in use.
--- a/gateway/feed/servers.go
+++ b/gateway/feed/servers.go
@@ -11,8 +11,9 @@
 )
 
 // serverChangesPause is the pause between two calls for changes of servers. Changes
-// come in bursts, and each call costs the source the same. The pause is short compared
-// with the seconds within which a change must take effect.
+// come in bursts, and each call costs the source the same, however many changes it
+// returns. The pause is short compared with the seconds within which a change must take
+// effect.
 const serverChangesPause = 100 * time.Millisecond
 
 // ServerSource provides the servers.
--- a/gateway/feed/sourcelist.go
+++ b/gateway/feed/sourcelist.go
@@ -27,8 +27,8 @@
 	missingUntil time.Time
 }
 
-// listedServer is a server and the time at which it is no longer cold. The ColdFor of an entry
-// counts from the server's last heartbeat, the ColdFor in a list from the list's creation.
+// listedServer is a server and the time at which it is no longer cold. ColdFor counts from the
+// server's last heartbeat in an entry that is read, but from the list's creation in a list.
 type listedServer struct {
 	direct.Server
 	coldUntil time.Time
--- a/gateway/memory/budget.go
+++ b/gateway/memory/budget.go
@@ -5,8 +5,8 @@
 // use memory that no other team needs, but cannot keep it from the others. Create one with
 // NewBudget; it is not safe for concurrent use.
 type Budget struct {
-	capacity     int64
-	held         int64
+	capacity     int64 // in bytes
+	held         int64 // in bytes
 	teams        map[string]*teamAccounts
 	lastSequence uint64
 }
--- a/gateway/rollouts/objectview.go
+++ b/gateway/rollouts/objectview.go
@@ -23,8 +23,8 @@
 	return v.all()
 }
 
-// applyWrite applies an object that the store returned for a write, unless a newer one is
-// already there, and returns all objects.
+// applyWrite applies an object that the store returned for a write, unless the view already has a
+// newer one, and returns all objects.
 func (v *objectView[T]) applyWrite(object T) []T {
 	service := v.service(object)
 	before, had := v.written[service]
--- a/gateway/rollouts/runner.go
+++ b/gateway/rollouts/runner.go
@@ -17,7 +17,7 @@
 // droppedLogInterval is the minimum time between two log lines on dropped responses.
 const droppedLogInterval = time.Second
 
-// StateMachine is the state machine that routes requests, to which the gates apply.
+// StateMachine routes requests and applies the gates of rollouts to them.
 type StateMachine interface {
 	// Now returns the time since the router started.
 	Now() time.Duration
--- a/gateway/sendqueue/conn.go
+++ b/gateway/sendqueue/conn.go
@@ -19,10 +19,10 @@
 var (
 	// ErrNoMemory means that the memory budget is used up and that this caller's team holds the
 	// most of it.
-	ErrNoMemory = errors.New("the caller does not read, and the memory for unread answers is used up")
+	ErrNoMemory = errors.New("the caller does not read, and the memory for unread responses is used up")
 	// ErrStalled means that the caller neither read nor sent for a while and that a new caller
 	// needed its slot.
-	ErrStalled = errors.New("the caller neither reads nor sends, and another one needs its place")
+	ErrStalled = errors.New("the caller neither reads nor sends, and another caller needs its slot")
 )
 
 // Conn is a caller's connection whose writes are queued, so that they do not block on a caller that
@@ -34,12 +34,12 @@
 	onClose func()
 
 	mu       sync.Mutex
-	queue    []byte // data to send, in order
-	sending  bool   // the goroutine that runs send is active
-	closing  bool   // Close was called
-	closed   bool   // the underlying connection is closed
-	err      error  // returned by all further writes
-	deadline time.Time
+	queue    []byte        // data to send, in order
+	sending  bool          // the goroutine that runs send is active
+	closing  bool          // Close was called
+	closed   bool          // the underlying connection is closed
+	err      error         // returned by all further writes
+	deadline time.Time     // write deadline; zero if there is none
 	progress chan struct{} // receives a value when the caller accepts data
 	// lastProgress is when the caller last accepted queued data, in nanoseconds since the creation
 	// of the Queues; 0 if the queue is empty.
--- a/gateway/sendqueue/conn_test.go
+++ b/gateway/sendqueue/conn_test.go
@@ -110,10 +110,9 @@
 	require.Zero(t, c.queues.Held())
 }
 
-// TestUnreadIsReportedAfterMemoryIsFreed lets the write deadline of an unread response pass. An unread
-// response was once reported before its connection was closed, so that in 5 of 300 runs the receiver
-// of the report still found its memory held: 483328 bytes of a budget of 8 MiB. The callback checks the
-// held memory here.
+// TestUnreadIsReportedAfterMemoryIsFreed lets the write deadline of an unread response pass, and checks
+// the held memory in the callback. If the response is reported before its connection is closed, the
+// callback may find its memory still held (in 5 of 300 runs: 483328 bytes of a budget of 8 MiB).
 func TestUnreadIsReportedAfterMemoryIsFreed(t *testing.T) {
 	heldBytes := make(chan int64, 1)
 	var c *testConn
--- a/gateway/serverlist/history.go
+++ b/gateway/serverlist/history.go
@@ -7,23 +7,23 @@
 	"github.com/croftvale/croftvale/direct"
 )
 
-// historyLength is the number of earlier lists since which a router can return the changes. A
-// router that is further behind gets the whole list.
+// historyLength is the maximum number of steps in a History. A router that is further behind gets
+// the whole list.
 const historyLength = 64
 
-// History records which servers were touched from list to list. Comparing two lists would miss
-// a server that changed and changed back in between. A router that received a list in between
-// needs that server, too. The zero value is ready to use.
+// History records which servers were added, changed or removed from list to list. Comparing two
+// lists is not enough: it misses a server that changed and changed back between them, and a router
+// that received a list from in between needs that server, too. The zero value is ready to use.
 type History struct{ steps []historyStep }
 
 // historyStep is the step from the list at one revision to the next list received.
 type historyStep struct {
 	from uint64
-	ids  []string // all servers that were touched
+	ids  []string // of the servers that were added, changed or removed
 }
 
 // Record adds the step from the list at a revision to a newer one, with the ids of the servers
-// that were touched.
+// that were added, changed or removed.
 func (h *History) Record(from uint64, ids []string) {
 	if len(h.steps) == historyLength {
 		h.steps = slices.Delete(h.steps, 0, 1)
--- a/gateway/serverlist/update.go
+++ b/gateway/serverlist/update.go
@@ -10,7 +10,7 @@
 
 // Update updates a list of servers at revision From, or at any later one, to Revision. If From
 // is 0, Servers is the whole list. Changes are sent instead of the list because a list of 3,000
-// servers has some 330 kB and every router receives each change of it.
+// servers takes up about 330 kB and every router receives each change of it.
 type Update struct {
 	From     uint64
 	Revision uint64
@@ -18,8 +18,9 @@
 	Gone     []string        // ids of removed servers
 }
 
-// Apply returns the list that results from the update. It returns nil if the update is not newer
-// than the current list or does not start from it.
+// Apply returns the list that results from the update. If From is 0, that is the update's own list,
+// whatever the current one is. Otherwise Apply returns nil if there is no current list, or if the
+// current list is older than From or not older than Revision.
 func (u *Update) Apply(current *List, now time.Duration) *direct.Directory {
 	if u.From == 0 {
 		return &direct.Directory{Revision: u.Revision, Servers: u.Servers}
--- a/gateway/stats/stats.go
+++ b/gateway/stats/stats.go
@@ -14,8 +14,8 @@
 	scope         tally.Scope
 	attempts      map[direct.Outcome]tally.Counter
 	sourceCalls   sync.Map        // purpose -> *atomic.Int64, the number of calls to the source
-	counters      sync.Map        // counterKey -> tally.Counter: a lookup by labels costs more than a refusal
-	QueueWait     tally.Histogram // time in the queue of a request that was sent
+	counters      sync.Map        // counterKey -> tally.Counter; a lookup by labels costs more than a refusal
+	QueueWait     tally.Histogram // time that a request spent in the queue before it was sent
 	FirstEvent    tally.Histogram // time from the start of a request to the first event of its response
 	RequestTime   tally.Histogram // time from the start to the end of a request
 	EventPause    tally.Histogram // time between forwarded events of a stream
@@ -67,18 +67,18 @@
 	return c.(tally.Counter)
 }
 
-// Attempt records an attempt at a server.
+// Attempt records the outcome and the duration of an attempt at a server.
 func (s *Stats) Attempt(o direct.Outcome, took time.Duration) {
 	s.attempts[o].Inc(1)
 	s.serverTime.RecordDuration(took)
 }
 
-// Request counts an ended request.
+// Request counts an ended request, by its result and the reason for it.
 func (s *Stats) Request(result, reason string) {
 	s.counter(counterKey{"requests", result, reason}).Inc(1)
 }
 
-// Rejected counts a request that was not admitted.
+// Rejected counts a request that was not admitted, by reason.
 func (s *Stats) Rejected(reason string) {
 	s.counter(counterKey{"rejected", "", reason}).Inc(1)
 }
@@ -96,8 +96,8 @@
 // RolloutStep counts a step of a rollout, by its name.
 func (s *Stats) RolloutStep(step string) { s.counter(counterKey{"rollout_steps", "", step}).Inc(1) }
 
-// RolloutResponse counts a response that is evidence on a version, by the side of its server and
-// whether it was bad.
+// RolloutResponse counts a response that is evidence in a rollout, by the version of its server
+// (old or target) and whether it was bad.
 func (s *Stats) RolloutResponse(target, bad bool) {
 	side, result := "old", "good"
 	if target {
@@ -136,7 +136,7 @@
 // DatagramUnreadable counts a datagram from another router that could not be decoded.
 func (s *Stats) DatagramUnreadable() { s.counter(counterKey{"datagrams_unreadable", "", ""}).Inc(1) }
 
-// RecordSourceCall records a call to the source with its duration and result.
+// RecordSourceCall records a call to the named source of a feed, with its duration and result.
 func (s *Stats) RecordSourceCall(source string, took time.Duration, err error) {
 	s.CountSourceCall(source)
 	result := "done"
--- a/gateway/traffic/meter.go
+++ b/gateway/traffic/meter.go
@@ -26,6 +26,7 @@
 	m.counters[p].Inc(int64(n))
 }
 
+// sum returns the bytes on each path since the start.
 func (m *Meter) sum() Sum {
 	return Sum{
 		WithinHall: m.bytes[WithinHall].Load(), BetweenHalls: m.bytes[BetweenHalls].Load(),
