--- a/explain/versions.go
+++ b/explain/versions.go
@@ -7,7 +7,7 @@
 var sideTexts = map[string]string{
 	"old":          "requests that share parts of its prompt had not been moved to the target yet",
 	"target":       "requests that share parts of its prompt had been moved to the target",
-	"sample":       "a small part of its route's requests goes to the target, and too few of them had gone there so far",
+	"sample":       "a small part of its route's requests goes to the target, and too few of the route's requests had gone there so far",
 	"limit":        "it was meant for the target, but its router could send no more requests there at the time",
 	"no_place":     "it was meant for the target, but no server there would have served it in time",
 	"after_target": "an attempt at the target had brought no response",
--- a/gateway/eventlog/events.go
+++ b/gateway/eventlog/events.go
@@ -23,7 +23,7 @@
 	l.Event(name).Str("hall", c.Hall).Int("unreached", c.Unreached).Int("servers", c.Servers).Msg("")
 }
 
-// ServerStatus logs a change of the status of a server in this router.
+// ServerStatus logs a change of a server's status in this router's view.
 func (l *Log) ServerStatus(c direct.ServerStatusCmd) {
 	if l.AllowServerStatus() {
 		l.Event("server_"+string(c.Status)).Str("server", c.Server.ID).Str("service", c.Server.Service).
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -128,8 +128,8 @@
 func (p *Puller) pullFromSeeds(ctx context.Context) {
 	for _, seed := range p.seedOrder() {
 		p.o.Peers.Add(hostOf(seed))
-		// A seed that has just started responds for a blocking feed once it has read it.
-		// By then it usually has the other feeds too.
+		// A seed that has just started responds to the pull of a blocking feed once it has
+		// read that feed. By then it usually has the other feeds too.
 		p.pullMissing(ctx, seed, true)
 		p.pullMissing(ctx, seed, false)
 		if p.set.Complete() {
