--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -47,7 +47,8 @@
 	// routers before it reads it from the source.
 	PeersFirst bool
 	// Optional is set if a router serves requests before it has any content. With PeersFirst,
-	// the router waits at most optionalStartupWait for it before it reads it from the source.
+	// its wait for other routers is optionalStartupWait instead of Role.StartupWait, unless
+	// that is 0.
 	Optional bool
 	// Blocking is set if a pull waits a limited time for the first content. Routers that
 	// start together thus wait for the first of them to read the source.
