--- a/gateway/feed/feed.go
+++ b/gateway/feed/feed.go
@@ -21,8 +21,8 @@
 	// Read reads everything from the source, offers it, and returns the source's revision.
 	Read(ctx context.Context) (uint64, error)
 	// Watch waits for changes after the revision since, offers the resulting content, and
-	// returns the source's revision. The previous call of Read or Watch must have returned
-	// since.
+	// returns the source's revision. since must be the revision that the previous call of
+	// Read or Watch returned.
 	Watch(ctx context.Context, since uint64, wait time.Duration) (uint64, error)
 	// ContentSince returns the content to send to a router that has the revision since.
 	// HasContent must be true.
@@ -47,7 +47,8 @@
 	// routers before it reads it from the source.
 	PeersFirst bool
 	// Optional is set if a router serves requests before it has any content. With PeersFirst,
-	// the router waits for optionalStartupWait before it reads the content itself.
+	// its wait for other routers is optionalStartupWait instead of Role.StartupWait, unless
+	// that is 0.
 	Optional bool
 	// Blocking is set if a pull waits a limited time for the first content. Routers that
 	// start together thus wait for the first of them to read the source.
--- a/gateway/feed/pull.go
+++ b/gateway/feed/pull.go
@@ -33,11 +33,11 @@
 
 // PullOptions configures a Puller.
 type PullOptions struct {
-	Address string   // address of this host, without a port
-	Control string   // control address (host:port) that serves pulls; all hosts use the same port
-	Seeds   []string // control addresses of some routers
-	Peers   Peers
-	Traffic *traffic.Counter
+	Address        string   // address of this host, without a port
+	ControlAddress string   // control address (host:port) that serves pulls; all hosts use the same port
+	Seeds          []string // control addresses of some routers
+	Peers          Peers
+	Traffic        *traffic.Counter
 }
 
 // Puller pulls newer content from other routers.
@@ -46,16 +46,16 @@
 	client *http.Client
 	port   string
 	set    *Set
-	meters []*traffic.Meter // by feed
+	meters []*traffic.Meter // one per feed, in the order of the set
 	// seedFailing is set if the last pull from a seed failed.
 	seedFailing bool
 }
 
 // NewPuller returns a Puller that pulls newer content into a set.
 func NewPuller(set *Set, o PullOptions) (*Puller, error) {
-	_, port, err := net.SplitHostPort(o.Control)
+	_, port, err := net.SplitHostPort(o.ControlAddress)
 	if err != nil {
-		return nil, errors.Wrapf(err, "settings: the control address %q: give host:port", o.Control)
+		return nil, errors.Wrapf(err, "settings: the control address %q: give host:port", o.ControlAddress)
 	}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: pullDialTimeout}).DialContext,
@@ -128,8 +128,8 @@
 func (p *Puller) pullFromSeeds(ctx context.Context) {
 	for _, seed := range p.seedOrder() {
 		p.o.Peers.Add(hostOf(seed))
-		// A seed that has just started responds for a blocking feed once it has read it.
-		// By then it usually has the other feeds too.
+		// A seed that has just started responds to the pull of a blocking feed once it has
+		// read that feed. By then it usually has the other feeds too.
 		p.pullMissing(ctx, seed, true)
 		p.pullMissing(ctx, seed, false)
 		if p.set.Complete() {
