--- a/agent/agent.go
+++ b/agent/agent.go
@@ -134,12 +134,12 @@
 	return a.drain(hs)
 }
 
-// cutTimeout bounds how long LogCut waits for the state.
+// cutTimeout bounds how long LogAbortedRequests waits for the state.
 const cutTimeout = time.Second
 
-// LogCut logs the requests that an end at this moment cuts. Call it before the
+// LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
 // process is ended out of order.
-func (a *Agent) LogCut() {
+func (a *Agent) LogAbortedRequests() {
 	ctx, cancel := context.WithTimeout(context.Background(), cutTimeout)
 	defer cancel()
 	s, err := a.dump(ctx)
@@ -161,7 +161,7 @@
 	select {
 	case <-a.core.left:
 	case <-ctx.Done():
-		a.LogCut()
+		a.LogAbortedRequests()
 		return hs.Close()
 	}
 	a.log.Info().Msg("left: nothing was cut")
--- a/cmd/croftvaled/main.go
+++ b/cmd/croftvaled/main.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	return r.Run(untilSignal(r.LogCut))
+	return r.Run(untilSignal(r.LogAbortedRequests))
 }
 
 // Run runs an agent until a signal.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	return a.Run(untilSignal(a.LogCut))
+	return a.Run(untilSignal(a.LogAbortedRequests))
 }
 
 // Run checks a settings file of either role.
--- a/router/router.go
+++ b/router/router.go
@@ -212,12 +212,12 @@
 	return r.drain(hs)
 }
 
-// cutTimeout bounds how long LogCut waits for the state.
+// cutTimeout bounds how long LogAbortedRequests waits for the state.
 const cutTimeout = time.Second
 
-// LogCut logs the requests that an end at this moment cuts. Call it before the
+// LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
 // process is ended out of order.
-func (r *Router) LogCut() {
+func (r *Router) LogAbortedRequests() {
 	ctx, cancel := context.WithTimeout(context.Background(), cutTimeout)
 	defer cancel()
 	s, err := r.dump(ctx)
@@ -238,7 +238,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := hs.Shutdown(ctx); err != nil {
-		r.LogCut()
+		r.LogAbortedRequests()
 		return hs.Close()
 	}
 	r.log.Info().Msg("left: nothing was cut")
--- a/router/state.go
+++ b/router/state.go
@@ -19,7 +19,7 @@
 	HubOf         []fleet.Hall      `json:"hub_of"`
 	PlatformOK    bool              `json:"platform_ok"`
 	PlatformCalls int64             `json:"platform_calls"`
-	Lines         []fleet.Count     `json:"lines"`
+	Queues        []fleet.Count     `json:"lines"`
 	Hosts         []fleet.Name      `json:"hosts"` // by the platform's last list
 	Peers         []PeerState       `json:"peers"`
 	Service       []ServiceState    `json:"service"`
@@ -51,7 +51,7 @@
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
 		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
 		PlatformOK: c.platform.ok.Load(), PlatformCalls: c.platform.client.Calls(),
-		Lines: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
+		Queues: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
 	}
 	for hall := range c.duty.hubs {
 		if c.duty.isHub(hall, c.settings.Name) {
