--- a/agent/agent.go
+++ b/agent/agent.go
@@ -24,10 +24,10 @@
 
 const (
 	// eventRoom is how many events may wait for the core.
-	eventRoom = 1024
+	eventBuffer = 1024
 	// keepIdle is longer than routers keep idle connections, so that it is
 	// always the caller who closes one.
-	keepIdle = 10 * time.Minute
+	routerIdleTimeout = 10 * time.Minute
 )
 
 // Agent is the daemon beside one backend server.
@@ -43,7 +43,7 @@
 // New returns an agent that has opened no address yet. It fails where the TLS
 // files of the settings can't be used.
 func New(s settings.Agent, logger *log.Logger) (*Agent, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	a := &Agent{settings: s, log: logger}
 	store, err := process.Keys(s.TLS)
 	if err != nil {
@@ -53,27 +53,27 @@
 	a.core = &core{
 		settings:    s,
 		log:         logger,
-		now:         func() time.Duration { return time.Since(began) },
-		incarnation: fleet.Incarnation(began.UnixNano()),
-		events:      make(chan event, eventRoom),
-		links:       make(chan link.Event, eventRoom),
+		now:         func() time.Duration { return time.Since(startedAt) },
+		incarnation: fleet.Incarnation(startedAt.UnixNano()),
+		events:      make(chan event, eventBuffer),
+		links:       make(chan link.Event, eventBuffer),
 		meter:       &link.Meter{},
-		machine:     sched.New(sched.Config{}),
-		keys:        once.NewKeyTable(once.KeyTableConfig{Self: s.Name, StartedAt: began}),
+		scheduler:   sched.New(sched.Config{}),
+		keys:        once.NewKeyTable(once.KeyTableConfig{Self: s.Name, StartedAt: startedAt}),
 		routers:     map[fleet.Name]*routerLink{},
-		waiting:     map[uint64]chan<- verdict{},
-		left:        make(chan struct{}),
+		replies:     map[uint64]chan<- decision{},
+		drained:     make(chan struct{}),
 	}
 	a.server = newServer(a.core, logger)
-	a.core.bundles = func(f bundle.InForce) { a.server.configure(f) }
-	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.adopted, a.refused)
+	a.core.onBundle = func(f bundle.InForce) { a.server.configure(f) }
+	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.onBundleAdopted, a.onBundleRejected)
 	a.admin = admin.New(admin.Source{Ready: a.server.ready, State: a.dump})
 	return a, nil
 }
 
-func (a *Agent) adopted(f bundle.InForce) { a.core.events <- bundleEvent{f} }
+func (a *Agent) onBundleAdopted(f bundle.InForce) { a.core.events <- bundleEvent{f} }
 
-func (a *Agent) refused(err error) {
+func (a *Agent) onBundleRejected(err error) {
 	a.log.Warn().Err(err).Msg("bundle refused")
 }
 
@@ -104,43 +104,43 @@
 // Run serves until ctx ends, then takes no new work, waits for what runs and
 // returns. What still runs when the drain time is over is cut and logged.
 func (a *Agent) Run(ctx context.Context) error {
-	links, err := process.Listen("links", a.settings.Links.String())
+	linkListener, err := process.Listen("links", a.settings.Links.String())
 	if err != nil {
 		return err
 	}
-	serve, err := process.Listen("serve", a.settings.Serve.String())
+	serveListener, err := process.Listen("serve", a.settings.Serve.String())
 	if err != nil {
 		return err
 	}
-	adm, err := process.Listen("admin", a.settings.Admin.String())
+	adminListener, err := process.Listen("admin", a.settings.Admin.String())
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
-	hs := &http.Server{Handler: a.server, ReadHeaderTimeout: keepIdle, IdleTimeout: keepIdle}
-	wg.Go(func() { a.core.run(life) })
-	wg.Go(func() { a.core.keeper.Run(life) })
-	wg.Go(func() { a.server.probe(life) })
-	wg.Go(func() { process.Gauge(life, a.admin.Scope(), a.gauges) })
-	wg.Go(func() { process.Report(a.log, "links", link.Listen(life, links, a.linkOptions())) })
-	wg.Go(func() { process.Report(a.log, "admin", a.admin.Serve(life, adm)) })
-	wg.Go(func() { process.Report(a.log, "serve", hs.Serve(a.secured(serve))) })
-	a.log.Info().Str("links", links.Addr().String()).Str("serve", serve.Addr().String()).Msg("agent started")
+	defer stop()
+	httpServer := &http.Server{Handler: a.server, ReadHeaderTimeout: routerIdleTimeout, IdleTimeout: routerIdleTimeout}
+	wg.Go(func() { a.core.run(runCtx) })
+	wg.Go(func() { a.core.keeper.Run(runCtx) })
+	wg.Go(func() { a.server.runProbes(runCtx) })
+	wg.Go(func() { process.Gauge(runCtx, a.admin.Scope(), a.gauges) })
+	wg.Go(func() { process.Report(a.log, "links", link.Listen(runCtx, linkListener, a.linkOptions())) })
+	wg.Go(func() { process.Report(a.log, "admin", a.admin.Serve(runCtx, adminListener)) })
+	wg.Go(func() { process.Report(a.log, "serve", httpServer.Serve(a.tlsListener(serveListener))) })
+	a.log.Info().Str("links", linkListener.Addr().String()).Str("serve", serveListener.Addr().String()).Msg("agent started")
 	<-ctx.Done()
-	return a.drain(hs)
+	return a.drain(httpServer)
 }
 
 // cutTimeout bounds how long LogAbortedRequests waits for the state.
-const cutTimeout = time.Second
+const stateTimeout = time.Second
 
 // LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
 // process is ended out of order.
 func (a *Agent) LogAbortedRequests() {
-	ctx, cancel := context.WithTimeout(context.Background(), cutTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	s, err := a.dump(ctx)
 	if err != nil {
@@ -152,20 +152,20 @@
 }
 
 // drain ends the process in order.
-func (a *Agent) drain(hs *http.Server) error {
+func (a *Agent) drain(httpServer *http.Server) error {
 	limit := a.settings.Drain.Or(settings.DefaultDrain)
 	a.log.Info().Dur("limit", limit).Msg("leaving: no new work is taken")
-	a.core.events <- leaveEvent{}
+	a.core.events <- shutdownEvent{}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	select {
-	case <-a.core.left:
+	case <-a.core.drained:
 	case <-ctx.Done():
 		a.LogAbortedRequests()
-		return hs.Close()
+		return httpServer.Close()
 	}
 	a.log.Info().Msg("left: nothing was cut")
-	return hs.Shutdown(ctx)
+	return httpServer.Shutdown(ctx)
 }
 
 func (a *Agent) linkOptions() link.Options {
@@ -177,7 +177,7 @@
 
 // secured wraps a listener for granted requests: only routers of the fleet may
 // connect. Keys are read anew for each connection.
-func (a *Agent) secured(ln net.Listener) net.Listener {
+func (a *Agent) tlsListener(ln net.Listener) net.Listener {
 	if a.secure == nil {
 		return ln
 	}
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	maxIdle     = 64
-	idleTimeout = 90 * time.Second
+	maxIdleServerConns = 64
+	serverIdleTimeout  = 90 * time.Second
 )
 
 // backend calls the backend server. Requests that may run only once get a
 // connection of their own: net/http may send a request again on its own when
 // a kept connection was closed by the other side.
 type backend struct {
-	kept  *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 func newBackend() *backend {
-	base := &http.Transport{
-		MaxIdleConnsPerHost: maxIdle,
-		IdleConnTimeout:     idleTimeout,
+	pooled := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleServerConns,
+		IdleConnTimeout:     serverIdleTimeout,
 		DisableCompression:  true,
 	}
-	fresh := base.Clone()
-	fresh.DisableKeepAlives = true
-	return &backend{kept: base, fresh: fresh}
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
+	return &backend{pooled: pooled, unpooled: unpooled}
 }
 
 func (b *backend) transport(repeatable bool) http.RoundTripper {
 	if repeatable {
-		return b.kept
+		return b.pooled
 	}
-	return b.fresh
+	return b.unpooled
 }
 
 // forward passes a started request to the server and its answer back.
 func (s *server) forward(w http.ResponseWriter, r *http.Request, t *target) {
 	var sent relay.Sent
-	req := sent.Trace(outgoing(r, t))
+	req := sent.Trace(newServerRequest(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
-	res, err := s.back.transport(repeatable).RoundTrip(req)
+	res, err := s.backend.transport(repeatable).RoundTrip(req)
 	if err != nil {
-		s.failed(w, r, &sent, err)
+		s.handleFailure(w, r, &sent, err)
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
-	s.health.passed()
-	s.heed(res)
+	s.health.recordSuccess()
+	s.applyRetryAfter(res)
 	relay.CopyHeader(w.Header(), res.Header, relay.HeaderRan)
 	w.Header().Set(relay.HeaderRan, "yes")
 	w.WriteHeader(res.StatusCode)
-	body := s.checked(res, t, r)
+	body := s.checkStreamEnd(res, t, r)
 	if err := relay.Copy(w, body); err != nil {
 		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("answer cut")
 		// The connection must break, or a part would pass for the whole.
@@ -66,14 +66,14 @@
 }
 
 // failed answers for a run that brought no answer.
-func (s *server) failed(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+func (s *server) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
 	ran := "no"
 	if sent.MayHaveLeft() {
 		ran = "unknown"
 	}
 	if r.Context().Err() == nil {
-		if s.health.failed() {
-			s.tellCore(r.Context(), false)
+		if s.health.recordFailure() {
+			s.reportHealth(r.Context(), false)
 		}
 		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("backend server failed")
 	}
@@ -81,7 +81,7 @@
 }
 
 // outgoing builds the request to the server.
-func outgoing(r *http.Request, t *target) *http.Request {
+func newServerRequest(r *http.Request, t *target) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
 	u.Host = t.server.Address.String()
--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -18,18 +18,18 @@
 
 // newServerAt returns an agent's server before a backend server, and the events that its core
 // gets.
-func newServerAt(t *testing.T, backend http.HandlerFunc) (*server, chan event) {
-	back := httptest.NewServer(backend)
-	t.Cleanup(back.Close)
+func newTestServer(t *testing.T, backend http.HandlerFunc) (*server, chan event) {
+	backendServer := httptest.NewServer(backend)
+	t.Cleanup(backendServer.Close)
 	events := make(chan event, 100)
 	s := newServer(&core{events: events}, &log.Logger{Level: log.PanicLevel})
-	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(back.URL, "http://"))}
+	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(backendServer.URL, "http://"))}
 	s.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
 	ctx, stop := context.WithCancel(context.Background())
 	probing := make(chan struct{})
 	go func() {
 		defer close(probing)
-		s.probe(ctx)
+		s.runProbes(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-probing })
 	require.Equal(t, healthEvent{true}, <-events)
@@ -45,36 +45,36 @@
 // takes work again after it.
 func TestBackendAsksForNothing(t *testing.T) {
 	const backoff = 400 * time.Millisecond
-	var asked atomic.Int64 // Unix nanosecond of the answer
-	early := make(chan string, 100)
-	s, events := newServerAt(t, func(w http.ResponseWriter, r *http.Request) {
-		if at := asked.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
-			early <- r.URL.Path
+	var refusedAt atomic.Int64 // Unix nanosecond of the answer
+	earlyPaths := make(chan string, 100)
+	s, events := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+		if at := refusedAt.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
+			earlyPaths <- r.URL.Path
 		}
 		if r.URL.Path == "/health" {
 			return
 		}
 		w.Header().Set("Retry-After", "0.4")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		asked.Store(time.Now().UnixNano())
+		refusedAt.Store(time.Now().UnixNano())
 	})
 	s.send()
 	require.Equal(t, healthEvent{false}, <-events)
 	require.ErrorIs(t, s.ready(), ErrServerBusy)
 	require.Equal(t, healthEvent{true}, <-events)
-	require.GreaterOrEqual(t, time.Since(time.Unix(0, asked.Load())), backoff)
+	require.GreaterOrEqual(t, time.Since(time.Unix(0, refusedAt.Load())), backoff)
 	require.NoError(t, s.ready())
-	require.Empty(t, early)
+	require.Empty(t, earlyPaths)
 }
 
 // TestProbeUnderWay has a probe end well that was under way when the backend server asked for
 // nothing: it doesn't bring the server back before its time.
-func TestProbeUnderWay(t *testing.T) {
+func TestProbeStartedBeforeBackoff(t *testing.T) {
 	h := health{}
 	now := time.Now()
-	require.True(t, h.probed(true))
-	require.True(t, h.backOff(now.Add(time.Hour)))
-	require.False(t, h.backOff(now.Add(time.Minute)), "it is known")
-	require.False(t, h.probed(true))
-	require.Greater(t, h.backoffLeft(), time.Minute, "the longer time holds")
+	require.True(t, h.recordProbe(true))
+	require.True(t, h.setBackoff(now.Add(time.Hour)))
+	require.False(t, h.setBackoff(now.Add(time.Minute)), "it is known")
+	require.False(t, h.recordProbe(true))
+	require.Greater(t, h.remainingBackoff(), time.Minute, "the longer time holds")
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -17,7 +17,7 @@
 )
 
 // serverOf finds the agent's own backend server in a bundle.
-func serverOf(b bundle.Bundle, name fleet.Name) (bundle.Server, bool) {
+func findServer(b bundle.Bundle, name fleet.Name) (bundle.Server, bool) {
 	for _, s := range b.Servers {
 		if s.Name == name {
 			return s, true
@@ -28,7 +28,7 @@
 
 // configOf returns what the machine has to know of a bundle. A server that
 // the bundle does not name, or names as leaving, has no slots.
-func configOf(b bundle.Bundle, name fleet.Name) sched.Config {
+func schedulerConfig(b bundle.Bundle, name fleet.Name) sched.Config {
 	c := sched.Config{
 		Shares:       map[fleet.Team]float64{},
 		Mode:         sched.Mode(b.Policy.Sharing),
@@ -40,20 +40,20 @@
 	for _, t := range b.Teams {
 		c.Shares[t.Name] = t.Share
 	}
-	s, ok := serverOf(b, name)
+	s, ok := findServer(b, name)
 	if !ok || s.Leaving {
 		return c
 	}
 	c.Slots = s.Slots
 	c.Works = s.Works
 	c.ClaimAhead = *b.Policy.ClaimAhead
-	c.PeerSlotRatio = alike(b, s)
+	c.PeerSlotRatio = peerSlotRatio(b, s)
 	return c
 }
 
 // alike returns, for each work of a server, the slots of the other servers
 // that run it, in units of the server's own.
-func alike(b bundle.Bundle, own bundle.Server) map[fleet.Work]float64 {
+func peerSlotRatio(b bundle.Bundle, own bundle.Server) map[fleet.Work]float64 {
 	out := map[fleet.Work]float64{}
 	for _, s := range b.Servers {
 		if s.Name == own.Name || s.Leaving {
@@ -72,13 +72,13 @@
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "agent",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(),
 		Serving: c.serving, Leaving: c.leaving,
-		Slots: c.machine.Slots(), Running: c.machine.Running(), Held: c.machine.Held(), Keys: c.keys.Len(),
-		Teams: c.machine.Teams(), Traffic: c.meter.Snapshot(),
+		Slots: c.scheduler.Slots(), Running: c.scheduler.Running(), Held: c.scheduler.Held(), Keys: c.keys.Len(),
+		Teams: c.scheduler.Teams(), Traffic: c.meter.Snapshot(),
 	}
 	for name, r := range c.routers {
 		s.Routers = append(s.Routers, PeerState{
 			Name: name, Remote: r.conn.Remote, Hall: r.conn.Peer.Hall,
-			Generation: r.last.Generation, Hub: r.last.Hub,
+			Generation: r.lastHeartbeat.Generation, Hub: r.lastHeartbeat.Hub,
 		})
 	}
 	return s
--- a/agent/core.go
+++ b/agent/core.go
@@ -30,32 +30,32 @@
 	links       chan link.Event
 	meter       *link.Meter
 	keeper      *adopt.Keeper
-	bundles     func(bundle.InForce) // hears of each bundle in force
+	onBundle    func(bundle.InForce) // hears of each bundle in force
 
-	machine   *sched.Machine
+	scheduler *sched.Machine
 	keys      *once.KeyTable
 	inForce   bundle.InForce
 	routers   map[fleet.Name]*routerLink
-	waiting   map[uint64]chan<- verdict
+	replies   map[uint64]chan<- decision
 	serving   bool
 	leaving   bool
-	left      chan struct{} // closed once nothing is held after leaving
+	drained   chan struct{} // closed once nothing is held after leaving
 	pulse     process.Pulse
-	pullAgain time.Duration // when another peer may be asked for a bundle
+	nextPull  time.Duration // when another peer may be asked for a bundle
 }
 
 // routerLink is a link to a router and what it last said of itself.
 type routerLink struct {
-	conn *link.Conn
-	last wire.Heartbeat
+	conn          *link.Conn
+	lastHeartbeat wire.Heartbeat
 }
 
 // run feeds the machine until ctx ends.
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(sched.TickInterval)
 	defer tick.Stop()
-	beat := time.NewTicker(link.HeartbeatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(link.HeartbeatEvery)
+	defer heartbeat.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -65,25 +65,25 @@
 		case e := <-c.events:
 			c.onEvent(e)
 		case <-tick.C:
-			c.feed(sched.TickMsg{Now: c.now()})
-		case <-beat.C:
+			c.updateScheduler(sched.TickMsg{Now: c.now()})
+		case <-heartbeat.C:
 			c.keepAlive()
 		}
-		c.checkLeft()
+		c.checkDrained()
 	}
 }
 
 // feed gives the machine one message and carries out what it wants.
-func (c *core) feed(m sched.Msg) {
-	for _, cmd := range c.machine.Update(m) {
-		c.perform(cmd)
+func (c *core) updateScheduler(m sched.Msg) {
+	for _, cmd := range c.scheduler.Update(m) {
+		c.execute(cmd)
 	}
 }
 
-func (c *core) perform(cmd sched.Command) {
+func (c *core) execute(cmd sched.Command) {
 	switch cmd := cmd.(type) {
 	case sched.ClaimCmd:
-		c.send(cmd.Router, func(conn *link.Conn) wire.Message { return claimOf(conn, cmd) })
+		c.send(cmd.Router, func(conn *link.Conn) wire.Message { return encodeClaim(conn, cmd) })
 	case sched.FreeCmd:
 		c.send(cmd.Router, func(*link.Conn) wire.Message { return wire.Free{Slots: uint32(cmd.Slots), First: cmd.First} })
 	case sched.ServiceCmd:
@@ -91,14 +91,14 @@
 			return wire.Service{Rows: conn.SpellService(cmd.Rows)}
 		})
 	case sched.StartCmd:
-		c.decide(cmd.Seq, verdictStart)
+		c.decide(cmd.Seq, decisionStart)
 	case sched.RejectCmd:
-		c.decide(cmd.Seq, verdictReject)
+		c.decide(cmd.Seq, decisionReject)
 	}
 }
 
 // claimOf spells a claim for one link.
-func claimOf(conn *link.Conn, cmd sched.ClaimCmd) wire.Claim {
+func encodeClaim(conn *link.Conn, cmd sched.ClaimCmd) wire.Claim {
 	return wire.Claim{
 		Seq:   cmd.Seq,
 		Work:  conn.Out.Number(string(cmd.Key.Work)),
@@ -108,34 +108,34 @@
 }
 
 // send spells a message for a router's link and sends it, if the link stands.
-func (c *core) send(router fleet.Name, spell func(*link.Conn) wire.Message) {
+func (c *core) send(router fleet.Name, encode func(*link.Conn) wire.Message) {
 	if r, ok := c.routers[router]; ok {
-		r.conn.SendNamed(spell(r.conn))
+		r.conn.SendNamed(encode(r.conn))
 	}
 }
 
 // decide tells a request's goroutine the verdict.
-func (c *core) decide(seq uint64, v verdict) {
-	if reply, ok := c.waiting[seq]; ok {
+func (c *core) decide(seq uint64, v decision) {
+	if reply, ok := c.replies[seq]; ok {
 		reply <- v
-		delete(c.waiting, seq)
+		delete(c.replies, seq)
 	}
 }
 
 func (c *core) onEvent(e event) {
 	switch e := e.(type) {
-	case arriveEvent:
-		c.arrive(e)
-	case abandonEvent:
-		c.abandon(e)
-	case endEvent:
-		c.feed(sched.EndMsg{Now: c.now(), Seq: e.seq})
+	case requestEvent:
+		c.onRequest(e)
+	case cancelEvent:
+		c.cancel(e)
+	case runEndEvent:
+		c.updateScheduler(sched.EndMsg{Now: c.now(), Seq: e.seq})
 	case bundleEvent:
-		c.adopted(e.inForce)
+		c.applyBundle(e.inForce)
 	case healthEvent:
 		c.setServing(e.serving)
-	case leaveEvent:
-		c.leave()
+	case shutdownEvent:
+		c.startDrain()
 	case stateEvent:
 		e.reply <- c.state()
 	}
@@ -143,24 +143,24 @@
 
 // arrive hands a request to the machine. A second request with the same claim
 // must not disturb the first, so it is rejected here.
-func (c *core) arrive(e arriveEvent) {
-	if _, dup := c.waiting[e.seq]; dup {
-		e.reply <- verdictReject
+func (c *core) onRequest(e requestEvent) {
+	if _, duplicate := c.replies[e.seq]; duplicate {
+		e.reply <- decisionReject
 		return
 	}
-	c.waiting[e.seq] = e.reply
-	c.feed(sched.ArriveMsg{Now: c.now(), Seq: e.seq, Key: e.key, Remaining: e.left, OldestAge: e.oldest})
+	c.replies[e.seq] = e.reply
+	c.updateScheduler(sched.ArriveMsg{Now: c.now(), Seq: e.seq, Key: e.key, Remaining: e.remaining, OldestAge: e.oldestAge})
 }
 
 // abandon forgets a request that waits to start. Another one with the same
 // claim is not its business.
-func (c *core) abandon(e abandonEvent) {
-	if c.waiting[e.seq] != e.reply {
+func (c *core) cancel(e cancelEvent) {
+	if c.replies[e.seq] != e.reply {
 		return // it has its verdict
 	}
-	delete(c.waiting, e.seq)
-	c.feed(sched.EndMsg{Now: c.now(), Seq: e.seq})
-	e.reply <- verdictReject
+	delete(c.replies, e.seq)
+	c.updateScheduler(sched.EndMsg{Now: c.now(), Seq: e.seq})
+	e.reply <- decisionReject
 }
 
 func (c *core) setServing(serving bool) {
@@ -168,36 +168,36 @@
 		c.log.Info().Bool("serving", serving).Msg("backend server's health changed")
 	}
 	c.serving = serving
-	c.heartbeat() // first, for routers take no word of idle slots from an agent that does not serve
-	c.feed(sched.HealthMsg{Now: c.now(), Serving: serving && !c.leaving})
+	c.broadcastHeartbeat() // first, for routers take no word of idle slots from an agent that does not serve
+	c.updateScheduler(sched.HealthMsg{Now: c.now(), Serving: serving && !c.leaving})
 }
 
 // leave stops the taking of new work and tells every router.
-func (c *core) leave() {
+func (c *core) startDrain() {
 	c.leaving = true
-	c.feed(sched.LeaveMsg{Now: c.now()})
-	c.heartbeat()
+	c.updateScheduler(sched.LeaveMsg{Now: c.now()})
+	c.broadcastHeartbeat()
 }
 
-func (c *core) checkLeft() {
-	if !c.leaving || c.machine.Busy() {
+func (c *core) checkDrained() {
+	if !c.leaving || c.scheduler.Busy() {
 		return
 	}
 	select {
-	case <-c.left:
+	case <-c.drained:
 	default:
-		close(c.left)
+		close(c.drained)
 	}
 }
 
 // adopted puts a bundle in force here.
-func (c *core) adopted(f bundle.InForce) {
+func (c *core) applyBundle(f bundle.InForce) {
 	c.inForce = f
-	c.pullAgain = 0
+	c.nextPull = 0
 	b := f.Bundle.WithDefaults()
-	c.feed(sched.ConfigMsg{Now: c.now(), Config: configOf(b, c.settings.Name)})
-	c.setPools(b)
-	c.bundles(f)
-	c.heartbeat()
+	c.updateScheduler(sched.ConfigMsg{Now: c.now(), Config: schedulerConfig(b, c.settings.Name)})
+	c.setKeyAgents(b)
+	c.onBundle(f)
+	c.broadcastHeartbeat()
 	c.log.Info().Uint64("generation", uint64(f.Generation())).Str("digest", string(f.Order.Digest)).Msg("bundle in force")
 }
--- a/agent/core_test.go
+++ b/agent/core_test.go
@@ -11,42 +11,42 @@
 )
 
 // newCore returns a core whose one slot a claim has been made for.
-func newCore() (*core, uint64) {
+func newTestCore() (*core, uint64) {
 	c := &core{
-		now:     func() time.Duration { return time.Second },
-		log:     &log.Logger{Level: log.PanicLevel},
-		machine: sched.New(sched.Config{Slots: 1, Works: []fleet.Work{"report"}, Shares: map[fleet.Team]float64{"ajax": 1}}),
-		waiting: map[uint64]chan<- verdict{},
+		now:       func() time.Duration { return time.Second },
+		log:       &log.Logger{Level: log.PanicLevel},
+		scheduler: sched.New(sched.Config{Slots: 1, Works: []fleet.Work{"report"}, Shares: map[fleet.Team]float64{"ajax": 1}}),
+		replies:   map[uint64]chan<- decision{},
 	}
-	line := fleet.DemandKey{Work: "report", Team: "ajax"}
-	c.machine.Update(sched.RouterUpMsg{Router: "r"})
-	c.machine.Update(sched.DemandMsg{Router: "r", Counts: []fleet.Count{{Key: line, Waiting: 1}}})
-	claim := c.machine.Update(sched.HealthMsg{Serving: true})[0].(sched.ClaimCmd)
+	key := fleet.DemandKey{Work: "report", Team: "ajax"}
+	c.scheduler.Update(sched.RouterUpMsg{Router: "r"})
+	c.scheduler.Update(sched.DemandMsg{Router: "r", Counts: []fleet.Count{{Key: key, Waiting: 1}}})
+	claim := c.scheduler.Update(sched.HealthMsg{Serving: true})[0].(sched.ClaimCmd)
 	return c, claim.Seq
 }
 
 // TestAbandonedRequestLeavesNothing lets a router give a request up while it
 // starts, and while it waits.
-func TestAbandonedRequestLeavesNothing(t *testing.T) {
-	c, seq := newCore()
-	reply := make(chan verdict, 1)
-	c.onEvent(arriveEvent{seq: seq, reply: reply})
-	c.onEvent(abandonEvent{seq: seq, reply: reply}) // the start crossed with it
-	require.Equal(t, verdictStart, <-reply)
-	require.Equal(t, 1, c.machine.Running(), "its goroutine has yet to end it")
-	c.onEvent(endEvent{seq})
-	require.False(t, c.machine.Busy())
+func TestCanceledRequestIsReleased(t *testing.T) {
+	c, seq := newTestCore()
+	reply := make(chan decision, 1)
+	c.onEvent(requestEvent{seq: seq, reply: reply})
+	c.onEvent(cancelEvent{seq: seq, reply: reply}) // the start crossed with it
+	require.Equal(t, decisionStart, <-reply)
+	require.Equal(t, 1, c.scheduler.Running(), "its goroutine has yet to end it")
+	c.onEvent(runEndEvent{seq})
+	require.False(t, c.scheduler.Busy())
 }
 
 // TestRepeatedCallDisturbsNobody sends a claim's request a second time, which
 // is then given up: the first one goes on holding its slot.
 func TestRepeatedCallDisturbsNobody(t *testing.T) {
-	c, seq := newCore()
-	first, second := make(chan verdict, 1), make(chan verdict, 1)
-	c.onEvent(arriveEvent{seq: seq, reply: first})
-	require.Equal(t, verdictStart, <-first)
-	c.onEvent(arriveEvent{seq: seq, reply: second})
-	c.onEvent(abandonEvent{seq: seq, reply: second})
-	require.Equal(t, verdictReject, <-second)
-	require.Equal(t, 1, c.machine.Running())
+	c, seq := newTestCore()
+	first, second := make(chan decision, 1), make(chan decision, 1)
+	c.onEvent(requestEvent{seq: seq, reply: first})
+	require.Equal(t, decisionStart, <-first)
+	c.onEvent(requestEvent{seq: seq, reply: second})
+	c.onEvent(cancelEvent{seq: seq, reply: second})
+	require.Equal(t, decisionReject, <-second)
+	require.Equal(t, 1, c.scheduler.Running())
 }
--- a/agent/event.go
+++ b/agent/event.go
@@ -11,23 +11,23 @@
 type event interface{ isEvent() }
 
 // arriveEvent brings a claimed request; the verdict goes to reply.
-type arriveEvent struct {
-	seq    uint64
-	key    fleet.DemandKey
-	left   int            // requests left in its line
-	oldest time.Duration  // age of the oldest of them
-	reply  chan<- verdict // has room for one
+type requestEvent struct {
+	seq       uint64
+	key       fleet.DemandKey
+	remaining int             // requests left in its line
+	oldestAge time.Duration   // age of the oldest of them
+	reply     chan<- decision // has room for one
 }
 
 // abandonEvent says that a router has given up a request that waits to start.
 // One verdict always follows on reply, or is on its way already.
-type abandonEvent struct {
+type cancelEvent struct {
 	seq   uint64
-	reply chan<- verdict
+	reply chan<- decision
 }
 
 // endEvent says that a request which came is over.
-type endEvent struct{ seq uint64 }
+type runEndEvent struct{ seq uint64 }
 
 // bundleEvent brings a bundle that is now in force.
 type bundleEvent struct{ inForce bundle.InForce }
@@ -36,23 +36,23 @@
 type healthEvent struct{ serving bool }
 
 // leaveEvent says that the process has been asked to stop.
-type leaveEvent struct{}
+type shutdownEvent struct{}
 
 // stateEvent asks for a dump.
 type stateEvent struct{ reply chan<- State }
 
-func (arriveEvent) isEvent()  {}
-func (abandonEvent) isEvent() {}
-func (endEvent) isEvent()     {}
-func (bundleEvent) isEvent()  {}
-func (healthEvent) isEvent()  {}
-func (leaveEvent) isEvent()   {}
-func (stateEvent) isEvent()   {}
+func (requestEvent) isEvent()  {}
+func (cancelEvent) isEvent()   {}
+func (runEndEvent) isEvent()   {}
+func (bundleEvent) isEvent()   {}
+func (healthEvent) isEvent()   {}
+func (shutdownEvent) isEvent() {}
+func (stateEvent) isEvent()    {}
 
 // verdict says what becomes of a request that came.
-type verdict uint8
+type decision uint8
 
 const (
-	verdictStart verdict = iota
-	verdictReject
+	decisionStart decision = iota
+	decisionReject
 )
--- a/agent/health.go
+++ b/agent/health.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	probeEvery   = time.Second
-	probeTimeout = 2 * time.Second
+	probeInterval = time.Second
+	probeTimeout  = 2 * time.Second
 	// maxProbe is how much of a probe's answer is read, in bytes.
-	maxProbe = 1 << 16
+	maxProbeBody = 1 << 16
 	// firstProbe is the time to the first probe after a failure.
-	firstProbe = 100 * time.Millisecond
+	initialProbeDelay = 100 * time.Millisecond
 	// lastProbe bounds how long a server that is well again stays unused.
-	lastProbe = 5 * time.Second
+	maxProbeDelay = 5 * time.Second
 	// failuresToEject is how many runs in a row must fail before the server
 	// takes no more work until a probe passes.
 	failuresToEject = 3
@@ -75,26 +75,26 @@
 }
 
 // backOff notes until when the server asked for nothing, and tells whether that takes it out.
-func (h *health) backOff(until time.Time) bool {
+func (h *health) setBackoff(until time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if until.After(h.backoffUntil) {
 		h.backoffUntil = until
 	}
-	was := h.up
+	wasUp := h.up
 	h.up = false
-	return was
+	return wasUp
 }
 
 // backoffLeft returns how much longer the server wants nothing.
-func (h *health) backoffLeft() time.Duration {
+func (h *health) remainingBackoff() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Until(h.backoffUntil)
 }
 
 // passed notes an answer.
-func (h *health) passed() {
+func (h *health) recordSuccess() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = 0
@@ -102,7 +102,7 @@
 
 // failed notes a run without an answer and tells whether it was the one that
 // takes the server out.
-func (h *health) failed() bool {
+func (h *health) recordFailure() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures++
@@ -115,7 +115,7 @@
 
 // probed notes a probe and returns whether the server is up. One that was under way when the
 // server asked for nothing doesn't bring it back.
-func (h *health) probed(ok bool) bool {
+func (h *health) recordProbe(ok bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.up = ok && !time.Now().Before(h.backoffUntil)
@@ -127,54 +127,54 @@
 
 // probe asks the server for its health until ctx ends, less and less often
 // while it is down.
-func (s *server) probe(ctx context.Context) {
+func (s *server) runProbes(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstProbe
-	b.MaxInterval = lastProbe
-	known := false
+	b.InitialInterval = initialProbeDelay
+	b.MaxInterval = maxProbeDelay
+	reported := false
 	for ctx.Err() == nil {
-		if left := s.health.backoffLeft(); left > 0 {
-			s.tellCore(ctx, false)
-			known = false
-			s.pause(ctx, left)
+		if remaining := s.health.remainingBackoff(); remaining > 0 {
+			s.reportHealth(ctx, false)
+			reported = false
+			s.waitForProbe(ctx, remaining)
 			continue
 		}
-		was := s.health.err() == nil
-		up := s.health.probed(s.probeOnce(ctx))
-		if up != was || !known {
-			s.tellCore(ctx, up)
-			known = true
+		wasUp := s.health.err() == nil
+		up := s.health.recordProbe(s.probeServer(ctx))
+		if up != wasUp || !reported {
+			s.reportHealth(ctx, up)
+			reported = true
 		}
-		pause := probeEvery
+		delay := probeInterval
 		if up {
 			b.Reset()
 		} else {
-			pause = b.NextBackOff()
+			delay = b.NextBackOff()
 		}
-		s.pause(ctx, pause)
+		s.waitForProbe(ctx, delay)
 	}
 }
 
 // probeNow ends the pause between two probes.
 func (s *server) probeNow() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.probeRequests <- struct{}{}:
 	default: // one is asked for already
 	}
 }
 
 // pause waits for the next probe, or until one is asked for.
-func (s *server) pause(ctx context.Context, d time.Duration) {
+func (s *server) waitForProbe(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-s.kick:
+	case <-s.probeRequests:
 	case <-t.C:
 	}
 }
 
-func (s *server) tellCore(ctx context.Context, up bool) {
+func (s *server) reportHealth(ctx context.Context, up bool) {
 	select {
 	case s.core.events <- healthEvent{up}:
 	case <-ctx.Done():
@@ -182,7 +182,7 @@
 }
 
 // probeOnce tells whether the server answers its probe well.
-func (s *server) probeOnce(ctx context.Context) bool {
+func (s *server) probeServer(ctx context.Context) bool {
 	t := s.target.Load()
 	if t == nil {
 		return false
@@ -194,27 +194,27 @@
 	if err != nil {
 		return false
 	}
-	res, err := s.back.fresh.RoundTrip(req)
+	res, err := s.backend.unpooled.RoundTrip(req)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = res.Body.Close() }()
 	var load Load
-	if json.NewDecoder(io.LimitReader(res.Body, maxProbe)).Decode(&load) == nil {
+	if json.NewDecoder(io.LimitReader(res.Body, maxProbeBody)).Decode(&load) == nil {
 		s.health.setLoad(load)
 	}
-	s.heed(res)
+	s.applyRetryAfter(res)
 	return res.StatusCode < http.StatusInternalServerError
 }
 
 // heed takes the server out for as long as it asked for by turning a request away: the agent
 // is the only one that calls it, so nothing reaches it in that time.
-func (s *server) heed(res *http.Response) {
+func (s *server) applyRetryAfter(res *http.Response) {
 	backoff, err := retryafter.Read(res.StatusCode, res.Header)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("backend server's answer can't be read; it counts as if it had asked for nothing")
 	}
-	if backoff > 0 && s.health.backOff(time.Now().Add(backoff)) {
+	if backoff > 0 && s.health.setBackoff(time.Now().Add(backoff)) {
 		s.log.Info().Dur("for", backoff).Msg("backend server asked for no more requests")
 		s.probeNow() // tells the core, and waits
 	}
--- a/agent/alive.go
+++ b/agent/heartbeat.go
@@ -16,7 +16,7 @@
 		c.pullFrom(r)
 	}
 	if c.pulse.Adjust(len(c.routers)) {
-		c.heartbeat()
+		c.broadcastHeartbeat()
 		return
 	}
 	for _, r := range c.routers {
@@ -27,13 +27,13 @@
 }
 
 // heartbeat tells every peer at once that something has changed.
-func (c *core) heartbeat() {
+func (c *core) broadcastHeartbeat() {
 	for _, r := range c.routers {
-		r.conn.Send(c.beat())
+		r.conn.Send(c.heartbeatMessage())
 	}
 }
 
-func (c *core) beat() wire.Heartbeat {
+func (c *core) heartbeatMessage() wire.Heartbeat {
 	return wire.Heartbeat{
 		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: c.serving,
 		Every: c.pulse.Milliseconds(),
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -12,8 +12,8 @@
 
 // setPools tells the key memory which agents stand beside the servers of each
 // work that this server runs.
-func (c *core) setPools(b bundle.Bundle) {
-	own, ok := serverOf(b, c.settings.Name)
+func (c *core) setKeyAgents(b bundle.Bundle) {
+	own, ok := findServer(b, c.settings.Name)
 	if !ok {
 		return
 	}
--- a/agent/links.go
+++ b/agent/links.go
@@ -30,11 +30,11 @@
 	}
 	if old, ok := c.routers[name]; ok {
 		old.conn.Close(errReplaced)
-		c.feed(sched.RouterDownMsg{Now: c.now(), Router: name})
+		c.updateScheduler(sched.RouterDownMsg{Now: c.now(), Router: name})
 	}
 	c.routers[name] = &routerLink{conn: conn}
-	conn.Send(c.beat())
-	c.feed(sched.RouterUpMsg{Now: c.now(), Router: name})
+	conn.Send(c.heartbeatMessage())
+	c.updateScheduler(sched.RouterUpMsg{Now: c.now(), Router: name})
 }
 
 func (c *core) linkDown(name fleet.Name, conn *link.Conn) {
@@ -42,7 +42,7 @@
 		return
 	}
 	delete(c.routers, name)
-	c.feed(sched.RouterDownMsg{Now: c.now(), Router: name})
+	c.updateScheduler(sched.RouterDownMsg{Now: c.now(), Router: name})
 }
 
 func (c *core) onMessage(name fleet.Name, e link.Event) {
@@ -54,15 +54,15 @@
 	case wire.Heartbeat:
 		c.onHeartbeat(name, r, m)
 	case wire.Alive:
-		c.feed(sched.RouterAliveMsg{Now: c.now(), Router: name})
+		c.updateScheduler(sched.RouterAliveMsg{Now: c.now(), Router: name})
 	case wire.Name:
 		r.conn.In.Learn(m)
 	case wire.Demand:
-		c.feed(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.ReadCounts(m.Rows)})
+		c.updateScheduler(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.ReadCounts(m.Rows)})
 	case wire.Deny:
-		c.feed(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.ReadCount(m.Row)})
+		c.updateScheduler(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.ReadCount(m.Row)})
 	case wire.Totals:
-		c.feed(sched.TotalsMsg{Now: c.now(), Rows: r.conn.ReadService(m.Rows)})
+		c.updateScheduler(sched.TotalsMsg{Now: c.now(), Rows: r.conn.ReadService(m.Rows)})
 	case wire.KeyReserve:
 		c.reserveKey(r, m)
 	case wire.KeyRelease:
@@ -73,20 +73,20 @@
 }
 
 func (c *core) onHeartbeat(name fleet.Name, r *routerLink, m wire.Heartbeat) {
-	if m.Hub != r.last.Hub {
-		c.feed(sched.RouterUpMsg{Now: c.now(), Router: name, Hub: m.Hub})
+	if m.Hub != r.lastHeartbeat.Hub {
+		c.updateScheduler(sched.RouterUpMsg{Now: c.now(), Router: name, Hub: m.Hub})
 	}
-	r.last = m
-	c.feed(sched.RouterAliveMsg{Now: c.now(), Router: name})
+	r.lastHeartbeat = m
+	c.updateScheduler(sched.RouterAliveMsg{Now: c.now(), Router: name})
 	c.pullFrom(r)
 }
 
 // pullFrom asks a peer for its bundle if that is newer, and nobody has been
 // asked just now.
 func (c *core) pullFrom(r *routerLink) {
-	if r.last.Generation <= c.inForce.Generation() || c.now() < c.pullAgain {
+	if r.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
 		return
 	}
-	c.pullAgain = c.now() + pullTimeout
+	c.nextPull = c.now() + pullTimeout
 	r.conn.Send(wire.BundlePull{Have: c.inForce.Generation()})
 }
--- a/agent/server.go
+++ b/agent/server.go
@@ -26,22 +26,22 @@
 // server takes granted requests from routers by HTTP and passes them to the
 // backend server when the core says so.
 type server struct {
-	core   *core
-	log    *log.Logger
-	target atomic.Pointer[target]
-	back   *backend
-	health health
-	kick   chan struct{} // asks for a probe now
+	core          *core
+	log           *log.Logger
+	target        atomic.Pointer[target]
+	backend       *backend
+	health        health
+	probeRequests chan struct{} // asks for a probe now
 }
 
 func newServer(c *core, logger *log.Logger) *server {
-	return &server{core: c, log: logger, back: newBackend(), kick: make(chan struct{}, 1)}
+	return &server{core: c, log: logger, backend: newBackend(), probeRequests: make(chan struct{}, 1)}
 }
 
 // configure takes a new bundle.
 func (s *server) configure(f bundle.InForce) {
 	b := f.Bundle.WithDefaults()
-	own, ok := serverOf(b, s.core.settings.Name)
+	own, ok := findServer(b, s.core.settings.Name)
 	if !ok {
 		s.target.Store(nil)
 		return
@@ -64,7 +64,7 @@
 
 // ServeHTTP takes one granted request.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	claim, left, _ := strings.Cut(r.Header.Get(relay.HeaderClaim), " ")
+	claim, remaining, _ := strings.Cut(r.Header.Get(relay.HeaderClaim), " ")
 	id, ok := fleet.ParseClaimID(claim)
 	if !ok || id.Agent != s.core.settings.Name || id.Incarnation != s.core.incarnation {
 		refuse(w, "no", "the request names no claim of this agent; requests go through a router")
@@ -75,39 +75,39 @@
 		refuse(w, "no", ErrNoBundle.Error())
 		return
 	}
-	if !s.await(r, id.Seq, left) {
+	if !s.awaitStart(r, id.Seq, remaining) {
 		refuse(w, "no", "the claim is not open any more")
 		return
 	}
-	defer s.ended(id.Seq)
+	defer s.reportEnd(id.Seq)
 	s.forward(w, r, t)
 }
 
 // await waits until the core lets the request start. A request whose router
 // gives it up meanwhile has not run.
-func (s *server) await(r *http.Request, seq uint64, rest string) bool {
+func (s *server) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
 	ctx := r.Context()
-	reply := make(chan verdict, 1)
-	left, oldest := leftOf(rest)
+	reply := make(chan decision, 1)
+	remaining, oldestAge := parseRemaining(remainingText)
 	select {
-	case s.core.events <- arriveEvent{seq: seq, key: lineOf(r.Header), left: left, oldest: oldest, reply: reply}:
+	case s.core.events <- requestEvent{seq: seq, key: demandKeyOf(r.Header), remaining: remaining, oldestAge: oldestAge, reply: reply}:
 	case <-ctx.Done():
 		return false
 	}
 	select {
 	case v := <-reply:
-		return v == verdictStart
+		return v == decisionStart
 	case <-ctx.Done():
-		s.core.events <- abandonEvent{seq: seq, reply: reply}
-		if <-reply == verdictStart { // it crossed with the giving up
-			s.ended(seq)
+		s.core.events <- cancelEvent{seq: seq, reply: reply}
+		if <-reply == decisionStart { // it crossed with the giving up
+			s.reportEnd(seq)
 		}
 		return false
 	}
 }
 
 // lineOf reads which line a granted request is of.
-func lineOf(h http.Header) fleet.DemandKey {
+func demandKeyOf(h http.Header) fleet.DemandKey {
 	class, _ := fleet.ParseClass(h.Get(relay.HeaderClass))
 	return fleet.DemandKey{
 		Work:  fleet.Work(h.Get(relay.HeaderWork)),
@@ -117,7 +117,7 @@
 }
 
 // leftOf reads what is left of a granted request's line.
-func leftOf(text string) (int, time.Duration) {
+func parseRemaining(text string) (int, time.Duration) {
 	count, age, _ := strings.Cut(text, "/")
 	n, err := strconv.Atoi(count)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return n, time.Duration(ms) * time.Millisecond
 }
 
-func (s *server) ended(seq uint64) { s.core.events <- endEvent{seq} }
+func (s *server) reportEnd(seq uint64) { s.core.events <- runEndEvent{seq} }
 
 // refuse answers without a run, or without knowing whether there was one.
 func refuse(w http.ResponseWriter, ran, message string) {
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -12,40 +12,40 @@
 )
 
 // doneMark ends every whole event stream of a model engine.
-const doneMark = "data: [DONE]"
+const streamEnd = "data: [DONE]"
 
 // checked returns the body of an answer. The event stream of a model engine
 // must end with its mark: one that just ends has been cut.
-func (s *server) checked(res *http.Response, t *target, r *http.Request) io.Reader {
+func (s *server) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
 	if work.Kind != bundle.KindModel || !events || res.StatusCode != http.StatusOK {
 		return res.Body
 	}
-	return &markedStream{r: res.Body}
+	return &terminatedStream{r: res.Body}
 }
 
 // markedStream turns the end of a stream without its mark into an error.
-type markedStream struct {
+type terminatedStream struct {
 	r    io.Reader
 	tail []byte
 }
 
 // Read implements io.Reader.
-func (m *markedStream) Read(p []byte) (int, error) {
+func (m *terminatedStream) Read(p []byte) (int, error) {
 	n, err := m.r.Read(p)
-	m.remember(p[:n])
-	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(doneMark)) {
+	m.recordTail(p[:n])
+	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(streamEnd)) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
 // remember keeps the last bytes, as many as the mark and its line ends take.
-func (m *markedStream) remember(p []byte) {
-	const keep = len(doneMark) + 8
+func (m *terminatedStream) recordTail(p []byte) {
+	const maxTail = len(streamEnd) + 8
 	m.tail = append(m.tail, p...)
-	if len(m.tail) > keep {
-		m.tail = append(m.tail[:0], m.tail[len(m.tail)-keep:]...)
+	if len(m.tail) > maxTail {
+		m.tail = append(m.tail[:0], m.tail[len(m.tail)-maxTail:]...)
 	}
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -16,7 +16,7 @@
 
 // streamAbove is the size from which a body is forwarded as it comes, in
 // bytes; smaller ones are held, so that they can be sent again.
-const streamAbove = 64 << 10
+const maxBufferedBody = 64 << 10
 
 // bodyTimeout is how long a caller may take to send its body, or the head of a
 // large one.
@@ -37,16 +37,16 @@
 
 // body is a caller's request body: what was read, and the rest of the stream.
 type body struct {
-	head  []byte
-	rest  io.Reader // nil where head is all
-	size  int64     // -1 where unknown
-	spent bool      // part of rest is gone; it can't be sent again
+	head     []byte
+	rest     io.Reader // nil where head is all
+	size     int64     // -1 where unknown
+	consumed bool      // part of rest is gone; it can't be sent again
 }
 
 // open returns the body for one run.
 func (b *body) open() *relay.OnceBody {
 	if b.rest != nil {
-		b.spent = true
+		b.consumed = true
 	}
 	return relay.NewOnceBody(b.head, b.rest)
 }
@@ -100,11 +100,11 @@
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // test writers have none
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	keep := int64(streamAbove)
-	if a.table.asksModel(r.URL.Path) {
-		keep = limit
+	maxHead := int64(maxBufferedBody)
+	if a.table.dependsOnModel(r.URL.Path) {
+		maxHead = limit
 	}
-	head, err := io.ReadAll(io.LimitReader(src, keep+1))
+	head, err := io.ReadAll(io.LimitReader(src, maxHead+1))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return &refusedLarge
@@ -113,7 +113,7 @@
 		return &refusedBody
 	}
 	a.body = &body{head: head, size: r.ContentLength}
-	if int64(len(head)) > keep {
+	if int64(len(head)) > maxHead {
 		a.body.rest = src
 		return nil
 	}
@@ -123,7 +123,7 @@
 
 // model reads the model that a body asks for.
 func (a *admission) model(r *http.Request) string {
-	if !a.table.asksModel(r.URL.Path) {
+	if !a.table.dependsOnModel(r.URL.Path) {
 		return ""
 	}
 	var fields struct {
@@ -160,12 +160,12 @@
 		}
 		a.timeLeft = d
 	}
-	return a.readKey(h)
+	return a.readIdempotencyKey(h)
 }
 
 // readKey reads the idempotency key of a request that may not be repeated; of
 // others it is the server's business alone.
-func (a *admission) readKey(h http.Header) bool {
+func (a *admission) readIdempotencyKey(h http.Header) bool {
 	text := h.Get(relay.HeaderIdempotent)
 	if text == "" || a.repeatable {
 		return true
@@ -175,11 +175,11 @@
 	if v == "" {
 		return true
 	}
-	made, err := time.Parse(time.RFC3339Nano, v)
-	a.idempotency.made = made
+	createdAt, err := time.Parse(time.RFC3339Nano, v)
+	a.idempotency.createdAt = createdAt
 	return err == nil
 }
 
-func (a *admission) key() fleet.DemandKey {
+func (a *admission) demandKey() fleet.DemandKey {
 	return fleet.DemandKey{Work: a.work.Name, Team: a.team.Name, Class: a.class}
 }
--- a/router/dialer.go
+++ b/router/dialer.go
@@ -10,32 +10,32 @@
 
 // dialer keeps a link to each address that is wanted.
 type dialer struct {
-	ctx  context.Context
-	opts link.Options
-	log  *log.Logger
-	wg   sync.WaitGroup
-	kept map[string]context.CancelFunc
+	ctx     context.Context
+	opts    link.Options
+	log     *log.Logger
+	wg      sync.WaitGroup
+	cancels map[string]context.CancelFunc
 }
 
 // want starts links to new addresses and ends those no longer wanted. Only the
 // core calls it.
-func (d *dialer) want(addresses map[string]bool) {
-	for a, cancel := range d.kept {
+func (d *dialer) setAddresses(addresses map[string]bool) {
+	for a, cancel := range d.cancels {
 		if !addresses[a] {
 			cancel()
-			delete(d.kept, a)
+			delete(d.cancels, a)
 		}
 	}
 	for a := range addresses {
-		if _, ok := d.kept[a]; !ok {
-			d.keep(a)
+		if _, ok := d.cancels[a]; !ok {
+			d.startLink(a)
 		}
 	}
 }
 
-func (d *dialer) keep(address string) {
+func (d *dialer) startLink(address string) {
 	ctx, cancel := context.WithCancel(d.ctx)
-	d.kept[address] = cancel
+	d.cancels[address] = cancel
 	d.wg.Go(func() {
 		link.Keep(ctx, address, d.opts, func(err error) {
 			d.log.Debug().Str("address", address).Err(err).Msg("control link ended")
--- a/router/event.go
+++ b/router/event.go
@@ -9,20 +9,20 @@
 type event interface{ isEvent() }
 
 // arriveEvent brings a request; decisions about it go to reply.
-type arriveEvent struct {
+type requestEvent struct {
 	request     queue.Request
 	idempotency *idempotency    // nil where the request needs none
 	reply       chan<- decision // has room for one; no second comes before an answer to the first
 }
 
 // answerEvent says that a request's first answer byte went out.
-type answerEvent struct{ id queue.RequestID }
+type responseStartedEvent struct{ id queue.RequestID }
 
 // endEvent says how a run ended.
-type endEvent struct {
+type runEndEvent struct {
 	id      queue.RequestID
 	outcome queue.Outcome
-	unrun   bool // done with, and known not to have run
+	notRun  bool // done with, and known not to have run
 }
 
 // cancelEvent says that a caller has hung up. One decision always follows, or
@@ -30,25 +30,25 @@
 type cancelEvent struct{ id queue.RequestID }
 
 // bundleEvent brings a bundle that is now in force.
-type bundleEvent struct{ prepared prepared }
+type bundleEvent struct{ prepared preparedBundle }
 
 // hostsEvent brings the platform's list of hosts.
 type hostsEvent struct{ hosts []objectapi.Host }
 
 // leaveEvent says that the process has been asked to stop.
-type leaveEvent struct{}
+type shutdownEvent struct{}
 
 // stateEvent asks for a dump.
 type stateEvent struct{ reply chan<- State }
 
-func (arriveEvent) isEvent() {}
-func (answerEvent) isEvent() {}
-func (endEvent) isEvent()    {}
-func (cancelEvent) isEvent() {}
-func (bundleEvent) isEvent() {}
-func (hostsEvent) isEvent()  {}
-func (leaveEvent) isEvent()  {}
-func (stateEvent) isEvent()  {}
+func (requestEvent) isEvent()         {}
+func (responseStartedEvent) isEvent() {}
+func (runEndEvent) isEvent()          {}
+func (cancelEvent) isEvent()          {}
+func (bundleEvent) isEvent()          {}
+func (hostsEvent) isEvent()           {}
+func (shutdownEvent) isEvent()        {}
+func (stateEvent) isEvent()           {}
 
 // decision is what the core tells a request's goroutine: run it, or answer it.
 type decision struct {
@@ -58,8 +58,8 @@
 
 // grant says where a request runs.
 type grant struct {
-	claim string
-	left  string          // what is left of the request's line
-	serve string          // the agent's address for granted requests
-	abort <-chan struct{} // closed when the run is given up, if nothing is answered yet
+	claim     string
+	remaining string          // what is left of the request's line
+	serve     string          // the agent's address for granted requests
+	abort     <-chan struct{} // closed when the run is given up, if nothing is answered yet
 }
--- a/router/handler.go
+++ b/router/handler.go
@@ -23,7 +23,7 @@
 	events      chan<- event
 	table       atomic.Pointer[table]
 	leaving     atomic.Bool
-	next        atomic.Uint64
+	lastID      atomic.Uint64
 	transport   http.RoundTripper
 	secure      bool // agents are called by TLS
 	stats       stats
@@ -32,7 +32,7 @@
 
 // ServeHTTP takes one request to its final answer.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n := queue.RequestID(h.next.Add(1))
+	n := queue.RequestID(h.lastID.Add(1))
 	id := fmt.Sprintf("%x-%x", uint64(h.incarnation), uint64(n))
 	if h.leaving.Load() {
 		w.Header().Set("Connection", "close")
@@ -41,28 +41,28 @@
 	}
 	a, f := h.admit(w, r, id)
 	if f != nil {
-		h.refused(w, id, *f)
+		h.refuse(w, id, *f)
 		return
 	}
-	decisions, ok := h.enter(n, a)
+	decisions, ok := h.submit(n, a)
 	if !ok {
-		h.refused(w, id, refusedBusy)
+		h.refuse(w, id, refusedBusy)
 		return
 	}
-	h.follow(w, r, n, a, decisions)
+	h.awaitDecisions(w, r, n, a, decisions)
 }
 
-func (h *handler) refused(w http.ResponseWriter, id string, f refusal) {
+func (h *handler) refuse(w http.ResponseWriter, id string, f refusal) {
 	h.stats.refused(f.kind)
 	h.log.Debug().Str("request", id).Str("kind", f.kind).Msg("request refused")
 	f.write(w, id)
 }
 
 // enter hands a request to the core; a full core refuses it at once.
-func (h *handler) enter(n queue.RequestID, a *admission) (<-chan decision, bool) {
+func (h *handler) submit(n queue.RequestID, a *admission) (<-chan decision, bool) {
 	decisions := make(chan decision, 1)
-	e := arriveEvent{
-		request:     queue.Request{ID: n, Key: a.key(), Repeatable: a.repeatable, Deadline: h.deadline(a)},
+	e := requestEvent{
+		request:     queue.Request{ID: n, Key: a.demandKey(), Repeatable: a.repeatable, Deadline: h.deadline(a)},
 		idempotency: a.idempotency,
 		reply:       decisions,
 	}
@@ -82,20 +82,20 @@
 }
 
 // follow carries out the core's decisions until the request is answered.
-func (h *handler) follow(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, decisions <-chan decision) {
-	began := time.Now()
+func (h *handler) awaitDecisions(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, decisions <-chan decision) {
+	submitted := time.Now()
 	for {
 		select {
 		case <-r.Context().Done():
-			h.abandon(n, decisions)
+			h.cancelRequest(n, decisions)
 			return
 		case d := <-decisions:
 			if d.refuse != nil {
-				h.refused(w, a.id, refusalOf(*d.refuse))
+				h.refuse(w, a.id, refusalOf(*d.refuse))
 				return
 			}
-			h.stats.waited(time.Since(began))
-			if h.runOnce(w, r, n, a, d.run) {
+			h.stats.waited(time.Since(submitted))
+			if h.attempt(w, r, n, a, d.run) {
 				return
 			}
 		}
@@ -104,44 +104,44 @@
 
 // abandon tells the core that the caller has hung up, and waits for its word:
 // a decision to run may have crossed with the hanging up.
-func (h *handler) abandon(n queue.RequestID, decisions <-chan decision) {
+func (h *handler) cancelRequest(n queue.RequestID, decisions <-chan decision) {
 	h.events <- cancelEvent{n}
 	if d := <-decisions; d.run != nil {
-		h.events <- endEvent{id: n, outcome: queue.OutcomeCut}
+		h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	}
 }
 
 // runOnce sends the request to the agent that claimed it and tells the core
 // how that ended. It returns whether the request has had its final answer.
-func (h *handler) runOnce(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
-	outcome := h.exchange(w, r, n, a, g)
-	gone := r.Context().Err() != nil
-	if outcome == queue.OutcomeNotRun && a.body.spent && !gone {
-		h.events <- endEvent{id: n, outcome: queue.OutcomeDone, unrun: true}
-		h.refused(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonServerFailed, RetryAfter: time.Second}))
+func (h *handler) attempt(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
+	outcome := h.callAgent(w, r, n, a, g)
+	callerGone := r.Context().Err() != nil
+	if outcome == queue.OutcomeNotRun && a.body.consumed && !callerGone {
+		h.events <- runEndEvent{id: n, outcome: queue.OutcomeDone, notRun: true}
+		h.refuse(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonServerFailed, RetryAfter: time.Second}))
 		return true
 	}
-	if gone {
+	if callerGone {
 		outcome = queue.OutcomeCut
 	}
-	h.events <- endEvent{id: n, outcome: outcome}
+	h.events <- runEndEvent{id: n, outcome: outcome}
 	return outcome == queue.OutcomeDone || outcome == queue.OutcomeCut
 }
 
 // exchange makes one call to an agent and passes its answer on.
-func (h *handler) exchange(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) queue.Outcome {
+func (h *handler) callAgent(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) queue.Outcome {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	answered := make(chan struct{})
-	go giveUp(g.abort, answered, cancel)
+	responded := make(chan struct{})
+	go cancelOnAbort(g.abort, responded, cancel)
 	var sent relay.Sent
-	req := sent.Trace(outgoing(r, a, g).WithContext(ctx))
+	req := sent.Trace(newAgentRequest(r, a, g).WithContext(ctx))
 	if h.secure {
 		req.URL.Scheme = "https"
 	}
-	h.meter.Grant(len(g.left) + 1)
+	h.meter.Grant(len(g.remaining) + 1)
 	res, err := h.transport.RoundTrip(req)
-	close(answered)
+	close(responded)
 	if err != nil {
 		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("agent gave no answer")
 		if sent.MayHaveLeft() {
@@ -159,37 +159,37 @@
 		relay.Finish(res.Body)
 		return queue.OutcomeUnknown
 	}
-	h.events <- answerEvent{n}
+	h.events <- responseStartedEvent{n}
 	relay.CopyHeader(w.Header(), res.Header)
 	w.Header().Set(relay.HeaderRequestID, a.id)
 	w.WriteHeader(res.StatusCode)
 	if err := relay.Copy(w, res.Body); err != nil {
-		h.cut(n, a, err)
+		h.abortResponse(n, a, err)
 	}
 	h.stats.served()
 	return queue.OutcomeDone
 }
 
 // giveUp cancels a call whose agent is lost before it has answered.
-func giveUp(abort, answered <-chan struct{}, cancel context.CancelFunc) {
+func cancelOnAbort(abort, responded <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-abort:
 		cancel()
-	case <-answered:
+	case <-responded:
 	}
 }
 
 // cut breaks the connection to the caller, so that a part of an answer can't
 // pass for the whole.
-func (h *handler) cut(n queue.RequestID, a *admission, err error) {
+func (h *handler) abortResponse(n queue.RequestID, a *admission, err error) {
 	h.stats.cut()
 	h.log.Warn().Str("request", a.id).Err(err).Msg("answer cut")
-	h.events <- endEvent{id: n, outcome: queue.OutcomeCut}
+	h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	panic(http.ErrAbortHandler)
 }
 
 // outgoing builds the request to an agent.
-func outgoing(r *http.Request, a *admission, g *grant) *http.Request {
+func newAgentRequest(r *http.Request, a *admission, g *grant) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
 	u.Host = g.serve
@@ -203,7 +203,7 @@
 	}
 	relay.CopyHeader(req.Header, r.Header, "Authorization", "Expect")
 	req.Header.Set(relay.HeaderRequestID, a.id)
-	req.Header.Set(relay.HeaderClaim, g.claim+" "+g.left)
+	req.Header.Set(relay.HeaderClaim, g.claim+" "+g.remaining)
 	req.Header.Set(relay.HeaderTeam, string(a.team.Name))
 	req.Header.Set(relay.HeaderWork, string(a.work.Name))
 	req.Header.Set(relay.HeaderClass, a.class.String())
--- a/router/alive.go
+++ b/router/heartbeat.go
@@ -16,7 +16,7 @@
 		c.pullFrom(p)
 	}
 	if c.pulse.Adjust(len(c.peers)) {
-		c.heartbeat()
+		c.broadcastHeartbeat()
 		return
 	}
 	for _, p := range c.peers {
@@ -27,15 +27,15 @@
 }
 
 // heartbeat tells every peer at once that something has changed.
-func (c *core) heartbeat() {
+func (c *core) broadcastHeartbeat() {
 	for _, p := range c.peers {
-		p.conn.Send(c.beat(p))
+		p.conn.Send(c.heartbeatFor(p))
 	}
 }
 
-func (c *core) beat(p *peer) wire.Heartbeat {
+func (c *core) heartbeatFor(p *peer) wire.Heartbeat {
 	return wire.Heartbeat{
-		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hub,
+		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hubFor,
 		Every: c.pulse.Milliseconds(),
 	}
 }
--- a/router/duty.go
+++ b/router/hubs.go
@@ -12,57 +12,57 @@
 
 // duty is which router does what, by the list of hosts. Routers with lagging
 // lists may see it differently for a while: that costs bytes, not correctness.
-type duty struct {
+type hubAssignment struct {
 	routers []fleet.Name
 	halls   map[fleet.Name]fleet.Hall
 	hubs    map[fleet.Hall][]fleet.Name // by rank
 }
 
-func (d duty) isHub(hall fleet.Hall, n fleet.Name) bool {
+func (d hubAssignment) isHub(hall fleet.Hall, n fleet.Name) bool {
 	return slices.Contains(d.hubs[hall], n)
 }
 
 // rank returns a router's place among the hubs of its own hall, or -1.
-func (d duty) rank(n fleet.Name) int {
+func (d hubAssignment) rank(n fleet.Name) int {
 	return slices.Index(d.hubs[d.halls[n]], n)
 }
 
 // pairs tells whether hub a sends its hall's totals to hub b of another hall:
 // each hub there has one hub here that does.
-func (d duty) pairs(a, b fleet.Name) bool {
+func (d hubAssignment) isPaired(a, b fleet.Name) bool {
 	ra, rb := d.rank(a), d.rank(b)
 	if ra < 0 || rb < 0 || d.halls[a] == d.halls[b] {
 		return false
 	}
-	here := len(d.hubs[d.halls[a]])
-	return rb%here == ra
+	hubCount := len(d.hubs[d.halls[a]])
+	return rb%hubCount == ra
 }
 
 // dutyOf works out the duties from the list of hosts; the router itself always
 // counts, whatever the list says.
-func (c *core) dutyOf() duty {
-	d := duty{halls: map[fleet.Name]fleet.Hall{}, hubs: map[fleet.Hall][]fleet.Name{}}
-	d.add(c.settings.Name, c.settings.Hall)
+func (c *core) assignHubs() hubAssignment {
+	d := hubAssignment{halls: map[fleet.Name]fleet.Hall{}, hubs: map[fleet.Hall][]fleet.Name{}}
+	d.addRouter(c.settings.Name, c.settings.Hall)
 	for _, h := range c.hosts {
 		if h.Role == string(wire.RoleRouter) && h.State == objectapi.HostLive && h.Name != c.settings.Name {
-			d.add(h.Name, h.Hall)
+			d.addRouter(h.Name, h.Hall)
 		}
 	}
 	slices.Sort(d.routers)
 	for _, hall := range c.hallsInUse(d) {
-		d.hubs[hall] = fleet.Rendezvous("hub/"+string(hall), d.candidates(hall), c.policy.HubsPerHall)
+		d.hubs[hall] = fleet.Rendezvous("hub/"+string(hall), d.hubCandidates(hall), c.policy.HubsPerHall)
 	}
 	return d
 }
 
-func (d *duty) add(n fleet.Name, hall fleet.Hall) {
+func (d *hubAssignment) addRouter(n fleet.Name, hall fleet.Hall) {
 	d.routers = append(d.routers, n)
 	d.halls[n] = hall
 }
 
 // candidates returns the routers that may be hubs of a hall: its own, or all
 // where it has none.
-func (d duty) candidates(hall fleet.Hall) []fleet.Name {
+func (d hubAssignment) hubCandidates(hall fleet.Hall) []fleet.Name {
 	var own []fleet.Name
 	for _, n := range d.routers {
 		if d.halls[n] == hall {
@@ -76,7 +76,7 @@
 }
 
 // hallsInUse returns every hall with a router or a backend server.
-func (c *core) hallsInUse(d duty) []fleet.Hall {
+func (c *core) hallsInUse(d hubAssignment) []fleet.Hall {
 	var halls []fleet.Hall
 	for _, h := range d.halls {
 		halls = append(halls, h)
@@ -89,33 +89,33 @@
 }
 
 // reshape works out the duties and the links that they need anew.
-func (c *core) reshape() {
-	before := c.duty.routers
-	c.duty = c.dutyOf()
-	if !slices.Equal(before, c.duty.routers) || c.linkedFor != c.policy.LinksPerServer {
-		c.linked = map[fleet.Name]bool{}
-		c.linkedFor = c.policy.LinksPerServer
-	}
-	c.dialer.want(c.targets())
+func (c *core) updateTopology() {
+	before := c.assignment.routers
+	c.assignment = c.assignHubs()
+	if !slices.Equal(before, c.assignment.routers) || c.linkCachePerServer != c.policy.LinksPerServer {
+		c.linkCache = map[fleet.Name]bool{}
+		c.linkCachePerServer = c.policy.LinksPerServer
+	}
+	c.dialer.setAddresses(c.linkAddresses())
 	for name, p := range c.peers {
-		was := p.hub
-		c.shapePeer(name, p)
-		if p.hub != was {
-			p.conn.Send(c.beat(p))
+		wasHub := p.hubFor
+		c.updatePeerRole(name, p)
+		if p.hubFor != wasHub {
+			p.conn.Send(c.heartbeatFor(p))
 		}
 	}
 }
 
 // targets returns the addresses that this router keeps links to.
-func (c *core) targets() map[string]bool {
+func (c *core) linkAddresses() map[string]bool {
 	out := map[string]bool{}
 	for _, s := range c.servers {
-		if c.linksTo(s.Name, s.Hall) {
+		if c.shouldLink(s.Name, s.Hall) {
 			out[s.Agent.String()] = true
 		}
 	}
 	for _, h := range c.hosts {
-		if _, live := c.duty.halls[h.Name]; live && c.dials(h) {
+		if _, live := c.assignment.halls[h.Name]; live && c.shouldDial(h) {
 			out[h.Links] = true
 		}
 	}
@@ -128,65 +128,65 @@
 }
 
 // linksTo tells whether this router is one of those that link to an agent.
-func (c *core) linksTo(server fleet.Name, hall fleet.Hall) bool {
-	if c.duty.isHub(hall, c.settings.Name) {
+func (c *core) shouldLink(server fleet.Name, hall fleet.Hall) bool {
+	if c.assignment.isHub(hall, c.settings.Name) {
 		return true
 	}
-	if linked, known := c.linked[server]; known {
+	if linked, cached := c.linkCache[server]; cached {
 		return linked
 	}
-	linked := fleet.Ranks("links/"+string(server), c.duty.routers, c.settings.Name, c.policy.LinksPerServer)
-	c.linked[server] = linked
+	linked := fleet.Ranks("links/"+string(server), c.assignment.routers, c.settings.Name, c.policy.LinksPerServer)
+	c.linkCache[server] = linked
 	return linked
 }
 
 // dials tells whether this router dials another: hubs link to each other and
 // to the routers of their halls; of two, the lesser name dials.
-func (c *core) dials(h objectapi.Host) bool {
+func (c *core) shouldDial(h objectapi.Host) bool {
 	self := c.settings.Name
 	if self >= h.Name {
 		return false
 	}
-	a, b := c.duty.rank(self) >= 0, c.duty.rank(h.Name) >= 0
-	sameHall := c.duty.halls[self] == c.duty.halls[h.Name]
+	a, b := c.assignment.rank(self) >= 0, c.assignment.rank(h.Name) >= 0
+	sameHall := c.assignment.halls[self] == c.assignment.halls[h.Name]
 	return (a && b) || (sameHall && (a || b))
 }
 
 // shapePeer tells the hub whom it serves and whom it pairs with.
-func (c *core) shapePeer(name fleet.Name, p *peer) {
+func (c *core) updatePeerRole(name fleet.Name, p *peer) {
 	if p.conn.Peer.Role == wire.RoleAgent {
-		c.shapeAgent(name, p)
+		c.updateAgentRole(name, p)
 		return
 	}
-	shape := peerShape{pair: c.duty.pairs(c.settings.Name, name), known: true}
-	if shape == p.shape {
+	state := hubPeerState{paired: c.assignment.isPaired(c.settings.Name, name), registered: true}
+	if state == p.hubState {
 		return
 	}
-	p.shape = shape
-	c.feedHub(ledger.PeerUpMsg{Now: c.now(), Peer: name, Hall: p.conn.Peer.Hall, Paired: shape.pair})
+	p.hubState = state
+	c.updateHub(ledger.PeerUpMsg{Now: c.now(), Peer: name, Hall: p.conn.Peer.Hall, Paired: state.paired})
 }
 
-func (c *core) shapeAgent(name fleet.Name, p *peer) {
-	hub := c.duty.isHub(p.conn.Peer.Hall, c.settings.Name)
-	if hub == p.hub {
+func (c *core) updateAgentRole(name fleet.Name, p *peer) {
+	hub := c.assignment.isHub(p.conn.Peer.Hall, c.settings.Name)
+	if hub == p.hubFor {
 		return
 	}
-	p.hub = hub
+	p.hubFor = hub
 	if !hub {
-		c.feedHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
+		c.updateHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
 		return
 	}
-	c.feedHub(ledger.AgentUpMsg{Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall})
+	c.updateHub(ledger.AgentUpMsg{Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall})
 }
 
 // feedHub gives the hub one message and carries out what it wants.
-func (c *core) feedHub(m ledger.Msg) {
+func (c *core) updateHub(m ledger.Msg) {
 	for _, cmd := range c.hub.Update(m) {
-		c.performHub(cmd)
+		c.executeHubCmd(cmd)
 	}
 }
 
-func (c *core) performHub(cmd ledger.Command) {
+func (c *core) executeHubCmd(cmd ledger.Command) {
 	switch cmd := cmd.(type) {
 	case ledger.TotalsCmd:
 		c.send(cmd.Agent, func(conn *link.Conn) wire.Message {
--- a/router/keys.go
+++ b/router/keys.go
@@ -12,35 +12,35 @@
 
 // idempotency is the key of a request, as its caller gave it.
 type idempotency struct {
-	key  once.Key
-	made time.Time // zero where the caller does not say
+	key       once.Key
+	createdAt time.Time // zero where the caller does not say
 }
 
 // askKey has the owners of a request's key note it, before the request may
 // wait for a server.
-func (c *core) askKey(e arriveEvent) {
-	c.open[e.request.ID].parked = &e.request
-	c.feedKeys(once.AcquireMsg{
+func (c *core) acquireKey(e requestEvent) {
+	c.requests[e.request.ID].awaitingKey = &e.request
+	c.updateKeys(once.AcquireMsg{
 		Now:       c.now(),
-		Holder:    c.holder(e.request.ID),
+		Holder:    c.keyHolder(e.request.ID),
 		Key:       e.idempotency.key,
-		CreatedAt: e.idempotency.made,
+		CreatedAt: e.idempotency.createdAt,
 		Agents:    c.inForce.Bundle.ServersOf(e.request.Key.Work),
 	})
 }
 
-func (c *core) holder(id queue.RequestID) once.Holder {
+func (c *core) keyHolder(id queue.RequestID) once.Holder {
 	return once.Holder{Router: c.settings.Name, Incarnation: c.incarnation, Request: uint64(id)}
 }
 
 // feedKeys gives the asker one message and carries out what it wants.
-func (c *core) feedKeys(m once.CoordinatorMsg) {
+func (c *core) updateKeys(m once.CoordinatorMsg) {
 	for _, cmd := range c.keys.Update(m) {
-		c.performKeys(cmd)
+		c.executeKeyCmd(cmd)
 	}
 }
 
-func (c *core) performKeys(cmd once.Command) {
+func (c *core) executeKeyCmd(cmd once.Command) {
 	switch cmd := cmd.(type) {
 	case once.ReserveCmd:
 		c.send(cmd.Owner, func(conn *link.Conn) wire.Message { return keyReserve(conn, cmd) })
@@ -51,7 +51,7 @@
 			}
 		})
 	case once.DecideCmd:
-		c.keyDecided(queue.RequestID(cmd.Request), cmd.Decision)
+		c.onKeyDecision(queue.RequestID(cmd.Request), cmd.Decision)
 	}
 }
 
@@ -66,43 +66,43 @@
 }
 
 // keyDecided lets a parked request wait for a server, or answers it.
-func (c *core) keyDecided(id queue.RequestID, d once.Decision) {
-	r, ok := c.open[id]
-	if !ok || r.parked == nil {
+func (c *core) onKeyDecision(id queue.RequestID, d once.Decision) {
+	r, ok := c.requests[id]
+	if !ok || r.awaitingKey == nil {
 		return
 	}
-	request := *r.parked
-	r.parked = nil
+	request := *r.awaitingKey
+	r.awaitingKey = nil
 	switch d {
 	case once.DecisionRun:
-		r.keyed = true
-		c.feed(queue.RequestMsg{Now: c.now(), Request: request})
+		r.holdsKey = true
+		c.updateQueue(queue.RequestMsg{Now: c.now(), Request: request})
 	case once.DecisionDuplicate:
-		c.answerUnrun(id, reasonRepeat, queue.RanUnknown)
+		c.refuseUnqueued(id, reasonKeyInUse, queue.RanUnknown)
 	case once.DecisionUncertain:
-		c.answerUnrun(id, reasonUnsure, queue.RanNo)
+		c.refuseUnqueued(id, reasonKeyUncertain, queue.RanNo)
 	}
 }
 
 // answerUnrun gives a request that never reached the machine its answer.
-func (c *core) answerUnrun(id queue.RequestID, why queue.Reason, ran queue.Ran) {
-	c.decide(id, decision{refuse: &queue.RefuseCmd{ID: id, Reason: why, Ran: ran, RetryAfter: time.Second}})
-	delete(c.open, id)
+func (c *core) refuseUnqueued(id queue.RequestID, reason queue.Reason, ran queue.Ran) {
+	c.decide(id, decision{refuse: &queue.RefuseCmd{ID: id, Reason: reason, Ran: ran, RetryAfter: time.Second}})
+	delete(c.requests, id)
 }
 
 // freeKey gives a key back, or leaves it noted, once its request has had its
 // final answer.
-func (c *core) freeKey(id queue.RequestID, ran queue.Ran) {
-	if r, ok := c.open[id]; !ok || !r.keyed {
+func (c *core) finishKey(id queue.RequestID, ran queue.Ran) {
+	if r, ok := c.requests[id]; !ok || !r.holdsKey {
 		return
 	}
 	if ran == queue.RanNo {
-		c.feedKeys(once.NotRunMsg{Now: c.now(), Request: uint64(id)})
+		c.updateKeys(once.NotRunMsg{Now: c.now(), Request: uint64(id)})
 		return
 	}
-	c.feedKeys(once.DoneMsg{Now: c.now(), Request: uint64(id)})
+	c.updateKeys(once.DoneMsg{Now: c.now(), Request: uint64(id)})
 }
 
-func (c *core) onVerdict(owner fleet.Name, m wire.KeyVerdict) {
-	c.feedKeys(once.VerdictMsg{Now: c.now(), Owner: owner, Request: m.Request, Verdict: once.Verdict(m.Verdict)})
+func (c *core) onKeyVerdict(owner fleet.Name, m wire.KeyVerdict) {
+	c.updateKeys(once.VerdictMsg{Now: c.now(), Owner: owner, Request: m.Request, Verdict: once.Verdict(m.Verdict)})
 }
--- a/router/links.go
+++ b/router/links.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	errReplaced = errors.New("replaced by a newer link of the same process")
-	errStranger = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
+	errReplaced     = errors.New("replaced by a newer link of the same process")
+	errUnknownAgent = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
 )
 
 // onLink handles what happened on a link.
@@ -41,12 +41,12 @@
 	c.peers[name] = p
 	if conn.Peer.Role == wire.RoleAgent {
 		if _, known := c.servers[name]; !known {
-			conn.Close(errStranger)
+			conn.Close(errUnknownAgent)
 			return
 		}
 	}
-	c.shapePeer(name, p)
-	conn.Send(c.beat(p))
+	c.updatePeerRole(name, p)
+	conn.Send(c.heartbeatFor(p))
 }
 
 func (c *core) linkDown(name fleet.Name, conn *link.Conn) {
@@ -56,11 +56,11 @@
 	}
 	delete(c.peers, name)
 	if conn.Peer.Role == wire.RoleAgent {
-		c.feed(queue.AgentDownMsg{Now: c.now(), Agent: name})
-		c.feedHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
+		c.updateQueue(queue.AgentDownMsg{Now: c.now(), Agent: name})
+		c.updateHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
 		return
 	}
-	c.feedHub(ledger.PeerDownMsg{Now: c.now(), Peer: name})
+	c.updateHub(ledger.PeerDownMsg{Now: c.now(), Peer: name})
 }
 
 func (c *core) onMessage(name fleet.Name, p *peer, m wire.Message) {
@@ -68,30 +68,30 @@
 	case wire.Heartbeat:
 		c.onHeartbeat(name, p, m)
 	case wire.Free:
-		c.feed(queue.FreeMsg{
+		c.updateQueue(queue.FreeMsg{
 			Now: c.now(), Agent: name, Incarnation: p.conn.Peer.Incarnation, Slots: int(m.Slots), First: m.First,
 		})
 	case wire.Name:
 		p.conn.In.Learn(m)
 	case wire.Claim:
-		c.feed(queue.ClaimMsg{
+		c.updateQueue(queue.ClaimMsg{
 			Now:   c.now(),
 			Claim: fleet.ClaimID{Agent: name, Incarnation: p.conn.Peer.Incarnation, Seq: m.Seq},
 			Key:   p.conn.ReadKey(m.Work, m.Team, m.Class),
 		})
 	case wire.Service:
-		c.feedHub(ledger.ServiceMsg{
+		c.updateHub(ledger.ServiceMsg{
 			Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall, Rows: p.conn.ReadService(m.Rows),
 		})
 	case wire.AgentRows:
-		c.feedHub(ledger.ServiceMsg{
+		c.updateHub(ledger.ServiceMsg{
 			Now: c.now(), Source: ledger.Source{Agent: m.Agent, Incarnation: m.Incarnation},
 			Hall: m.Hall, Rows: p.conn.ReadService(m.Rows),
 		})
 	case wire.HallTotals:
-		c.feedHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.ReadService(m.Rows)})
+		c.updateHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.ReadService(m.Rows)})
 	case wire.KeyVerdict:
-		c.onVerdict(name, m)
+		c.onKeyVerdict(name, m)
 	case wire.BundlePull:
 		c.sendBundle(p, m.Have)
 	case wire.BundleData:
@@ -102,29 +102,29 @@
 // onHeartbeat notes what a peer says of itself, and asks it for its bundle if
 // that is newer.
 func (c *core) onHeartbeat(name fleet.Name, p *peer, m wire.Heartbeat) {
-	before := p.last
-	p.last = m
+	previous := p.lastHeartbeat
+	p.lastHeartbeat = m
 	if p.conn.Peer.Role == wire.RoleAgent {
-		c.agentSays(name, p, before, m)
+		c.onAgentHeartbeat(name, p, previous, m)
 	}
 	c.pullFrom(p)
 }
 
 // agentSays follows an agent's coming and going.
-func (c *core) agentSays(name fleet.Name, p *peer, before, now wire.Heartbeat) {
-	was := before.Serving && !before.Leaving
-	is := now.Serving && !now.Leaving
+func (c *core) onAgentHeartbeat(name fleet.Name, p *peer, previous, current wire.Heartbeat) {
+	wasServing := previous.Serving && !previous.Leaving
+	isServing := current.Serving && !current.Leaving
 	switch {
-	case is && !was:
-		c.agentUp(name, p)
-	case was && !is:
-		c.feed(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
+	case isServing && !wasServing:
+		c.agentServing(name, p)
+	case wasServing && !isServing:
+		c.updateQueue(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
 	}
 }
 
-func (c *core) agentUp(name fleet.Name, p *peer) {
+func (c *core) agentServing(name fleet.Name, p *peer) {
 	s := c.servers[name]
-	c.feed(queue.AgentUpMsg{Now: c.now(), Agent: name, Hall: p.conn.Peer.Hall, Works: s.Works})
+	c.updateQueue(queue.AgentUpMsg{Now: c.now(), Agent: name, Hall: p.conn.Peer.Hall, Works: s.Works})
 }
 
 // refreshAgents tells the machine of servers whose works have changed.
@@ -135,11 +135,11 @@
 		}
 		s, ok := c.servers[name]
 		if !ok || s.Leaving {
-			c.feed(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
+			c.updateQueue(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
 			continue
 		}
-		if p.last.Serving && !p.last.Leaving {
-			c.agentUp(name, p)
+		if p.lastHeartbeat.Serving && !p.lastHeartbeat.Leaving {
+			c.agentServing(name, p)
 		}
 	}
 }
@@ -167,9 +167,9 @@
 	if p.conn.Peer.Role != wire.RoleRouter {
 		return
 	}
-	if p.last.Generation <= c.inForce.Generation() || c.now() < c.pullAgain {
+	if p.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
 		return
 	}
-	c.pullAgain = c.now() + pullTimeout
+	c.nextPull = c.now() + pullTimeout
 	p.conn.Send(wire.BundlePull{Have: c.inForce.Generation()})
 }
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -11,7 +11,7 @@
 
 // prepared is a bundle in force with all that can be worked out of it away
 // from the core: a large one takes tens of milliseconds.
-type prepared struct {
+type preparedBundle struct {
 	inForce bundle.InForce
 	bundle  bundle.Bundle // with defaults
 	servers map[fleet.Name]bundle.Server
@@ -19,13 +19,13 @@
 	table   *table
 }
 
-func prepare(f bundle.InForce, s settings.Process) prepared {
+func prepareBundle(f bundle.InForce, s settings.Process) preparedBundle {
 	b := f.Bundle.WithDefaults()
-	p := prepared{
+	p := preparedBundle{
 		inForce: f,
 		bundle:  b,
 		servers: map[fleet.Name]bundle.Server{},
-		config:  configOf(b, s),
+		config:  queueConfig(b, s),
 		table:   newTable(f.Generation(), b),
 	}
 	for _, s := range b.Servers {
@@ -34,7 +34,7 @@
 	return p
 }
 
-func configOf(b bundle.Bundle, s settings.Process) queue.Config {
+func queueConfig(b bundle.Bundle, s settings.Process) queue.Config {
 	cfg := queue.Config{
 		Self:              s.Name,
 		Hall:              s.Hall,
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -57,15 +57,15 @@
 
 // Reasons that come before a request reaches the machine.
 const (
-	reasonRepeat queue.Reason = "idempotency_key_in_use"
-	reasonUnsure queue.Reason = "idempotency_key_unsure"
+	reasonKeyInUse     queue.Reason = "idempotency_key_in_use"
+	reasonKeyUncertain queue.Reason = "idempotency_key_unsure"
 )
 
 // reasons gives each of the machine's reasons its answer.
-var reasons = map[queue.Reason]refusal{
-	reasonRepeat: {status: http.StatusConflict,
+var refusalsByReason = map[queue.Reason]refusal{
+	reasonKeyInUse: {status: http.StatusConflict,
 		message: "another request with this Idempotency-Key runs or has run", remedy: "find out what became of it; use a new key for a new piece of work"},
-	reasonUnsure: {status: http.StatusServiceUnavailable,
+	reasonKeyUncertain: {status: http.StatusServiceUnavailable,
 		message: "it can't be told at this moment whether this Idempotency-Key has been used", remedy: "come back after the time in Retry-After; Croftvale-Key-Made with the time of the first attempt helps after restarts"},
 	queue.ReasonTeamFull: {status: http.StatusTooManyRequests,
 		message: "too many of the team's requests wait at this router", remedy: "come back after the time in Retry-After"},
@@ -85,7 +85,7 @@
 
 // refusalOf turns a command of the machine into an answer.
 func refusalOf(c queue.RefuseCmd) refusal {
-	f := reasons[c.Reason]
+	f := refusalsByReason[c.Reason]
 	f.kind = string(c.Reason)
 	f.ran = c.Ran
 	f.retryAfter = c.RetryAfter
--- a/router/requests_test.go
+++ b/router/requests_test.go
@@ -12,51 +12,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-var line = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
+var testKey = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
 
 // newCore returns a core with one agent and no links, and a handler whose
 // events the test hands over one by one.
-func newCore() (*core, *handler, chan event) {
+func newTestCore() (*core, *handler, chan event) {
 	events := make(chan event, 16)
 	c := &core{
-		now:   func() time.Duration { return time.Second },
-		queue: queue.New(queue.Config{MaxWaiting: 10, MaxWait: time.Minute}),
-		hub:   ledger.NewHub("r", "a"),
-		keys:  once.NewCoordinator(),
-		peers: map[fleet.Name]*peer{},
-		open:  map[queue.RequestID]*openRequest{},
+		now:      func() time.Duration { return time.Second },
+		queue:    queue.New(queue.Config{MaxWaiting: 10, MaxWait: time.Minute}),
+		hub:      ledger.NewHub("r", "a"),
+		keys:     once.NewCoordinator(),
+		peers:    map[fleet.Name]*peer{},
+		requests: map[queue.RequestID]*openRequest{},
 	}
-	c.feed(queue.AgentUpMsg{Agent: "a", Works: []fleet.Work{"report"}})
+	c.updateQueue(queue.AgentUpMsg{Agent: "a", Works: []fleet.Work{"report"}})
 	return c, &handler{events: events, meter: &link.Meter{}}, events
 }
 
-func (c *core) claimFirst() {
-	c.feed(queue.ClaimMsg{Claim: fleet.ClaimID{Agent: "a", Seq: 1}, Key: line})
+func (c *core) claimRequest() {
+	c.updateQueue(queue.ClaimMsg{Claim: fleet.ClaimID{Agent: "a", Seq: 1}, Key: testKey})
 }
 
 // TestHangUpCrossesGrant lets a caller hang up while its request is granted:
 // nothing is left of the request, whichever comes first.
 func TestHangUpCrossesGrant(t *testing.T) {
-	for _, claimedFirst := range []bool{true, false} {
-		c, h, events := newCore()
+	for _, claimFirst := range []bool{true, false} {
+		c, h, events := newTestCore()
 		decisions := make(chan decision, 1)
-		c.onEvent(arriveEvent{request: queue.Request{ID: 1, Key: line}, reply: decisions})
+		c.onEvent(requestEvent{request: queue.Request{ID: 1, Key: testKey}, reply: decisions})
 		done := make(chan struct{})
 		go func() {
-			h.abandon(1, decisions)
+			h.cancelRequest(1, decisions)
 			close(done)
 		}()
-		hangUp := <-events // the core has yet to hear of it
-		if claimedFirst {
-			c.claimFirst()
-			c.onEvent(hangUp)
+		canceled := <-events // the core has yet to hear of it
+		if claimFirst {
+			c.claimRequest()
+			c.onEvent(canceled)
 			c.onEvent(<-events) // the end of the run that crossed
 		} else {
-			c.onEvent(hangUp)
-			c.claimFirst()
+			c.onEvent(canceled)
+			c.claimRequest()
 		}
 		<-done
 		require.Zero(t, c.queue.Unfinished())
-		require.Empty(t, c.open)
+		require.Empty(t, c.requests)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -26,19 +26,19 @@
 
 const (
 	// eventRoom is how many events may wait for the core.
-	eventRoom = 4096
+	eventBuffer = 4096
 	// headerTimeout is how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
 	// idleTimeout is how long a caller's idle connection is kept.
 	idleTimeout = 2 * time.Minute
 	// maxHeader bounds a caller's headers, in bytes.
-	maxHeader = 32 << 10
+	maxHeaderBytes = 32 << 10
 	// agentIdle is how long idle connections to agents are kept, which is less
 	// than agents keep them.
-	agentIdle    = 90 * time.Second
-	agentConns   = 256
-	dialTimeout  = 2 * time.Second
-	leaveMessage = "leaving: no new work is taken"
+	agentIdleTimeout     = 90 * time.Second
+	maxIdleConnsPerAgent = 256
+	dialTimeout          = 2 * time.Second
+	drainMessage         = "leaving: no new work is taken"
 )
 
 // Router is the daemon on an entry host.
@@ -50,7 +50,7 @@
 	core     *core
 	handler  *handler
 	admin    *admin.Server
-	watcher  *watcher
+	watcher  *platformWatcher
 }
 
 // Option changes a Router.
@@ -74,11 +74,11 @@
 		return nil, err
 	}
 	r.secure = store
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
-	events := make(chan event, eventRoom)
+	startedAt := time.Now()
+	now := func() time.Duration { return time.Since(startedAt) }
+	events := make(chan event, eventBuffer)
 	meter := &link.Meter{}
-	incarnation := fleet.Incarnation(began.UnixNano())
+	incarnation := fleet.Incarnation(startedAt.UnixNano())
 	r.admin = admin.New(admin.Source{Ready: r.ready, State: r.dump})
 	r.handler = &handler{
 		incarnation: incarnation,
@@ -87,11 +87,11 @@
 		events:      events,
 		meter:       meter,
 		stats:       newStats(r.admin.Scope()),
-		transport:   r.transport(),
+		transport:   r.newTransport(),
 		secure:      r.secure != nil,
 	}
-	keeper := adopt.NewKeeper(s.Verifier(), r.adopted, r.refused)
-	r.watcher = &watcher{
+	keeper := adopt.NewKeeper(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
+	r.watcher = &platformWatcher{
 		settings: s.Platform,
 		log:      logger,
 		client:   objectapi.NewClient(s.Platform.Address.String()),
@@ -100,34 +100,34 @@
 		events:   events,
 	}
 	r.core = &core{
-		settings:    s,
-		log:         logger,
-		now:         now,
-		incarnation: incarnation,
-		admit:       r.handler.table.Store,
-		events:      events,
-		links:       make(chan link.Event, eventRoom),
-		meter:       meter,
-		keeper:      keeper,
-		platform:    r.watcher,
-		queue:       queue.New(queue.Config{}),
-		hub:         ledger.NewHub(s.Name, s.Hall),
-		keys:        once.NewCoordinator(),
-		policy:      bundle.Policy{}.WithDefaults(),
-		servers:     map[fleet.Name]bundle.Server{},
-		peers:       map[fleet.Name]*peer{},
-		open:        map[queue.RequestID]*openRequest{},
+		settings:     s,
+		log:          logger,
+		now:          now,
+		incarnation:  incarnation,
+		publishTable: r.handler.table.Store,
+		events:       events,
+		links:        make(chan link.Event, eventBuffer),
+		meter:        meter,
+		keeper:       keeper,
+		platform:     r.watcher,
+		queue:        queue.New(queue.Config{}),
+		hub:          ledger.NewHub(s.Name, s.Hall),
+		keys:         once.NewCoordinator(),
+		policy:       bundle.Policy{}.WithDefaults(),
+		servers:      map[fleet.Name]bundle.Server{},
+		peers:        map[fleet.Name]*peer{},
+		requests:     map[queue.RequestID]*openRequest{},
 	}
 	return r, nil
 }
 
 // adopted prepares a bundle for the core, in the keeper's goroutine. Requests
 // are admitted under it once the core knows of it.
-func (r *Router) adopted(f bundle.InForce) {
-	r.core.events <- bundleEvent{prepare(f, r.settings.Process)}
+func (r *Router) onBundleAdopted(f bundle.InForce) {
+	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
 }
 
-func (r *Router) refused(err error) {
+func (r *Router) onBundleRejected(err error) {
 	r.log.Warn().Err(err).Msg("bundle refused")
 }
 
@@ -172,53 +172,53 @@
 // Run serves until ctx ends, then takes no new requests, waits for those that
 // are there and returns. What is left when the drain time is over is cut.
 func (r *Router) Run(ctx context.Context) error {
-	callers, err := process.Listen("listen", r.settings.Listen.String())
+	callerListener, err := process.Listen("listen", r.settings.Listen.String())
 	if err != nil {
 		return err
 	}
-	links, err := process.Listen("links", r.settings.Links.String())
+	linkListener, err := process.Listen("links", r.settings.Links.String())
 	if err != nil {
 		return err
 	}
-	adm, err := process.Listen("admin", r.settings.Admin.String())
+	adminListener, err := process.Listen("admin", r.settings.Admin.String())
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
+	defer stop()
 	opts := link.Options{
 		Hello: r.core.hello, Events: r.core.links, Meter: r.core.meter, Dial: r.dial,
 		Secure: r.secure, Accept: wire.RoleRouter, Refused: process.LinkEnded(r.log),
 	}
-	r.core.dialer = &dialer{ctx: life, opts: opts, log: r.log, kept: map[string]context.CancelFunc{}}
-	hs := &http.Server{
+	r.core.dialer = &dialer{ctx: runCtx, opts: opts, log: r.log, cancels: map[string]context.CancelFunc{}}
+	httpServer := &http.Server{
 		Handler:           r.handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-	}
-	wg.Go(func() { r.core.run(life) })
-	wg.Go(func() { r.watcher.keeper.Run(life) })
-	wg.Go(func() { r.watcher.hosts(life) })
-	wg.Go(func() { process.Gauge(life, r.admin.Scope(), r.gauges) })
-	wg.Go(func() { r.watcher.bundles(life, func() bool { return r.handler.table.Load() != nil }) })
-	wg.Go(func() { process.Report(r.log, "links", link.Listen(life, links, opts)) })
-	wg.Go(func() { process.Report(r.log, "admin", r.admin.Serve(life, adm)) })
-	wg.Go(func() { process.Report(r.log, "listen", hs.Serve(callers)) })
-	r.log.Info().Str("listen", callers.Addr().String()).Str("links", links.Addr().String()).Msg("router started")
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	wg.Go(func() { r.core.run(runCtx) })
+	wg.Go(func() { r.watcher.keeper.Run(runCtx) })
+	wg.Go(func() { r.watcher.pollHosts(runCtx) })
+	wg.Go(func() { process.Gauge(runCtx, r.admin.Scope(), r.gauges) })
+	wg.Go(func() { r.watcher.watchBundles(runCtx, func() bool { return r.handler.table.Load() != nil }) })
+	wg.Go(func() { process.Report(r.log, "links", link.Listen(runCtx, linkListener, opts)) })
+	wg.Go(func() { process.Report(r.log, "admin", r.admin.Serve(runCtx, adminListener)) })
+	wg.Go(func() { process.Report(r.log, "listen", httpServer.Serve(callerListener)) })
+	r.log.Info().Str("listen", callerListener.Addr().String()).Str("links", linkListener.Addr().String()).Msg("router started")
 	<-ctx.Done()
-	return r.drain(hs)
+	return r.drain(httpServer)
 }
 
 // cutTimeout bounds how long LogAbortedRequests waits for the state.
-const cutTimeout = time.Second
+const stateTimeout = time.Second
 
 // LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
 // process is ended out of order.
 func (r *Router) LogAbortedRequests() {
-	ctx, cancel := context.WithTimeout(context.Background(), cutTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	s, err := r.dump(ctx)
 	if err != nil {
@@ -230,16 +230,16 @@
 }
 
 // drain ends the process in order.
-func (r *Router) drain(hs *http.Server) error {
+func (r *Router) drain(httpServer *http.Server) error {
 	limit := r.settings.Drain.Or(settings.DefaultDrain)
-	r.log.Info().Dur("limit", limit).Msg(leaveMessage)
+	r.log.Info().Dur("limit", limit).Msg(drainMessage)
 	r.handler.leaving.Store(true)
-	r.core.events <- leaveEvent{}
+	r.core.events <- shutdownEvent{}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	if err := hs.Shutdown(ctx); err != nil {
+	if err := httpServer.Shutdown(ctx); err != nil {
 		r.LogAbortedRequests()
-		return hs.Close()
+		return httpServer.Close()
 	}
 	r.log.Info().Msg("left: nothing was cut")
 	return nil
--- a/router/state.go
+++ b/router/state.go
@@ -50,11 +50,11 @@
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
 		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
-		PlatformOK: c.platform.ok.Load(), PlatformCalls: c.platform.client.Calls(),
+		PlatformOK: c.platform.reachable.Load(), PlatformCalls: c.platform.client.Calls(),
 		Queues: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
 	}
-	for hall := range c.duty.hubs {
-		if c.duty.isHub(hall, c.settings.Name) {
+	for hall := range c.assignment.hubs {
+		if c.assignment.isHub(hall, c.settings.Name) {
 			s.HubOf = append(s.HubOf, hall)
 		}
 	}
@@ -64,7 +64,7 @@
 	for name, p := range c.peers {
 		s.Peers = append(s.Peers, PeerState{
 			Name: name, Role: string(p.conn.Peer.Role), Hall: p.conn.Peer.Hall, Remote: p.conn.Remote,
-			Generation: p.last.Generation, Serving: p.last.Serving, Leaving: p.last.Leaving,
+			Generation: p.lastHeartbeat.Generation, Serving: p.lastHeartbeat.Serving, Leaving: p.lastHeartbeat.Leaving,
 		})
 	}
 	for _, row := range c.hub.Totals() {
--- a/router/table.go
+++ b/router/table.go
@@ -69,20 +69,20 @@
 // equals the one that names the request's model.
 func (t *table) route(method, path, model string) (bundle.Work, bool) {
 	var best bundle.Work
-	bestRank := -1
+	bestSpecificity := -1
 	for _, w := range t.works {
 		if !matches(w, method, path, model) {
 			continue
 		}
-		if r := rank(w); r > bestRank {
-			best, bestRank = w, r
+		if s := specificity(w); s > bestSpecificity {
+			best, bestSpecificity = w, s
 		}
 	}
-	return best, bestRank >= 0
+	return best, bestSpecificity >= 0
 }
 
 // asksModel tells whether a path's route depends on the body's model.
-func (t *table) asksModel(path string) bool {
+func (t *table) dependsOnModel(path string) bool {
 	for _, w := range t.works {
 		if w.Model != "" && pathMatches(w.Path, path) {
 			return true
@@ -109,7 +109,7 @@
 }
 
 // rank orders matching works: longer paths, then named models and methods.
-func rank(w bundle.Work) int {
+func specificity(w bundle.Work) int {
 	r := 4 * len(w.Path)
 	if w.Model != "" {
 		r += 2
--- a/router/transport.go
+++ b/router/transport.go
@@ -11,11 +11,11 @@
 )
 
 // transport returns what calls agents.
-func (r *Router) transport() *http.Transport {
+func (r *Router) newTransport() *http.Transport {
 	t := &http.Transport{
 		DialContext:         r.dial,
-		MaxIdleConnsPerHost: agentConns,
-		IdleConnTimeout:     agentIdle,
+		MaxIdleConnsPerHost: maxIdleConnsPerAgent,
+		IdleConnTimeout:     agentIdleTimeout,
 		DisableCompression:  true,
 	}
 	if r.secure != nil {
--- a/router/watcher.go
+++ b/router/watcher.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	defaultPoll   = 5 * time.Second
-	firstPlatform = 100 * time.Millisecond
-	lastPlatform  = 5 * time.Second
+	defaultPollInterval = 5 * time.Second
+	initialBackoff      = 100 * time.Millisecond
+	maxBackoff          = 5 * time.Second
 )
 
 // watcher is the router's side of the platform: it reads the list of hosts and
 // the bundle in force. Nothing on the path of a request waits for it.
-type watcher struct {
-	settings settings.Platform
-	log      *log.Logger
-	client   *objectapi.Client
-	keeper   *adopt.Keeper
-	verifier bundle.Verifier
-	events   chan<- event
-	ok       atomic.Bool
+type platformWatcher struct {
+	settings  settings.Platform
+	log       *log.Logger
+	client    *objectapi.Client
+	keeper    *adopt.Keeper
+	verifier  bundle.Verifier
+	events    chan<- event
+	reachable atomic.Bool
 }
 
 // hosts reads the list of hosts at intervals until ctx ends.
-func (w *watcher) hosts(ctx context.Context) {
+func (w *platformWatcher) pollHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		hosts, err := w.client.Hosts(ctx)
-		w.outcome("read host list", err)
+		w.recordCall("read host list", err)
 		if err == nil {
 			w.send(ctx, hostsEvent{hosts})
 		}
-		wait.Sleep(ctx, w.settings.Poll.Or(defaultPoll))
+		wait.Sleep(ctx, w.settings.Poll.Or(defaultPollInterval))
 	}
 }
 
-func (w *watcher) send(ctx context.Context, e event) {
+func (w *platformWatcher) send(ctx context.Context, e event) {
 	select {
 	case w.events <- e:
 	case <-ctx.Done():
@@ -54,14 +54,14 @@
 
 // bundles reads the bundle in force until ctx ends. A router that does not
 // watch asks only until it has a first one; links bring it the rest.
-func (w *watcher) bundles(ctx context.Context, haveOne func() bool) {
+func (w *platformWatcher) watchBundles(ctx context.Context, haveBundle func() bool) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstPlatform
-	b.MaxInterval = lastPlatform
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	var seen objectapi.Version
-	for ctx.Err() == nil && (w.settings.Watch || !haveOne()) {
-		v, err := w.next(ctx, seen)
-		w.outcome("watch bundle", err)
+	for ctx.Err() == nil && (w.settings.Watch || !haveBundle()) {
+		v, err := w.fetchNext(ctx, seen)
+		w.recordCall("watch bundle", err)
 		if err != nil {
 			wait.Sleep(ctx, b.NextBackOff())
 			continue
@@ -72,7 +72,7 @@
 }
 
 // next waits for a pointer newer than seen and offers its bundle.
-func (w *watcher) next(ctx context.Context, seen objectapi.Version) (objectapi.Version, error) {
+func (w *platformWatcher) fetchNext(ctx context.Context, seen objectapi.Version) (objectapi.Version, error) {
 	obj, err := w.client.Watch(ctx, objectapi.BundlePointer, seen)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return seen, nil
@@ -94,14 +94,14 @@
 }
 
 // outcome notes whether the platform answers, and logs each change.
-func (w *watcher) outcome(what string, err error) {
+func (w *platformWatcher) recordCall(call string, err error) {
 	ok := err == nil || errors.Is(err, objectapi.ErrNotFound) || errors.Is(err, context.Canceled)
-	if w.ok.Swap(ok) == ok {
+	if w.reachable.Swap(ok) == ok {
 		return
 	}
 	if ok {
 		w.log.Info().Msg("platform answers")
 		return
 	}
-	w.log.Warn().Err(err).Str("call", what).Msg("platform does not answer; what is in force stays in force")
+	w.log.Warn().Err(err).Str("call", call).Msg("platform does not answer; what is in force stays in force")
 }
