--- a/agent/agent.go
+++ b/agent/agent.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	// eventRoom is how many events may wait for the core.
+	// eventBuffer is the capacity of the core's event channels.
 	eventBuffer = 1024
-	// keepIdle is longer than routers keep idle connections, so that it is
-	// always the caller who closes one.
+	// routerIdleTimeout is longer than the routers' timeout for idle connections,
+	// so that the router always closes a connection first.
 	routerIdleTimeout = 10 * time.Minute
 )
 
@@ -40,7 +40,7 @@
 	server   *server
 }
 
-// New returns an agent that has opened no address yet. It fails where the TLS
+// New returns an agent that is not listening yet. It returns an error if the TLS
 // files of the settings can't be used.
 func New(s settings.Agent, logger *log.Logger) (*Agent, error) {
 	startedAt := time.Now()
@@ -74,7 +74,7 @@
 func (a *Agent) onBundleAdopted(f bundle.InForce) { a.core.events <- bundleEvent{f} }
 
 func (a *Agent) onBundleRejected(err error) {
-	a.log.Warn().Err(err).Msg("bundle refused")
+	a.log.Warn().Err(err).Msg("bundle rejected")
 }
 
 func (a *Agent) dump(ctx context.Context) (any, error) {
@@ -83,7 +83,7 @@
 	return s, err
 }
 
-// gauges returns what the metrics show of the state.
+// gauges returns the values of the state that are exported as metrics.
 func (a *Agent) gauges(ctx context.Context) ([]process.Reading, error) {
 	dump, err := a.dump(ctx)
 	if err != nil {
@@ -101,8 +101,9 @@
 	return append(readings, process.TrafficReadings(s.Traffic)...), nil
 }
 
-// Run serves until ctx ends, then takes no new work, waits for what runs and
-// returns. What still runs when the drain time is over is cut and logged.
+// Run serves until ctx ends. It then claims no more requests, waits for the
+// running ones to finish and returns. Requests that still run at the end of the
+// drain time are aborted and logged.
 func (a *Agent) Run(ctx context.Context) error {
 	linkListener, err := process.Listen("links", a.settings.Links.String())
 	if err != nil {
@@ -134,27 +135,28 @@
 	return a.drain(httpServer)
 }
 
-// cutTimeout bounds how long LogAbortedRequests waits for the state.
+// stateTimeout bounds how long LogAbortedRequests waits for the core's state.
 const stateTimeout = time.Second
 
-// LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
-// process is ended out of order.
+// LogAbortedRequests logs how many requests are aborted if the process ends now.
+// Call it before ending the process without a drain.
 func (a *Agent) LogAbortedRequests() {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	s, err := a.dump(ctx)
 	if err != nil {
-		a.log.Error().Err(err).Msg("requests are cut; how many is not known")
+		a.log.Error().Err(err).Msg("requests are cut; their number is unknown")
 		return
 	}
 	state := s.(State)
 	a.log.Error().Int("running", state.Running).Int("held", state.Held).Msg("requests are cut")
 }
 
-// drain ends the process in order.
+// drain stops claiming requests and waits for those that the agent holds, up to
+// the drain time of the settings.
 func (a *Agent) drain(httpServer *http.Server) error {
 	limit := a.settings.Drain.Or(settings.DefaultDrain)
-	a.log.Info().Dur("limit", limit).Msg("leaving: no new work is taken")
+	a.log.Info().Dur("limit", limit).Msg("draining: no new requests are accepted")
 	a.core.events <- shutdownEvent{}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -164,7 +166,7 @@
 		a.LogAbortedRequests()
 		return httpServer.Close()
 	}
-	a.log.Info().Msg("left: nothing was cut")
+	a.log.Info().Msg("drained: no request was aborted")
 	return httpServer.Shutdown(ctx)
 }
 
@@ -175,8 +177,9 @@
 	}
 }
 
-// secured wraps a listener for granted requests: only routers of the fleet may
-// connect. Keys are read anew for each connection.
+// tlsListener wraps a listener for granted requests in TLS, so that only routers
+// of the fleet can connect. It reads the current keys for each connection. Without
+// TLS files it returns ln.
 func (a *Agent) tlsListener(ln net.Listener) net.Listener {
 	if a.secure == nil {
 		return ln
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -15,9 +15,9 @@
 	serverIdleTimeout  = 90 * time.Second
 )
 
-// backend calls the backend server. Requests that may run only once get a
-// connection of their own: net/http may send a request again on its own when
-// a kept connection was closed by the other side.
+// backend holds the HTTP transports for calls to the backend server. Requests that
+// must not be repeated use a new connection each: net/http may resend a request
+// by itself if the other side has closed a pooled connection.
 type backend struct {
 	pooled   *http.Transport
 	unpooled *http.Transport
@@ -41,7 +41,8 @@
 	return b.unpooled
 }
 
-// forward passes a started request to the server and its answer back.
+// forward sends a started request to the backend server and streams the response
+// back.
 func (s *server) forward(w http.ResponseWriter, r *http.Request, t *target) {
 	var sent relay.Sent
 	req := sent.Trace(newServerRequest(r, t))
@@ -59,13 +60,15 @@
 	w.WriteHeader(res.StatusCode)
 	body := s.checkStreamEnd(res, t, r)
 	if err := relay.Copy(w, body); err != nil {
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("answer cut")
-		// The connection must break, or a part would pass for the whole.
+		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("response aborted")
+		// Abort the connection, so that a truncated response can't be taken for a
+		// complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// failed answers for a run that brought no answer.
+// handleFailure records a run without a response from the backend server, and
+// sends the router a refusal that states whether the request may have run.
 func (s *server) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
 	ran := "no"
 	if sent.MayHaveLeft() {
@@ -75,12 +78,12 @@
 		if s.health.recordFailure() {
 			s.reportHealth(r.Context(), false)
 		}
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("backend server failed")
+		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("no response from backend server")
 	}
 	refuse(w, ran, "the backend server gave no answer")
 }
 
-// outgoing builds the request to the server.
+// newServerRequest returns the request that is sent to the backend server.
 func newServerRequest(r *http.Request, t *target) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
@@ -101,7 +104,8 @@
 	return req.WithContext(r.Context())
 }
 
-// headerPriority tells a model engine a request's priority; lower runs first.
+// headerPriority names the header that sets a request's priority in a model
+// engine. Lower values run first.
 const headerPriority = "X-Request-Priority"
 
 func priority(class string) string {
--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newServerAt returns an agent's server before a backend server, and the events that its core
-// gets.
+// newTestServer returns an agent's server that calls the given backend server, and
+// the events that it sends to its core.
 func newTestServer(t *testing.T, backend http.HandlerFunc) (*server, chan event) {
 	backendServer := httptest.NewServer(backend)
 	t.Cleanup(backendServer.Close)
@@ -40,12 +40,12 @@
 	s.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), s.target.Load())
 }
 
-// TestBackendAsksForNothing has a backend server turn a request away and say for how long: its
-// agent takes no work for that time, in which neither requests nor probes reach the server, and
-// takes work again after it.
+// TestBackendAsksForNothing has a backend server reject a request with a Retry-After
+// time. For that time, the agent must accept no requests and neither requests nor probes
+// may reach the server. After it, the agent must accept requests again.
 func TestBackendAsksForNothing(t *testing.T) {
 	const backoff = 400 * time.Millisecond
-	var refusedAt atomic.Int64 // Unix nanosecond of the answer
+	var refusedAt atomic.Int64 // time of the rejection in Unix nanoseconds
 	earlyPaths := make(chan string, 100)
 	s, events := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if at := refusedAt.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
@@ -67,14 +67,14 @@
 	require.Empty(t, earlyPaths)
 }
 
-// TestProbeUnderWay has a probe end well that was under way when the backend server asked for
-// nothing: it doesn't bring the server back before its time.
+// TestProbeStartedBeforeBackoff has a probe succeed that started before the backend
+// server asked for a backoff. It must not end the backoff early.
 func TestProbeStartedBeforeBackoff(t *testing.T) {
 	h := health{}
 	now := time.Now()
 	require.True(t, h.recordProbe(true))
 	require.True(t, h.setBackoff(now.Add(time.Hour)))
-	require.False(t, h.setBackoff(now.Add(time.Minute)), "it is known")
+	require.False(t, h.setBackoff(now.Add(time.Minute)), "the server is already down")
 	require.False(t, h.recordProbe(true))
-	require.Greater(t, h.remainingBackoff(), time.Minute, "the longer time holds")
+	require.Greater(t, h.remainingBackoff(), time.Minute, "the longer backoff applies")
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -16,7 +16,7 @@
 	ErrClosing = errors.New("the agent is stopping; ask another")
 )
 
-// serverOf finds the agent's own backend server in a bundle.
+// findServer returns the backend server with the given name in a bundle.
 func findServer(b bundle.Bundle, name fleet.Name) (bundle.Server, bool) {
 	for _, s := range b.Servers {
 		if s.Name == name {
@@ -26,8 +26,8 @@
 	return bundle.Server{}, false
 }
 
-// configOf returns what the machine has to know of a bundle. A server that
-// the bundle does not name, or names as leaving, has no slots.
+// schedulerConfig returns the scheduler's configuration under a bundle. A server
+// that the bundle lacks or marks as leaving has no slots.
 func schedulerConfig(b bundle.Bundle, name fleet.Name) sched.Config {
 	c := sched.Config{
 		Shares:       map[fleet.Team]float64{},
@@ -51,8 +51,8 @@
 	return c
 }
 
-// alike returns, for each work of a server, the slots of the other servers
-// that run it, in units of the server's own.
+// peerSlotRatio returns, for each work, the number of slots of the other servers
+// that run it divided by the number of the server's own slots.
 func peerSlotRatio(b bundle.Bundle, own bundle.Server) map[fleet.Work]float64 {
 	out := map[fleet.Work]float64{}
 	for _, s := range b.Servers {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// state returns the dump.
+// state returns the core's state dump.
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "agent",
--- a/agent/core.go
+++ b/agent/core.go
@@ -16,11 +16,12 @@
 	"github.com/phuslu/log"
 )
 
-// pullTimeout is how long a bundle that was asked for may take before another
-// peer is asked.
+// pullTimeout is the time after which an unanswered bundle pull may be repeated
+// with another peer.
 const pullTimeout = 500 * time.Millisecond
 
-// core owns the agent's state. Only its own goroutine touches it.
+// core owns the agent's state and runs its event loop. Only the loop's goroutine
+// accesses the state.
 type core struct {
 	settings    settings.Agent
 	log         *log.Logger
@@ -30,27 +31,28 @@
 	links       chan link.Event
 	meter       *link.Meter
 	keeper      *adopt.Keeper
-	onBundle    func(bundle.InForce) // hears of each bundle in force
+	onBundle    func(bundle.InForce) // called with each bundle that comes into force
 
 	scheduler *sched.Machine
 	keys      *once.KeyTable
 	inForce   bundle.InForce
 	routers   map[fleet.Name]*routerLink
-	replies   map[uint64]chan<- decision
+	replies   map[uint64]chan<- decision // by claim; requests that wait to start
 	serving   bool
 	leaving   bool
-	drained   chan struct{} // closed once nothing is held after leaving
+	drained   chan struct{} // closed once the agent is leaving and holds no requests
 	pulse     process.Pulse
-	nextPull  time.Duration // when another peer may be asked for a bundle
+	nextPull  time.Duration // earliest time of the next bundle pull
 }
 
-// routerLink is a link to a router and what it last said of itself.
+// routerLink holds a link to a router and the last heartbeat received on it.
 type routerLink struct {
 	conn          *link.Conn
 	lastHeartbeat wire.Heartbeat
 }
 
-// run feeds the machine until ctx ends.
+// run is the event loop. It passes link events, request events and ticks to the
+// scheduler until ctx ends.
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(sched.TickInterval)
 	defer tick.Stop()
@@ -73,7 +75,8 @@
 	}
 }
 
-// feed gives the machine one message and carries out what it wants.
+// updateScheduler passes a message to the scheduler and executes the commands that
+// it returns.
 func (c *core) updateScheduler(m sched.Msg) {
 	for _, cmd := range c.scheduler.Update(m) {
 		c.execute(cmd)
@@ -97,7 +100,7 @@
 	}
 }
 
-// claimOf spells a claim for one link.
+// encodeClaim encodes a claim for one link.
 func encodeClaim(conn *link.Conn, cmd sched.ClaimCmd) wire.Claim {
 	return wire.Claim{
 		Seq:   cmd.Seq,
@@ -107,14 +110,15 @@
 	}
 }
 
-// send spells a message for a router's link and sends it, if the link stands.
+// send encodes a message for a router's link and sends it. It does nothing if the
+// router has no link.
 func (c *core) send(router fleet.Name, encode func(*link.Conn) wire.Message) {
 	if r, ok := c.routers[router]; ok {
 		r.conn.SendNamed(encode(r.conn))
 	}
 }
 
-// decide tells a request's goroutine the verdict.
+// decide sends the decision to a request's goroutine.
 func (c *core) decide(seq uint64, v decision) {
 	if reply, ok := c.replies[seq]; ok {
 		reply <- v
@@ -141,8 +145,8 @@
 	}
 }
 
-// arrive hands a request to the machine. A second request with the same claim
-// must not disturb the first, so it is rejected here.
+// onRequest passes a request to the scheduler. It rejects a second request with the
+// claim of one that waits, so that the first is not affected.
 func (c *core) onRequest(e requestEvent) {
 	if _, duplicate := c.replies[e.seq]; duplicate {
 		e.reply <- decisionReject
@@ -152,11 +156,11 @@
 	c.updateScheduler(sched.ArriveMsg{Now: c.now(), Seq: e.seq, Key: e.key, Remaining: e.remaining, OldestAge: e.oldestAge})
 }
 
-// abandon forgets a request that waits to start. Another one with the same
-// claim is not its business.
+// cancel drops a request that waits to start. Another request with the same claim
+// is not affected.
 func (c *core) cancel(e cancelEvent) {
 	if c.replies[e.seq] != e.reply {
-		return // it has its verdict
+		return // already decided
 	}
 	delete(c.replies, e.seq)
 	c.updateScheduler(sched.EndMsg{Now: c.now(), Seq: e.seq})
@@ -165,20 +169,21 @@
 
 func (c *core) setServing(serving bool) {
 	if serving != c.serving {
-		c.log.Info().Bool("serving", serving).Msg("backend server's health changed")
+		c.log.Info().Bool("serving", serving).Msg("health of backend server changed")
 	}
 	c.serving = serving
-	c.broadcastHeartbeat() // first, for routers take no word of idle slots from an agent that does not serve
+	c.broadcastHeartbeat() // before the free slots: routers ignore those of an agent that is not serving
 	c.updateScheduler(sched.HealthMsg{Now: c.now(), Serving: serving && !c.leaving})
 }
 
-// leave stops the taking of new work and tells every router.
+// startDrain stops claiming requests and reports this to every router.
 func (c *core) startDrain() {
 	c.leaving = true
 	c.updateScheduler(sched.LeaveMsg{Now: c.now()})
 	c.broadcastHeartbeat()
 }
 
+// checkDrained closes drained once the agent is leaving and holds no requests.
 func (c *core) checkDrained() {
 	if !c.leaving || c.scheduler.Busy() {
 		return
@@ -190,7 +195,7 @@
 	}
 }
 
-// adopted puts a bundle in force here.
+// applyBundle makes a bundle the one in force for the core and the server.
 func (c *core) applyBundle(f bundle.InForce) {
 	c.inForce = f
 	c.nextPull = 0
--- a/agent/core_test.go
+++ b/agent/core_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newCore returns a core whose one slot a claim has been made for.
+// newTestCore returns a core with one slot, which is claimed, and the claim's
+// sequence number.
 func newTestCore() (*core, uint64) {
 	c := &core{
 		now:       func() time.Duration { return time.Second },
@@ -25,21 +26,21 @@
 	return c, claim.Seq
 }
 
-// TestAbandonedRequestLeavesNothing lets a router give a request up while it
-// starts, and while it waits.
+// TestCanceledRequestIsReleased cancels a request after the core has decided to
+// start it. The slot must stay in use until the request's goroutine reports the end.
 func TestCanceledRequestIsReleased(t *testing.T) {
 	c, seq := newTestCore()
 	reply := make(chan decision, 1)
 	c.onEvent(requestEvent{seq: seq, reply: reply})
-	c.onEvent(cancelEvent{seq: seq, reply: reply}) // the start crossed with it
+	c.onEvent(cancelEvent{seq: seq, reply: reply}) // handled after the start
 	require.Equal(t, decisionStart, <-reply)
-	require.Equal(t, 1, c.scheduler.Running(), "its goroutine has yet to end it")
+	require.Equal(t, 1, c.scheduler.Running(), "its goroutine has not reported the end")
 	c.onEvent(runEndEvent{seq})
 	require.False(t, c.scheduler.Busy())
 }
 
-// TestRepeatedCallDisturbsNobody sends a claim's request a second time, which
-// is then given up: the first one goes on holding its slot.
+// TestRepeatedCallDisturbsNobody sends a second request with the same claim and
+// cancels it. The first request must keep its slot.
 func TestRepeatedCallDisturbsNobody(t *testing.T) {
 	c, seq := newTestCore()
 	first, second := make(chan decision, 1), make(chan decision, 1)
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,7 +1,7 @@
-// Package agent is the daemon beside one backend server. It decides, through
-// sched, whose request runs next, and is the only process that calls the
+// Package agent implements the daemon beside one backend server. It schedules the
+// teams' requests with package sched and is the only process that calls the
 // server.
 //
 //	a, err := agent.New(settings)
-//	err = a.Run(ctx) // until ctx ends and everything that runs has finished
+//	err = a.Run(ctx) // returns once ctx has ended and running requests have finished
 package agent
--- a/agent/event.go
+++ b/agent/event.go
@@ -7,38 +7,38 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// event is what other goroutines tell the core.
+// event is a message from another goroutine to the core.
 type event interface{ isEvent() }
 
-// arriveEvent brings a claimed request; the verdict goes to reply.
+// requestEvent submits a claimed request. The core sends its decision to reply.
 type requestEvent struct {
 	seq       uint64
 	key       fleet.DemandKey
-	remaining int             // requests left in its line
-	oldestAge time.Duration   // age of the oldest of them
-	reply     chan<- decision // has room for one
+	remaining int             // requests that remain in its queue
+	oldestAge time.Duration   // age of the oldest remaining request
+	reply     chan<- decision // buffers one decision
 }
 
-// abandonEvent says that a router has given up a request that waits to start.
-// One verdict always follows on reply, or is on its way already.
+// cancelEvent reports that a router has canceled a request that waits to start.
+// The core always sends one decision to reply, unless one is already in it.
 type cancelEvent struct {
 	seq   uint64
 	reply chan<- decision
 }
 
-// endEvent says that a request which came is over.
+// runEndEvent reports that a submitted request is finished.
 type runEndEvent struct{ seq uint64 }
 
-// bundleEvent brings a bundle that is now in force.
+// bundleEvent carries the bundle that is now in force.
 type bundleEvent struct{ inForce bundle.InForce }
 
-// healthEvent says whether the server takes work.
+// healthEvent reports whether the backend server accepts requests.
 type healthEvent struct{ serving bool }
 
-// leaveEvent says that the process has been asked to stop.
+// shutdownEvent reports that the process has been asked to stop.
 type shutdownEvent struct{}
 
-// stateEvent asks for a dump.
+// stateEvent requests a state dump.
 type stateEvent struct{ reply chan<- State }
 
 func (requestEvent) isEvent()  {}
@@ -49,7 +49,7 @@
 func (shutdownEvent) isEvent() {}
 func (stateEvent) isEvent()    {}
 
-// verdict says what becomes of a request that came.
+// decision tells a request's goroutine to start or to reject the request.
 type decision uint8
 
 const (
--- a/agent/health.go
+++ b/agent/health.go
@@ -16,35 +16,37 @@
 const (
 	probeInterval = time.Second
 	probeTimeout  = 2 * time.Second
-	// maxProbe is how much of a probe's answer is read, in bytes.
+	// maxProbeBody bounds how much of a probe's response is read, in bytes.
 	maxProbeBody = 1 << 16
-	// firstProbe is the time to the first probe after a failure.
+	// initialProbeDelay is the delay of the first probe after a failure.
 	initialProbeDelay = 100 * time.Millisecond
-	// lastProbe bounds how long a server that is well again stays unused.
+	// maxProbeDelay bounds the time for which a recovered server stays unused.
 	maxProbeDelay = 5 * time.Second
-	// failuresToEject is how many runs in a row must fail before the server
-	// takes no more work until a probe passes.
+	// failuresToEject is the number of consecutive failed runs after which the
+	// server gets no more requests until a probe succeeds.
 	failuresToEject = 3
 )
 
-// ErrServerDown means that the backend server does not answer.
+// ErrServerDown means that the backend server does not respond.
 var ErrServerDown = errors.New("the backend server does not answer its probe; restart it or correct its address in the bundle")
 
-// ErrServerBusy means that the backend server asked for no requests for some time.
+// ErrServerBusy means that the backend server has rejected a request with a
+// Retry-After time that is not over yet.
 var ErrServerBusy = errors.New("the backend server turned a request away and asked for no more for some time")
 
-// health is what runs and probes say of the server. The zero value is down.
+// health tracks whether the backend server is up, from the results of runs and
+// probes. The zero value is down.
 type health struct {
 	mu           sync.Mutex
 	up           bool
 	failures     int
 	load         Load
-	backoffUntil time.Time // the server asked for nothing until then
+	backoffUntil time.Time // no requests or probes are sent until then
 }
 
-// Load is what a server last said of itself in answer to its probe, if it
-// answers in JSON. It lags by up to the time between two probes, so decisions
-// don't rest on it: the agent counts its own runs.
+// Load holds the request counts that a backend server last reported in a JSON
+// response to a probe. It is stale by up to the probe interval, so no decision
+// depends on it: the agent counts its own runs.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
@@ -74,7 +76,8 @@
 	return ErrServerDown
 }
 
-// backOff notes until when the server asked for nothing, and tells whether that takes it out.
+// setBackoff marks the server as down and extends its backoff to until, if that is
+// later. It reports whether the server was up.
 func (h *health) setBackoff(until time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,22 +89,23 @@
 	return wasUp
 }
 
-// backoffLeft returns how much longer the server wants nothing.
+// remainingBackoff returns the time until the server's backoff ends. It is negative
+// after that.
 func (h *health) remainingBackoff() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Until(h.backoffUntil)
 }
 
-// passed notes an answer.
+// recordSuccess records a run that got a response.
 func (h *health) recordSuccess() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = 0
 }
 
-// failed notes a run without an answer and tells whether it was the one that
-// takes the server out.
+// recordFailure records a run that got no response. It reports whether this failure
+// ejected the server.
 func (h *health) recordFailure() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,8 +117,8 @@
 	return ejected
 }
 
-// probed notes a probe and returns whether the server is up. One that was under way when the
-// server asked for nothing doesn't bring it back.
+// recordProbe records the result of a probe and reports whether the server is up. A
+// probe that succeeds during a backoff does not end the backoff.
 func (h *health) recordProbe(ok bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -125,8 +129,8 @@
 	return h.up
 }
 
-// probe asks the server for its health until ctx ends, less and less often
-// while it is down.
+// runProbes probes the server until ctx ends, with exponential backoff while it is
+// down.
 func (s *server) runProbes(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialProbeDelay
@@ -155,15 +159,15 @@
 	}
 }
 
-// probeNow ends the pause between two probes.
+// probeNow requests a probe without waiting for the probe interval.
 func (s *server) probeNow() {
 	select {
 	case s.probeRequests <- struct{}{}:
-	default: // one is asked for already
+	default: // a probe is already requested
 	}
 }
 
-// pause waits for the next probe, or until one is asked for.
+// waitForProbe waits for d, or until a probe is requested.
 func (s *server) waitForProbe(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -174,6 +178,7 @@
 	}
 }
 
+// reportHealth sends the server's health to the core.
 func (s *server) reportHealth(ctx context.Context, up bool) {
 	select {
 	case s.core.events <- healthEvent{up}:
@@ -181,7 +186,8 @@
 	}
 }
 
-// probeOnce tells whether the server answers its probe well.
+// probeServer sends one probe and reports whether the server responds without a
+// server error (status 5xx).
 func (s *server) probeServer(ctx context.Context) bool {
 	t := s.target.Load()
 	if t == nil {
@@ -207,15 +213,16 @@
 	return res.StatusCode < http.StatusInternalServerError
 }
 
-// heed takes the server out for as long as it asked for by turning a request away: the agent
-// is the only one that calls it, so nothing reaches it in that time.
+// applyRetryAfter starts a backoff if the server rejects a request with a
+// Retry-After time. Only the agent calls the server, so no request reaches it
+// during the backoff.
 func (s *server) applyRetryAfter(res *http.Response) {
 	backoff, err := retryafter.Read(res.StatusCode, res.Header)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("backend server's answer can't be read; it counts as if it had asked for nothing")
+		s.log.Warn().Err(err).Msg("invalid Retry-After in response of backend server; ignored")
 	}
 	if backoff > 0 && s.health.setBackoff(time.Now().Add(backoff)) {
-		s.log.Info().Dur("for", backoff).Msg("backend server asked for no more requests")
-		s.probeNow() // tells the core, and waits
+		s.log.Info().Dur("for", backoff).Msg("backend server asked for a backoff")
+		s.probeNow() // wakes runProbes, which reports the backoff to the core and waits for its end
 	}
 }
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -10,8 +10,8 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// setPools tells the key memory which agents stand beside the servers of each
-// work that this server runs.
+// setKeyAgents updates the key table with the agents whose servers run each work of
+// this server.
 func (c *core) setKeyAgents(b bundle.Bundle) {
 	own, ok := findServer(b, c.settings.Name)
 	if !ok {
@@ -22,7 +22,7 @@
 	}
 }
 
-// reserveKey answers a router that asks to note a key.
+// reserveKey reserves a key for a router and sends it the verdict.
 func (c *core) reserveKey(r *routerLink, m wire.KeyReserve) {
 	key, ok := keyOf(r.conn, m.Work, m.Digest)
 	if !ok {
--- a/agent/links.go
+++ b/agent/links.go
@@ -8,7 +8,7 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// onLink handles what happened on a link.
+// onLink handles the start, the end or a message of a link.
 func (c *core) onLink(e link.Event) {
 	name := e.Conn.Peer.Name
 	switch e.Kind {
@@ -21,8 +21,8 @@
 	}
 }
 
-// linkUp takes a router's link. A newer link of the same router replaces an
-// older one whose end has not been noticed yet.
+// linkUp registers a new link to a router. It closes an older link of the same
+// router, whose end has not been detected yet.
 func (c *core) linkUp(name fleet.Name, conn *link.Conn) {
 	if conn.Peer.Role != wire.RoleRouter {
 		conn.Close(errNotRouter)
@@ -81,8 +81,8 @@
 	c.pullFrom(r)
 }
 
-// pullFrom asks a peer for its bundle if that is newer, and nobody has been
-// asked just now.
+// pullFrom pulls a router's bundle if that is newer and no pull has been sent
+// within pullTimeout.
 func (c *core) pullFrom(r *routerLink) {
 	if r.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
 		return
--- a/agent/server.go
+++ b/agent/server.go
@@ -14,31 +14,31 @@
 	"github.com/phuslu/log"
 )
 
-// ErrNoBundle means that no bundle names this agent's server yet.
+// ErrNoBundle means that the agent has no bundle that names its server.
 var ErrNoBundle = errors.New("no bundle in force names this backend server; add it to [[servers]] and roll the bundle")
 
-// target is the backend server as the bundle in force describes it.
+// target holds the backend server and the works that the bundle in force defines.
 type target struct {
 	server bundle.Server
 	works  map[fleet.Work]bundle.Work
 }
 
-// server takes granted requests from routers by HTTP and passes them to the
-// backend server when the core says so.
+// server accepts granted requests from routers over HTTP and forwards each to the
+// backend server once the core has decided to start it.
 type server struct {
 	core          *core
 	log           *log.Logger
 	target        atomic.Pointer[target]
 	backend       *backend
 	health        health
-	probeRequests chan struct{} // asks for a probe now
+	probeRequests chan struct{} // buffers one request for a probe
 }
 
 func newServer(c *core, logger *log.Logger) *server {
 	return &server{core: c, log: logger, backend: newBackend(), probeRequests: make(chan struct{}, 1)}
 }
 
-// configure takes a new bundle.
+// configure applies a new bundle and requests a probe.
 func (s *server) configure(f bundle.InForce) {
 	b := f.Bundle.WithDefaults()
 	own, ok := findServer(b, s.core.settings.Name)
@@ -54,7 +54,7 @@
 	s.probeNow()
 }
 
-// ready says why the agent takes no work, or nil.
+// ready returns nil if the agent accepts requests, and the reason otherwise.
 func (s *server) ready() error {
 	if s.target.Load() == nil {
 		return ErrNoBundle
@@ -62,7 +62,7 @@
 	return s.health.err()
 }
 
-// ServeHTTP takes one granted request.
+// ServeHTTP serves one granted request.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	claim, remaining, _ := strings.Cut(r.Header.Get(relay.HeaderClaim), " ")
 	id, ok := fleet.ParseClaimID(claim)
@@ -83,8 +83,8 @@
 	s.forward(w, r, t)
 }
 
-// await waits until the core lets the request start. A request whose router
-// gives it up meanwhile has not run.
+// awaitStart waits for the core's decision and reports whether the request starts.
+// A request that its router cancels meanwhile has not run.
 func (s *server) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
 	ctx := r.Context()
 	reply := make(chan decision, 1)
@@ -99,14 +99,14 @@
 		return v == decisionStart
 	case <-ctx.Done():
 		s.core.events <- cancelEvent{seq: seq, reply: reply}
-		if <-reply == decisionStart { // it crossed with the giving up
+		if <-reply == decisionStart { // started before the core handled the cancellation
 			s.reportEnd(seq)
 		}
 		return false
 	}
 }
 
-// lineOf reads which line a granted request is of.
+// demandKeyOf returns the work, team and class of a granted request.
 func demandKeyOf(h http.Header) fleet.DemandKey {
 	class, _ := fleet.ParseClass(h.Get(relay.HeaderClass))
 	return fleet.DemandKey{
@@ -116,7 +116,8 @@
 	}
 }
 
-// leftOf reads what is left of a granted request's line.
+// parseRemaining parses the number of requests that remain in a granted request's
+// queue and the age of the oldest one. It returns zeros if text is invalid.
 func parseRemaining(text string) (int, time.Duration) {
 	count, age, _ := strings.Cut(text, "/")
 	n, err := strconv.Atoi(count)
@@ -129,11 +130,12 @@
 
 func (s *server) reportEnd(seq uint64) { s.core.events <- runEndEvent{seq} }
 
-// refuse answers without a run, or without knowing whether there was one.
+// refuse sends the router a response for a request that has not run or may have
+// run, as stated by ran.
 func refuse(w http.ResponseWriter, ran, message string) {
 	w.Header().Set(relay.HeaderRan, ran)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(message)))
 	w.WriteHeader(http.StatusServiceUnavailable)
-	_, _ = w.Write([]byte(message)) // a router that has left needs no answer
+	_, _ = w.Write([]byte(message)) // fails only if the router has closed the connection
 }
--- a/agent/state.go
+++ b/agent/state.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/sched"
 )
 
-// State is the dump of an agent.
+// State holds the state dump of an agent.
 type State struct {
 	Name        fleet.Name        `json:"name"`
 	Hall        fleet.Hall        `json:"hall"`
@@ -18,14 +18,14 @@
 	Slots       int               `json:"slots"`
 	Running     int               `json:"running"`
 	Held        int               `json:"held"`
-	Server      Load              `json:"server"` // as the server said at its last probe
-	Keys        int               `json:"keys"`   // idempotency keys remembered
+	Server      Load              `json:"server"` // as reported by the last probe
+	Keys        int               `json:"keys"`   // number of idempotency keys in the key table
 	Routers     []PeerState       `json:"routers"`
 	Teams       []sched.TeamState `json:"teams"`
 	Traffic     []link.Traffic    `json:"traffic"`
 }
 
-// PeerState is one link in a dump.
+// PeerState describes one link in a State.
 type PeerState struct {
 	Name       fleet.Name       `json:"name"`
 	Remote     string           `json:"remote"`
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -11,11 +11,12 @@
 	"github.com/croftvale/croftvale/relay"
 )
 
-// doneMark ends every whole event stream of a model engine.
+// streamEnd is the line that ends every complete event stream of a model engine.
 const streamEnd = "data: [DONE]"
 
-// checked returns the body of an answer. The event stream of a model engine
-// must end with its mark: one that just ends has been cut.
+// checkStreamEnd returns the body of a response. If that is the event stream of a
+// model engine, reading it fails at an end without streamEnd, because such a
+// stream is truncated.
 func (s *server) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
@@ -25,7 +26,8 @@
 	return &terminatedStream{r: res.Body}
 }
 
-// markedStream turns the end of a stream without its mark into an error.
+// terminatedStream reads a stream and returns io.ErrUnexpectedEOF if the stream ends
+// without streamEnd.
 type terminatedStream struct {
 	r    io.Reader
 	tail []byte
@@ -41,7 +43,8 @@
 	return n, err
 }
 
-// remember keeps the last bytes, as many as the mark and its line ends take.
+// recordTail keeps the last bytes of the stream: the length of streamEnd and its
+// line ends.
 func (m *terminatedStream) recordTail(p []byte) {
 	const maxTail = len(streamEnd) + 8
 	m.tail = append(m.tail, p...)
--- a/router/admission.go
+++ b/router/admission.go
@@ -14,15 +14,15 @@
 	"github.com/croftvale/croftvale/relay"
 )
 
-// streamAbove is the size from which a body is forwarded as it comes, in
-// bytes; smaller ones are held, so that they can be sent again.
+// maxBufferedBody is the size in bytes up to which a body is buffered, so that
+// it can be sent again. Larger bodies are streamed.
 const maxBufferedBody = 64 << 10
 
-// bodyTimeout is how long a caller may take to send its body, or the head of a
-// large one.
+// bodyTimeout bounds how long a caller may take to send its body, or the
+// buffered head of a large body.
 const bodyTimeout = 30 * time.Second
 
-// admission is a request that has passed the checks at the door.
+// admission holds an admitted request and what the checks found out about it.
 type admission struct {
 	id          string
 	table       *table
@@ -35,15 +35,15 @@
 	idempotency *idempotency
 }
 
-// body is a caller's request body: what was read, and the rest of the stream.
+// body holds a caller's request body: the buffered head and the unread rest.
 type body struct {
 	head     []byte
-	rest     io.Reader // nil where head is all
-	size     int64     // -1 where unknown
-	consumed bool      // part of rest is gone; it can't be sent again
+	rest     io.Reader // nil if head is the whole body
+	size     int64     // in bytes; -1 if unknown
+	consumed bool      // rest may have been read, so the body can't be sent again
 }
 
-// open returns the body for one run.
+// open returns a reader over the whole body for one attempt.
 func (b *body) open() *relay.OnceBody {
 	if b.rest != nil {
 		b.consumed = true
@@ -51,7 +51,8 @@
 	return relay.NewOnceBody(b.head, b.rest)
 }
 
-// admit checks a request at the door.
+// admit reads and checks a request before it is queued. It returns a refusal
+// if the request fails a check.
 func (h *handler) admit(w http.ResponseWriter, r *http.Request, id string) (*admission, *refusal) {
 	t := h.table.Load()
 	if t == nil {
@@ -77,6 +78,8 @@
 	return a, nil
 }
 
+// allowed reports whether team t may request work w. A team that lists no works
+// may request all of them.
 func allowed(t *bundle.Team, w fleet.Work) bool {
 	if len(t.Works) == 0 {
 		return true
@@ -89,8 +92,8 @@
 	return false
 }
 
-// readBody reads the body, or its head where it is large and its route does
-// not depend on it.
+// readBody reads the whole body if its route depends on the model that it
+// names. Otherwise, it leaves a body above maxBufferedBody unread after its head.
 func (a *admission) readBody(w http.ResponseWriter, r *http.Request) *refusal {
 	limit := int64(a.table.limits.MaxBody)
 	if r.ContentLength > limit {
@@ -98,7 +101,7 @@
 	}
 	src := http.MaxBytesReader(w, r.Body, limit)
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // test writers have none
+	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // the writers of tests don't support deadlines
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	maxHead := int64(maxBufferedBody)
 	if a.table.dependsOnModel(r.URL.Path) {
@@ -121,7 +124,8 @@
 	return nil
 }
 
-// model reads the model that a body asks for.
+// model returns the model named in a JSON body, or "" if the route doesn't
+// depend on it or the body can't be decoded.
 func (a *admission) model(r *http.Request) string {
 	if !a.table.dependsOnModel(r.URL.Path) {
 		return ""
@@ -130,12 +134,13 @@
 		Model string `json:"model"`
 	}
 	if err := json.NewDecoder(bytes.NewReader(a.body.head)).Decode(&fields); err != nil {
-		return "" // no work of a model matches, which is what the caller is told
+		return "" // matches no work that has a model; the caller gets refusedRoute
 	}
 	return fields.Model
 }
 
-// readHeaders reads the caller's wishes; the work gives the defaults.
+// readHeaders reads the caller's Croftvale headers, with defaults from the work.
+// It reports whether all of them are valid.
 func (a *admission) readHeaders(h http.Header) bool {
 	a.class, _ = fleet.ParseClass(a.work.Class)
 	if v := h.Get(relay.HeaderClass); v != "" {
@@ -163,8 +168,9 @@
 	return a.readIdempotencyKey(h)
 }
 
-// readKey reads the idempotency key of a request that may not be repeated; of
-// others it is the server's business alone.
+// readIdempotencyKey reads the idempotency key of a request that must not be
+// repeated. The key of a repeatable request concerns only the backend server.
+// It reports whether the key's creation time is valid.
 func (a *admission) readIdempotencyKey(h http.Header) bool {
 	text := h.Get(relay.HeaderIdempotent)
 	if text == "" || a.repeatable {
--- a/router/core.go
+++ b/router/core.go
@@ -18,11 +18,12 @@
 	"github.com/phuslu/log"
 )
 
-// pullTimeout is how long a bundle that was asked for may take before another
-// peer is asked.
+// pullTimeout is the time after which an unanswered bundle pull may be repeated
+// with another peer.
 const pullTimeout = 500 * time.Millisecond
 
-// core owns the router's state. Only its own goroutine touches it.
+// core owns the router's state and runs its event loop. Only the loop's
+// goroutine accesses the state.
 type core struct {
 	settings     settings.Router
 	log          *log.Logger
@@ -34,7 +35,7 @@
 	keeper       *adopt.Keeper
 	dialer       *dialer
 	platform     *platformWatcher
-	publishTable func(*table) // lets requests in under a table
+	publishTable func(*table) // makes a table the one that new requests use
 
 	queue      *queue.Machine
 	hub        *ledger.Hub
@@ -45,18 +46,18 @@
 	servers    map[fleet.Name]bundle.Server
 	hosts      []objectapi.Host
 	assignment hubAssignment
-	// linked remembers, for the routers and the number of links that it was
-	// worked out for, which servers this router links to.
+	// linkCache caches the ranking of shouldLink by server. It is valid for
+	// assignment.routers and for linkCachePerServer links to each server.
 	linkCache          map[fleet.Name]bool
 	linkCachePerServer int
 	peers              map[fleet.Name]*peer
 	requests           map[queue.RequestID]*openRequest
 	leaving            bool
 	pulse              process.Pulse
-	nextPull           time.Duration // when another peer may be asked for a bundle
+	nextPull           time.Duration // earliest time of the next bundle pull
 }
 
-// peer is a link to another process and what it last said of itself.
+// peer holds a link to another process and the last heartbeat received on it.
 type peer struct {
 	conn          *link.Conn
 	lastHeartbeat wire.Heartbeat
@@ -64,21 +65,22 @@
 	hubState      hubPeerState
 }
 
-// peerShape is what the hub has been told of another router.
+// hubPeerState holds what the hub was last sent about another router.
 type hubPeerState struct {
 	registered bool
-	paired     bool // this router sends it its hall's totals
+	paired     bool // this router sends the totals of its hall to the peer
 }
 
-// openRequest is a request without a final answer.
+// openRequest is a request that has had no final response yet.
 type openRequest struct {
 	reply       chan<- decision
-	abort       chan struct{}  // closed to give up the run under way; nil while waiting
-	awaitingKey *queue.Request // waits for the owners of its key
-	holdsKey    bool           // holds an idempotency key
+	abort       chan struct{}  // closed to abort the current run; nil if none runs
+	awaitingKey *queue.Request // not queued until the key is reserved; nil otherwise
+	holdsKey    bool           // the request has reserved its idempotency key
 }
 
-// run feeds the machines until ctx ends.
+// run is the event loop. It passes link events, request events and ticks to the
+// state machines until ctx ends.
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(queue.TickInterval)
 	defer tick.Stop()
@@ -102,7 +104,8 @@
 	}
 }
 
-// feed gives the request machine one message and carries out what it wants.
+// updateQueue passes one message to the queue and executes the commands that it
+// returns.
 func (c *core) updateQueue(m queue.Msg) {
 	for _, cmd := range c.queue.Update(m) {
 		c.executeQueueCmd(cmd)
@@ -130,7 +133,8 @@
 	}
 }
 
-// send spells a message for a peer's link and sends it, if the link stands.
+// send encodes a message for a peer's link and sends it. It does nothing if the
+// peer has no link.
 func (c *core) send(name fleet.Name, encode func(*link.Conn) wire.Message) {
 	if p, ok := c.peers[name]; ok {
 		p.conn.SendNamed(encode(p.conn))
@@ -160,7 +164,7 @@
 	}
 }
 
-// adopted puts a bundle in force here.
+// applyBundle makes a bundle the one in force for the core and for new requests.
 func (c *core) applyBundle(p preparedBundle) {
 	f := p.inForce
 	c.inForce = f
--- a/router/dialer.go
+++ b/router/dialer.go
@@ -8,17 +8,17 @@
 	"github.com/phuslu/log"
 )
 
-// dialer keeps a link to each address that is wanted.
+// dialer maintains a link to each of a set of addresses.
 type dialer struct {
 	ctx     context.Context
 	opts    link.Options
 	log     *log.Logger
 	wg      sync.WaitGroup
-	cancels map[string]context.CancelFunc
+	cancels map[string]context.CancelFunc // by address
 }
 
-// want starts links to new addresses and ends those no longer wanted. Only the
-// core calls it.
+// setAddresses starts links to new addresses and closes those to addresses that
+// are no longer in the set. Only the core calls it.
 func (d *dialer) setAddresses(addresses map[string]bool) {
 	for a, cancel := range d.cancels {
 		if !addresses[a] {
@@ -33,6 +33,7 @@
 	}
 }
 
+// startLink maintains a link to the address until its entry in cancels is called.
 func (d *dialer) startLink(address string) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.cancels[address] = cancel
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,8 +1,8 @@
-// Package router is the daemon on an entry host. It takes callers' requests by
-// HTTP, holds them until an agent claims them, sends them to that agent and
-// streams the answers back. Some routers also share service counters as hubs
-// and watch the platform for bundles.
+// Package router implements the daemon of an entry host. It accepts callers'
+// HTTP requests, queues them until an agent claims them, sends them to that
+// agent and streams the responses back. Some routers are also hubs, which
+// aggregate the teams' service counters, or watch the platform for bundles.
 //
 //	r, err := router.New(settings, logger)
-//	err = r.Run(ctx) // until ctx ends and everything that runs has finished
+//	err = r.Run(ctx) // returns once ctx has ended and running requests have finished
 package router
--- a/router/event.go
+++ b/router/event.go
@@ -5,40 +5,41 @@
 	"github.com/croftvale/croftvale/queue"
 )
 
-// event is what other goroutines tell the core.
+// event is a message from another goroutine to the core.
 type event interface{ isEvent() }
 
-// arriveEvent brings a request; decisions about it go to reply.
+// requestEvent submits a request. The core sends its decisions to reply.
 type requestEvent struct {
 	request     queue.Request
-	idempotency *idempotency    // nil where the request needs none
-	reply       chan<- decision // has room for one; no second comes before an answer to the first
+	idempotency *idempotency    // nil if the request needs no key
+	reply       chan<- decision // buffers one decision; the core sends no other before the first is handled
 }
 
-// answerEvent says that a request's first answer byte went out.
+// responseStartedEvent reports that the response to a request is about to be
+// sent to the caller.
 type responseStartedEvent struct{ id queue.RequestID }
 
-// endEvent says how a run ended.
+// runEndEvent reports how a run ended.
 type runEndEvent struct {
 	id      queue.RequestID
 	outcome queue.Outcome
-	notRun  bool // done with, and known not to have run
+	notRun  bool // the request is finished and has certainly not run
 }
 
-// cancelEvent says that a caller has hung up. One decision always follows, or
-// is on its way already.
+// cancelEvent reports that a caller has closed its connection. The core always
+// sends one decision after it, unless one is already in the channel.
 type cancelEvent struct{ id queue.RequestID }
 
-// bundleEvent brings a bundle that is now in force.
+// bundleEvent carries the bundle that is now in force.
 type bundleEvent struct{ prepared preparedBundle }
 
-// hostsEvent brings the platform's list of hosts.
+// hostsEvent carries the platform's list of hosts.
 type hostsEvent struct{ hosts []objectapi.Host }
 
-// leaveEvent says that the process has been asked to stop.
+// shutdownEvent reports that the process has been asked to stop.
 type shutdownEvent struct{}
 
-// stateEvent asks for a dump.
+// stateEvent requests a state dump.
 type stateEvent struct{ reply chan<- State }
 
 func (requestEvent) isEvent()         {}
@@ -50,16 +51,17 @@
 func (shutdownEvent) isEvent()        {}
 func (stateEvent) isEvent()           {}
 
-// decision is what the core tells a request's goroutine: run it, or answer it.
+// decision tells a request's goroutine to run the request or to refuse it. Both
+// fields are nil after a cancellation.
 type decision struct {
 	run    *grant
 	refuse *queue.RefuseCmd
 }
 
-// grant says where a request runs.
+// grant holds the claim that a request runs under and the agent that runs it.
 type grant struct {
 	claim     string
-	remaining string          // what is left of the request's line
-	serve     string          // the agent's address for granted requests
-	abort     <-chan struct{} // closed when the run is given up, if nothing is answered yet
+	remaining string          // state of the request's queue after the grant, as in relay.HeaderClaim
+	serve     string          // address at which the agent accepts granted requests
+	abort     <-chan struct{} // closed to abort the run; no effect once the response has started
 }
--- a/router/handler.go
+++ b/router/handler.go
@@ -14,8 +14,8 @@
 	"github.com/phuslu/log"
 )
 
-// handler serves callers. Each request has a goroutine of its own, which asks
-// the core what to do and does it.
+// handler serves callers' HTTP requests. Each request's goroutine submits the
+// request to the core and carries out the core's decisions.
 type handler struct {
 	incarnation fleet.Incarnation
 	log         *log.Logger
@@ -25,12 +25,12 @@
 	leaving     atomic.Bool
 	lastID      atomic.Uint64
 	transport   http.RoundTripper
-	secure      bool // agents are called by TLS
+	secure      bool // calls to agents use TLS
 	stats       stats
 	meter       *link.Meter
 }
 
-// ServeHTTP takes one request to its final answer.
+// ServeHTTP serves one request up to its final response.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := queue.RequestID(h.lastID.Add(1))
 	id := fmt.Sprintf("%x-%x", uint64(h.incarnation), uint64(n))
@@ -52,13 +52,15 @@
 	h.awaitDecisions(w, r, n, a, decisions)
 }
 
+// refuse writes a refusal to the caller, and logs and counts it.
 func (h *handler) refuse(w http.ResponseWriter, id string, f refusal) {
 	h.stats.refused(f.kind)
 	h.log.Debug().Str("request", id).Str("kind", f.kind).Msg("request refused")
 	f.write(w, id)
 }
 
-// enter hands a request to the core; a full core refuses it at once.
+// submit sends a request to the core. It returns false, without blocking, if the
+// core's event channel is full.
 func (h *handler) submit(n queue.RequestID, a *admission) (<-chan decision, bool) {
 	decisions := make(chan decision, 1)
 	e := requestEvent{
@@ -81,7 +83,8 @@
 	return h.now() + a.timeLeft
 }
 
-// follow carries out the core's decisions until the request is answered.
+// awaitDecisions carries out the core's decisions until the request has had its
+// final response or the caller closes its connection.
 func (h *handler) awaitDecisions(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, decisions <-chan decision) {
 	submitted := time.Now()
 	for {
@@ -102,8 +105,9 @@
 	}
 }
 
-// abandon tells the core that the caller has hung up, and waits for its word:
-// a decision to run may have crossed with the hanging up.
+// cancelRequest reports to the core that the caller has closed its connection,
+// and waits for the core's decision. A decision to run may have been sent before
+// the core received the cancellation; such a run is ended here.
 func (h *handler) cancelRequest(n queue.RequestID, decisions <-chan decision) {
 	h.events <- cancelEvent{n}
 	if d := <-decisions; d.run != nil {
@@ -111,8 +115,8 @@
 	}
 }
 
-// runOnce sends the request to the agent that claimed it and tells the core
-// how that ended. It returns whether the request has had its final answer.
+// attempt sends the request to the agent that claimed it and reports the outcome
+// to the core. It returns true if the request is finished.
 func (h *handler) attempt(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
 	outcome := h.callAgent(w, r, n, a, g)
 	callerGone := r.Context().Err() != nil
@@ -128,7 +132,7 @@
 	return outcome == queue.OutcomeDone || outcome == queue.OutcomeCut
 }
 
-// exchange makes one call to an agent and passes its answer on.
+// callAgent makes one call to an agent and streams its response to the caller.
 func (h *handler) callAgent(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) queue.Outcome {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -143,7 +147,7 @@
 	res, err := h.transport.RoundTrip(req)
 	close(responded)
 	if err != nil {
-		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("agent gave no answer")
+		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("no response from agent")
 		if sent.MayHaveLeft() {
 			return queue.OutcomeUnknown
 		}
@@ -170,7 +174,7 @@
 	return queue.OutcomeDone
 }
 
-// giveUp cancels a call whose agent is lost before it has answered.
+// cancelOnAbort cancels a call to an agent that is lost before it responds.
 func cancelOnAbort(abort, responded <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-abort:
@@ -179,16 +183,16 @@
 	}
 }
 
-// cut breaks the connection to the caller, so that a part of an answer can't
-// pass for the whole.
+// abortResponse aborts the connection to the caller, so that a truncated response
+// can't be taken for a complete one.
 func (h *handler) abortResponse(n queue.RequestID, a *admission, err error) {
 	h.stats.cut()
-	h.log.Warn().Str("request", a.id).Err(err).Msg("answer cut")
+	h.log.Warn().Str("request", a.id).Err(err).Msg("response aborted")
 	h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	panic(http.ErrAbortHandler)
 }
 
-// outgoing builds the request to an agent.
+// newAgentRequest returns the request that is sent to an agent.
 func newAgentRequest(r *http.Request, a *admission, g *grant) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
--- a/router/heartbeat.go
+++ b/router/heartbeat.go
@@ -9,8 +9,9 @@
 	}
 }
 
-// keepAlive gives a sign of life on links that carry nothing else, and asks
-// again for a bundle that a peer has and this process has not.
+// keepAlive sends a keepalive on every link that has been quiet for the heartbeat
+// interval, or a heartbeat on all links if that interval has changed. It also
+// repeats bundle pulls that have brought no bundle.
 func (c *core) keepAlive() {
 	for _, p := range c.peers {
 		c.pullFrom(p)
@@ -26,7 +27,7 @@
 	}
 }
 
-// heartbeat tells every peer at once that something has changed.
+// broadcastHeartbeat sends the current state to every peer at once.
 func (c *core) broadcastHeartbeat() {
 	for _, p := range c.peers {
 		p.conn.Send(c.heartbeatFor(p))
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -10,25 +10,27 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// duty is which router does what, by the list of hosts. Routers with lagging
-// lists may see it differently for a while: that costs bytes, not correctness.
+// hubAssignment holds the live routers, and the hubs of each hall, derived from
+// the list of hosts. Routers with stale lists may derive different assignments
+// for a while, which costs bandwidth but not correctness.
 type hubAssignment struct {
 	routers []fleet.Name
-	halls   map[fleet.Name]fleet.Hall
-	hubs    map[fleet.Hall][]fleet.Name // by rank
+	halls   map[fleet.Name]fleet.Hall   // by router
+	hubs    map[fleet.Hall][]fleet.Name // by hall, best rank first
 }
 
 func (d hubAssignment) isHub(hall fleet.Hall, n fleet.Name) bool {
 	return slices.Contains(d.hubs[hall], n)
 }
 
-// rank returns a router's place among the hubs of its own hall, or -1.
+// rank returns a router's index among the hubs of its own hall, or -1 if it is
+// not one of them.
 func (d hubAssignment) rank(n fleet.Name) int {
 	return slices.Index(d.hubs[d.halls[n]], n)
 }
 
-// pairs tells whether hub a sends its hall's totals to hub b of another hall:
-// each hub there has one hub here that does.
+// isPaired reports whether hub a sends its hall's totals to hub b of another
+// hall. Each hub of b's hall is paired with exactly one hub of a's hall.
 func (d hubAssignment) isPaired(a, b fleet.Name) bool {
 	ra, rb := d.rank(a), d.rank(b)
 	if ra < 0 || rb < 0 || d.halls[a] == d.halls[b] {
@@ -38,8 +40,8 @@
 	return rb%hubCount == ra
 }
 
-// dutyOf works out the duties from the list of hosts; the router itself always
-// counts, whatever the list says.
+// assignHubs computes the assignment from the list of hosts. The router itself
+// is always included, even if the list lacks it.
 func (c *core) assignHubs() hubAssignment {
 	d := hubAssignment{halls: map[fleet.Name]fleet.Hall{}, hubs: map[fleet.Hall][]fleet.Name{}}
 	d.addRouter(c.settings.Name, c.settings.Hall)
@@ -60,8 +62,8 @@
 	d.halls[n] = hall
 }
 
-// candidates returns the routers that may be hubs of a hall: its own, or all
-// where it has none.
+// hubCandidates returns the routers that may be hubs of a hall: those in the
+// hall, or all routers if the hall has none.
 func (d hubAssignment) hubCandidates(hall fleet.Hall) []fleet.Name {
 	var own []fleet.Name
 	for _, n := range d.routers {
@@ -75,7 +77,7 @@
 	return own
 }
 
-// hallsInUse returns every hall with a router or a backend server.
+// hallsInUse returns the halls that have a live router or a backend server.
 func (c *core) hallsInUse(d hubAssignment) []fleet.Hall {
 	var halls []fleet.Hall
 	for _, h := range d.halls {
@@ -88,7 +90,7 @@
 	return slices.Compact(halls)
 }
 
-// reshape works out the duties and the links that they need anew.
+// updateTopology recomputes the hub assignment and the links that it needs.
 func (c *core) updateTopology() {
 	before := c.assignment.routers
 	c.assignment = c.assignHubs()
@@ -106,7 +108,7 @@
 	}
 }
 
-// targets returns the addresses that this router keeps links to.
+// linkAddresses returns the addresses that this router maintains links to.
 func (c *core) linkAddresses() map[string]bool {
 	out := map[string]bool{}
 	for _, s := range c.servers {
@@ -121,13 +123,14 @@
 	}
 	for _, a := range c.settings.Peers {
 		if c.inForce.Generation() == 0 {
-			out[a.String()] = true // only to find a first bundle
+			out[a.String()] = true // needed only to get the first bundle
 		}
 	}
 	return out
 }
 
-// linksTo tells whether this router is one of those that link to an agent.
+// shouldLink reports whether this router links to the agent of a server. It does
+// if it is a hub of the hall or ranks among the LinksPerServer first routers.
 func (c *core) shouldLink(server fleet.Name, hall fleet.Hall) bool {
 	if c.assignment.isHub(hall, c.settings.Name) {
 		return true
@@ -140,8 +143,9 @@
 	return linked
 }
 
-// dials tells whether this router dials another: hubs link to each other and
-// to the routers of their halls; of two, the lesser name dials.
+// shouldDial reports whether this router dials another. Hubs link to each other
+// and to the routers of their own halls. Of two routers, the one whose name sorts
+// first dials.
 func (c *core) shouldDial(h objectapi.Host) bool {
 	self := c.settings.Name
 	if self >= h.Name {
@@ -152,7 +156,8 @@
 	return (a && b) || (sameHall && (a || b))
 }
 
-// shapePeer tells the hub whom it serves and whom it pairs with.
+// updatePeerRole updates the hub with the peer's role under the current
+// assignment: an agent that the hub serves, or a router that it may be paired with.
 func (c *core) updatePeerRole(name fleet.Name, p *peer) {
 	if p.conn.Peer.Role == wire.RoleAgent {
 		c.updateAgentRole(name, p)
@@ -179,7 +184,8 @@
 	c.updateHub(ledger.AgentUpMsg{Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall})
 }
 
-// feedHub gives the hub one message and carries out what it wants.
+// updateHub passes a message to the hub and executes the commands that it
+// returns.
 func (c *core) updateHub(m ledger.Msg) {
 	for _, cmd := range c.hub.Update(m) {
 		c.executeHubCmd(cmd)
--- a/router/keys.go
+++ b/router/keys.go
@@ -10,14 +10,15 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// idempotency is the key of a request, as its caller gave it.
+// idempotency holds a request's idempotency key and the time at which the caller
+// created the key.
 type idempotency struct {
 	key       once.Key
-	createdAt time.Time // zero where the caller does not say
+	createdAt time.Time // zero if the caller sent none
 }
 
-// askKey has the owners of a request's key note it, before the request may
-// wait for a server.
+// acquireKey asks the owners of a request's key to reserve it. The request is
+// queued only after that.
 func (c *core) acquireKey(e requestEvent) {
 	c.requests[e.request.ID].awaitingKey = &e.request
 	c.updateKeys(once.AcquireMsg{
@@ -33,7 +34,8 @@
 	return once.Holder{Router: c.settings.Name, Incarnation: c.incarnation, Request: uint64(id)}
 }
 
-// feedKeys gives the asker one message and carries out what it wants.
+// updateKeys passes a message to the key coordinator and executes the commands
+// that it returns.
 func (c *core) updateKeys(m once.CoordinatorMsg) {
 	for _, cmd := range c.keys.Update(m) {
 		c.executeKeyCmd(cmd)
@@ -65,7 +67,7 @@
 	return m
 }
 
-// keyDecided lets a parked request wait for a server, or answers it.
+// onKeyDecision queues a request whose key is reserved, and refuses it otherwise.
 func (c *core) onKeyDecision(id queue.RequestID, d once.Decision) {
 	r, ok := c.requests[id]
 	if !ok || r.awaitingKey == nil {
@@ -84,14 +86,14 @@
 	}
 }
 
-// answerUnrun gives a request that never reached the machine its answer.
+// refuseUnqueued refuses a request that has not been queued.
 func (c *core) refuseUnqueued(id queue.RequestID, reason queue.Reason, ran queue.Ran) {
 	c.decide(id, decision{refuse: &queue.RefuseCmd{ID: id, Reason: reason, Ran: ran, RetryAfter: time.Second}})
 	delete(c.requests, id)
 }
 
-// freeKey gives a key back, or leaves it noted, once its request has had its
-// final answer.
+// finishKey releases the key of a finished request that has not run. The owners
+// keep the key of a request that has run or may have run.
 func (c *core) finishKey(id queue.RequestID, ran queue.Ran) {
 	if r, ok := c.requests[id]; !ok || !r.holdsKey {
 		return
--- a/router/links.go
+++ b/router/links.go
@@ -15,7 +15,7 @@
 	errUnknownAgent = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
 )
 
-// onLink handles what happened on a link.
+// onLink handles the start, the end or a message of a link.
 func (c *core) onLink(e link.Event) {
 	name := e.Conn.Peer.Name
 	switch e.Kind {
@@ -30,8 +30,8 @@
 	}
 }
 
-// linkUp takes a link. A newer link of the same process replaces an older one
-// whose end has not been noticed yet.
+// linkUp registers a new link. It closes an older link of the same process, whose
+// end has not been detected yet.
 func (c *core) linkUp(name fleet.Name, conn *link.Conn) {
 	if old, ok := c.peers[name]; ok {
 		old.conn.Close(errReplaced)
@@ -99,8 +99,8 @@
 	}
 }
 
-// onHeartbeat notes what a peer says of itself, and asks it for its bundle if
-// that is newer.
+// onHeartbeat records a peer's heartbeat and pulls the peer's bundle if that is
+// newer.
 func (c *core) onHeartbeat(name fleet.Name, p *peer, m wire.Heartbeat) {
 	previous := p.lastHeartbeat
 	p.lastHeartbeat = m
@@ -110,7 +110,8 @@
 	c.pullFrom(p)
 }
 
-// agentSays follows an agent's coming and going.
+// onAgentHeartbeat updates the queue when an agent starts or stops accepting
+// work.
 func (c *core) onAgentHeartbeat(name fleet.Name, p *peer, previous, current wire.Heartbeat) {
 	wasServing := previous.Serving && !previous.Leaving
 	isServing := current.Serving && !current.Leaving
@@ -127,7 +128,9 @@
 	c.updateQueue(queue.AgentUpMsg{Now: c.now(), Agent: name, Hall: p.conn.Peer.Hall, Works: s.Works})
 }
 
-// refreshAgents tells the machine of servers whose works have changed.
+// refreshAgents updates the queue with the works of all linked agents under the
+// bundle in force. Agents whose servers the bundle lacks or marks as leaving get
+// no more requests.
 func (c *core) refreshAgents() {
 	for name, p := range c.peers {
 		if p.conn.Peer.Role != wire.RoleAgent {
@@ -144,6 +147,8 @@
 	}
 }
 
+// sendBundle sends a peer the bundle in force, as a patch where there is one for
+// the generation that the peer has.
 func (c *core) sendBundle(p *peer, have fleet.Generation) {
 	if c.inForce.Generation() <= have {
 		return
@@ -161,8 +166,8 @@
 	return ledger.Source{Agent: p.conn.Peer.Name, Incarnation: p.conn.Peer.Incarnation}
 }
 
-// pullFrom asks another router for its bundle if that is newer, and nobody has
-// been asked just now. Agents have bundles too, but pass none on.
+// pullFrom pulls another router's bundle if that is newer and no pull has been
+// sent within pullTimeout. Agents have bundles, too, but don't send them.
 func (c *core) pullFrom(p *peer) {
 	if p.conn.Peer.Role != wire.RoleRouter {
 		return
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -9,11 +9,12 @@
 	"github.com/croftvale/croftvale/settings"
 )
 
-// prepared is a bundle in force with all that can be worked out of it away
-// from the core: a large one takes tens of milliseconds.
+// preparedBundle holds a bundle in force and the data derived from it. It is
+// computed outside the core's goroutine, because a large bundle takes tens of
+// milliseconds.
 type preparedBundle struct {
 	inForce bundle.InForce
-	bundle  bundle.Bundle // with defaults
+	bundle  bundle.Bundle // with defaults applied
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
 	table   *table
@@ -34,6 +35,7 @@
 	return p
 }
 
+// queueConfig returns the queue's configuration under a bundle.
 func queueConfig(b bundle.Bundle, s settings.Process) queue.Config {
 	cfg := queue.Config{
 		Self:              s.Name,
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -11,7 +11,7 @@
 	"github.com/croftvale/croftvale/relay"
 )
 
-// refusal is the final answer to a request that croftvale itself answers.
+// refusal is a final response that croftvale itself gives to a request.
 type refusal struct {
 	status     int
 	kind       string
@@ -55,13 +55,14 @@
 		message: "the body could not be read", remedy: "send the whole body, as long as Content-Length says"}
 )
 
-// Reasons that come before a request reaches the machine.
+// Reasons for refusals of requests that have not been queued.
 const (
 	reasonKeyInUse     queue.Reason = "idempotency_key_in_use"
 	reasonKeyUncertain queue.Reason = "idempotency_key_unsure"
 )
 
-// reasons gives each of the machine's reasons its answer.
+// refusalsByReason holds the refusal for each reason. Its kind, ran and
+// retryAfter are set by refusalOf.
 var refusalsByReason = map[queue.Reason]refusal{
 	reasonKeyInUse: {status: http.StatusConflict,
 		message: "another request with this Idempotency-Key runs or has run", remedy: "find out what became of it; use a new key for a new piece of work"},
@@ -83,7 +84,7 @@
 		message: "the backend server was lost; the request may have run", remedy: "find out whether it ran before sending it again"},
 }
 
-// refusalOf turns a command of the machine into an answer.
+// refusalOf returns the refusal for a command of the queue.
 func refusalOf(c queue.RefuseCmd) refusal {
 	f := refusalsByReason[c.Reason]
 	f.kind = string(c.Reason)
@@ -92,7 +93,7 @@
 	return f
 }
 
-// write sends the refusal.
+// write sends the refusal as an HTTP response.
 func (f refusal) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set(relay.HeaderRan, f.ran.String())
@@ -108,5 +109,5 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)+1))
 	w.WriteHeader(f.status)
-	_, _ = w.Write(append(body, '\n')) // a caller that has left needs no answer
+	_, _ = w.Write(append(body, '\n')) // fails only if the caller has closed the connection
 }
--- a/router/requests.go
+++ b/router/requests.go
@@ -9,6 +9,7 @@
 	"github.com/croftvale/croftvale/queue"
 )
 
+// onRequest queues a request, after its idempotency key is reserved if it has one.
 func (c *core) onRequest(e requestEvent) {
 	c.requests[e.request.ID] = &openRequest{reply: e.reply}
 	if e.idempotency != nil {
@@ -18,13 +19,13 @@
 	c.updateQueue(queue.RequestMsg{Now: c.now(), Request: e.request})
 }
 
-// cancel drops a request whose caller has hung up. One that waits has not run,
-// and its goroutine is told so; of one that was granted the decision is on its
-// way, and the goroutine says how it ended.
+// cancel drops a request whose caller has closed its connection. A waiting request
+// has not run, and its goroutine gets an empty decision. For a granted request the
+// decision is already in the channel, and the goroutine reports how the run ended.
 func (c *core) cancel(id queue.RequestID) {
 	r, ok := c.requests[id]
 	if !ok {
-		return // it was refused; that decision is on its way
+		return // already refused; that decision is in the channel
 	}
 	if r.awaitingKey != nil {
 		r.awaitingKey = nil
@@ -50,7 +51,7 @@
 	c.removeIfFinished(e.id)
 }
 
-// forget drops a request that the machine no longer holds.
+// removeIfFinished drops a request that the queue no longer holds.
 func (c *core) removeIfFinished(id queue.RequestID) {
 	if !c.queue.IsUnfinished(id) {
 		c.finishKey(id, queue.RanYes)
@@ -58,7 +59,7 @@
 	}
 }
 
-// runRequest sends a request's goroutine to the agent that claimed it.
+// runRequest tells a request's goroutine to call the agent that claimed it.
 func (c *core) runRequest(cmd queue.RunCmd) {
 	r, ok := c.requests[cmd.ID]
 	if !ok {
@@ -73,11 +74,13 @@
 	}})
 }
 
-// leftOf spells what is left of a line for the header of a granted request.
+// formatRemaining encodes the number of requests that remain in a queue, and the
+// oldest one's age in milliseconds, for the header of a granted request.
 func formatRemaining(remaining fleet.Count) string {
 	return fmt.Sprintf("%d/%d", remaining.Waiting, remaining.OldestAge/time.Millisecond)
 }
 
+// abort aborts the current run of a request, if any.
 func (c *core) abort(id queue.RequestID) {
 	r, ok := c.requests[id]
 	if !ok || r.abort == nil {
@@ -87,8 +90,9 @@
 	r.abort = nil
 }
 
-// decide tells a request's goroutine what to do. There is always room: no
-// second decision comes before the goroutine has answered the first.
+// decide sends a decision to a request's goroutine. It never blocks: the channel
+// buffers one decision, and no second one is sent before the goroutine has
+// reported the end of the first.
 func (c *core) decide(id queue.RequestID, d decision) {
 	if r, ok := c.requests[id]; ok {
 		r.reply <- d
--- a/router/requests_test.go
+++ b/router/requests_test.go
@@ -14,8 +14,8 @@
 
 var testKey = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
 
-// newCore returns a core with one agent and no links, and a handler whose
-// events the test hands over one by one.
+// newTestCore returns a core with one agent and no links, and a handler whose
+// events the test passes to the core one by one.
 func newTestCore() (*core, *handler, chan event) {
 	events := make(chan event, 16)
 	c := &core{
@@ -34,8 +34,8 @@
 	c.updateQueue(queue.ClaimMsg{Claim: fleet.ClaimID{Agent: "a", Seq: 1}, Key: testKey})
 }
 
-// TestHangUpCrossesGrant lets a caller hang up while its request is granted:
-// nothing is left of the request, whichever comes first.
+// TestHangUpCrossesGrant cancels a request while an agent claims it. The core and
+// the queue must drop the request, whichever of the two is handled first.
 func TestHangUpCrossesGrant(t *testing.T) {
 	for _, claimFirst := range []bool{true, false} {
 		c, h, events := newTestCore()
@@ -46,11 +46,11 @@
 			h.cancelRequest(1, decisions)
 			close(done)
 		}()
-		canceled := <-events // the core has yet to hear of it
+		canceled := <-events // not yet handled by the core
 		if claimFirst {
 			c.claimRequest()
 			c.onEvent(canceled)
-			c.onEvent(<-events) // the end of the run that crossed
+			c.onEvent(<-events) // the end of the run that was granted before
 		} else {
 			c.onEvent(canceled)
 			c.claimRequest()
--- a/router/router.go
+++ b/router/router.go
@@ -25,20 +25,21 @@
 )
 
 const (
-	// eventRoom is how many events may wait for the core.
+	// eventBuffer is the capacity of the core's event channels.
 	eventBuffer = 4096
-	// headerTimeout is how long a caller may take to send its headers.
+	// headerTimeout bounds how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's idle connection is kept.
+	// idleTimeout is the time after which a caller's idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds a caller's headers, in bytes.
+	// maxHeaderBytes bounds the size of a caller's headers.
 	maxHeaderBytes = 32 << 10
-	// agentIdle is how long idle connections to agents are kept, which is less
-	// than agents keep them.
+	// agentIdleTimeout is the time after which idle connections to agents are
+	// closed. It is shorter than the agents' own timeout, so that the router always
+	// closes first.
 	agentIdleTimeout     = 90 * time.Second
 	maxIdleConnsPerAgent = 256
 	dialTimeout          = 2 * time.Second
-	drainMessage         = "leaving: no new work is taken"
+	drainMessage         = "draining: no new requests are accepted"
 )
 
 // Router is the daemon on an entry host.
@@ -53,16 +54,16 @@
 	watcher  *platformWatcher
 }
 
-// Option changes a Router.
+// Option configures a Router.
 type Option func(*Router)
 
-// WithDial sets how the router opens connections to agents and other routers,
-// for instance to put the delay between two halls on them in a lab.
+// WithDial sets the function that opens connections to agents and other routers,
+// for example to simulate the delay between two halls.
 func WithDial(d link.DialFunc) Option {
 	return func(r *Router) { r.dial = d }
 }
 
-// New returns a router that has opened no address yet. It fails where the TLS
+// New returns a router that is not listening yet. It returns an error if the TLS
 // files of the settings can't be used.
 func New(s settings.Router, logger *log.Logger, opts ...Option) (*Router, error) {
 	r := &Router{settings: s, log: logger, dial: (&net.Dialer{Timeout: dialTimeout}).DialContext}
@@ -121,17 +122,18 @@
 	return r, nil
 }
 
-// adopted prepares a bundle for the core, in the keeper's goroutine. Requests
-// are admitted under it once the core knows of it.
+// onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
+// core. New requests use it once the core has applied it.
 func (r *Router) onBundleAdopted(f bundle.InForce) {
 	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
 }
 
 func (r *Router) onBundleRejected(err error) {
-	r.log.Warn().Err(err).Msg("bundle refused")
+	r.log.Warn().Err(err).Msg("bundle rejected")
 }
 
-// ErrNotReady means that the router should get no requests yet, or no more.
+// ErrNotReady means that the router has no bundle yet or is draining, and should
+// get no requests.
 var ErrNotReady = errors.New("no bundle in force, or leaving; requests go to other routers")
 
 func (r *Router) ready() error {
@@ -145,7 +147,7 @@
 	return process.Dump(ctx, r.core.events, func(reply chan<- State) event { return stateEvent{reply} })
 }
 
-// gauges returns what the metrics show of the state.
+// gauges returns the values of the state that are exported as metrics.
 func (r *Router) gauges(ctx context.Context) ([]process.Reading, error) {
 	dump, err := r.dump(ctx)
 	if err != nil {
@@ -169,8 +171,9 @@
 	return 0
 }
 
-// Run serves until ctx ends, then takes no new requests, waits for those that
-// are there and returns. What is left when the drain time is over is cut.
+// Run serves until ctx ends. It then refuses new requests, waits for the others
+// to finish and returns. Requests that are unfinished at the end of the drain
+// time are aborted.
 func (r *Router) Run(ctx context.Context) error {
 	callerListener, err := process.Listen("listen", r.settings.Listen.String())
 	if err != nil {
@@ -212,24 +215,25 @@
 	return r.drain(httpServer)
 }
 
-// cutTimeout bounds how long LogAbortedRequests waits for the state.
+// stateTimeout bounds how long LogAbortedRequests waits for the core's state.
 const stateTimeout = time.Second
 
-// LogAbortedRequests logs the requests that an end at this moment cuts. Call it before the
-// process is ended out of order.
+// LogAbortedRequests logs how many requests are aborted if the process ends now.
+// Call it before ending the process without a drain.
 func (r *Router) LogAbortedRequests() {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	s, err := r.dump(ctx)
 	if err != nil {
-		r.log.Error().Err(err).Msg("requests are cut; how many is not known")
+		r.log.Error().Err(err).Msg("requests are cut; their number is unknown")
 		return
 	}
 	state := s.(State)
 	r.log.Error().Int("running", state.Open-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
 }
 
-// drain ends the process in order.
+// drain stops accepting requests and waits for the unfinished ones, up to the
+// drain time of the settings.
 func (r *Router) drain(httpServer *http.Server) error {
 	limit := r.settings.Drain.Or(settings.DefaultDrain)
 	r.log.Info().Dur("limit", limit).Msg(drainMessage)
@@ -241,6 +245,6 @@
 		r.LogAbortedRequests()
 		return httpServer.Close()
 	}
-	r.log.Info().Msg("left: nothing was cut")
+	r.log.Info().Msg("drained: no request was aborted")
 	return nil
 }
--- a/router/state.go
+++ b/router/state.go
@@ -5,7 +5,7 @@
 	"github.com/croftvale/croftvale/link"
 )
 
-// State is the dump of a router.
+// State holds the state dump of a router.
 type State struct {
 	Name          fleet.Name        `json:"name"`
 	Hall          fleet.Hall        `json:"hall"`
@@ -20,13 +20,13 @@
 	PlatformOK    bool              `json:"platform_ok"`
 	PlatformCalls int64             `json:"platform_calls"`
 	Queues        []fleet.Count     `json:"lines"`
-	Hosts         []fleet.Name      `json:"hosts"` // by the platform's last list
+	Hosts         []fleet.Name      `json:"hosts"` // in the last list from the platform
 	Peers         []PeerState       `json:"peers"`
 	Service       []ServiceState    `json:"service"`
 	Traffic       []link.Traffic    `json:"traffic"`
 }
 
-// PeerState is one link in a dump.
+// PeerState describes one link in a State.
 type PeerState struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -37,14 +37,15 @@
 	Leaving    bool             `json:"leaving"`
 }
 
-// ServiceState is one team's service in the fleet, as a hub knows it.
+// ServiceState holds one team's service in the whole fleet, as aggregated by this
+// hub, in milliseconds.
 type ServiceState struct {
 	Team      fleet.Team `json:"team"`
 	ServiceMS int64      `json:"service_ms"`
 	LiftMS    int64      `json:"lift_ms"`
 }
 
-// state returns the dump.
+// state returns the core's state dump.
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
--- a/router/stats.go
+++ b/router/stats.go
@@ -6,7 +6,7 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// stats is the router's metrics. The zero value counts nothing.
+// stats records the router's metrics. The zero value records nothing.
 type stats struct{ scope tally.Scope }
 
 func newStats(scope tally.Scope) stats { return stats{scope: scope} }
--- a/router/table.go
+++ b/router/table.go
@@ -11,8 +11,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// table is a bundle in force, made ready for requests. A request keeps the
-// table it was admitted under to its end.
+// table holds the parts of a bundle in force that requests need, indexed for
+// lookups. A request uses the table under which it was admitted until it ends.
 type table struct {
 	generation fleet.Generation
 	limits     bundle.Limits
@@ -37,15 +37,15 @@
 	for _, k := range team.Keys {
 		raw, err := hex.DecodeString(strings.TrimPrefix(k, bundle.KeyHashPrefix))
 		if err != nil || len(raw) != sha256.Size {
-			continue // refused by the bundle's check
+			continue // the bundle's validation rejects such keys
 		}
 		t.teams[[sha256.Size]byte(raw)] = team
 	}
 }
 
-// team finds the team of a bearer key. The map is searched by a digest, which
-// tells a caller's timing nothing of the key; the digests are then compared in
-// constant time.
+// team returns the team of a request's bearer key. The map is keyed by digests, so
+// that the time of a lookup reveals nothing about the key. The digests are then
+// compared in constant time.
 func (t *table) team(r *http.Request) (*bundle.Team, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
@@ -65,8 +65,8 @@
 	return nil, false
 }
 
-// route finds the work of a request: the longest path that matches, and of
-// equals the one that names the request's model.
+// route returns the work of a request: the one with the longest matching path and,
+// among equals, the one that names the request's model.
 func (t *table) route(method, path, model string) (bundle.Work, bool) {
 	var best bundle.Work
 	bestSpecificity := -1
@@ -81,7 +81,8 @@
 	return best, bestSpecificity >= 0
 }
 
-// asksModel tells whether a path's route depends on the body's model.
+// dependsOnModel reports whether a path's route depends on the model named in the
+// body.
 func (t *table) dependsOnModel(path string) bool {
 	for _, w := range t.works {
 		if w.Model != "" && pathMatches(w.Path, path) {
@@ -108,7 +109,8 @@
 	return pattern == path
 }
 
-// rank orders matching works: longer paths, then named models and methods.
+// specificity returns the precedence of a matching work: longer paths come first,
+// then works that name a model, then works that name a method.
 func specificity(w bundle.Work) int {
 	r := 4 * len(w.Path)
 	if w.Model != "" {
--- a/router/transport.go
+++ b/router/transport.go
@@ -10,7 +10,7 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// transport returns what calls agents.
+// newTransport returns the HTTP transport for calls to agents.
 func (r *Router) newTransport() *http.Transport {
 	t := &http.Transport{
 		DialContext:         r.dial,
@@ -24,7 +24,8 @@
 	return t
 }
 
-// dialAgent opens a TLS connection to an agent; keys are read anew for each.
+// dialAgent opens a TLS connection to an agent. It reads the current keys for each
+// connection.
 func (r *Router) dialAgent(ctx context.Context, network, address string) (net.Conn, error) {
 	raw, err := r.dial(ctx, network, address)
 	if err != nil {
--- a/router/watcher.go
+++ b/router/watcher.go
@@ -21,8 +21,8 @@
 	maxBackoff          = 5 * time.Second
 )
 
-// watcher is the router's side of the platform: it reads the list of hosts and
-// the bundle in force. Nothing on the path of a request waits for it.
+// platformWatcher reads the list of hosts and the bundle in force from the
+// platform. No request waits for it.
 type platformWatcher struct {
 	settings  settings.Platform
 	log       *log.Logger
@@ -33,7 +33,7 @@
 	reachable atomic.Bool
 }
 
-// hosts reads the list of hosts at intervals until ctx ends.
+// pollHosts reads the list of hosts at intervals until ctx ends.
 func (w *platformWatcher) pollHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		hosts, err := w.client.Hosts(ctx)
@@ -52,8 +52,9 @@
 	}
 }
 
-// bundles reads the bundle in force until ctx ends. A router that does not
-// watch asks only until it has a first one; links bring it the rest.
+// watchBundles reads the bundle in force until ctx ends. A router whose settings
+// don't enable watching stops after its first bundle; it gets later ones over
+// links.
 func (w *platformWatcher) watchBundles(ctx context.Context, haveBundle func() bool) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialBackoff
@@ -71,7 +72,8 @@
 	}
 }
 
-// next waits for a pointer newer than seen and offers its bundle.
+// fetchNext waits for a bundle pointer newer than seen and offers its bundle to
+// the keeper. It returns the pointer's version.
 func (w *platformWatcher) fetchNext(ctx context.Context, seen objectapi.Version) (objectapi.Version, error) {
 	obj, err := w.client.Watch(ctx, objectapi.BundlePointer, seen)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -82,7 +84,7 @@
 	}
 	order, err := w.verifier.Decode(obj.Body)
 	if err != nil {
-		w.log.Warn().Err(err).Msg("order on the platform refused")
+		w.log.Warn().Err(err).Msg("bundle order from the platform rejected")
 		return obj.Version, nil
 	}
 	content, err := w.client.Get(ctx, objectapi.BundleContent(string(order.Digest)))
@@ -93,15 +95,15 @@
 	return obj.Version, nil
 }
 
-// outcome notes whether the platform answers, and logs each change.
+// recordCall records whether the platform responds, and logs each change.
 func (w *platformWatcher) recordCall(call string, err error) {
 	ok := err == nil || errors.Is(err, objectapi.ErrNotFound) || errors.Is(err, context.Canceled)
 	if w.reachable.Swap(ok) == ok {
 		return
 	}
 	if ok {
-		w.log.Info().Msg("platform answers")
+		w.log.Info().Msg("platform responds")
 		return
 	}
-	w.log.Warn().Err(err).Str("call", call).Msg("platform does not answer; what is in force stays in force")
+	w.log.Warn().Err(err).Str("call", call).Msg("platform does not respond; the bundle in force stays in force")
 }
