--- a/agent/agent.go
+++ b/agent/agent.go
@@ -37,7 +37,7 @@
 	secure   *secure.Store // nil for plain connections
 	core     *core
 	admin    *admin.Server
-	server   *server
+	proxy    *proxy
 }
 
 // New returns an agent that is not listening yet. It returns an error if the TLS
@@ -64,10 +64,10 @@
 		replies:     map[uint64]chan<- decision{},
 		drained:     make(chan struct{}),
 	}
-	a.server = newServer(a.core, logger)
-	a.core.onBundle = func(f bundle.InForce) { a.server.configure(f) }
+	a.proxy = newProxy(a.core, logger)
+	a.core.onBundle = func(f bundle.InForce) { a.proxy.configure(f) }
 	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.onBundleAdopted, a.onBundleRejected)
-	a.admin = admin.New(admin.Source{Ready: a.server.ready, State: a.dump})
+	a.admin = admin.New(admin.Source{Ready: a.proxy.ready, State: a.dump})
 	return a, nil
 }
 
@@ -79,7 +79,7 @@
 
 func (a *Agent) dump(ctx context.Context) (any, error) {
 	s, err := process.Dump(ctx, a.core.events, func(reply chan<- State) event { return stateEvent{reply} })
-	s.Server = a.server.health.lastLoad()
+	s.Server = a.proxy.health.lastLoad()
 	return s, err
 }
 
@@ -122,10 +122,10 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer stop()
-	httpServer := &http.Server{Handler: a.server, ReadHeaderTimeout: routerIdleTimeout, IdleTimeout: routerIdleTimeout}
+	httpServer := &http.Server{Handler: a.proxy, ReadHeaderTimeout: routerIdleTimeout, IdleTimeout: routerIdleTimeout}
 	wg.Go(func() { a.core.run(runCtx) })
 	wg.Go(func() { a.core.keeper.Run(runCtx) })
-	wg.Go(func() { a.server.runProbes(runCtx) })
+	wg.Go(func() { a.proxy.runProbes(runCtx) })
 	wg.Go(func() { process.Gauge(runCtx, a.admin.Scope(), a.gauges) })
 	wg.Go(func() { process.Report(a.log, "links", link.Listen(runCtx, linkListener, a.linkOptions())) })
 	wg.Go(func() { process.Report(a.log, "admin", a.admin.Serve(runCtx, adminListener)) })
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -43,7 +43,7 @@
 
 // forward sends a started request to the backend server and streams the response
 // back.
-func (s *server) forward(w http.ResponseWriter, r *http.Request, t *target) {
+func (s *proxy) forward(w http.ResponseWriter, r *http.Request, t *target) {
 	var sent relay.Sent
 	req := sent.Trace(newServerRequest(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
@@ -69,7 +69,7 @@
 
 // handleFailure records a run without a response from the backend server, and
 // sends the router a refusal that states whether the request may have run.
-func (s *server) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+func (s *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
 	ran := "no"
 	if sent.MayHaveLeft() {
 		ran = "unknown"
--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -18,11 +18,11 @@
 
 // newTestServer returns an agent's server that calls the given backend server, and
 // the events that it sends to its core.
-func newTestServer(t *testing.T, backend http.HandlerFunc) (*server, chan event) {
+func newTestProxy(t *testing.T, backend http.HandlerFunc) (*proxy, chan event) {
 	backendServer := httptest.NewServer(backend)
 	t.Cleanup(backendServer.Close)
 	events := make(chan event, 100)
-	s := newServer(&core{events: events}, &log.Logger{Level: log.PanicLevel})
+	s := newProxy(&core{events: events}, &log.Logger{Level: log.PanicLevel})
 	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(backendServer.URL, "http://"))}
 	s.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
 	ctx, stop := context.WithCancel(context.Background())
@@ -36,7 +36,7 @@
 	return s, events
 }
 
-func (s *server) send() {
+func (s *proxy) send() {
 	s.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), s.target.Load())
 }
 
@@ -47,7 +47,7 @@
 	const backoff = 400 * time.Millisecond
 	var refusedAt atomic.Int64 // time of the rejection in Unix nanoseconds
 	earlyPaths := make(chan string, 100)
-	s, events := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
+	s, events := newTestProxy(t, func(w http.ResponseWriter, r *http.Request) {
 		if at := refusedAt.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
 			earlyPaths <- r.URL.Path
 		}
--- a/agent/health.go
+++ b/agent/health.go
@@ -131,7 +131,7 @@
 
 // runProbes probes the server until ctx ends, with exponential backoff while it is
 // down.
-func (s *server) runProbes(ctx context.Context) {
+func (s *proxy) runProbes(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialProbeDelay
 	b.MaxInterval = maxProbeDelay
@@ -160,7 +160,7 @@
 }
 
 // probeNow requests a probe without waiting for the probe interval.
-func (s *server) probeNow() {
+func (s *proxy) probeNow() {
 	select {
 	case s.probeRequests <- struct{}{}:
 	default: // a probe is already requested
@@ -168,7 +168,7 @@
 }
 
 // waitForProbe waits for d, or until a probe is requested.
-func (s *server) waitForProbe(ctx context.Context, d time.Duration) {
+func (s *proxy) waitForProbe(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -179,7 +179,7 @@
 }
 
 // reportHealth sends the server's health to the core.
-func (s *server) reportHealth(ctx context.Context, up bool) {
+func (s *proxy) reportHealth(ctx context.Context, up bool) {
 	select {
 	case s.core.events <- healthEvent{up}:
 	case <-ctx.Done():
@@ -188,7 +188,7 @@
 
 // probeServer sends one probe and reports whether the server responds without a
 // server error (status 5xx).
-func (s *server) probeServer(ctx context.Context) bool {
+func (s *proxy) probeServer(ctx context.Context) bool {
 	t := s.target.Load()
 	if t == nil {
 		return false
@@ -216,7 +216,7 @@
 // applyRetryAfter starts a backoff if the server rejects a request with a
 // Retry-After time. Only the agent calls the server, so no request reaches it
 // during the backoff.
-func (s *server) applyRetryAfter(res *http.Response) {
+func (s *proxy) applyRetryAfter(res *http.Response) {
 	backoff, err := retryafter.Read(res.StatusCode, res.Header)
 	if err != nil {
 		s.log.Warn().Err(err).Msg("invalid Retry-After in response of backend server; ignored")
--- a/agent/server.go
+++ b/agent/proxy.go
@@ -25,7 +25,7 @@
 
 // server accepts granted requests from routers over HTTP and forwards each to the
 // backend server once the core has decided to start it.
-type server struct {
+type proxy struct {
 	core          *core
 	log           *log.Logger
 	target        atomic.Pointer[target]
@@ -34,12 +34,12 @@
 	probeRequests chan struct{} // buffers one request for a probe
 }
 
-func newServer(c *core, logger *log.Logger) *server {
-	return &server{core: c, log: logger, backend: newBackend(), probeRequests: make(chan struct{}, 1)}
+func newProxy(c *core, logger *log.Logger) *proxy {
+	return &proxy{core: c, log: logger, backend: newBackend(), probeRequests: make(chan struct{}, 1)}
 }
 
 // configure applies a new bundle and requests a probe.
-func (s *server) configure(f bundle.InForce) {
+func (s *proxy) configure(f bundle.InForce) {
 	b := f.Bundle.WithDefaults()
 	own, ok := findServer(b, s.core.settings.Name)
 	if !ok {
@@ -55,7 +55,7 @@
 }
 
 // ready returns nil if the agent accepts requests, and the reason otherwise.
-func (s *server) ready() error {
+func (s *proxy) ready() error {
 	if s.target.Load() == nil {
 		return ErrNoBundle
 	}
@@ -63,7 +63,7 @@
 }
 
 // ServeHTTP serves one granted request.
-func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	claim, remaining, _ := strings.Cut(r.Header.Get(relay.HeaderClaim), " ")
 	id, ok := fleet.ParseClaimID(claim)
 	if !ok || id.Agent != s.core.settings.Name || id.Incarnation != s.core.incarnation {
@@ -85,7 +85,7 @@
 
 // awaitStart waits for the core's decision and reports whether the request starts.
 // A request that its router cancels meanwhile has not run.
-func (s *server) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
+func (s *proxy) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
 	ctx := r.Context()
 	reply := make(chan decision, 1)
 	remaining, oldestAge := parseRemaining(remainingText)
@@ -128,7 +128,7 @@
 	return n, time.Duration(ms) * time.Millisecond
 }
 
-func (s *server) reportEnd(seq uint64) { s.core.events <- runEndEvent{seq} }
+func (s *proxy) reportEnd(seq uint64) { s.core.events <- runEndEvent{seq} }
 
 // refuse sends the router a response for a request that has not run or may have
 // run, as stated by ran.
--- a/router/requests_test.go
+++ b/router/requests_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testKey = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
+var testDemandKey = fleet.DemandKey{Work: "report", Team: "ajax", Class: fleet.Ordinary}
 
 // newTestCore returns a core with one agent and no links, and a handler whose
 // events the test passes to the core one by one.
@@ -31,7 +31,7 @@
 }
 
 func (c *core) claimRequest() {
-	c.updateQueue(queue.ClaimMsg{Claim: fleet.ClaimID{Agent: "a", Seq: 1}, Key: testKey})
+	c.updateQueue(queue.ClaimMsg{Claim: fleet.ClaimID{Agent: "a", Seq: 1}, Key: testDemandKey})
 }
 
 // TestHangUpCrossesGrant cancels a request while an agent claims it. The core and
@@ -40,7 +40,7 @@
 	for _, claimFirst := range []bool{true, false} {
 		c, h, events := newTestCore()
 		decisions := make(chan decision, 1)
-		c.onEvent(requestEvent{request: queue.Request{ID: 1, Key: testKey}, reply: decisions})
+		c.onEvent(requestEvent{request: queue.Request{ID: 1, Key: testDemandKey}, reply: decisions})
 		done := make(chan struct{})
 		go func() {
 			h.cancelRequest(1, decisions)
