--- a/agent/backend.go
+++ b/agent/backend.go
@@ -43,24 +43,24 @@
 
 // forward sends a started request to the backend server and streams the response
 // back.
-func (s *proxy) forward(w http.ResponseWriter, r *http.Request, t *target) {
+func (p *proxy) forward(w http.ResponseWriter, r *http.Request, t *target) {
 	var sent relay.Sent
 	req := sent.Trace(newServerRequest(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
-	res, err := s.backend.transport(repeatable).RoundTrip(req)
+	res, err := p.backend.transport(repeatable).RoundTrip(req)
 	if err != nil {
-		s.handleFailure(w, r, &sent, err)
+		p.handleFailure(w, r, &sent, err)
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
-	s.health.recordSuccess()
-	s.applyRetryAfter(res)
+	p.health.recordSuccess()
+	p.applyRetryAfter(res)
 	relay.CopyHeader(w.Header(), res.Header, relay.HeaderRan)
 	w.Header().Set(relay.HeaderRan, "yes")
 	w.WriteHeader(res.StatusCode)
-	body := s.checkStreamEnd(res, t, r)
+	body := p.checkStreamEnd(res, t, r)
 	if err := relay.Copy(w, body); err != nil {
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("response aborted")
+		p.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("response aborted")
 		// Abort the connection, so that a truncated response can't be taken for a
 		// complete one.
 		panic(http.ErrAbortHandler)
@@ -69,16 +69,16 @@
 
 // handleFailure records a run without a response from the backend server, and
 // sends the router a refusal that states whether the request may have run.
-func (s *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+func (p *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
 	ran := "no"
 	if sent.MayHaveLeft() {
 		ran = "unknown"
 	}
 	if r.Context().Err() == nil {
-		if s.health.recordFailure() {
-			s.reportHealth(r.Context(), false)
+		if p.health.recordFailure() {
+			p.reportHealth(r.Context(), false)
 		}
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("no response from backend server")
+		p.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("no response from backend server")
 	}
 	refuse(w, ran, "the backend server gave no answer")
 }
--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -22,22 +22,22 @@
 	backendServer := httptest.NewServer(backend)
 	t.Cleanup(backendServer.Close)
 	events := make(chan event, 100)
-	s := newProxy(&core{events: events}, &log.Logger{Level: log.PanicLevel})
+	p := newProxy(&core{events: events}, &log.Logger{Level: log.PanicLevel})
 	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(backendServer.URL, "http://"))}
-	s.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
+	p.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
 	ctx, stop := context.WithCancel(context.Background())
 	probing := make(chan struct{})
 	go func() {
 		defer close(probing)
-		s.runProbes(ctx)
+		p.runProbes(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-probing })
 	require.Equal(t, healthEvent{true}, <-events)
-	return s, events
+	return p, events
 }
 
-func (s *proxy) send() {
-	s.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), s.target.Load())
+func (p *proxy) send() {
+	p.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), p.target.Load())
 }
 
 // TestBackendAsksForNothing has a backend server reject a request with a Retry-After
@@ -47,7 +47,7 @@
 	const backoff = 400 * time.Millisecond
 	var refusedAt atomic.Int64 // time of the rejection in Unix nanoseconds
 	earlyPaths := make(chan string, 100)
-	s, events := newTestProxy(t, func(w http.ResponseWriter, r *http.Request) {
+	p, events := newTestProxy(t, func(w http.ResponseWriter, r *http.Request) {
 		if at := refusedAt.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
 			earlyPaths <- r.URL.Path
 		}
@@ -58,12 +58,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		refusedAt.Store(time.Now().UnixNano())
 	})
-	s.send()
+	p.send()
 	require.Equal(t, healthEvent{false}, <-events)
-	require.ErrorIs(t, s.ready(), ErrServerBusy)
+	require.ErrorIs(t, p.ready(), ErrServerBusy)
 	require.Equal(t, healthEvent{true}, <-events)
 	require.GreaterOrEqual(t, time.Since(time.Unix(0, refusedAt.Load())), backoff)
-	require.NoError(t, s.ready())
+	require.NoError(t, p.ready())
 	require.Empty(t, earlyPaths)
 }
 
--- a/agent/health.go
+++ b/agent/health.go
@@ -131,22 +131,22 @@
 
 // runProbes probes the server until ctx ends, with exponential backoff while it is
 // down.
-func (s *proxy) runProbes(ctx context.Context) {
+func (p *proxy) runProbes(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialProbeDelay
 	b.MaxInterval = maxProbeDelay
 	reported := false
 	for ctx.Err() == nil {
-		if remaining := s.health.remainingBackoff(); remaining > 0 {
-			s.reportHealth(ctx, false)
+		if remaining := p.health.remainingBackoff(); remaining > 0 {
+			p.reportHealth(ctx, false)
 			reported = false
-			s.waitForProbe(ctx, remaining)
+			p.waitForProbe(ctx, remaining)
 			continue
 		}
-		wasUp := s.health.err() == nil
-		up := s.health.recordProbe(s.probeServer(ctx))
+		wasUp := p.health.err() == nil
+		up := p.health.recordProbe(p.probeServer(ctx))
 		if up != wasUp || !reported {
-			s.reportHealth(ctx, up)
+			p.reportHealth(ctx, up)
 			reported = true
 		}
 		delay := probeInterval
@@ -155,41 +155,41 @@
 		} else {
 			delay = b.NextBackOff()
 		}
-		s.waitForProbe(ctx, delay)
+		p.waitForProbe(ctx, delay)
 	}
 }
 
 // probeNow requests a probe without waiting for the probe interval.
-func (s *proxy) probeNow() {
+func (p *proxy) probeNow() {
 	select {
-	case s.probeRequests <- struct{}{}:
+	case p.probeRequests <- struct{}{}:
 	default: // a probe is already requested
 	}
 }
 
 // waitForProbe waits for d, or until a probe is requested.
-func (s *proxy) waitForProbe(ctx context.Context, d time.Duration) {
+func (p *proxy) waitForProbe(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-s.probeRequests:
+	case <-p.probeRequests:
 	case <-t.C:
 	}
 }
 
 // reportHealth sends the server's health to the core.
-func (s *proxy) reportHealth(ctx context.Context, up bool) {
+func (p *proxy) reportHealth(ctx context.Context, up bool) {
 	select {
-	case s.core.events <- healthEvent{up}:
+	case p.core.events <- healthEvent{up}:
 	case <-ctx.Done():
 	}
 }
 
 // probeServer sends one probe and reports whether the server responds without a
 // server error (status 5xx).
-func (s *proxy) probeServer(ctx context.Context) bool {
-	t := s.target.Load()
+func (p *proxy) probeServer(ctx context.Context) bool {
+	t := p.target.Load()
 	if t == nil {
 		return false
 	}
@@ -200,29 +200,29 @@
 	if err != nil {
 		return false
 	}
-	res, err := s.backend.unpooled.RoundTrip(req)
+	res, err := p.backend.unpooled.RoundTrip(req)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = res.Body.Close() }()
 	var load Load
 	if json.NewDecoder(io.LimitReader(res.Body, maxProbeBody)).Decode(&load) == nil {
-		s.health.setLoad(load)
+		p.health.setLoad(load)
 	}
-	s.applyRetryAfter(res)
+	p.applyRetryAfter(res)
 	return res.StatusCode < http.StatusInternalServerError
 }
 
 // applyRetryAfter starts a backoff if the server rejects a request with a
 // Retry-After time. Only the agent calls the server, so no request reaches it
 // during the backoff.
-func (s *proxy) applyRetryAfter(res *http.Response) {
+func (p *proxy) applyRetryAfter(res *http.Response) {
 	backoff, err := retryafter.Read(res.StatusCode, res.Header)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("invalid Retry-After in response of backend server; ignored")
+		p.log.Warn().Err(err).Msg("invalid Retry-After in response of backend server; ignored")
 	}
-	if backoff > 0 && s.health.setBackoff(time.Now().Add(backoff)) {
-		s.log.Info().Dur("for", backoff).Msg("backend server asked for a backoff")
-		s.probeNow() // wakes runProbes, which reports the backoff to the core and waits for its end
+	if backoff > 0 && p.health.setBackoff(time.Now().Add(backoff)) {
+		p.log.Info().Dur("for", backoff).Msg("backend server asked for a backoff")
+		p.probeNow() // wakes runProbes, which reports the backoff to the core and waits for its end
 	}
 }
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -39,58 +39,58 @@
 }
 
 // configure applies a new bundle and requests a probe.
-func (s *proxy) configure(f bundle.InForce) {
+func (p *proxy) configure(f bundle.InForce) {
 	b := f.Bundle.WithDefaults()
-	own, ok := findServer(b, s.core.settings.Name)
+	own, ok := findServer(b, p.core.settings.Name)
 	if !ok {
-		s.target.Store(nil)
+		p.target.Store(nil)
 		return
 	}
 	t := &target{server: own, works: map[fleet.Work]bundle.Work{}}
 	for _, w := range b.Works {
 		t.works[w.Name] = w
 	}
-	s.target.Store(t)
-	s.probeNow()
+	p.target.Store(t)
+	p.probeNow()
 }
 
 // ready returns nil if the agent accepts requests, and the reason otherwise.
-func (s *proxy) ready() error {
-	if s.target.Load() == nil {
+func (p *proxy) ready() error {
+	if p.target.Load() == nil {
 		return ErrNoBundle
 	}
-	return s.health.err()
+	return p.health.err()
 }
 
 // ServeHTTP serves one granted request.
-func (s *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	claim, remaining, _ := strings.Cut(r.Header.Get(relay.HeaderClaim), " ")
 	id, ok := fleet.ParseClaimID(claim)
-	if !ok || id.Agent != s.core.settings.Name || id.Incarnation != s.core.incarnation {
+	if !ok || id.Agent != p.core.settings.Name || id.Incarnation != p.core.incarnation {
 		refuse(w, "no", "the request names no claim of this agent; requests go through a router")
 		return
 	}
-	t := s.target.Load()
+	t := p.target.Load()
 	if t == nil {
 		refuse(w, "no", ErrNoBundle.Error())
 		return
 	}
-	if !s.awaitStart(r, id.Seq, remaining) {
+	if !p.awaitStart(r, id.Seq, remaining) {
 		refuse(w, "no", "the claim is not open any more")
 		return
 	}
-	defer s.reportEnd(id.Seq)
-	s.forward(w, r, t)
+	defer p.reportEnd(id.Seq)
+	p.forward(w, r, t)
 }
 
 // awaitStart waits for the core's decision and reports whether the request starts.
 // A request that its router cancels meanwhile has not run.
-func (s *proxy) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
+func (p *proxy) awaitStart(r *http.Request, seq uint64, remainingText string) bool {
 	ctx := r.Context()
 	reply := make(chan decision, 1)
 	remaining, oldestAge := parseRemaining(remainingText)
 	select {
-	case s.core.events <- requestEvent{seq: seq, key: demandKeyOf(r.Header), remaining: remaining, oldestAge: oldestAge, reply: reply}:
+	case p.core.events <- requestEvent{seq: seq, key: demandKeyOf(r.Header), remaining: remaining, oldestAge: oldestAge, reply: reply}:
 	case <-ctx.Done():
 		return false
 	}
@@ -98,9 +98,9 @@
 	case v := <-reply:
 		return v == decisionStart
 	case <-ctx.Done():
-		s.core.events <- cancelEvent{seq: seq, reply: reply}
+		p.core.events <- cancelEvent{seq: seq, reply: reply}
 		if <-reply == decisionStart { // started before the core handled the cancellation
-			s.reportEnd(seq)
+			p.reportEnd(seq)
 		}
 		return false
 	}
@@ -128,7 +128,7 @@
 	return n, time.Duration(ms) * time.Millisecond
 }
 
-func (s *proxy) reportEnd(seq uint64) { s.core.events <- runEndEvent{seq} }
+func (p *proxy) reportEnd(seq uint64) { p.core.events <- runEndEvent{seq} }
 
 // refuse sends the router a response for a request that has not run or may have
 // run, as stated by ran.
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -17,7 +17,7 @@
 // checkStreamEnd returns the body of a response. If that is the event stream of a
 // model engine, reading it fails at an end without streamEnd, because such a
 // stream is truncated.
-func (s *proxy) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
+func (p *proxy) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
 	if work.Kind != bundle.KindModel || !events || res.StatusCode != http.StatusOK {
