--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestServer returns an agent's server that calls the given backend server, and
-// the events that it sends to its core.
+// newTestProxy returns a proxy that calls the given backend server, and the channel
+// of the events that it sends to its core.
 func newTestProxy(t *testing.T, backend http.HandlerFunc) (*proxy, chan event) {
 	backendServer := httptest.NewServer(backend)
 	t.Cleanup(backendServer.Close)
--- a/agent/config.go
+++ b/agent/config.go
@@ -12,7 +12,7 @@
 var (
 	errNotRouter = errors.New("peer is no router; agents take links from routers only")
 	errReplaced  = errors.New("replaced by a newer link of the same router")
-	// ErrClosing means that the process is stopping.
+	// ErrClosing means that the agent is stopping.
 	ErrClosing = errors.New("the agent is stopping; ask another")
 )
 
--- a/agent/core.go
+++ b/agent/core.go
@@ -37,7 +37,7 @@
 	keys      *once.KeyTable
 	inForce   bundle.InForce
 	routers   map[fleet.Name]*routerLink
-	replies   map[uint64]chan<- decision // by claim; requests that wait to start
+	replies   map[uint64]chan<- decision // for requests that wait to start, by sequence number of the claim
 	serving   bool
 	leaving   bool
 	drained   chan struct{} // closed once the agent is leaving and holds no requests
@@ -195,7 +195,7 @@
 	}
 }
 
-// applyBundle makes a bundle the one in force for the core and the server.
+// applyBundle makes a bundle the one in force for the core and the proxy.
 func (c *core) applyBundle(f bundle.InForce) {
 	c.inForce = f
 	c.nextPull = 0
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -23,7 +23,7 @@
 	works  map[fleet.Work]bundle.Work
 }
 
-// server accepts granted requests from routers over HTTP and forwards each to the
+// proxy accepts granted requests from routers over HTTP and forwards each to the
 // backend server once the core has decided to start it.
 type proxy struct {
 	core          *core
--- a/router/admission.go
+++ b/router/admission.go
@@ -30,7 +30,7 @@
 	work        bundle.Work
 	class       fleet.Class
 	repeatable  bool
-	timeLeft    time.Duration // 0 where the caller sets no deadline
+	timeLeft    time.Duration // 0 if the caller sets no deadline
 	body        *body
 	idempotency *idempotency
 }
@@ -101,7 +101,7 @@
 	}
 	src := http.MaxBytesReader(w, r.Body, limit)
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // the writers of tests don't support deadlines
+	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // response writers of tests don't support deadlines
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	maxHead := int64(maxBufferedBody)
 	if a.table.dependsOnModel(r.URL.Path) {
--- a/router/core.go
+++ b/router/core.go
@@ -46,8 +46,9 @@
 	servers    map[fleet.Name]bundle.Server
 	hosts      []objectapi.Host
 	assignment hubAssignment
-	// linkCache caches the ranking of shouldLink by server. It is valid for
-	// assignment.routers and for linkCachePerServer links to each server.
+	// linkCache holds, by server, whether shouldLink has chosen this router by
+	// rendezvous hashing. It is valid for assignment.routers and for
+	// linkCachePerServer links to each server.
 	linkCache          map[fleet.Name]bool
 	linkCachePerServer int
 	peers              map[fleet.Name]*peer
@@ -104,7 +105,7 @@
 	}
 }
 
-// updateQueue passes one message to the queue and executes the commands that it
+// updateQueue passes a message to the queue and executes the commands that it
 // returns.
 func (c *core) updateQueue(m queue.Msg) {
 	for _, cmd := range c.queue.Update(m) {
--- a/router/handler.go
+++ b/router/handler.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// deadline returns a request's deadline on the clock of h.now, or 0 if it has none.
 func (h *handler) deadline(a *admission) time.Duration {
 	if a.timeLeft == 0 {
 		return 0
@@ -116,7 +117,8 @@
 }
 
 // attempt sends the request to the agent that claimed it and reports the outcome
-// to the core. It returns true if the request is finished.
+// to the core. A request that has not run is refused if its body has been consumed,
+// because it can't be sent again. It returns true if the request is finished.
 func (h *handler) attempt(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
 	outcome := h.callAgent(w, r, n, a, g)
 	callerGone := r.Context().Err() != nil
--- a/router/heartbeat.go
+++ b/router/heartbeat.go
@@ -11,7 +11,7 @@
 
 // keepAlive sends a keepalive on every link that has been quiet for the heartbeat
 // interval, or a heartbeat on all links if that interval has changed. It also
-// repeats bundle pulls that have brought no bundle.
+// repeats bundle pulls that have not brought a newer bundle.
 func (c *core) keepAlive() {
 	for _, p := range c.peers {
 		c.pullFrom(p)
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -129,8 +129,9 @@
 	return out
 }
 
-// shouldLink reports whether this router links to the agent of a server. It does
-// if it is a hub of the hall or ranks among the LinksPerServer first routers.
+// shouldLink reports whether this router links to the agent of a server. It does if
+// it is a hub of the hall or among the server's LinksPerServer routers, which are
+// chosen by rendezvous hashing.
 func (c *core) shouldLink(server fleet.Name, hall fleet.Hall) bool {
 	if c.assignment.isHub(hall, c.settings.Name) {
 		return true
--- a/router/state.go
+++ b/router/state.go
@@ -38,7 +38,7 @@
 }
 
 // ServiceState holds one team's service in the whole fleet, as aggregated by this
-// hub, in milliseconds.
+// hub. Both times are in milliseconds.
 type ServiceState struct {
 	Team      fleet.Team `json:"team"`
 	ServiceMS int64      `json:"service_ms"`
