--- a/agent/backend.go
+++ b/agent/backend.go
@@ -11,77 +11,80 @@
 )
 
 const (
-	maxIdle     = 64
-	idleTimeout = 90 * time.Second
+	maxIdleServerConns = 64
+	serverIdleTimeout  = 90 * time.Second
 )
 
-// backend calls the backend server. Requests that may run only once get a
-// connection of their own: net/http may send a request again on its own when
-// a kept connection was closed by the other side.
+// backend holds the HTTP transports for calls to the backend server. Requests that
+// must not be repeated use a new connection each: net/http may resend a request
+// by itself if the other side has closed a pooled connection.
 type backend struct {
-	kept  *http.Transport
-	fresh *http.Transport
+	pooled   *http.Transport
+	unpooled *http.Transport
 }
 
 func newBackend() *backend {
-	base := &http.Transport{
-		MaxIdleConnsPerHost: maxIdle,
-		IdleConnTimeout:     idleTimeout,
+	pooled := &http.Transport{
+		MaxIdleConnsPerHost: maxIdleServerConns,
+		IdleConnTimeout:     serverIdleTimeout,
 		DisableCompression:  true,
 	}
-	fresh := base.Clone()
-	fresh.DisableKeepAlives = true
-	return &backend{kept: base, fresh: fresh}
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
+	return &backend{pooled: pooled, unpooled: unpooled}
 }
 
 func (b *backend) transport(repeatable bool) http.RoundTripper {
 	if repeatable {
-		return b.kept
+		return b.pooled
 	}
-	return b.fresh
+	return b.unpooled
 }
 
-// forward passes a started request to the server and its answer back.
-func (s *server) forward(w http.ResponseWriter, r *http.Request, t *target) {
+// forward sends a started request to the backend server and streams the response
+// back.
+func (p *proxy) forward(w http.ResponseWriter, r *http.Request, t *target) {
 	var sent relay.Sent
-	req := sent.Trace(outgoing(r, t))
+	req := sent.Trace(newServerRequest(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
-	res, err := s.back.transport(repeatable).RoundTrip(req)
+	res, err := p.backend.transport(repeatable).RoundTrip(req)
 	if err != nil {
-		s.failed(w, r, &sent, err)
+		p.handleFailure(w, r, &sent, err)
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
-	s.health.passed()
-	s.heed(res)
+	p.health.recordSuccess()
+	p.applyRetryAfter(res)
 	relay.CopyHeader(w.Header(), res.Header, relay.HeaderRan)
 	w.Header().Set(relay.HeaderRan, "yes")
 	w.WriteHeader(res.StatusCode)
-	body := s.checked(res, t, r)
+	body := p.checkStreamEnd(res, t, r)
 	if err := relay.Copy(w, body); err != nil {
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("answer cut")
-		// The connection must break, or a part would pass for the whole.
+		p.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Err(err).Msg("response aborted")
+		// Abort the connection, so that a truncated response can't be taken for a
+		// complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// failed answers for a run that brought no answer.
-func (s *server) failed(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+// handleFailure records a run without a response from the backend server, and
+// sends the router a refusal that states whether the request may have run.
+func (p *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
 	ran := "no"
 	if sent.MayHaveLeft() {
 		ran = "unknown"
 	}
 	if r.Context().Err() == nil {
-		if s.health.failed() {
-			s.tellCore(r.Context(), false)
+		if p.health.recordFailure() {
+			p.reportHealth(r.Context(), false)
 		}
-		s.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("backend server failed")
+		p.log.Warn().Str("request", r.Header.Get(relay.HeaderRequestID)).Str("ran", ran).Err(err).Msg("no response from backend server")
 	}
 	refuse(w, ran, "the backend server gave no answer")
 }
 
-// outgoing builds the request to the server.
-func outgoing(r *http.Request, t *target) *http.Request {
+// newServerRequest returns the request that is sent to the backend server.
+func newServerRequest(r *http.Request, t *target) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
 	u.Host = t.server.Address.String()
@@ -101,7 +104,8 @@
 	return req.WithContext(r.Context())
 }
 
-// headerPriority tells a model engine a request's priority; lower runs first.
+// headerPriority names the header that sets a request's priority in a model
+// engine. Lower values run first.
 const headerPriority = "X-Request-Priority"
 
 func priority(class string) string {
--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -16,65 +16,65 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newServerAt returns an agent's server before a backend server, and the events that its core
-// gets.
-func newServerAt(t *testing.T, backend http.HandlerFunc) (*server, chan event) {
-	back := httptest.NewServer(backend)
-	t.Cleanup(back.Close)
+// newTestProxy returns a proxy that calls the given backend server, and the channel
+// of the events that it sends to its core.
+func newTestProxy(t *testing.T, backend http.HandlerFunc) (*proxy, chan event) {
+	backendServer := httptest.NewServer(backend)
+	t.Cleanup(backendServer.Close)
 	events := make(chan event, 100)
-	s := newServer(&core{events: events}, &log.Logger{Level: log.PanicLevel})
-	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(back.URL, "http://"))}
-	s.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
+	p := newProxy(&core{events: events}, &log.Logger{Level: log.PanicLevel})
+	address := tomlfile.Address{AddrPort: netip.MustParseAddrPort(strings.TrimPrefix(backendServer.URL, "http://"))}
+	p.target.Store(&target{server: bundle.Server{Address: address, Probe: "/health"}})
 	ctx, stop := context.WithCancel(context.Background())
 	probing := make(chan struct{})
 	go func() {
 		defer close(probing)
-		s.probe(ctx)
+		p.runProbes(ctx)
 	}()
 	t.Cleanup(func() { stop(); <-probing })
 	require.Equal(t, healthEvent{true}, <-events)
-	return s, events
+	return p, events
 }
 
-func (s *server) send() {
-	s.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), s.target.Load())
+func (p *proxy) send() {
+	p.forward(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/x", nil), p.target.Load())
 }
 
-// TestBackendAsksForNothing has a backend server turn a request away and say for how long: its
-// agent takes no work for that time, in which neither requests nor probes reach the server, and
-// takes work again after it.
+// TestBackendAsksForNothing has a backend server reject a request with a Retry-After
+// time. For that time, the agent must accept no requests and neither requests nor probes
+// may reach the server. After it, the agent must accept requests again.
 func TestBackendAsksForNothing(t *testing.T) {
 	const backoff = 400 * time.Millisecond
-	var asked atomic.Int64 // Unix nanosecond of the answer
-	early := make(chan string, 100)
-	s, events := newServerAt(t, func(w http.ResponseWriter, r *http.Request) {
-		if at := asked.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
-			early <- r.URL.Path
+	var refusedAt atomic.Int64 // time of the rejection in Unix nanoseconds
+	earlyPaths := make(chan string, 100)
+	p, events := newTestProxy(t, func(w http.ResponseWriter, r *http.Request) {
+		if at := refusedAt.Load(); at != 0 && time.Since(time.Unix(0, at)) < backoff {
+			earlyPaths <- r.URL.Path
 		}
 		if r.URL.Path == "/health" {
 			return
 		}
 		w.Header().Set("Retry-After", "0.4")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		asked.Store(time.Now().UnixNano())
+		refusedAt.Store(time.Now().UnixNano())
 	})
-	s.send()
+	p.send()
 	require.Equal(t, healthEvent{false}, <-events)
-	require.ErrorIs(t, s.ready(), ErrServerBusy)
+	require.ErrorIs(t, p.ready(), ErrServerBusy)
 	require.Equal(t, healthEvent{true}, <-events)
-	require.GreaterOrEqual(t, time.Since(time.Unix(0, asked.Load())), backoff)
-	require.NoError(t, s.ready())
-	require.Empty(t, early)
+	require.GreaterOrEqual(t, time.Since(time.Unix(0, refusedAt.Load())), backoff)
+	require.NoError(t, p.ready())
+	require.Empty(t, earlyPaths)
 }
 
-// TestProbeUnderWay has a probe end well that was under way when the backend server asked for
-// nothing: it doesn't bring the server back before its time.
-func TestProbeUnderWay(t *testing.T) {
+// TestProbeStartedBeforeBackoff has a probe succeed that started before the backend
+// server asked for a backoff. It must not end the backoff early.
+func TestProbeStartedBeforeBackoff(t *testing.T) {
 	h := health{}
 	now := time.Now()
-	require.True(t, h.probed(true))
-	require.True(t, h.backOff(now.Add(time.Hour)))
-	require.False(t, h.backOff(now.Add(time.Minute)), "it is known")
-	require.False(t, h.probed(true))
-	require.Greater(t, h.backoffLeft(), time.Minute, "the longer time holds")
+	require.True(t, h.recordProbe(true))
+	require.True(t, h.setBackoff(now.Add(time.Hour)))
+	require.False(t, h.setBackoff(now.Add(time.Minute)), "the server is already down")
+	require.False(t, h.recordProbe(true))
+	require.Greater(t, h.remainingBackoff(), time.Minute, "the longer backoff applies")
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -12,12 +12,12 @@
 var (
 	errNotRouter = errors.New("peer is no router; agents take links from routers only")
 	errReplaced  = errors.New("replaced by a newer link of the same router")
-	// ErrClosing means that the process is stopping.
+	// ErrClosing means that the agent is stopping.
 	ErrClosing = errors.New("the agent is stopping; ask another")
 )
 
-// serverOf finds the agent's own backend server in a bundle.
-func serverOf(b bundle.Bundle, name fleet.Name) (bundle.Server, bool) {
+// findServer returns the backend server with the given name in a bundle.
+func findServer(b bundle.Bundle, name fleet.Name) (bundle.Server, bool) {
 	for _, s := range b.Servers {
 		if s.Name == name {
 			return s, true
@@ -26,9 +26,9 @@
 	return bundle.Server{}, false
 }
 
-// configOf returns what the machine has to know of a bundle. A server that
-// the bundle does not name, or names as leaving, has no slots.
-func configOf(b bundle.Bundle, name fleet.Name) sched.Config {
+// schedulerConfig returns the scheduler's configuration under a bundle. A server
+// that the bundle lacks or marks as leaving has no slots.
+func schedulerConfig(b bundle.Bundle, name fleet.Name) sched.Config {
 	c := sched.Config{
 		Shares:       map[fleet.Team]float64{},
 		Mode:         sched.Mode(b.Policy.Sharing),
@@ -40,20 +40,20 @@
 	for _, t := range b.Teams {
 		c.Shares[t.Name] = t.Share
 	}
-	s, ok := serverOf(b, name)
+	s, ok := findServer(b, name)
 	if !ok || s.Leaving {
 		return c
 	}
 	c.Slots = s.Slots
 	c.Works = s.Works
 	c.ClaimAhead = *b.Policy.ClaimAhead
-	c.PeerSlotRatio = alike(b, s)
+	c.PeerSlotRatio = peerSlotRatio(b, s)
 	return c
 }
 
-// alike returns, for each work of a server, the slots of the other servers
-// that run it, in units of the server's own.
-func alike(b bundle.Bundle, own bundle.Server) map[fleet.Work]float64 {
+// peerSlotRatio returns, for each work, the number of slots of the other servers
+// that run it divided by the number of the server's own slots.
+func peerSlotRatio(b bundle.Bundle, own bundle.Server) map[fleet.Work]float64 {
 	out := map[fleet.Work]float64{}
 	for _, s := range b.Servers {
 		if s.Name == own.Name || s.Leaving {
@@ -66,19 +66,19 @@
 	return out
 }
 
-// state returns the dump.
+// state returns the core's state dump.
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "agent",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(),
 		Serving: c.serving, Leaving: c.leaving,
-		Slots: c.machine.Slots(), Running: c.machine.Running(), Held: c.machine.Held(), Keys: c.keys.Len(),
-		Teams: c.machine.Teams(), Traffic: c.meter.Snapshot(),
+		Slots: c.scheduler.Slots(), Running: c.scheduler.Running(), Held: c.scheduler.Held(), Keys: c.keys.Len(),
+		Teams: c.scheduler.Teams(), Traffic: c.meter.Snapshot(),
 	}
 	for name, r := range c.routers {
 		s.Routers = append(s.Routers, PeerState{
 			Name: name, Remote: r.conn.Remote, Hall: r.conn.Peer.Hall,
-			Generation: r.last.Generation, Hub: r.last.Hub,
+			Generation: r.lastHeartbeat.Generation, Hub: r.lastHeartbeat.Hub,
 		})
 	}
 	return s
--- a/agent/health.go
+++ b/agent/health.go
@@ -14,37 +14,39 @@
 )
 
 const (
-	probeEvery   = time.Second
-	probeTimeout = 2 * time.Second
-	// maxProbe is how much of a probe's answer is read, in bytes.
-	maxProbe = 1 << 16
-	// firstProbe is the time to the first probe after a failure.
-	firstProbe = 100 * time.Millisecond
-	// lastProbe bounds how long a server that is well again stays unused.
-	lastProbe = 5 * time.Second
-	// failuresToEject is how many runs in a row must fail before the server
-	// takes no more work until a probe passes.
+	probeInterval = time.Second
+	probeTimeout  = 2 * time.Second
+	// maxProbeBody bounds how much of a probe's response is read, in bytes.
+	maxProbeBody = 1 << 16
+	// initialProbeDelay is the delay of the first probe after a failure.
+	initialProbeDelay = 100 * time.Millisecond
+	// maxProbeDelay bounds the time for which a recovered server stays unused.
+	maxProbeDelay = 5 * time.Second
+	// failuresToEject is the number of consecutive failed runs after which the
+	// server gets no more requests until a probe succeeds.
 	failuresToEject = 3
 )
 
-// ErrServerDown means that the backend server does not answer.
+// ErrServerDown means that the backend server does not respond.
 var ErrServerDown = errors.New("the backend server does not answer its probe; restart it or correct its address in the bundle")
 
-// ErrServerBusy means that the backend server asked for no requests for some time.
+// ErrServerBusy means that the backend server has rejected a request with a
+// Retry-After time that is not over yet.
 var ErrServerBusy = errors.New("the backend server turned a request away and asked for no more for some time")
 
-// health is what runs and probes say of the server. The zero value is down.
+// health tracks whether the backend server is up, from the results of runs and
+// probes. The zero value is down.
 type health struct {
 	mu           sync.Mutex
 	up           bool
 	failures     int
 	load         Load
-	backoffUntil time.Time // the server asked for nothing until then
+	backoffUntil time.Time // no requests or probes are sent until then
 }
 
-// Load is what a server last said of itself in answer to its probe, if it
-// answers in JSON. It lags by up to the time between two probes, so decisions
-// don't rest on it: the agent counts its own runs.
+// Load holds the request counts that a backend server last reported in a JSON
+// response to a probe. It is stale by up to the probe interval, so no decision
+// depends on it: the agent counts its own runs.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
@@ -74,35 +76,37 @@
 	return ErrServerDown
 }
 
-// backOff notes until when the server asked for nothing, and tells whether that takes it out.
-func (h *health) backOff(until time.Time) bool {
+// setBackoff marks the server as down and extends its backoff to until, if that is
+// later. It reports whether the server was up.
+func (h *health) setBackoff(until time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if until.After(h.backoffUntil) {
 		h.backoffUntil = until
 	}
-	was := h.up
+	wasUp := h.up
 	h.up = false
-	return was
+	return wasUp
 }
 
-// backoffLeft returns how much longer the server wants nothing.
-func (h *health) backoffLeft() time.Duration {
+// remainingBackoff returns the time until the server's backoff ends. It is negative
+// after that.
+func (h *health) remainingBackoff() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Until(h.backoffUntil)
 }
 
-// passed notes an answer.
-func (h *health) passed() {
+// recordSuccess records a run that got a response.
+func (h *health) recordSuccess() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures = 0
 }
 
-// failed notes a run without an answer and tells whether it was the one that
-// takes the server out.
-func (h *health) failed() bool {
+// recordFailure records a run that got no response. It reports whether this failure
+// ejected the server.
+func (h *health) recordFailure() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.failures++
@@ -113,9 +117,9 @@
 	return ejected
 }
 
-// probed notes a probe and returns whether the server is up. One that was under way when the
-// server asked for nothing doesn't bring it back.
-func (h *health) probed(ok bool) bool {
+// recordProbe records the result of a probe and reports whether the server is up. A
+// probe that succeeds during a backoff does not end the backoff.
+func (h *health) recordProbe(ok bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.up = ok && !time.Now().Before(h.backoffUntil)
@@ -125,65 +129,67 @@
 	return h.up
 }
 
-// probe asks the server for its health until ctx ends, less and less often
-// while it is down.
-func (s *server) probe(ctx context.Context) {
+// runProbes probes the server until ctx ends, with exponential backoff while it is
+// down.
+func (p *proxy) runProbes(ctx context.Context) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstProbe
-	b.MaxInterval = lastProbe
-	known := false
+	b.InitialInterval = initialProbeDelay
+	b.MaxInterval = maxProbeDelay
+	reported := false
 	for ctx.Err() == nil {
-		if left := s.health.backoffLeft(); left > 0 {
-			s.tellCore(ctx, false)
-			known = false
-			s.pause(ctx, left)
+		if remaining := p.health.remainingBackoff(); remaining > 0 {
+			p.reportHealth(ctx, false)
+			reported = false
+			p.waitForProbe(ctx, remaining)
 			continue
 		}
-		was := s.health.err() == nil
-		up := s.health.probed(s.probeOnce(ctx))
-		if up != was || !known {
-			s.tellCore(ctx, up)
-			known = true
+		wasUp := p.health.err() == nil
+		up := p.health.recordProbe(p.probeServer(ctx))
+		if up != wasUp || !reported {
+			p.reportHealth(ctx, up)
+			reported = true
 		}
-		pause := probeEvery
+		delay := probeInterval
 		if up {
 			b.Reset()
 		} else {
-			pause = b.NextBackOff()
+			delay = b.NextBackOff()
 		}
-		s.pause(ctx, pause)
+		p.waitForProbe(ctx, delay)
 	}
 }
 
-// probeNow ends the pause between two probes.
-func (s *server) probeNow() {
+// probeNow requests a probe without waiting for the probe interval.
+func (p *proxy) probeNow() {
 	select {
-	case s.kick <- struct{}{}:
-	default: // one is asked for already
+	case p.probeRequests <- struct{}{}:
+	default: // a probe is already requested
 	}
 }
 
-// pause waits for the next probe, or until one is asked for.
-func (s *server) pause(ctx context.Context, d time.Duration) {
+// waitForProbe waits for d, or until a probe is requested.
+func (p *proxy) waitForProbe(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-s.kick:
+	case <-p.probeRequests:
 	case <-t.C:
 	}
 }
 
-func (s *server) tellCore(ctx context.Context, up bool) {
+// reportHealth sends the server's health to the core.
+func (p *proxy) reportHealth(ctx context.Context, up bool) {
 	select {
-	case s.core.events <- healthEvent{up}:
+	case p.core.events <- healthEvent{up}:
 	case <-ctx.Done():
 	}
 }
 
-// probeOnce tells whether the server answers its probe well.
-func (s *server) probeOnce(ctx context.Context) bool {
-	t := s.target.Load()
+// probeServer sends one probe and reports whether the server responds without a
+// server error (status 5xx).
+func (p *proxy) probeServer(ctx context.Context) bool {
+	t := p.target.Load()
 	if t == nil {
 		return false
 	}
@@ -194,28 +200,29 @@
 	if err != nil {
 		return false
 	}
-	res, err := s.back.fresh.RoundTrip(req)
+	res, err := p.backend.unpooled.RoundTrip(req)
 	if err != nil {
 		return false
 	}
 	defer func() { _ = res.Body.Close() }()
 	var load Load
-	if json.NewDecoder(io.LimitReader(res.Body, maxProbe)).Decode(&load) == nil {
-		s.health.setLoad(load)
+	if json.NewDecoder(io.LimitReader(res.Body, maxProbeBody)).Decode(&load) == nil {
+		p.health.setLoad(load)
 	}
-	s.heed(res)
+	p.applyRetryAfter(res)
 	return res.StatusCode < http.StatusInternalServerError
 }
 
-// heed takes the server out for as long as it asked for by turning a request away: the agent
-// is the only one that calls it, so nothing reaches it in that time.
-func (s *server) heed(res *http.Response) {
+// applyRetryAfter starts a backoff if the server rejects a request with a
+// Retry-After time. Only the agent calls the server, so no request reaches it
+// during the backoff.
+func (p *proxy) applyRetryAfter(res *http.Response) {
 	backoff, err := retryafter.Read(res.StatusCode, res.Header)
 	if err != nil {
-		s.log.Warn().Err(err).Msg("backend server's answer can't be read; it counts as if it had asked for nothing")
+		p.log.Warn().Err(err).Msg("invalid Retry-After in response of backend server; ignored")
 	}
-	if backoff > 0 && s.health.backOff(time.Now().Add(backoff)) {
-		s.log.Info().Dur("for", backoff).Msg("backend server asked for no more requests")
-		s.probeNow() // tells the core, and waits
+	if backoff > 0 && p.health.setBackoff(time.Now().Add(backoff)) {
+		p.log.Info().Dur("for", backoff).Msg("backend server asked for a backoff")
+		p.probeNow() // wakes runProbes, which reports the backoff to the core and waits for its end
 	}
 }
--- a/agent/alive.go
+++ b/agent/heartbeat.go
@@ -9,14 +9,15 @@
 	}
 }
 
-// keepAlive gives a sign of life on links that carry nothing else, and asks
-// again for a bundle that a peer has and this process has not.
+// keepAlive sends a keepalive on every link that has been quiet for the heartbeat
+// interval, or a heartbeat on all links if that interval has changed. It also
+// repeats bundle pulls that have not brought a newer bundle.
 func (c *core) keepAlive() {
 	for _, r := range c.routers {
 		c.pullFrom(r)
 	}
 	if c.pulse.Adjust(len(c.routers)) {
-		c.heartbeat()
+		c.broadcastHeartbeat()
 		return
 	}
 	for _, r := range c.routers {
@@ -26,14 +27,14 @@
 	}
 }
 
-// heartbeat tells every peer at once that something has changed.
-func (c *core) heartbeat() {
+// broadcastHeartbeat sends the current state to every router at once.
+func (c *core) broadcastHeartbeat() {
 	for _, r := range c.routers {
-		r.conn.Send(c.beat())
+		r.conn.Send(c.heartbeatMessage())
 	}
 }
 
-func (c *core) beat() wire.Heartbeat {
+func (c *core) heartbeatMessage() wire.Heartbeat {
 	return wire.Heartbeat{
 		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: c.serving,
 		Every: c.pulse.Milliseconds(),
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -11,41 +11,44 @@
 	"github.com/croftvale/croftvale/relay"
 )
 
-// doneMark ends every whole event stream of a model engine.
-const doneMark = "data: [DONE]"
+// streamEnd is the line that ends every complete event stream of a model engine.
+const streamEnd = "data: [DONE]"
 
-// checked returns the body of an answer. The event stream of a model engine
-// must end with its mark: one that just ends has been cut.
-func (s *server) checked(res *http.Response, t *target, r *http.Request) io.Reader {
+// checkStreamEnd returns the body of a response. If that is the event stream of a
+// model engine, reading it fails at an end without streamEnd, because such a
+// stream is truncated.
+func (p *proxy) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
 	if work.Kind != bundle.KindModel || !events || res.StatusCode != http.StatusOK {
 		return res.Body
 	}
-	return &markedStream{r: res.Body}
+	return &terminatedStream{r: res.Body}
 }
 
-// markedStream turns the end of a stream without its mark into an error.
-type markedStream struct {
+// terminatedStream reads a stream and returns io.ErrUnexpectedEOF if the stream ends
+// without streamEnd.
+type terminatedStream struct {
 	r    io.Reader
 	tail []byte
 }
 
 // Read implements io.Reader.
-func (m *markedStream) Read(p []byte) (int, error) {
+func (m *terminatedStream) Read(p []byte) (int, error) {
 	n, err := m.r.Read(p)
-	m.remember(p[:n])
-	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(doneMark)) {
+	m.recordTail(p[:n])
+	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(streamEnd)) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// remember keeps the last bytes, as many as the mark and its line ends take.
-func (m *markedStream) remember(p []byte) {
-	const keep = len(doneMark) + 8
+// recordTail keeps the last bytes of the stream: the length of streamEnd and its
+// line ends.
+func (m *terminatedStream) recordTail(p []byte) {
+	const maxTail = len(streamEnd) + 8
 	m.tail = append(m.tail, p...)
-	if len(m.tail) > keep {
-		m.tail = append(m.tail[:0], m.tail[len(m.tail)-keep:]...)
+	if len(m.tail) > maxTail {
+		m.tail = append(m.tail[:0], m.tail[len(m.tail)-maxTail:]...)
 	}
 }
--- a/router/handler.go
+++ b/router/handler.go
@@ -14,8 +14,8 @@
 	"github.com/phuslu/log"
 )
 
-// handler serves callers. Each request has a goroutine of its own, which asks
-// the core what to do and does it.
+// handler serves callers' HTTP requests. Each request's goroutine submits the
+// request to the core and carries out the core's decisions.
 type handler struct {
 	incarnation fleet.Incarnation
 	log         *log.Logger
@@ -23,16 +23,16 @@
 	events      chan<- event
 	table       atomic.Pointer[table]
 	leaving     atomic.Bool
-	next        atomic.Uint64
+	lastID      atomic.Uint64
 	transport   http.RoundTripper
-	secure      bool // agents are called by TLS
+	secure      bool // calls to agents use TLS
 	stats       stats
 	meter       *link.Meter
 }
 
-// ServeHTTP takes one request to its final answer.
+// ServeHTTP serves one request up to its final response.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n := queue.RequestID(h.next.Add(1))
+	n := queue.RequestID(h.lastID.Add(1))
 	id := fmt.Sprintf("%x-%x", uint64(h.incarnation), uint64(n))
 	if h.leaving.Load() {
 		w.Header().Set("Connection", "close")
@@ -41,28 +41,30 @@
 	}
 	a, f := h.admit(w, r, id)
 	if f != nil {
-		h.refused(w, id, *f)
+		h.refuse(w, id, *f)
 		return
 	}
-	decisions, ok := h.enter(n, a)
+	decisions, ok := h.submit(n, a)
 	if !ok {
-		h.refused(w, id, refusedBusy)
+		h.refuse(w, id, refusedBusy)
 		return
 	}
-	h.follow(w, r, n, a, decisions)
+	h.awaitDecisions(w, r, n, a, decisions)
 }
 
-func (h *handler) refused(w http.ResponseWriter, id string, f refusal) {
+// refuse writes a refusal to the caller, and logs and counts it.
+func (h *handler) refuse(w http.ResponseWriter, id string, f refusal) {
 	h.stats.refused(f.kind)
 	h.log.Debug().Str("request", id).Str("kind", f.kind).Msg("request refused")
 	f.write(w, id)
 }
 
-// enter hands a request to the core; a full core refuses it at once.
-func (h *handler) enter(n queue.RequestID, a *admission) (<-chan decision, bool) {
+// submit sends a request to the core. It returns false, without blocking, if the
+// core's event channel is full.
+func (h *handler) submit(n queue.RequestID, a *admission) (<-chan decision, bool) {
 	decisions := make(chan decision, 1)
-	e := arriveEvent{
-		request:     queue.Request{ID: n, Key: a.key(), Repeatable: a.repeatable, Deadline: h.deadline(a)},
+	e := requestEvent{
+		request:     queue.Request{ID: n, Key: a.demandKey(), Repeatable: a.repeatable, Deadline: h.deadline(a)},
 		idempotency: a.idempotency,
 		reply:       decisions,
 	}
@@ -74,6 +76,7 @@
 	}
 }
 
+// deadline returns a request's deadline on the clock of h.now, or 0 if it has none.
 func (h *handler) deadline(a *admission) time.Duration {
 	if a.timeLeft == 0 {
 		return 0
@@ -81,69 +84,72 @@
 	return h.now() + a.timeLeft
 }
 
-// follow carries out the core's decisions until the request is answered.
-func (h *handler) follow(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, decisions <-chan decision) {
-	began := time.Now()
+// awaitDecisions carries out the core's decisions until the request has had its
+// final response or the caller closes its connection.
+func (h *handler) awaitDecisions(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, decisions <-chan decision) {
+	submitted := time.Now()
 	for {
 		select {
 		case <-r.Context().Done():
-			h.abandon(n, decisions)
+			h.cancelRequest(n, decisions)
 			return
 		case d := <-decisions:
 			if d.refuse != nil {
-				h.refused(w, a.id, refusalOf(*d.refuse))
+				h.refuse(w, a.id, refusalOf(*d.refuse))
 				return
 			}
-			h.stats.waited(time.Since(began))
-			if h.runOnce(w, r, n, a, d.run) {
+			h.stats.waited(time.Since(submitted))
+			if h.attempt(w, r, n, a, d.run) {
 				return
 			}
 		}
 	}
 }
 
-// abandon tells the core that the caller has hung up, and waits for its word:
-// a decision to run may have crossed with the hanging up.
-func (h *handler) abandon(n queue.RequestID, decisions <-chan decision) {
+// cancelRequest reports to the core that the caller has closed its connection,
+// and waits for the core's decision. A decision to run may have been sent before
+// the core received the cancellation; such a run is ended here.
+func (h *handler) cancelRequest(n queue.RequestID, decisions <-chan decision) {
 	h.events <- cancelEvent{n}
 	if d := <-decisions; d.run != nil {
-		h.events <- endEvent{id: n, outcome: queue.OutcomeCut}
+		h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	}
 }
 
-// runOnce sends the request to the agent that claimed it and tells the core
-// how that ended. It returns whether the request has had its final answer.
-func (h *handler) runOnce(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
-	outcome := h.exchange(w, r, n, a, g)
-	gone := r.Context().Err() != nil
-	if outcome == queue.OutcomeNotRun && a.body.spent && !gone {
-		h.events <- endEvent{id: n, outcome: queue.OutcomeDone, unrun: true}
-		h.refused(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonServerFailed, RetryAfter: time.Second}))
+// attempt sends the request to the agent that claimed it and reports the outcome
+// to the core. A request that has not run is refused if its body has been consumed,
+// because it can't be sent again. It returns true if the request is finished.
+func (h *handler) attempt(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) bool {
+	outcome := h.callAgent(w, r, n, a, g)
+	callerGone := r.Context().Err() != nil
+	if outcome == queue.OutcomeNotRun && a.body.consumed && !callerGone {
+		h.events <- runEndEvent{id: n, outcome: queue.OutcomeDone, notRun: true}
+		h.refuse(w, a.id, refusalOf(queue.RefuseCmd{Reason: queue.ReasonServerFailed, RetryAfter: time.Second}))
 		return true
 	}
-	if gone {
+	if callerGone {
 		outcome = queue.OutcomeCut
 	}
-	h.events <- endEvent{id: n, outcome: outcome}
+	h.events <- runEndEvent{id: n, outcome: outcome}
 	return outcome == queue.OutcomeDone || outcome == queue.OutcomeCut
 }
 
-// exchange makes one call to an agent and passes its answer on.
-func (h *handler) exchange(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) queue.Outcome {
+// callAgent makes one call to an agent and streams its response to the caller.
+func (h *handler) callAgent(w http.ResponseWriter, r *http.Request, n queue.RequestID, a *admission, g *grant) queue.Outcome {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	answered := make(chan struct{})
-	go giveUp(g.abort, answered, cancel)
+	responded := make(chan struct{})
+	go cancelOnAbort(g.abort, responded, cancel)
 	var sent relay.Sent
-	req := sent.Trace(outgoing(r, a, g).WithContext(ctx))
+	req := sent.Trace(newAgentRequest(r, a, g).WithContext(ctx))
 	if h.secure {
 		req.URL.Scheme = "https"
 	}
-	h.meter.Grant(len(g.left) + 1)
+	h.meter.Grant(len(g.remaining) + 1)
 	res, err := h.transport.RoundTrip(req)
-	close(answered)
+	close(responded)
 	if err != nil {
-		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("agent gave no answer")
+		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("no response from agent")
 		if sent.MayHaveLeft() {
 			return queue.OutcomeUnknown
 		}
@@ -159,37 +165,37 @@
 		relay.Finish(res.Body)
 		return queue.OutcomeUnknown
 	}
-	h.events <- answerEvent{n}
+	h.events <- responseStartedEvent{n}
 	relay.CopyHeader(w.Header(), res.Header)
 	w.Header().Set(relay.HeaderRequestID, a.id)
 	w.WriteHeader(res.StatusCode)
 	if err := relay.Copy(w, res.Body); err != nil {
-		h.cut(n, a, err)
+		h.abortResponse(n, a, err)
 	}
 	h.stats.served()
 	return queue.OutcomeDone
 }
 
-// giveUp cancels a call whose agent is lost before it has answered.
-func giveUp(abort, answered <-chan struct{}, cancel context.CancelFunc) {
+// cancelOnAbort cancels a call to an agent that is lost before it responds.
+func cancelOnAbort(abort, responded <-chan struct{}, cancel context.CancelFunc) {
 	select {
 	case <-abort:
 		cancel()
-	case <-answered:
+	case <-responded:
 	}
 }
 
-// cut breaks the connection to the caller, so that a part of an answer can't
-// pass for the whole.
-func (h *handler) cut(n queue.RequestID, a *admission, err error) {
+// abortResponse aborts the connection to the caller, so that a truncated response
+// can't be taken for a complete one.
+func (h *handler) abortResponse(n queue.RequestID, a *admission, err error) {
 	h.stats.cut()
-	h.log.Warn().Str("request", a.id).Err(err).Msg("answer cut")
-	h.events <- endEvent{id: n, outcome: queue.OutcomeCut}
+	h.log.Warn().Str("request", a.id).Err(err).Msg("response aborted")
+	h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	panic(http.ErrAbortHandler)
 }
 
-// outgoing builds the request to an agent.
-func outgoing(r *http.Request, a *admission, g *grant) *http.Request {
+// newAgentRequest returns the request that is sent to an agent.
+func newAgentRequest(r *http.Request, a *admission, g *grant) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
 	u.Host = g.serve
@@ -203,7 +209,7 @@
 	}
 	relay.CopyHeader(req.Header, r.Header, "Authorization", "Expect")
 	req.Header.Set(relay.HeaderRequestID, a.id)
-	req.Header.Set(relay.HeaderClaim, g.claim+" "+g.left)
+	req.Header.Set(relay.HeaderClaim, g.claim+" "+g.remaining)
 	req.Header.Set(relay.HeaderTeam, string(a.team.Name))
 	req.Header.Set(relay.HeaderWork, string(a.work.Name))
 	req.Header.Set(relay.HeaderClass, a.class.String())
--- a/router/alive.go
+++ b/router/heartbeat.go
@@ -9,14 +9,15 @@
 	}
 }
 
-// keepAlive gives a sign of life on links that carry nothing else, and asks
-// again for a bundle that a peer has and this process has not.
+// keepAlive sends a keepalive on every link that has been quiet for the heartbeat
+// interval, or a heartbeat on all links if that interval has changed. It also
+// repeats bundle pulls that have not brought a newer bundle.
 func (c *core) keepAlive() {
 	for _, p := range c.peers {
 		c.pullFrom(p)
 	}
 	if c.pulse.Adjust(len(c.peers)) {
-		c.heartbeat()
+		c.broadcastHeartbeat()
 		return
 	}
 	for _, p := range c.peers {
@@ -26,16 +27,16 @@
 	}
 }
 
-// heartbeat tells every peer at once that something has changed.
-func (c *core) heartbeat() {
+// broadcastHeartbeat sends the current state to every peer at once.
+func (c *core) broadcastHeartbeat() {
 	for _, p := range c.peers {
-		p.conn.Send(c.beat(p))
+		p.conn.Send(c.heartbeatFor(p))
 	}
 }
 
-func (c *core) beat(p *peer) wire.Heartbeat {
+func (c *core) heartbeatFor(p *peer) wire.Heartbeat {
 	return wire.Heartbeat{
-		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hub,
+		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hubFor,
 		Every: c.pulse.Milliseconds(),
 	}
 }
--- a/router/links.go
+++ b/router/links.go
@@ -11,11 +11,11 @@
 )
 
 var (
-	errReplaced = errors.New("replaced by a newer link of the same process")
-	errStranger = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
+	errReplaced     = errors.New("replaced by a newer link of the same process")
+	errUnknownAgent = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
 )
 
-// onLink handles what happened on a link.
+// onLink handles the start, the end or a message of a link.
 func (c *core) onLink(e link.Event) {
 	name := e.Conn.Peer.Name
 	switch e.Kind {
@@ -30,8 +30,8 @@
 	}
 }
 
-// linkUp takes a link. A newer link of the same process replaces an older one
-// whose end has not been noticed yet.
+// linkUp registers a new link. It closes an older link of the same process, whose
+// end has not been detected yet.
 func (c *core) linkUp(name fleet.Name, conn *link.Conn) {
 	if old, ok := c.peers[name]; ok {
 		old.conn.Close(errReplaced)
@@ -41,12 +41,12 @@
 	c.peers[name] = p
 	if conn.Peer.Role == wire.RoleAgent {
 		if _, known := c.servers[name]; !known {
-			conn.Close(errStranger)
+			conn.Close(errUnknownAgent)
 			return
 		}
 	}
-	c.shapePeer(name, p)
-	conn.Send(c.beat(p))
+	c.updatePeerRole(name, p)
+	conn.Send(c.heartbeatFor(p))
 }
 
 func (c *core) linkDown(name fleet.Name, conn *link.Conn) {
@@ -56,11 +56,11 @@
 	}
 	delete(c.peers, name)
 	if conn.Peer.Role == wire.RoleAgent {
-		c.feed(queue.AgentDownMsg{Now: c.now(), Agent: name})
-		c.feedHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
+		c.updateQueue(queue.AgentDownMsg{Now: c.now(), Agent: name})
+		c.updateHub(ledger.AgentDownMsg{Now: c.now(), Agent: name})
 		return
 	}
-	c.feedHub(ledger.PeerDownMsg{Now: c.now(), Peer: name})
+	c.updateHub(ledger.PeerDownMsg{Now: c.now(), Peer: name})
 }
 
 func (c *core) onMessage(name fleet.Name, p *peer, m wire.Message) {
@@ -68,30 +68,30 @@
 	case wire.Heartbeat:
 		c.onHeartbeat(name, p, m)
 	case wire.Free:
-		c.feed(queue.FreeMsg{
+		c.updateQueue(queue.FreeMsg{
 			Now: c.now(), Agent: name, Incarnation: p.conn.Peer.Incarnation, Slots: int(m.Slots), First: m.First,
 		})
 	case wire.Name:
 		p.conn.In.Learn(m)
 	case wire.Claim:
-		c.feed(queue.ClaimMsg{
+		c.updateQueue(queue.ClaimMsg{
 			Now:   c.now(),
 			Claim: fleet.ClaimID{Agent: name, Incarnation: p.conn.Peer.Incarnation, Seq: m.Seq},
 			Key:   p.conn.ReadKey(m.Work, m.Team, m.Class),
 		})
 	case wire.Service:
-		c.feedHub(ledger.ServiceMsg{
+		c.updateHub(ledger.ServiceMsg{
 			Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall, Rows: p.conn.ReadService(m.Rows),
 		})
 	case wire.AgentRows:
-		c.feedHub(ledger.ServiceMsg{
+		c.updateHub(ledger.ServiceMsg{
 			Now: c.now(), Source: ledger.Source{Agent: m.Agent, Incarnation: m.Incarnation},
 			Hall: m.Hall, Rows: p.conn.ReadService(m.Rows),
 		})
 	case wire.HallTotals:
-		c.feedHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.ReadService(m.Rows)})
+		c.updateHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.ReadService(m.Rows)})
 	case wire.KeyVerdict:
-		c.onVerdict(name, m)
+		c.onKeyVerdict(name, m)
 	case wire.BundlePull:
 		c.sendBundle(p, m.Have)
 	case wire.BundleData:
@@ -99,35 +99,38 @@
 	}
 }
 
-// onHeartbeat notes what a peer says of itself, and asks it for its bundle if
-// that is newer.
+// onHeartbeat records a peer's heartbeat and pulls the peer's bundle if that is
+// newer.
 func (c *core) onHeartbeat(name fleet.Name, p *peer, m wire.Heartbeat) {
-	before := p.last
-	p.last = m
+	previous := p.lastHeartbeat
+	p.lastHeartbeat = m
 	if p.conn.Peer.Role == wire.RoleAgent {
-		c.agentSays(name, p, before, m)
+		c.onAgentHeartbeat(name, p, previous, m)
 	}
 	c.pullFrom(p)
 }
 
-// agentSays follows an agent's coming and going.
-func (c *core) agentSays(name fleet.Name, p *peer, before, now wire.Heartbeat) {
-	was := before.Serving && !before.Leaving
-	is := now.Serving && !now.Leaving
+// onAgentHeartbeat updates the queue when an agent starts or stops accepting
+// work.
+func (c *core) onAgentHeartbeat(name fleet.Name, p *peer, previous, current wire.Heartbeat) {
+	wasServing := previous.Serving && !previous.Leaving
+	isServing := current.Serving && !current.Leaving
 	switch {
-	case is && !was:
-		c.agentUp(name, p)
-	case was && !is:
-		c.feed(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
+	case isServing && !wasServing:
+		c.agentServing(name, p)
+	case wasServing && !isServing:
+		c.updateQueue(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
 	}
 }
 
-func (c *core) agentUp(name fleet.Name, p *peer) {
+func (c *core) agentServing(name fleet.Name, p *peer) {
 	s := c.servers[name]
-	c.feed(queue.AgentUpMsg{Now: c.now(), Agent: name, Hall: p.conn.Peer.Hall, Works: s.Works})
+	c.updateQueue(queue.AgentUpMsg{Now: c.now(), Agent: name, Hall: p.conn.Peer.Hall, Works: s.Works})
 }
 
-// refreshAgents tells the machine of servers whose works have changed.
+// refreshAgents updates the queue with the works of all linked agents under the
+// bundle in force. Agents whose servers the bundle lacks or marks as leaving get
+// no more requests.
 func (c *core) refreshAgents() {
 	for name, p := range c.peers {
 		if p.conn.Peer.Role != wire.RoleAgent {
@@ -135,15 +138,17 @@
 		}
 		s, ok := c.servers[name]
 		if !ok || s.Leaving {
-			c.feed(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
+			c.updateQueue(queue.AgentLeavingMsg{Now: c.now(), Agent: name})
 			continue
 		}
-		if p.last.Serving && !p.last.Leaving {
-			c.agentUp(name, p)
+		if p.lastHeartbeat.Serving && !p.lastHeartbeat.Leaving {
+			c.agentServing(name, p)
 		}
 	}
 }
 
+// sendBundle sends a peer the bundle in force, as a patch where there is one for
+// the generation that the peer has.
 func (c *core) sendBundle(p *peer, have fleet.Generation) {
 	if c.inForce.Generation() <= have {
 		return
@@ -161,15 +166,15 @@
 	return ledger.Source{Agent: p.conn.Peer.Name, Incarnation: p.conn.Peer.Incarnation}
 }
 
-// pullFrom asks another router for its bundle if that is newer, and nobody has
-// been asked just now. Agents have bundles too, but pass none on.
+// pullFrom pulls another router's bundle if that is newer and no pull has been
+// sent within pullTimeout. Agents have bundles, too, but don't send them.
 func (c *core) pullFrom(p *peer) {
 	if p.conn.Peer.Role != wire.RoleRouter {
 		return
 	}
-	if p.last.Generation <= c.inForce.Generation() || c.now() < c.pullAgain {
+	if p.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
 		return
 	}
-	c.pullAgain = c.now() + pullTimeout
+	c.nextPull = c.now() + pullTimeout
 	p.conn.Send(wire.BundlePull{Have: c.inForce.Generation()})
 }
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -9,23 +9,24 @@
 	"github.com/croftvale/croftvale/settings"
 )
 
-// prepared is a bundle in force with all that can be worked out of it away
-// from the core: a large one takes tens of milliseconds.
-type prepared struct {
+// preparedBundle holds a bundle in force and the data derived from it. It is
+// computed outside the core's goroutine, because a large bundle takes tens of
+// milliseconds.
+type preparedBundle struct {
 	inForce bundle.InForce
-	bundle  bundle.Bundle // with defaults
+	bundle  bundle.Bundle // with defaults applied
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
 	table   *table
 }
 
-func prepare(f bundle.InForce, s settings.Process) prepared {
+func prepareBundle(f bundle.InForce, s settings.Process) preparedBundle {
 	b := f.Bundle.WithDefaults()
-	p := prepared{
+	p := preparedBundle{
 		inForce: f,
 		bundle:  b,
 		servers: map[fleet.Name]bundle.Server{},
-		config:  configOf(b, s),
+		config:  queueConfig(b, s),
 		table:   newTable(f.Generation(), b),
 	}
 	for _, s := range b.Servers {
@@ -34,7 +35,8 @@
 	return p
 }
 
-func configOf(b bundle.Bundle, s settings.Process) queue.Config {
+// queueConfig returns the queue's configuration under a bundle.
+func queueConfig(b bundle.Bundle, s settings.Process) queue.Config {
 	cfg := queue.Config{
 		Self:              s.Name,
 		Hall:              s.Hall,
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -11,7 +11,7 @@
 	"github.com/croftvale/croftvale/relay"
 )
 
-// refusal is the final answer to a request that croftvale itself answers.
+// refusal is a final response that croftvale itself gives to a request.
 type refusal struct {
 	status     int
 	kind       string
@@ -55,17 +55,18 @@
 		message: "the body could not be read", remedy: "send the whole body, as long as Content-Length says"}
 )
 
-// Reasons that come before a request reaches the machine.
+// Reasons for refusals of requests that have not been queued.
 const (
-	reasonRepeat queue.Reason = "idempotency_key_in_use"
-	reasonUnsure queue.Reason = "idempotency_key_unsure"
+	reasonKeyInUse     queue.Reason = "idempotency_key_in_use"
+	reasonKeyUncertain queue.Reason = "idempotency_key_unsure"
 )
 
-// reasons gives each of the machine's reasons its answer.
-var reasons = map[queue.Reason]refusal{
-	reasonRepeat: {status: http.StatusConflict,
+// refusalsByReason holds the refusal for each reason. Its kind, ran and
+// retryAfter are set by refusalOf.
+var refusalsByReason = map[queue.Reason]refusal{
+	reasonKeyInUse: {status: http.StatusConflict,
 		message: "another request with this Idempotency-Key runs or has run", remedy: "find out what became of it; use a new key for a new piece of work"},
-	reasonUnsure: {status: http.StatusServiceUnavailable,
+	reasonKeyUncertain: {status: http.StatusServiceUnavailable,
 		message: "it can't be told at this moment whether this Idempotency-Key has been used", remedy: "come back after the time in Retry-After; Croftvale-Key-Made with the time of the first attempt helps after restarts"},
 	queue.ReasonTeamFull: {status: http.StatusTooManyRequests,
 		message: "too many of the team's requests wait at this router", remedy: "come back after the time in Retry-After"},
@@ -83,16 +84,16 @@
 		message: "the backend server was lost; the request may have run", remedy: "find out whether it ran before sending it again"},
 }
 
-// refusalOf turns a command of the machine into an answer.
+// refusalOf returns the refusal for a command of the queue.
 func refusalOf(c queue.RefuseCmd) refusal {
-	f := reasons[c.Reason]
+	f := refusalsByReason[c.Reason]
 	f.kind = string(c.Reason)
 	f.ran = c.Ran
 	f.retryAfter = c.RetryAfter
 	return f
 }
 
-// write sends the refusal.
+// write sends the refusal as an HTTP response.
 func (f refusal) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set(relay.HeaderRan, f.ran.String())
@@ -108,5 +109,5 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)+1))
 	w.WriteHeader(f.status)
-	_, _ = w.Write(append(body, '\n')) // a caller that has left needs no answer
+	_, _ = w.Write(append(body, '\n')) // fails only if the caller has closed the connection
 }
--- a/router/router.go
+++ b/router/router.go
@@ -25,20 +25,21 @@
 )
 
 const (
-	// eventRoom is how many events may wait for the core.
-	eventRoom = 4096
-	// headerTimeout is how long a caller may take to send its headers.
+	// eventBuffer is the capacity of the core's event channels.
+	eventBuffer = 4096
+	// headerTimeout bounds how long a caller may take to send its headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a caller's idle connection is kept.
+	// idleTimeout is the time after which a caller's idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds a caller's headers, in bytes.
-	maxHeader = 32 << 10
-	// agentIdle is how long idle connections to agents are kept, which is less
-	// than agents keep them.
-	agentIdle    = 90 * time.Second
-	agentConns   = 256
-	dialTimeout  = 2 * time.Second
-	leaveMessage = "leaving: no new work is taken"
+	// maxHeaderBytes bounds the size of a caller's headers.
+	maxHeaderBytes = 32 << 10
+	// agentIdleTimeout is the time after which idle connections to agents are
+	// closed. It is shorter than the agents' own timeout, so that the router always
+	// closes first.
+	agentIdleTimeout     = 90 * time.Second
+	maxIdleConnsPerAgent = 256
+	dialTimeout          = 2 * time.Second
+	drainMessage         = "draining: no new requests are accepted"
 )
 
 // Router is the daemon on an entry host.
@@ -50,19 +51,19 @@
 	core     *core
 	handler  *handler
 	admin    *admin.Server
-	watcher  *watcher
+	watcher  *platformWatcher
 }
 
-// Option changes a Router.
+// Option configures a Router.
 type Option func(*Router)
 
-// WithDial sets how the router opens connections to agents and other routers,
-// for instance to put the delay between two halls on them in a lab.
+// WithDial sets the function that opens connections to agents and other routers,
+// for example to simulate the delay between two halls.
 func WithDial(d link.DialFunc) Option {
 	return func(r *Router) { r.dial = d }
 }
 
-// New returns a router that has opened no address yet. It fails where the TLS
+// New returns a router that is not listening yet. It returns an error if the TLS
 // files of the settings can't be used.
 func New(s settings.Router, logger *log.Logger, opts ...Option) (*Router, error) {
 	r := &Router{settings: s, log: logger, dial: (&net.Dialer{Timeout: dialTimeout}).DialContext}
@@ -74,11 +75,11 @@
 		return nil, err
 	}
 	r.secure = store
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
-	events := make(chan event, eventRoom)
+	startedAt := time.Now()
+	now := func() time.Duration { return time.Since(startedAt) }
+	events := make(chan event, eventBuffer)
 	meter := &link.Meter{}
-	incarnation := fleet.Incarnation(began.UnixNano())
+	incarnation := fleet.Incarnation(startedAt.UnixNano())
 	r.admin = admin.New(admin.Source{Ready: r.ready, State: r.dump})
 	r.handler = &handler{
 		incarnation: incarnation,
@@ -87,11 +88,11 @@
 		events:      events,
 		meter:       meter,
 		stats:       newStats(r.admin.Scope()),
-		transport:   r.transport(),
+		transport:   r.newTransport(),
 		secure:      r.secure != nil,
 	}
-	keeper := adopt.NewKeeper(s.Verifier(), r.adopted, r.refused)
-	r.watcher = &watcher{
+	keeper := adopt.NewKeeper(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
+	r.watcher = &platformWatcher{
 		settings: s.Platform,
 		log:      logger,
 		client:   objectapi.NewClient(s.Platform.Address.String()),
@@ -100,38 +101,39 @@
 		events:   events,
 	}
 	r.core = &core{
-		settings:    s,
-		log:         logger,
-		now:         now,
-		incarnation: incarnation,
-		admit:       r.handler.table.Store,
-		events:      events,
-		links:       make(chan link.Event, eventRoom),
-		meter:       meter,
-		keeper:      keeper,
-		platform:    r.watcher,
-		queue:       queue.New(queue.Config{}),
-		hub:         ledger.NewHub(s.Name, s.Hall),
-		keys:        once.NewCoordinator(),
-		policy:      bundle.Policy{}.WithDefaults(),
-		servers:     map[fleet.Name]bundle.Server{},
-		peers:       map[fleet.Name]*peer{},
-		open:        map[queue.RequestID]*openRequest{},
+		settings:     s,
+		log:          logger,
+		now:          now,
+		incarnation:  incarnation,
+		publishTable: r.handler.table.Store,
+		events:       events,
+		links:        make(chan link.Event, eventBuffer),
+		meter:        meter,
+		keeper:       keeper,
+		platform:     r.watcher,
+		queue:        queue.New(queue.Config{}),
+		hub:          ledger.NewHub(s.Name, s.Hall),
+		keys:         once.NewCoordinator(),
+		policy:       bundle.Policy{}.WithDefaults(),
+		servers:      map[fleet.Name]bundle.Server{},
+		peers:        map[fleet.Name]*peer{},
+		requests:     map[queue.RequestID]*openRequest{},
 	}
 	return r, nil
 }
 
-// adopted prepares a bundle for the core, in the keeper's goroutine. Requests
-// are admitted under it once the core knows of it.
-func (r *Router) adopted(f bundle.InForce) {
-	r.core.events <- bundleEvent{prepare(f, r.settings.Process)}
+// onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
+// core. New requests use it once the core has applied it.
+func (r *Router) onBundleAdopted(f bundle.InForce) {
+	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
 }
 
-func (r *Router) refused(err error) {
-	r.log.Warn().Err(err).Msg("bundle refused")
+func (r *Router) onBundleRejected(err error) {
+	r.log.Warn().Err(err).Msg("bundle rejected")
 }
 
-// ErrNotReady means that the router should get no requests yet, or no more.
+// ErrNotReady means that the router has no bundle yet or is draining, and should
+// get no requests.
 var ErrNotReady = errors.New("no bundle in force, or leaving; requests go to other routers")
 
 func (r *Router) ready() error {
@@ -145,7 +147,7 @@
 	return process.Dump(ctx, r.core.events, func(reply chan<- State) event { return stateEvent{reply} })
 }
 
-// gauges returns what the metrics show of the state.
+// gauges returns the values of the state that are exported as metrics.
 func (r *Router) gauges(ctx context.Context) ([]process.Reading, error) {
 	dump, err := r.dump(ctx)
 	if err != nil {
@@ -169,78 +171,80 @@
 	return 0
 }
 
-// Run serves until ctx ends, then takes no new requests, waits for those that
-// are there and returns. What is left when the drain time is over is cut.
+// Run serves until ctx ends. It then refuses new requests, waits for the others
+// to finish and returns. Requests that are unfinished at the end of the drain
+// time are aborted.
 func (r *Router) Run(ctx context.Context) error {
-	callers, err := process.Listen("listen", r.settings.Listen.String())
+	callerListener, err := process.Listen("listen", r.settings.Listen.String())
 	if err != nil {
 		return err
 	}
-	links, err := process.Listen("links", r.settings.Links.String())
+	linkListener, err := process.Listen("links", r.settings.Links.String())
 	if err != nil {
 		return err
 	}
-	adm, err := process.Listen("admin", r.settings.Admin.String())
+	adminListener, err := process.Listen("admin", r.settings.Admin.String())
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer end()
+	defer stop()
 	opts := link.Options{
 		Hello: r.core.hello, Events: r.core.links, Meter: r.core.meter, Dial: r.dial,
 		Secure: r.secure, Accept: wire.RoleRouter, Refused: process.LinkEnded(r.log),
 	}
-	r.core.dialer = &dialer{ctx: life, opts: opts, log: r.log, kept: map[string]context.CancelFunc{}}
-	hs := &http.Server{
+	r.core.dialer = &dialer{ctx: runCtx, opts: opts, log: r.log, cancels: map[string]context.CancelFunc{}}
+	httpServer := &http.Server{
 		Handler:           r.handler,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-	}
-	wg.Go(func() { r.core.run(life) })
-	wg.Go(func() { r.watcher.keeper.Run(life) })
-	wg.Go(func() { r.watcher.hosts(life) })
-	wg.Go(func() { process.Gauge(life, r.admin.Scope(), r.gauges) })
-	wg.Go(func() { r.watcher.bundles(life, func() bool { return r.handler.table.Load() != nil }) })
-	wg.Go(func() { process.Report(r.log, "links", link.Listen(life, links, opts)) })
-	wg.Go(func() { process.Report(r.log, "admin", r.admin.Serve(life, adm)) })
-	wg.Go(func() { process.Report(r.log, "listen", hs.Serve(callers)) })
-	r.log.Info().Str("listen", callers.Addr().String()).Str("links", links.Addr().String()).Msg("router started")
+		MaxHeaderBytes:    maxHeaderBytes,
+	}
+	wg.Go(func() { r.core.run(runCtx) })
+	wg.Go(func() { r.watcher.keeper.Run(runCtx) })
+	wg.Go(func() { r.watcher.pollHosts(runCtx) })
+	wg.Go(func() { process.Gauge(runCtx, r.admin.Scope(), r.gauges) })
+	wg.Go(func() { r.watcher.watchBundles(runCtx, func() bool { return r.handler.table.Load() != nil }) })
+	wg.Go(func() { process.Report(r.log, "links", link.Listen(runCtx, linkListener, opts)) })
+	wg.Go(func() { process.Report(r.log, "admin", r.admin.Serve(runCtx, adminListener)) })
+	wg.Go(func() { process.Report(r.log, "listen", httpServer.Serve(callerListener)) })
+	r.log.Info().Str("listen", callerListener.Addr().String()).Str("links", linkListener.Addr().String()).Msg("router started")
 	<-ctx.Done()
-	return r.drain(hs)
+	return r.drain(httpServer)
 }
 
-// cutTimeout bounds how long LogCut waits for the state.
-const cutTimeout = time.Second
+// stateTimeout bounds how long LogAbortedRequests waits for the core's state.
+const stateTimeout = time.Second
 
-// LogCut logs the requests that an end at this moment cuts. Call it before the
-// process is ended out of order.
-func (r *Router) LogCut() {
-	ctx, cancel := context.WithTimeout(context.Background(), cutTimeout)
+// LogAbortedRequests logs how many requests are aborted if the process ends now.
+// Call it before ending the process without a drain.
+func (r *Router) LogAbortedRequests() {
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
 	s, err := r.dump(ctx)
 	if err != nil {
-		r.log.Error().Err(err).Msg("requests are cut; how many is not known")
+		r.log.Error().Err(err).Msg("requests are cut; their number is unknown")
 		return
 	}
 	state := s.(State)
 	r.log.Error().Int("running", state.Open-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
 }
 
-// drain ends the process in order.
-func (r *Router) drain(hs *http.Server) error {
+// drain stops accepting requests and waits for the unfinished ones, up to the
+// drain time of the settings.
+func (r *Router) drain(httpServer *http.Server) error {
 	limit := r.settings.Drain.Or(settings.DefaultDrain)
-	r.log.Info().Dur("limit", limit).Msg(leaveMessage)
+	r.log.Info().Dur("limit", limit).Msg(drainMessage)
 	r.handler.leaving.Store(true)
-	r.core.events <- leaveEvent{}
+	r.core.events <- shutdownEvent{}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	if err := hs.Shutdown(ctx); err != nil {
-		r.LogCut()
-		return hs.Close()
+	if err := httpServer.Shutdown(ctx); err != nil {
+		r.LogAbortedRequests()
+		return httpServer.Close()
 	}
-	r.log.Info().Msg("left: nothing was cut")
+	r.log.Info().Msg("drained: no request was aborted")
 	return nil
 }
--- a/router/state.go
+++ b/router/state.go
@@ -5,7 +5,7 @@
 	"github.com/croftvale/croftvale/link"
 )
 
-// State is the dump of a router.
+// State holds the state dump of a router.
 type State struct {
 	Name          fleet.Name        `json:"name"`
 	Hall          fleet.Hall        `json:"hall"`
@@ -19,14 +19,14 @@
 	HubOf         []fleet.Hall      `json:"hub_of"`
 	PlatformOK    bool              `json:"platform_ok"`
 	PlatformCalls int64             `json:"platform_calls"`
-	Lines         []fleet.Count     `json:"lines"`
-	Hosts         []fleet.Name      `json:"hosts"` // by the platform's last list
+	Queues        []fleet.Count     `json:"lines"`
+	Hosts         []fleet.Name      `json:"hosts"` // in the last list from the platform
 	Peers         []PeerState       `json:"peers"`
 	Service       []ServiceState    `json:"service"`
 	Traffic       []link.Traffic    `json:"traffic"`
 }
 
-// PeerState is one link in a dump.
+// PeerState describes one link in a State.
 type PeerState struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -37,24 +37,25 @@
 	Leaving    bool             `json:"leaving"`
 }
 
-// ServiceState is one team's service in the fleet, as a hub knows it.
+// ServiceState holds one team's service in the whole fleet, as aggregated by this
+// hub. Both times are in milliseconds.
 type ServiceState struct {
 	Team      fleet.Team `json:"team"`
 	ServiceMS int64      `json:"service_ms"`
 	LiftMS    int64      `json:"lift_ms"`
 }
 
-// state returns the dump.
+// state returns the core's state dump.
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
 		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
-		PlatformOK: c.platform.ok.Load(), PlatformCalls: c.platform.client.Calls(),
-		Lines: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
+		PlatformOK: c.platform.reachable.Load(), PlatformCalls: c.platform.client.Calls(),
+		Queues: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
 	}
-	for hall := range c.duty.hubs {
-		if c.duty.isHub(hall, c.settings.Name) {
+	for hall := range c.assignment.hubs {
+		if c.assignment.isHub(hall, c.settings.Name) {
 			s.HubOf = append(s.HubOf, hall)
 		}
 	}
@@ -64,7 +65,7 @@
 	for name, p := range c.peers {
 		s.Peers = append(s.Peers, PeerState{
 			Name: name, Role: string(p.conn.Peer.Role), Hall: p.conn.Peer.Hall, Remote: p.conn.Remote,
-			Generation: p.last.Generation, Serving: p.last.Serving, Leaving: p.last.Leaving,
+			Generation: p.lastHeartbeat.Generation, Serving: p.lastHeartbeat.Serving, Leaving: p.lastHeartbeat.Leaving,
 		})
 	}
 	for _, row := range c.hub.Totals() {
