--- a/agent/core_test.go
+++ b/agent/core_test.go
@@ -20,7 +20,7 @@
 	}
 	line := fleet.DemandKey{Work: "report", Team: "ajax"}
 	c.machine.Update(sched.RouterUpMsg{Router: "r"})
-	c.machine.Update(sched.DemandMsg{Router: "r", Counts: []fleet.Count{{Key: line, Waiting: 1}}})
+	c.machine.Update(sched.DemandMsg{Router: "r", Counts: []fleet.QueueCount{{Key: line, Waiting: 1}}})
 	claim := c.machine.Update(sched.HealthMsg{Serving: true})[0].(sched.ClaimCmd)
 	return c, claim.Seq
 }
--- a/agent/links.go
+++ b/agent/links.go
@@ -56,7 +56,7 @@
 	case wire.Alive:
 		c.feed(sched.RouterAliveMsg{Now: c.now(), Router: name})
 	case wire.Name:
-		r.conn.In.Learn(m)
+		r.conn.In.Add(m)
 	case wire.Demand:
 		c.feed(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.ReadCounts(m.Rows)})
 	case wire.Deny:
--- a/examples/decide/main.go
+++ b/examples/decide/main.go
@@ -24,7 +24,7 @@
 		Shares: map[fleet.Team]float64{"large": 2, "small": 1},
 	})
 	m.Update(sched.RouterUpMsg{Router: "router-1"})
-	m.Update(sched.DemandMsg{Router: "router-1", Counts: []fleet.Count{
+	m.Update(sched.DemandMsg{Router: "router-1", Counts: []fleet.QueueCount{
 		{Key: fleet.DemandKey{Work: work, Team: "large"}, Waiting: 100},
 		{Key: fleet.DemandKey{Work: work, Team: "small"}, Waiting: 100},
 	}})
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -21,9 +21,9 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// Ranks tells whether a name is among the n that rank highest for key, without
+// InRendezvous tells whether a name is among the n that rank highest for key, without
 // ranking the others.
-func Ranks(key string, names []Name, name Name, n int) bool {
+func InRendezvous(key string, names []Name, name Name, n int) bool {
 	own := weight(key, name)
 	higher := 0
 	for _, other := range names {
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -19,7 +19,7 @@
 		top := Rendezvous(key, names, 3)
 		require.Len(t, top, 3)
 		for _, n := range names {
-			require.Equal(t, slices.Contains(top, n), Ranks(key, names, n, 3))
+			require.Equal(t, slices.Contains(top, n), InRendezvous(key, names, n, 3))
 		}
 		if !slices.Equal(top, Rendezvous(key, names[1:], 3)) {
 			moved++
@@ -30,7 +30,7 @@
 	require.Len(t, Rendezvous("k", names[:2], 3), 2)
 }
 
-func TestNamesComeBack(t *testing.T) {
+func TestParseRoundTrip(t *testing.T) {
 	id := ClaimID{Agent: "engine-1", Incarnation: 7, Seq: 12}
 	back, ok := ParseClaimID(id.String())
 	require.True(t, ok)
--- a/link/conn.go
+++ b/link/conn.go
@@ -25,8 +25,8 @@
 type Conn struct {
 	Peer   wire.Hello // what the other side said first
 	Remote string
-	Out    wire.Namer // names in messages to the peer
-	In     wire.Names // names in messages from the peer
+	Out    wire.SentNames     // names in messages to the peer
+	In     wire.ReceivedNames // names in messages from the peer
 
 	raw    net.Conn
 	opts   Options
@@ -99,7 +99,7 @@
 // SendNamed sends a message that uses numbers of Out, and before it the names
 // that are new to the peer.
 func (c *Conn) SendNamed(m wire.Message) bool {
-	for _, n := range c.Out.News() {
+	for _, n := range c.Out.TakeUnsent() {
 		if !c.Send(n) {
 			return false
 		}
--- a/link/rows.go
+++ b/link/rows.go
@@ -8,7 +8,7 @@
 )
 
 // SpellCounts spells counts with the names of this link.
-func (c *Conn) SpellCounts(counts []fleet.Count) []wire.DemandRow {
+func (c *Conn) SpellCounts(counts []fleet.QueueCount) []wire.DemandRow {
 	rows := make([]wire.DemandRow, len(counts))
 	for i, n := range counts {
 		rows[i] = c.SpellCount(n)
@@ -17,7 +17,7 @@
 }
 
 // SpellCount spells one count with the names of this link.
-func (c *Conn) SpellCount(n fleet.Count) wire.DemandRow {
+func (c *Conn) SpellCount(n fleet.QueueCount) wire.DemandRow {
 	return wire.DemandRow{
 		Work:      c.Out.Number(string(n.Key.Work)),
 		Team:      c.Out.Number(string(n.Key.Team)),
@@ -29,8 +29,8 @@
 
 // ReadCounts reads counts from this link. Rows with names that were never sent
 // are left out.
-func (c *Conn) ReadCounts(rows []wire.DemandRow) []fleet.Count {
-	counts := make([]fleet.Count, 0, len(rows))
+func (c *Conn) ReadCounts(rows []wire.DemandRow) []fleet.QueueCount {
+	counts := make([]fleet.QueueCount, 0, len(rows))
 	for _, r := range rows {
 		n := c.ReadCount(r)
 		if n.Key.Team != "" && n.Key.Work != "" {
@@ -41,8 +41,8 @@
 }
 
 // ReadCount reads one count from this link.
-func (c *Conn) ReadCount(r wire.DemandRow) fleet.Count {
-	return fleet.Count{
+func (c *Conn) ReadCount(r wire.DemandRow) fleet.QueueCount {
+	return fleet.QueueCount{
 		Key:       c.ReadKey(r.Work, r.Team, r.Class),
 		Waiting:   int(r.Count),
 		OldestAge: time.Duration(r.OldestAge) * time.Millisecond,
--- a/queue/agentview.go
+++ b/queue/agentview.go
@@ -21,7 +21,7 @@
 	openClaims openClaims
 	leaving    bool
 	sentCounts map[fleet.DemandKey]int // last count sent, by queue
-	unsent     []fleet.Count           // counts to send at the next flush
+	unsent     []fleet.QueueCount      // counts to send at the next flush
 }
 
 // recordSent records the count of a queue that is being sent to the agent.
--- a/queue/claims.go
+++ b/queue/claims.go
@@ -11,12 +11,12 @@
 func (m *Machine) claim(msg ClaimMsg) []Command {
 	a, _, known := m.agent(msg.Claim.Agent)
 	if !known {
-		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
+		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.QueueCount{Key: msg.Key}}}
 	}
 	q := m.queueFor(msg.Key)
 	if q.waiting == 0 {
 		a.recordSent(q, 0)
-		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.Count{Key: msg.Key}}}
+		return []Command{DenyCmd{Claim: msg.Claim, Count: fleet.QueueCount{Key: msg.Key}}}
 	}
 	return m.grant(msg.Now, a, msg.Claim, q)
 }
@@ -35,7 +35,7 @@
 // remaining returns the remaining count of a queue to send to the agent. If more
 // agents are informed of the queue than its requests need, the count sent is
 // zero, so that fewer agents make a useless claim once the queue is empty.
-func (m *Machine) remaining(now time.Duration, a *agentView, q *requestQueue) fleet.Count {
+func (m *Machine) remaining(now time.Duration, a *agentView, q *requestQueue) fleet.QueueCount {
 	c := q.count(now)
 	if q.informedAgents > 1+informedPerRequest*q.waiting {
 		c.Waiting = 0
--- a/queue/commands.go
+++ b/queue/commands.go
@@ -12,20 +12,20 @@
 // DemandCmd sends queue counts to an agent.
 type DemandCmd struct {
 	Agent  fleet.Name
-	Counts []fleet.Count
+	Counts []fleet.QueueCount
 }
 
 // DenyCmd refuses a claim because its queue is empty or its agent is unknown.
 type DenyCmd struct {
 	Claim fleet.ClaimID
-	Count fleet.Count
+	Count fleet.QueueCount
 }
 
 // RunCmd sends a request to the agent that claimed it.
 type RunCmd struct {
 	ID        RequestID
 	Claim     fleet.ClaimID
-	Remaining fleet.Count // remaining count of the request's queue
+	Remaining fleet.QueueCount // remaining count of the request's queue
 }
 
 // AbortCmd aborts a run whose agent is lost and whose response has not started.
--- a/queue/machine.go
+++ b/queue/machine.go
@@ -160,8 +160,8 @@
 }
 
 // Queues returns the counts of all non-empty queues.
-func (m *Machine) Queues(now time.Duration) []fleet.Count {
-	var out []fleet.Count
+func (m *Machine) Queues(now time.Duration) []fleet.QueueCount {
+	var out []fleet.QueueCount
 	for _, q := range m.ordered {
 		if q.waiting > 0 {
 			out = append(out, q.count(now))
--- a/queue/requestqueue.go
+++ b/queue/requestqueue.go
@@ -60,8 +60,8 @@
 
 // count returns the number of waiting requests and the age of the oldest at the
 // time now.
-func (q *requestQueue) count(now time.Duration) fleet.Count {
-	c := fleet.Count{Key: q.key, Waiting: q.waiting}
+func (q *requestQueue) count(now time.Duration) fleet.QueueCount {
+	c := fleet.QueueCount{Key: q.key, Waiting: q.waiting}
 	q.trim()
 	if len(q.items) > 0 {
 		c.OldestAge = now - q.items[0].arrived
--- a/queue/tick.go
+++ b/queue/tick.go
@@ -58,7 +58,7 @@
 	if q.waiting == 0 {
 		q.baseline = 0
 		if q.informedAgents > 0 && now-q.lastRemoved >= emptyDelay {
-			m.updateInformed(q, fleet.Count{Key: q.key})
+			m.updateInformed(q, fleet.QueueCount{Key: q.key})
 		}
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // updateInformed adds a new count for every informed agent of a queue.
-func (m *Machine) updateInformed(q *requestQueue, c fleet.Count) {
+func (m *Machine) updateInformed(q *requestQueue, c fleet.QueueCount) {
 	for _, a := range m.agents {
 		if a.sentCounts[q.key] > 0 {
 			m.addCount(a, q, c)
@@ -84,7 +84,7 @@
 
 // informMore informs further agents of a queue: informedPerRequest for each
 // waiting request, and one more for every informMoreEvery that the oldest waits.
-func (m *Machine) informMore(q *requestQueue, c fleet.Count) {
+func (m *Machine) informMore(q *requestQueue, c fleet.QueueCount) {
 	want := 1 + informedPerRequest*q.waiting + int(c.OldestAge/informMoreEvery)
 	if q.informedAgents >= min(want, len(m.agents)) {
 		return
@@ -103,7 +103,7 @@
 }
 
 // addCount adds a count to those sent to an agent at the next flush.
-func (m *Machine) addCount(a *agentView, q *requestQueue, c fleet.Count) {
+func (m *Machine) addCount(a *agentView, q *requestQueue, c fleet.QueueCount) {
 	a.recordSent(q, c.Waiting)
 	if len(a.unsent) == 0 {
 		m.agentsWithUnsent = append(m.agentsWithUnsent, a)
--- a/router/duty.go
+++ b/router/duty.go
@@ -135,7 +135,7 @@
 	if linked, known := c.linked[server]; known {
 		return linked
 	}
-	linked := fleet.Ranks("links/"+string(server), c.duty.routers, c.settings.Name, c.policy.LinksPerServer)
+	linked := fleet.InRendezvous("links/"+string(server), c.duty.routers, c.settings.Name, c.policy.LinksPerServer)
 	c.linked[server] = linked
 	return linked
 }
--- a/router/links.go
+++ b/router/links.go
@@ -72,7 +72,7 @@
 			Now: c.now(), Agent: name, Incarnation: p.conn.Peer.Incarnation, Slots: int(m.Slots), First: m.First,
 		})
 	case wire.Name:
-		p.conn.In.Learn(m)
+		p.conn.In.Add(m)
 	case wire.Claim:
 		c.feed(queue.ClaimMsg{
 			Now:   c.now(),
--- a/router/requests.go
+++ b/router/requests.go
@@ -74,7 +74,7 @@
 }
 
 // leftOf spells what is left of a line for the header of a granted request.
-func leftOf(left fleet.Count) string {
+func leftOf(left fleet.QueueCount) string {
 	return fmt.Sprintf("%d/%d", left.Waiting, left.OldestAge/time.Millisecond)
 }
 
--- a/router/state.go
+++ b/router/state.go
@@ -7,23 +7,23 @@
 
 // State is the dump of a router.
 type State struct {
-	Name          fleet.Name        `json:"name"`
-	Hall          fleet.Hall        `json:"hall"`
-	Role          string            `json:"role"`
-	Incarnation   fleet.Incarnation `json:"incarnation"`
-	Generation    fleet.Generation  `json:"generation"`
-	Digest        string            `json:"digest"`
-	Leaving       bool              `json:"leaving"`
-	Waiting       int               `json:"waiting"`
-	Open          int               `json:"open"`
-	HubOf         []fleet.Hall      `json:"hub_of"`
-	PlatformOK    bool              `json:"platform_ok"`
-	PlatformCalls int64             `json:"platform_calls"`
-	Lines         []fleet.Count     `json:"lines"`
-	Hosts         []fleet.Name      `json:"hosts"` // by the platform's last list
-	Peers         []PeerState       `json:"peers"`
-	Service       []ServiceState    `json:"service"`
-	Traffic       []link.Traffic    `json:"traffic"`
+	Name          fleet.Name         `json:"name"`
+	Hall          fleet.Hall         `json:"hall"`
+	Role          string             `json:"role"`
+	Incarnation   fleet.Incarnation  `json:"incarnation"`
+	Generation    fleet.Generation   `json:"generation"`
+	Digest        string             `json:"digest"`
+	Leaving       bool               `json:"leaving"`
+	Waiting       int                `json:"waiting"`
+	Open          int                `json:"open"`
+	HubOf         []fleet.Hall       `json:"hub_of"`
+	PlatformOK    bool               `json:"platform_ok"`
+	PlatformCalls int64              `json:"platform_calls"`
+	Lines         []fleet.QueueCount `json:"lines"`
+	Hosts         []fleet.Name       `json:"hosts"` // by the platform's last list
+	Peers         []PeerState        `json:"peers"`
+	Service       []ServiceState     `json:"service"`
+	Traffic       []link.Traffic     `json:"traffic"`
 }
 
 // PeerState is one link in a dump.
--- a/sched/bench_test.go
+++ b/sched/bench_test.go
@@ -27,7 +27,7 @@
 		r := fleet.Name(fmt.Sprintf("router-%03d", l))
 		m.Update(RouterUpMsg{Now: 1, Router: r, Hub: l < 2})
 		for i := 0; i < teams; i += 10 {
-			m.Update(DemandMsg{Now: 1, Router: r, Counts: []fleet.Count{{
+			m.Update(DemandMsg{Now: 1, Router: r, Counts: []fleet.QueueCount{{
 				Key:     fleet.DemandKey{Work: "report", Team: names[i], Class: fleet.Ordinary},
 				Waiting: 1 << 30,
 			}}})
--- a/sched/claims.go
+++ b/sched/claims.go
@@ -58,7 +58,7 @@
 // queue of an arrived request.
 func (m *Machine) updateRemaining(msg ArriveMsg, c *claim) {
 	if router, known := m.claimRouter(c); known {
-		m.setCount(msg.Now, router, fleet.Count{Key: c.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
+		m.setCount(msg.Now, router, fleet.QueueCount{Key: c.key, Waiting: msg.Remaining, OldestAge: msg.OldestAge})
 	}
 }
 
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func (m *Machine) setCount(now time.Duration, router fleet.Name, c fleet.Count) {
+func (m *Machine) setCount(now time.Duration, router fleet.Name, c fleet.QueueCount) {
 	if !m.cfg.canRun(c.Key.Work) {
 		return
 	}
--- a/sched/machine_test.go
+++ b/sched/machine_test.go
@@ -26,7 +26,7 @@
 func demandMsg(now time.Duration, waiting int, keys ...fleet.DemandKey) DemandMsg {
 	msg := DemandMsg{Now: now, Router: "r"}
 	for _, k := range keys {
-		msg.Counts = append(msg.Counts, fleet.Count{Key: k, Waiting: waiting})
+		msg.Counts = append(msg.Counts, fleet.QueueCount{Key: k, Waiting: waiting})
 	}
 	return msg
 }
--- a/sched/messages.go
+++ b/sched/messages.go
@@ -39,14 +39,14 @@
 type DemandMsg struct {
 	Now    time.Duration
 	Router fleet.Name
-	Counts []fleet.Count
+	Counts []fleet.QueueCount
 }
 
 // DenyMsg refuses a claim and carries the current count of its queue.
 type DenyMsg struct {
 	Now   time.Duration
 	Seq   uint64
-	Count fleet.Count
+	Count fleet.QueueCount
 }
 
 // ArriveMsg reports that a claimed request has arrived over HTTP, with the
--- a/standin/capacity/measure.go
+++ b/standin/capacity/measure.go
@@ -134,7 +134,7 @@
 	for i := range int(TwoYears.Routers) {
 		routers = append(routers, fleet.Name(fmt.Sprintf("router-%03d", i)))
 	}
-	s.RendezvousNS = perOp(func() { fleet.Ranks("links/engine-00001", routers, "router-007", int(TwoYears.Links)) })
+	s.RendezvousNS = perOp(func() { fleet.InRendezvous("links/engine-00001", routers, "router-007", int(TwoYears.Links)) })
 }
 
 // busyAgent returns an agent's machine at the two-year size.
@@ -152,7 +152,7 @@
 		r := fleet.Name(fmt.Sprintf("router-%03d", l))
 		m.Update(sched.RouterUpMsg{Now: 1, Router: r, Hub: l < hubsPerHall})
 		for i := range int(TwoYears.Backlogged) {
-			m.Update(sched.DemandMsg{Now: 1, Router: r, Counts: []fleet.Count{{Key: key(i), Waiting: 1 << 30}}})
+			m.Update(sched.DemandMsg{Now: 1, Router: r, Counts: []fleet.QueueCount{{Key: key(i), Waiting: 1 << 30}}})
 		}
 	}
 	return m
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -27,7 +27,7 @@
 	KeyRelease{Request: 7, Work: 1, Digest: make([]byte, 16)},
 }
 
-func TestFramesComeBack(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	var all bytes.Buffer
 	sizes := 0
 	for _, m := range samples {
@@ -45,7 +45,7 @@
 	require.Zero(t, sizes)
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejectsInvalidFrames(t *testing.T) {
 	_, _, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 0x7f, 1}))
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 	_, _, err = Read(bytes.NewReader([]byte{2, 200, 0}))
@@ -57,15 +57,15 @@
 }
 
 func TestNamesAreSentOnce(t *testing.T) {
-	var out Namer
-	var in Names
+	var out SentNames
+	var in ReceivedNames
 	a, b := out.Number("ajax"), out.Number("basel")
 	require.Equal(t, a, out.Number("ajax"))
-	news := out.News()
+	news := out.TakeUnsent()
 	require.Len(t, news, 2)
-	require.Empty(t, out.News())
+	require.Empty(t, out.TakeUnsent())
 	for _, n := range news {
-		in.Learn(n)
+		in.Add(n)
 	}
 	require.Equal(t, "basel", in.Text(b))
 	require.Empty(t, in.Text(99))
--- a/wire/names.go
+++ b/wire/names.go
@@ -14,15 +14,15 @@
 // Type implements Message.
 func (Name) Type() Type { return TypeName }
 
-// Namer numbers the names that one side of a link sends. The zero value is
+// SentNames numbers the names that one side of a link sends. The zero value is
 // ready for use.
-type Namer struct {
+type SentNames struct {
 	numbers map[string]Number
 	news    []Name
 }
 
 // Number returns a name's number.
-func (n *Namer) Number(text string) Number {
+func (n *SentNames) Number(text string) Number {
 	if num, ok := n.numbers[text]; ok {
 		return num
 	}
@@ -35,9 +35,9 @@
 	return num
 }
 
-// News returns the names that were numbered since the last call; they must be
+// TakeUnsent returns the names that were numbered since the last call; they must be
 // sent before the message that uses them.
-func (n *Namer) News() []Name {
+func (n *SentNames) TakeUnsent() []Name {
 	news := n.news
 	n.news = nil
 	return news
@@ -46,19 +46,19 @@
 // maxNames bounds what one link may name.
 const maxNames = 1 << 16
 
-// Names knows the names that the other side of a link sends. The zero value is
+// ReceivedNames knows the names that the other side of a link sends. The zero value is
 // ready for use.
-type Names struct{ texts []string }
+type ReceivedNames struct{ texts []string }
 
-// Learn takes a name. Numbers come in order; any other is ignored.
-func (n *Names) Learn(m Name) {
+// Add takes a name. Numbers come in order; any other is ignored.
+func (n *ReceivedNames) Add(m Name) {
 	if int(m.Number) == len(n.texts) && len(n.texts) < maxNames {
 		n.texts = append(n.texts, m.Text)
 	}
 }
 
 // Text returns the name of a number, or "" if it was never sent.
-func (n *Names) Text(num Number) string {
+func (n *ReceivedNames) Text(num Number) string {
 	if int(num) >= len(n.texts) {
 		return ""
 	}
