--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -14,7 +14,7 @@
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b Name) int {
 		return cmp.Or(
-			cmp.Compare(weight(key, b), weight(key, a)),
+			cmp.Compare(rendezvousWeight(key, b), rendezvousWeight(key, a)),
 			cmp.Compare(a, b),
 		)
 	})
@@ -24,10 +24,10 @@
 // InRendezvous tells whether a name is among the n that rank highest for key, without
 // ranking the others.
 func InRendezvous(key string, names []Name, name Name, n int) bool {
-	own := weight(key, name)
+	own := rendezvousWeight(key, name)
 	higher := 0
 	for _, other := range names {
-		w := weight(key, other)
+		w := rendezvousWeight(key, other)
 		if w > own || (w == own && other < name) {
 			higher++
 		}
@@ -35,8 +35,8 @@
 	return higher < n
 }
 
-// weight is the rank of one name for one key.
-func weight(key string, n Name) uint64 {
+// rendezvousWeight is the rank of one name for one key.
+func rendezvousWeight(key string, n Name) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -32,17 +32,17 @@
 
 func TestParseRoundTrip(t *testing.T) {
 	id := ClaimID{Agent: "engine-1", Incarnation: 7, Seq: 12}
-	back, ok := ParseClaimID(id.String())
+	parsed, ok := ParseClaimID(id.String())
 	require.True(t, ok)
-	require.Equal(t, id, back)
+	require.Equal(t, id, parsed)
 	for _, bad := range []string{"", "a/b/c", "/1/2", "a/1", "a/1/2/3", "a/-1/2"} {
 		_, ok := ParseClaimID(bad)
 		require.False(t, ok, bad)
 	}
 	for c := range Class(Classes) {
-		back, ok := ParseClass(c.String())
+		parsed, ok := ParseClass(c.String())
 		require.True(t, ok)
-		require.Equal(t, c, back)
+		require.Equal(t, c, parsed)
 	}
 	_, ok = ParseClass("soon")
 	require.False(t, ok)
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var samples = []Message{
+var sampleMessages = []Message{
 	Hello{Name: "r", Role: RoleRouter, Hall: "a", Incarnation: 7},
 	Heartbeat{Generation: 3, Leaving: true, Hub: true},
 	Alive{},
@@ -30,13 +30,13 @@
 func TestFrameRoundTrip(t *testing.T) {
 	var all bytes.Buffer
 	sizes := 0
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		f, err := Encode(m)
 		require.NoError(t, err)
 		all.Write(f)
 		sizes += len(f)
 	}
-	for _, want := range samples {
+	for _, want := range sampleMessages {
 		got, n, err := Read(&all)
 		require.NoError(t, err)
 		require.Equal(t, want, got)
@@ -57,23 +57,23 @@
 }
 
 func TestNamesAreSentOnce(t *testing.T) {
-	var out SentNames
-	var in ReceivedNames
-	a, b := out.Number("ajax"), out.Number("basel")
-	require.Equal(t, a, out.Number("ajax"))
-	news := out.TakeUnsent()
-	require.Len(t, news, 2)
-	require.Empty(t, out.TakeUnsent())
-	for _, n := range news {
-		in.Add(n)
+	var sent SentNames
+	var received ReceivedNames
+	a, b := sent.Number("ajax"), sent.Number("basel")
+	require.Equal(t, a, sent.Number("ajax"))
+	unsent := sent.TakeUnsent()
+	require.Len(t, unsent, 2)
+	require.Empty(t, sent.TakeUnsent())
+	for _, n := range unsent {
+		received.Add(n)
 	}
-	require.Equal(t, "basel", in.Text(b))
-	require.Empty(t, in.Text(99))
+	require.Equal(t, "basel", received.Text(b))
+	require.Empty(t, received.Text(99))
 }
 
 // FuzzRead holds that no bytes from a peer do more than fail.
 func FuzzRead(f *testing.F) {
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		frame, err := Encode(m)
 		require.NoError(f, err)
 		f.Add(frame)
--- a/wire/names.go
+++ b/wire/names.go
@@ -18,7 +18,7 @@
 // ready for use.
 type SentNames struct {
 	numbers map[string]Number
-	news    []Name
+	unsent    []Name
 }
 
 // Number returns a name's number.
@@ -31,16 +31,16 @@
 	}
 	num := Number(len(n.numbers))
 	n.numbers[text] = num
-	n.news = append(n.news, Name{Number: num, Text: text})
+	n.unsent = append(n.unsent, Name{Number: num, Text: text})
 	return num
 }
 
 // TakeUnsent returns the names that were numbered since the last call; they must be
 // sent before the message that uses them.
 func (n *SentNames) TakeUnsent() []Name {
-	news := n.news
-	n.news = nil
-	return news
+	unsent := n.unsent
+	n.unsent = nil
+	return unsent
 }
 
 // maxNames bounds what one link may name.
