--- a/wire/names.go
+++ b/wire/names.go
@@ -18,7 +18,7 @@
 // ready for use.
 type SentNames struct {
 	numbers map[string]Number
-	unsent    []Name
+	unsent  []Name
 }
 
 // Number returns a name's number.
