--- a/fleet/claim.go
+++ b/fleet/claim.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// ClaimID names one claim of one agent for all time: a restarted agent has a
-// new incarnation, so it can never mistake an old claim for its own.
+// ClaimID identifies a claim of an agent and is never reused. A restarted agent
+// has a new incarnation, so it cannot mistake an old claim for its own.
 type ClaimID struct {
 	Agent       Name
 	Incarnation Incarnation
 	Seq         uint64
 }
 
-// String spells the claim as it travels in a header: agent/incarnation/seq.
+// String returns the claim as it is sent in a header: agent/incarnation/seq.
 func (c ClaimID) String() string {
 	return fmt.Sprintf("%s/%d/%d", c.Agent, c.Incarnation, c.Seq)
 }
 
-// ParseClaimID reads what ClaimID.String wrote.
+// ParseClaimID parses the result of ClaimID.String. It returns false for any
+// other text.
 func ParseClaimID(s string) (ClaimID, bool) {
 	parts := strings.Split(s, "/")
 	if len(parts) != 3 || parts[0] == "" {
--- a/fleet/class.go
+++ b/fleet/class.go
@@ -16,7 +16,7 @@
 
 var classNames = [Classes]string{"urgent", "ordinary", "batch"}
 
-// String returns the class as bundles and headers spell it.
+// String returns the name of the class in bundles and headers.
 func (c Class) String() string {
 	if int(c) < len(classNames) {
 		return classNames[c]
@@ -24,7 +24,8 @@
 	return fmt.Sprintf("class(%d)", uint8(c))
 }
 
-// ParseClass reads a class as bundles and headers spell it.
+// ParseClass parses the name of a class in bundles and headers. For an unknown
+// name it returns Ordinary and false.
 func ParseClass(s string) (Class, bool) {
 	for i, n := range classNames {
 		if n == s {
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,7 +1,7 @@
-// Package fleet holds the plain names and numbers that every other package
-// shares: teams, works, classes, halls, processes and claims. It imports
-// nothing of the project and does no I/O, so a decision package, a wire
-// message and a test can all speak of the same things:
+// Package fleet defines the basic types that the other packages share: teams,
+// kinds of work, classes, halls, processes and claims. It imports no other
+// package of the project and does no I/O, so that decision packages, wire
+// messages and tests can all use the same types:
 //
 //	id := fleet.ClaimID{Agent: "engine-1", Incarnation: 7, Seq: 12}
 //	fmt.Println(id) // engine-1/7/12
--- a/fleet/queuecount.go
+++ b/fleet/queuecount.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// QueueCount is what one line of waiting requests at one router comes to.
+// QueueCount holds the number of requests that wait in one queue of one router,
+// and the age of the oldest of them.
 type QueueCount struct {
 	Key       DemandKey
 	Waiting   int
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -8,8 +8,8 @@
 )
 
 // Rendezvous returns the n names that rank highest for key by rendezvous
-// hashing. Each process computes the same answer from the same list, and one
-// name more or less moves only the duties of that name.
+// hashing. Every process computes the same result from the same list, and adding
+// or removing a name moves only the duties of that name.
 func Rendezvous(key string, names []Name, n int) []Name {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b Name) int {
@@ -21,8 +21,8 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// InRendezvous tells whether a name is among the n that rank highest for key, without
-// ranking the others.
+// InRendezvous reports whether a name is among the n that rank highest for key.
+// It is cheaper than Rendezvous because it does not sort the names.
 func InRendezvous(key string, names []Name, name Name, n int) bool {
 	own := rendezvousWeight(key, name)
 	higher := 0
@@ -35,7 +35,7 @@
 	return higher < n
 }
 
-// rendezvousWeight is the rank of one name for one key.
+// rendezvousWeight returns the hash by which a name ranks for a key.
 func rendezvousWeight(key string, n Name) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestRendezvous checks that InRendezvous agrees with Rendezvous, and that removing
+// a name changes only the results that contain it.
 func TestRendezvous(t *testing.T) {
 	var names []Name
 	for i := range 20 {
@@ -23,13 +25,15 @@
 		}
 		if !slices.Equal(top, Rendezvous(key, names[1:], 3)) {
 			moved++
-			require.Contains(t, top, names[0], "only the duties of the one that went move")
+			require.Contains(t, top, names[0], "only duties of the removed name may move")
 		}
 	}
 	require.Positive(t, moved)
 	require.Len(t, Rendezvous("k", names[:2], 3), 2)
 }
 
+// TestParseRoundTrip checks that parsing restores claim IDs and classes from their
+// text, and rejects other text.
 func TestParseRoundTrip(t *testing.T) {
 	id := ClaimID{Agent: "engine-1", Incarnation: 7, Seq: 12}
 	parsed, ok := ParseClaimID(id.String())
--- a/fleet/service.go
+++ b/fleet/service.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// ServiceRow is one team's service in slot time, and its lift in slot time per
-// unit of share. Both only grow, so rows merge by maximum.
+// ServiceRow holds one team's service, in slot time, and its lift, in slot time
+// per unit of share. The lift is added to a team's virtual service so that idle
+// time earns no credit. Neither value decreases, so rows merge by maximum.
 type ServiceRow struct {
 	Team    Team
 	Service time.Duration
--- a/wire/frame.go
+++ b/wire/frame.go
@@ -9,20 +9,22 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame is the largest frame, in bytes, that Read accepts. The platform
-// holds no value above a megabyte, so no bundle comes near it.
+// MaxFrame is the size in bytes of the largest frame that Read accepts. The
+// platform stores no value above a megabyte, so every bundle is well below it.
 const MaxFrame = 4 << 20
 
-// Errors that Read and Write return.
+// Errors that Encode and Read return.
 var (
-	// ErrFrameTooLarge means that the other side sent, or was to be sent, more
-	// than MaxFrame bytes. Close the link: the stream can't be trusted.
-	ErrFrameTooLarge = errors.New("control frame above the limit; close the link and check that both sides run croftvale")
-	// ErrUnknownType means a message of a newer or foreign program.
+	// ErrFrameTooLarge means that a frame is larger than MaxFrame bytes, or that a
+	// received frame is empty. The link must be closed, because the rest of the
+	// stream cannot be decoded.
+	ErrFrameTooLarge = errors.New("control frame is empty or above the limit; close the link and check that both sides run croftvale")
+	// ErrUnknownType means that the message comes from a newer release or from
+	// another program.
 	ErrUnknownType = errors.New("control message of unknown type; upgrade this process or check the address")
 )
 
-// Encode returns the whole frame of a message.
+// Encode returns the frame of a message, including its length.
 func Encode(m Message) ([]byte, error) {
 	var body bytes.Buffer
 	if m.Type() == TypeAlive {
@@ -42,13 +44,13 @@
 	return append(frame, body.Bytes()...), nil
 }
 
-// Reader is what Read reads from, such as a bufio.Reader.
+// Reader is the input of Read, such as a bufio.Reader.
 type Reader interface {
 	io.Reader
 	io.ByteReader
 }
 
-// Read reads one message and returns it with the bytes that its frame took.
+// Read reads one message and returns it with the size of its frame in bytes.
 func Read(r Reader) (Message, int, error) {
 	n, err := binary.ReadUvarint(r)
 	if err != nil {
@@ -69,7 +71,7 @@
 	return len(binary.AppendUvarint(nil, n))
 }
 
-// decode turns the body of a frame into its message.
+// decode decodes the body of a frame into a message of the given type.
 func decode(t Type, body []byte) (Message, error) {
 	switch t {
 	case TypeHello:
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// sampleMessages holds a message of each type that is sent.
 var sampleMessages = []Message{
 	Hello{Name: "r", Role: RoleRouter, Hall: "a", Incarnation: 7},
 	Heartbeat{Generation: 3, Leaving: true, Hub: true},
@@ -27,6 +28,8 @@
 	KeyRelease{Request: 7, Work: 1, Digest: make([]byte, 16)},
 }
 
+// TestFrameRoundTrip checks that Read decodes what Encode wrote, and returns the
+// sizes of the frames.
 func TestFrameRoundTrip(t *testing.T) {
 	var all bytes.Buffer
 	sizes := 0
@@ -45,6 +48,8 @@
 	require.Zero(t, sizes)
 }
 
+// TestReadRejectsInvalidFrames checks that frames that are too large, empty or of
+// an unknown type are rejected, and that Encode makes none that is too large.
 func TestReadRejectsInvalidFrames(t *testing.T) {
 	_, _, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 0x7f, 1}))
 	require.ErrorIs(t, err, ErrFrameTooLarge)
@@ -56,6 +61,8 @@
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
+// TestNamesAreSentOnce checks that a name is numbered and sent once, and that the
+// receiver resolves its number.
 func TestNamesAreSentOnce(t *testing.T) {
 	var sent SentNames
 	var received ReceivedNames
@@ -71,7 +78,8 @@
 	require.Empty(t, received.Text(99))
 }
 
-// FuzzRead holds that no bytes from a peer do more than fail.
+// FuzzRead checks that any input from a peer yields either an error or messages
+// that can be encoded again.
 func FuzzRead(f *testing.F) {
 	for _, m := range sampleMessages {
 		frame, err := Encode(m)
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -1,20 +1,20 @@
 package wire
 
-// KeyReserve asks an owner to note the idempotency key of a request.
+// KeyReserve asks an owner to reserve the idempotency key of a request.
 type KeyReserve struct {
 	Request uint64
 	Work    Number
 	Digest  []byte // 16 bytes
-	Made    int64  // Unix milliseconds by the caller's clock, 0 where unknown
+	Made    int64  // Unix time in milliseconds by the caller's clock, 0 if unknown
 }
 
-// KeyVerdict is an owner's answer.
+// KeyVerdict is an owner's reply to KeyReserve.
 type KeyVerdict struct {
 	Request uint64
 	Verdict uint8
 }
 
-// KeyRelease tells an owner that the request did not run.
+// KeyRelease informs an owner that the request did not run.
 type KeyRelease struct {
 	Request uint64
 	Work    Number
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -2,7 +2,7 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// Role says what a process does for the fleet.
+// Role is the kind of a process in the fleet.
 type Role string
 
 // The roles.
@@ -19,20 +19,21 @@
 	Incarnation fleet.Incarnation
 }
 
-// Heartbeat says that the sender lives; it goes at intervals and at once when
-// one of its fields changes.
+// Heartbeat reports that the sender is alive. It is sent at intervals, and
+// immediately when one of its fields changes.
 type Heartbeat struct {
 	Generation fleet.Generation
 	Leaving    bool
 	Serving    bool
 	Hub        bool
-	Every      uint32 // milliseconds between two signs of life from the sender
+	Every      uint32 // longest interval between messages of the sender, in milliseconds
 }
 
-// Alive says that the sender lives and that its last Heartbeat still holds.
+// Alive reports that the sender is alive and that its last Heartbeat is still
+// valid.
 type Alive struct{}
 
-// DemandRow is the count of one line of waiting requests.
+// DemandRow holds the count of one queue of waiting requests.
 type DemandRow struct {
 	Work      Number
 	Team      Number
@@ -41,21 +42,21 @@
 	OldestAge uint32 // milliseconds
 }
 
-// Demand tells an agent how many requests wait at a router. Rows that are not
-// named keep their last count.
+// Demand reports to an agent how many requests wait at a router. Queues that are
+// not listed keep their last count.
 type Demand struct {
 	Rows []DemandRow
 }
 
-// Free tells a router that an agent has slots and knows of no work, and gives
-// it open claims numbered from First.
+// Free reports to a router that an agent has free slots and no known demand.
+// It grants the router one open claim per slot, numbered from First.
 type Free struct {
 	Slots uint32
 	First uint64
 }
 
-// Claim asks a router for one request of a line. The request itself, sent by
-// HTTP with the claim's id, is the grant; Deny is the other answer.
+// Claim asks a router for one request of a queue. The router grants it by sending
+// the request over HTTP with the claim's ID, or replies with Deny.
 type Claim struct {
 	Seq   uint64
 	Work  Number
@@ -63,40 +64,41 @@
 	Class fleet.Class
 }
 
-// Deny answers a claim for a line that is empty. It carries the true count.
+// Deny rejects a claim for a queue that is empty. It holds the queue's current
+// count.
 type Deny struct {
 	Seq uint64
 	Row DemandRow
 }
 
-// ServiceRow is one team's service in milliseconds of slot time, and its lift
-// in milliseconds of slot time per unit of share. Both only ever grow, so rows
-// merge by maximum and may be lost, repeated or reordered.
+// ServiceRow holds one team's service, in milliseconds of slot time, and its
+// lift, in milliseconds of slot time per unit of share. Neither value decreases,
+// so rows merge by maximum and may be lost, repeated or reordered.
 type ServiceRow struct {
 	Team    Number
 	Service int64
 	Lift    int64
 }
 
-// Service carries an agent's own counters, for its present incarnation, to a
-// hub. Rows that are not named keep their last value.
+// Service sends an agent's own counters, for its current incarnation, to a hub.
+// Teams that are not listed keep their last values.
 type Service struct {
 	Rows []ServiceRow
 }
 
-// Totals carries the service of the whole fleet less the receiver's own.
+// Totals holds the service of the whole fleet without the receiver's own.
 type Totals struct {
 	Rows []ServiceRow
 }
 
-// HallTotals carries the service of one hall between hubs.
+// HallTotals sends the service of one hall from hub to hub.
 type HallTotals struct {
 	Hall fleet.Hall
 	Rows []ServiceRow
 }
 
-// AgentRows passes the service of one life of one agent from hub to hub, so
-// that a hub that has just started counts lives that have ended.
+// AgentRows sends the service of one incarnation of an agent from hub to hub, so
+// that a hub that has just started also counts incarnations that have ended.
 type AgentRows struct {
 	Hall        fleet.Hall
 	Agent       fleet.Name
@@ -104,14 +106,14 @@
 	Rows        []ServiceRow
 }
 
-// BundlePull asks for the bundle that the other side has in force. Have is
-// the generation that the sender has, so that a patch may do.
+// BundlePull asks for the bundle that the other side uses. Have is the sender's
+// generation, so that the reply can be a patch.
 type BundlePull struct {
 	Have fleet.Generation
 }
 
-// BundleData carries a signed order and the bundle it puts in force: whole,
-// or as a patch on the generation Base where Base is not zero.
+// BundleData holds a signed order and the bundle that the order activates. The
+// bundle is complete if Base is 0, otherwise it is a patch on generation Base.
 type BundleData struct {
 	Order   []byte
 	Base    fleet.Generation
--- a/wire/type.go
+++ b/wire/type.go
@@ -1,6 +1,7 @@
 package wire
 
-// Type tells the messages of a frame apart. Numbers are never used again.
+// Type identifies the kind of message in a frame. The numbers of removed types
+// are not reused.
 type Type uint8
 
 // The message types.
@@ -22,8 +23,8 @@
 	TypeKeyVerdict Type = 17
 	TypeKeyRelease Type = 18
 	TypeAlive      Type = 19
-	// TypeGrant is never sent: it counts the header of a granted request that
-	// control needs.
+	// TypeGrant is never sent. Metrics use it to count the bytes of the header that
+	// reports a queue's remaining count with a granted request.
 	TypeGrant Type = 15
 )
 
@@ -37,7 +38,7 @@
 	TypeAlive: "alive",
 }
 
-// String names the type as metrics and dumps spell it.
+// String returns the name of the type in metrics and dumps.
 func (t Type) String() string {
 	if n, ok := typeNames[t]; ok {
 		return n
@@ -47,6 +48,7 @@
 
 // Message is any control message.
 type Message interface {
-	// Type returns the byte that announces the message in its frame.
+	// Type returns the type of the message, which is the first byte after the
+	// frame's length.
 	Type() Type
 }
