--- a/wire/messages.go
+++ b/wire/messages.go
@@ -25,7 +25,7 @@
 	Generation fleet.Generation
 	Leaving    bool
 	Serving    bool
-	Hub        bool
+	Hub        bool   // the sender is a hub for the receiver
 	Every      uint32 // longest interval between messages of the sender, in milliseconds
 }
 
@@ -80,8 +80,9 @@
 	Lift    int64
 }
 
-// Service sends an agent's own counters, for its current incarnation, to a hub.
-// Teams that are not listed keep their last values.
+// Service sends an agent's own counters, for its current incarnation, to a hub,
+// which is a router that shares service counters with others. Teams that are not
+// listed keep their last values.
 type Service struct {
 	Rows []ServiceRow
 }
