--- a/agent/core_test.go
+++ b/agent/core_test.go
@@ -21,7 +21,7 @@
 	}
 	key := fleet.DemandKey{Work: "report", Team: "ajax"}
 	c.scheduler.Update(sched.RouterUpMsg{Router: "r"})
-	c.scheduler.Update(sched.DemandMsg{Router: "r", Counts: []fleet.Count{{Key: key, Waiting: 1}}})
+	c.scheduler.Update(sched.DemandMsg{Router: "r", Counts: []fleet.QueueCount{{Key: key, Waiting: 1}}})
 	claim := c.scheduler.Update(sched.HealthMsg{Serving: true})[0].(sched.ClaimCmd)
 	return c, claim.Seq
 }
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -8,26 +8,26 @@
 )
 
 // Rendezvous returns the n names that rank highest for key by rendezvous
-// hashing. Each process computes the same answer from the same list, and one
-// name more or less moves only the duties of that name.
+// hashing. Every process computes the same result from the same list, and adding
+// or removing a name moves only the duties of that name.
 func Rendezvous(key string, names []Name, n int) []Name {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b Name) int {
 		return cmp.Or(
-			cmp.Compare(weight(key, b), weight(key, a)),
+			cmp.Compare(rendezvousWeight(key, b), rendezvousWeight(key, a)),
 			cmp.Compare(a, b),
 		)
 	})
 	return ranked[:min(n, len(ranked))]
 }
 
-// Ranks tells whether a name is among the n that rank highest for key, without
-// ranking the others.
-func Ranks(key string, names []Name, name Name, n int) bool {
-	own := weight(key, name)
+// InRendezvous reports whether a name is among the n that rank highest for key.
+// It is cheaper than Rendezvous because it does not sort the names.
+func InRendezvous(key string, names []Name, name Name, n int) bool {
+	own := rendezvousWeight(key, name)
 	higher := 0
 	for _, other := range names {
-		w := weight(key, other)
+		w := rendezvousWeight(key, other)
 		if w > own || (w == own && other < name) {
 			higher++
 		}
@@ -35,8 +35,8 @@
 	return higher < n
 }
 
-// weight is the rank of one name for one key.
-func weight(key string, n Name) uint64 {
+// rendezvousWeight returns the hash by which a name ranks for a key.
+func rendezvousWeight(key string, n Name) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(key)
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestRendezvous checks that InRendezvous agrees with Rendezvous, and that removing
+// a name changes only the results that contain it.
 func TestRendezvous(t *testing.T) {
 	var names []Name
 	for i := range 20 {
@@ -19,30 +21,32 @@
 		top := Rendezvous(key, names, 3)
 		require.Len(t, top, 3)
 		for _, n := range names {
-			require.Equal(t, slices.Contains(top, n), Ranks(key, names, n, 3))
+			require.Equal(t, slices.Contains(top, n), InRendezvous(key, names, n, 3))
 		}
 		if !slices.Equal(top, Rendezvous(key, names[1:], 3)) {
 			moved++
-			require.Contains(t, top, names[0], "only the duties of the one that went move")
+			require.Contains(t, top, names[0], "only duties of the removed name may move")
 		}
 	}
 	require.Positive(t, moved)
 	require.Len(t, Rendezvous("k", names[:2], 3), 2)
 }
 
-func TestNamesComeBack(t *testing.T) {
+// TestParseRoundTrip checks that parsing restores claim IDs and classes from their
+// text, and rejects other text.
+func TestParseRoundTrip(t *testing.T) {
 	id := ClaimID{Agent: "engine-1", Incarnation: 7, Seq: 12}
-	back, ok := ParseClaimID(id.String())
+	parsed, ok := ParseClaimID(id.String())
 	require.True(t, ok)
-	require.Equal(t, id, back)
+	require.Equal(t, id, parsed)
 	for _, bad := range []string{"", "a/b/c", "/1/2", "a/1", "a/1/2/3", "a/-1/2"} {
 		_, ok := ParseClaimID(bad)
 		require.False(t, ok, bad)
 	}
 	for c := range Class(Classes) {
-		back, ok := ParseClass(c.String())
+		parsed, ok := ParseClass(c.String())
 		require.True(t, ok)
-		require.Equal(t, c, back)
+		require.Equal(t, c, parsed)
 	}
 	_, ok = ParseClass("soon")
 	require.False(t, ok)
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -139,7 +139,7 @@
 	if linked, cached := c.linkCache[server]; cached {
 		return linked
 	}
-	linked := fleet.Ranks("links/"+string(server), c.assignment.routers, c.settings.Name, c.policy.LinksPerServer)
+	linked := fleet.InRendezvous("links/"+string(server), c.assignment.routers, c.settings.Name, c.policy.LinksPerServer)
 	c.linkCache[server] = linked
 	return linked
 }
--- a/router/requests.go
+++ b/router/requests.go
@@ -76,7 +76,7 @@
 
 // formatRemaining encodes the number of requests that remain in a queue, and the
 // oldest one's age in milliseconds, for the header of a granted request.
-func formatRemaining(remaining fleet.Count) string {
+func formatRemaining(remaining fleet.QueueCount) string {
 	return fmt.Sprintf("%d/%d", remaining.Waiting, remaining.OldestAge/time.Millisecond)
 }
 
--- a/sched/demand.go
+++ b/sched/demand.go
@@ -23,7 +23,7 @@
 
 // setCount records the count of one queue at a router. Counts of works that the
 // server does not run are ignored.
-func (m *Machine) setCount(now time.Duration, router fleet.Name, c fleet.Count) {
+func (m *Machine) setCount(now time.Duration, router fleet.Name, c fleet.QueueCount) {
 	if !m.cfg.canRun(c.Key.Work) {
 		return
 	}
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-var samples = []Message{
+// sampleMessages holds a message of each type that is sent.
+var sampleMessages = []Message{
 	Hello{Name: "r", Role: RoleRouter, Hall: "a", Incarnation: 7},
 	Heartbeat{Generation: 3, Leaving: true, Hub: true},
 	Alive{},
@@ -27,16 +28,18 @@
 	KeyRelease{Request: 7, Work: 1, Digest: make([]byte, 16)},
 }
 
-func TestFramesComeBack(t *testing.T) {
+// TestFrameRoundTrip checks that Read decodes what Encode wrote, and returns the
+// sizes of the frames.
+func TestFrameRoundTrip(t *testing.T) {
 	var all bytes.Buffer
 	sizes := 0
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		f, err := Encode(m)
 		require.NoError(t, err)
 		all.Write(f)
 		sizes += len(f)
 	}
-	for _, want := range samples {
+	for _, want := range sampleMessages {
 		got, n, err := Read(&all)
 		require.NoError(t, err)
 		require.Equal(t, want, got)
@@ -45,7 +48,9 @@
 	require.Zero(t, sizes)
 }
 
-func TestReadRefuses(t *testing.T) {
+// TestReadRejectsInvalidFrames checks that frames that are too large, empty or of
+// an unknown type are rejected, and that Encode makes none that is too large.
+func TestReadRejectsInvalidFrames(t *testing.T) {
 	_, _, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 0x7f, 1}))
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 	_, _, err = Read(bytes.NewReader([]byte{2, 200, 0}))
@@ -56,24 +61,27 @@
 	require.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
+// TestNamesAreSentOnce checks that a name is numbered and sent once, and that the
+// receiver resolves its number.
 func TestNamesAreSentOnce(t *testing.T) {
-	var out Namer
-	var in Names
-	a, b := out.Number("ajax"), out.Number("basel")
-	require.Equal(t, a, out.Number("ajax"))
-	news := out.News()
-	require.Len(t, news, 2)
-	require.Empty(t, out.News())
-	for _, n := range news {
-		in.Learn(n)
+	var sent SentNames
+	var received ReceivedNames
+	a, b := sent.Number("ajax"), sent.Number("basel")
+	require.Equal(t, a, sent.Number("ajax"))
+	unsent := sent.TakeUnsent()
+	require.Len(t, unsent, 2)
+	require.Empty(t, sent.TakeUnsent())
+	for _, n := range unsent {
+		received.Add(n)
 	}
-	require.Equal(t, "basel", in.Text(b))
-	require.Empty(t, in.Text(99))
+	require.Equal(t, "basel", received.Text(b))
+	require.Empty(t, received.Text(99))
 }
 
-// FuzzRead holds that no bytes from a peer do more than fail.
+// FuzzRead checks that any input from a peer yields either an error or messages
+// that can be encoded again.
 func FuzzRead(f *testing.F) {
-	for _, m := range samples {
+	for _, m := range sampleMessages {
 		frame, err := Encode(m)
 		require.NoError(f, err)
 		f.Add(frame)
