--- a/agent/agent.go
+++ b/agent/agent.go
@@ -171,7 +171,7 @@
 func (a *Agent) linkOptions() link.Options {
 	return link.Options{
 		Hello: a.core.hello, Events: a.core.links, Meter: a.core.meter,
-		Secure: a.secure, Accept: wire.RoleRouter, Refused: process.LinkEnded(a.log),
+		Secure: a.secure, AcceptRole: wire.RoleRouter, OnEnd: process.LinkEnded(a.log),
 	}
 }
 
--- a/agent/alive.go
+++ b/agent/alive.go
@@ -20,7 +20,7 @@
 		return
 	}
 	for _, r := range c.routers {
-		if r.conn.Quiet(c.pulse.Every()) {
+		if r.conn.HeartbeatDue(c.pulse.Every()) {
 			r.conn.Send(wire.Alive{})
 		}
 	}
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -43,7 +43,7 @@
 
 // forward passes a started request to the server and its answer back.
 func (s *server) forward(w http.ResponseWriter, r *http.Request, t *target) {
-	var sent relay.Sent
+	var sent relay.SendTracker
 	req := sent.Trace(outgoing(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
 	res, err := s.back.transport(repeatable).RoundTrip(req)
@@ -66,9 +66,9 @@
 }
 
 // failed answers for a run that brought no answer.
-func (s *server) failed(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+func (s *server) failed(w http.ResponseWriter, r *http.Request, sent *relay.SendTracker, err error) {
 	ran := "no"
-	if sent.MayHaveLeft() {
+	if sent.MayHaveSent() {
 		ran = "unknown"
 	}
 	if r.Context().Err() == nil {
@@ -89,7 +89,7 @@
 		Method:        r.Method,
 		URL:           &u,
 		Header:        http.Header{},
-		Body:          relay.NewOnceBody(nil, r.Body),
+		Body:          relay.NewSingleUseBody(nil, r.Body),
 		ContentLength: r.ContentLength,
 		Host:          u.Host,
 	}
--- a/agent/core.go
+++ b/agent/core.go
@@ -54,7 +54,7 @@
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(sched.TickInterval)
 	defer tick.Stop()
-	beat := time.NewTicker(link.HeartbeatEvery)
+	beat := time.NewTicker(link.MinHeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -88,7 +88,7 @@
 		c.send(cmd.Router, func(*link.Conn) wire.Message { return wire.Free{Slots: uint32(cmd.Slots), First: cmd.First} })
 	case sched.ServiceCmd:
 		c.send(cmd.Router, func(conn *link.Conn) wire.Message {
-			return wire.Service{Rows: conn.SpellService(cmd.Rows)}
+			return wire.Service{Rows: conn.EncodeService(cmd.Rows)}
 		})
 	case sched.StartCmd:
 		c.decide(cmd.Seq, verdictStart)
@@ -101,8 +101,8 @@
 func claimOf(conn *link.Conn, cmd sched.ClaimCmd) wire.Claim {
 	return wire.Claim{
 		Seq:   cmd.Seq,
-		Work:  conn.Out.Number(string(cmd.Key.Work)),
-		Team:  conn.Out.Number(string(cmd.Key.Team)),
+		Work:  conn.OutNames.Number(string(cmd.Key.Work)),
+		Team:  conn.OutNames.Number(string(cmd.Key.Team)),
 		Class: cmd.Key.Class,
 	}
 }
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -43,7 +43,7 @@
 }
 
 func keyOf(conn *link.Conn, work wire.Number, digest []byte) (once.Key, bool) {
-	name := conn.In.Text(work)
+	name := conn.InNames.Text(work)
 	k := once.Key{Work: fleet.Work(name)}
 	if name == "" || copy(k.Digest[:], digest) != len(k.Digest) {
 		return once.Key{}, false
--- a/agent/links.go
+++ b/agent/links.go
@@ -56,13 +56,13 @@
 	case wire.Alive:
 		c.feed(sched.RouterAliveMsg{Now: c.now(), Router: name})
 	case wire.Name:
-		r.conn.In.Learn(m)
+		r.conn.InNames.Learn(m)
 	case wire.Demand:
-		c.feed(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.ReadCounts(m.Rows)})
+		c.feed(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.DecodeCounts(m.Rows)})
 	case wire.Deny:
-		c.feed(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.ReadCount(m.Row)})
+		c.feed(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.DecodeCount(m.Row)})
 	case wire.Totals:
-		c.feed(sched.TotalsMsg{Now: c.now(), Rows: r.conn.ReadService(m.Rows)})
+		c.feed(sched.TotalsMsg{Now: c.now(), Rows: r.conn.DecodeService(m.Rows)})
 	case wire.KeyReserve:
 		c.reserveKey(r, m)
 	case wire.KeyRelease:
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,8 +13,8 @@
 	"github.com/croftvale/croftvale/internal/socket"
 )
 
-// ErrForeign says that a connection brought answers to other requests only.
-var ErrForeign = errors.New("the connection brought an answer to another request")
+// ErrWrongResponse says that a connection brought answers to other requests only.
+var ErrWrongResponse = errors.New("the connection brought an answer to another request")
 
 // strayAnswers is how many answers to earlier requests are passed over.
 const strayAnswers = 2
@@ -67,9 +67,9 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// Answer reads the answer that mine accepts. Answers to earlier requests, which
+// ReadResponse reads the answer that mine accepts. Answers to earlier requests, which
 // a server may send late, are passed over.
-func (c *Conn) Answer(method string, mine func(*http.Response) bool) (*http.Response, error) {
+func (c *Conn) ReadResponse(method string, mine func(*http.Response) bool) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for range strayAnswers + 1 {
 		answer, err := http.ReadResponse(c.reader, request)
@@ -90,7 +90,7 @@
 			break
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrWrongResponse
 }
 
 // Release keeps the connection for the next request after a whole answer. It
@@ -129,5 +129,5 @@
 // quiet tells whether an idle connection is open and has nothing to read: bytes
 // that come without a request belong to no request.
 func (c *Conn) quiet() bool {
-	return c.reader.Buffered() == 0 && socket.Look(c.Conn) == socket.Nothing
+	return c.reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -25,9 +25,9 @@
 // ErrUnsent marks an attempt of which no byte has left.
 var ErrUnsent = errors.New("nothing was sent to the backend server")
 
-// ErrOverdue marks an attempt to connect that was given up long after its time: this process did not
+// ErrRouterLate marks an attempt to connect that was given up long after its time: this process did not
 // get to run, so that it says nothing of the backend server.
-var ErrOverdue = errors.New("this process ran too late to connect")
+var ErrRouterLate = errors.New("this process ran too late to connect")
 
 // overdue is how long after its time an attempt to connect is given up at the most where the
 // process gets to run.
@@ -35,9 +35,9 @@
 
 // Options bound what connections may take.
 type Options struct {
-	DialTimeout time.Duration // for a new connection
-	SilentPeer  time.Duration // after which a peer that acknowledges nothing is lost
-	MaxIdle     int           // kept connections of one address
+	DialTimeout       time.Duration // for a new connection
+	AckTimeout        time.Duration // after which a peer that acknowledges nothing is lost
+	MaxIdlePerAddress int           // kept connections of one address
 }
 
 // Pool keeps idle connections by address.
@@ -56,14 +56,14 @@
 		KeepAlive: -1,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     o.SilentPeer,
-			Interval: o.SilentPeer / 2,
+			Idle:     o.AckTimeout,
+			Interval: o.AckTimeout / 2,
 			Count:    2,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
 				// Where it fails, keep-alive probes find a silent peer later.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.SilentPeer.Milliseconds()))
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.AckTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		err = errors.Mark(err, ErrUnsent)
 		if time.Since(began) > p.options.DialTimeout+overdue {
-			err = errors.Mark(err, ErrOverdue)
+			err = errors.Mark(err, ErrRouterLate)
 		}
 		return nil, err
 	}
@@ -114,7 +114,7 @@
 func (p *Pool) put(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= p.options.MaxIdle {
+	if len(p.idle[c.address]) >= p.options.MaxIdlePerAddress {
 		c.Close()
 		return
 	}
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -23,10 +23,10 @@
 	}
 	_, err = stuck.Dial(t.Context(), address)
 	require.True(t, errors.Is(err, ErrUnsent))
-	require.True(t, errors.Is(err, ErrOverdue))
+	require.True(t, errors.Is(err, ErrRouterLate))
 
 	require.NoError(t, listener.Close())
 	_, err = NewPool(Options{DialTimeout: time.Minute}).Dial(t.Context(), address)
 	require.True(t, errors.Is(err, ErrUnsent))
-	require.False(t, errors.Is(err, ErrOverdue))
+	require.False(t, errors.Is(err, ErrRouterLate))
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -66,7 +66,7 @@
 	conn, err := a.x.front.pool.Get(a.x.ctx, a.cmd.Server.Address)
 	if err != nil {
 		a.connRefused = errors.Is(err, syscall.ECONNREFUSED)
-		a.dialOverdue = errors.Is(err, backend.ErrOverdue)
+		a.dialOverdue = errors.Is(err, backend.ErrRouterLate)
 		return a.endWithoutResponse(direct.Unsent)
 	}
 	if a.x.front.core.shouldWithhold(a.x.id) {
@@ -115,7 +115,7 @@
 	if bounded {
 		_ = a.conn.SetReadDeadline(time.Now().Add(timeout))
 	}
-	resp, err := a.conn.Answer(a.x.r.Method, func(h *http.Response) bool {
+	resp, err := a.conn.ReadResponse(a.x.r.Method, func(h *http.Response) bool {
 		info := a.x.front.dialect.ParseResponse(h.StatusCode, h.Header)
 		a.applyNotice(info)
 		return info.RequestID == a.x.info.ID
--- a/gateway/callers.go
+++ b/gateway/callers.go
@@ -152,7 +152,7 @@
 // request must have been read to its end.
 func (c *callerConns) closedByCaller(ctx context.Context) bool {
 	caller := callerConnOf(ctx)
-	return caller != nil && socket.Look(caller.Conn) == socket.Ended
+	return caller != nil && socket.Peek(caller.Conn) == socket.Closed
 }
 
 // shouldClose reports whether responses should close their connections. A late router keeps
@@ -192,7 +192,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for caller := range c.open {
-		if !caller.active && socket.Look(caller.Conn) == socket.Bytes {
+		if !caller.active && socket.Peek(caller.Conn) == socket.Readable {
 			return true
 		}
 	}
@@ -217,7 +217,7 @@
 	var idle []*callerConn
 	for caller := range c.open {
 		expired := !caller.closed && !caller.idleSince.IsZero() && time.Since(caller.idleSince) > idleTimeout && !caller.HasPending()
-		if expired && socket.Look(caller.Conn) != socket.Bytes {
+		if expired && socket.Peek(caller.Conn) != socket.Readable {
 			caller.closed = true
 			idle = append(idle, caller)
 		}
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -45,13 +45,13 @@
 	defer idleClient.Close()
 	_, err = unreadClient.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return socket.Look(unread.Conn) == socket.Bytes }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return socket.Peek(unread.Conn) == socket.Readable }, 10*time.Second, time.Millisecond)
 
 	require.True(t, c.hasUnreadRequests())
 	c.closeIdle(time.Nanosecond)
 
 	require.False(t, unread.closed)
-	require.Equal(t, socket.Bytes, socket.Look(unread.Conn))
+	require.Equal(t, socket.Readable, socket.Peek(unread.Conn))
 	require.True(t, idle.closed)
 	require.Len(t, c.slots, 1, "a closed connection frees its slot")
 }
@@ -165,8 +165,8 @@
 		held[i].bodyReadAt.Store(int64(c.queues.Now() - ago))
 	}
 	require.False(t, c.full())
-	require.Equal(t, socket.Ended, socket.Look(held[1].Conn), "it has stalled longest")
-	require.Equal(t, socket.Nothing, socket.Look(held[0].Conn))
+	require.Equal(t, socket.Closed, socket.Peek(held[1].Conn), "it has stalled longest")
+	require.Equal(t, socket.Idle, socket.Peek(held[0].Conn))
 	require.False(t, c.full(), "a slot is free")
 	require.Len(t, c.slots, 2)
 }
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -50,7 +50,7 @@
 // checkSuspension detects whether the host was suspended, adds that time to Now, and logs
 // it.
 func (c *core) checkSuspension() {
-	if suspended := c.clock.Look(); suspended > 0 {
+	if suspended := c.clock.CheckSuspension(); suspended > 0 {
 		c.log.Event("host_suspended").Dur("for", suspended).Msg("")
 	}
 }
--- a/gateway/prober.go
+++ b/gateway/prober.go
@@ -24,7 +24,7 @@
 		}
 		p.core.Update(direct.ProbeResultMsg{
 			Now: p.core.Now(), Server: cmd.Server.ID, Reached: err == nil, ConnRefused: errors.Is(err, syscall.ECONNREFUSED),
-			RouterLate: errors.Is(err, backend.ErrOverdue) || p.core.pressure.Slow(),
+			RouterLate: errors.Is(err, backend.ErrRouterLate) || p.core.pressure.Slow(),
 		})
 	}()
 }
--- a/internal/hostclock/clock.go
+++ b/internal/hostclock/clock.go
@@ -48,10 +48,10 @@
 // Now returns the time since the clock was made, with the suspensions that Look has found.
 func (c *Clock) Now() time.Duration { return time.Since(c.start) + time.Duration(c.suspended.Load()) }
 
-// Look finds out whether the host was suspended since the last call, and for how long. It
+// CheckSuspension finds out whether the host was suspended since the last call, and for how long. It
 // costs a system call, so it is for every few milliseconds, and for before something is done
 // that the past may have overtaken. Where the host has no such clock there is never any.
-func (c *Clock) Look() time.Duration {
+func (c *Clock) CheckSuspension() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.blind {
--- a/internal/hostclock/clock_test.go
+++ b/internal/hostclock/clock_test.go
@@ -18,19 +18,19 @@
 		c := newClock(func() (time.Duration, error) { return time.Hour + time.Since(began) + away + skew, nil })
 		require.Zero(t, c.Now())
 		time.Sleep(time.Second)
-		require.Zero(t, c.Look())
+		require.Zero(t, c.CheckSuspension())
 		away = 3 * time.Second
 		require.Equal(t, time.Second, c.Now(), "nobody has looked")
-		require.Equal(t, 3*time.Second, c.Look())
-		require.Zero(t, c.Look())
+		require.Equal(t, 3*time.Second, c.CheckSuspension())
+		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, 4*time.Second, c.Now())
 		for range 100 {
 			time.Sleep(time.Second)
 			skew = leastSuspension/2 - skew
-			require.Zero(t, c.Look())
+			require.Zero(t, c.CheckSuspension())
 		}
 		away += time.Minute
-		require.InDelta(t, float64(time.Minute), float64(c.Look()), float64(leastSuspension))
+		require.InDelta(t, float64(time.Minute), float64(c.CheckSuspension()), float64(leastSuspension))
 		require.InDelta(t, float64(164*time.Second), float64(c.Now()), float64(leastSuspension))
 	})
 }
@@ -47,10 +47,10 @@
 		})
 		fails = true
 		time.Sleep(time.Second)
-		require.Zero(t, c.Look())
+		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, time.Second, c.Now())
 		fails = false
-		require.Zero(t, c.Look(), "what it told once has no start to compare with")
+		require.Zero(t, c.CheckSuspension(), "what it told once has no start to compare with")
 	})
 }
 
@@ -58,6 +58,6 @@
 func TestThisHost(t *testing.T) {
 	c := New()
 	before := c.Now()
-	require.Zero(t, c.Look())
+	require.Zero(t, c.CheckSuspension())
 	require.GreaterOrEqual(t, c.Now(), before)
 }
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -16,8 +16,8 @@
 // longest keeps sums of times within a time.Duration; no server lives so long.
 const longest = 1000 * time.Hour
 
-// ErrUnreadable means that a Retry-After is neither a number of seconds nor a date.
-var ErrUnreadable = errors.New("Retry-After is neither a number of seconds nor a date beside a Date")
+// ErrInvalid means that a Retry-After is neither a number of seconds nor a date.
+var ErrInvalid = errors.New("Retry-After is neither a number of seconds nor a date beside a Date")
 
 // Read returns for how long a server wants nothing more from who sent a request, by its
 // answer's status and headers; 0: it doesn't say. Fractions of seconds count. A date counts
@@ -32,11 +32,11 @@
 	}
 	until, err := http.ParseTime(value)
 	if err != nil {
-		return 0, errors.Wrapf(ErrUnreadable, "%q", value)
+		return 0, errors.Wrapf(ErrInvalid, "%q", value)
 	}
 	from, err := http.ParseTime(h.Get("Date"))
 	if err != nil {
-		return 0, errors.Wrapf(ErrUnreadable, "%q", value)
+		return 0, errors.Wrapf(ErrInvalid, "%q", value)
 	}
 	return max(until.Sub(from), 0), nil
 }
@@ -50,7 +50,7 @@
 
 func fromSeconds(value string, seconds float64) (time.Duration, error) {
 	if math.IsNaN(seconds) || seconds < 0 {
-		return 0, errors.Wrapf(ErrUnreadable, "%q", value)
+		return 0, errors.Wrapf(ErrInvalid, "%q", value)
 	}
 	return time.Duration(min(seconds, longest.Seconds()) * float64(time.Second)), nil
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -42,7 +42,7 @@
 		got, err := Read(c.status, h)
 		require.Equal(t, c.want, got, name)
 		if c.bad {
-			require.ErrorIs(t, err, ErrUnreadable, name)
+			require.ErrorIs(t, err, ErrInvalid, name)
 		} else {
 			require.NoError(t, err, name)
 		}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,40 +8,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unread is what a connection has to read.
-type Unread int
+// ReadState is what a connection has to read.
+type ReadState int
 
 // What a connection may have to read.
 const (
-	Nothing Unread = iota // it is open and quiet
-	Bytes                 // bytes have come
-	Ended                 // the peer has closed it, or it failed
+	Idle     ReadState = iota // it is open and quiet
+	Readable                  // bytes have come
+	Closed                    // the peer has closed it, or it failed
 )
 
-// Look tells what a connection has to read. A connection that is no socket
+// Peek tells what a connection has to read. A connection that is no socket
 // counts as quiet.
-func Look(conn net.Conn) Unread {
+func Peek(conn net.Conn) ReadState {
 	system, ok := conn.(syscall.Conn)
 	if !ok {
-		return Nothing
+		return Idle
 	}
 	raw, err := system.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	out := Ended
+	out := Closed
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN:
-			out = Nothing
+			out = Idle
 		case err == nil && n > 0:
-			out = Bytes
+			out = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
 	return out
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -16,13 +16,13 @@
 	require.NoError(t, err)
 	server, err := listener.Accept()
 	require.NoError(t, err)
-	require.Equal(t, Nothing, Look(server))
+	require.Equal(t, Idle, Peek(server))
 	_, err = client.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return Look(server) == Bytes }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return Peek(server) == Readable }, 10*time.Second, time.Millisecond)
 	require.NoError(t, server.Close())
-	require.Equal(t, Ended, Look(server))
-	require.Equal(t, Nothing, Look(nothing{}))
+	require.Equal(t, Closed, Peek(server))
+	require.Equal(t, Idle, Peek(nothing{}))
 }
 
 // nothing is a connection without a socket.
--- a/link/conn.go
+++ b/link/conn.go
@@ -23,10 +23,10 @@
 // Conn is one control link. Its methods may be called from any goroutine; its
 // name tables are for the one goroutine that handles the link's events.
 type Conn struct {
-	Peer   wire.Hello // what the other side said first
-	Remote string
-	Out    wire.Namer // names in messages to the peer
-	In     wire.Names // names in messages from the peer
+	Peer     wire.Hello // what the other side said first
+	Remote   string
+	OutNames wire.Namer // names in messages to the peer
+	InNames  wire.Names // names in messages from the peer
 
 	raw    net.Conn
 	opts   Options
@@ -99,7 +99,7 @@
 // SendNamed sends a message that uses numbers of Out, and before it the names
 // that are new to the peer.
 func (c *Conn) SendNamed(m wire.Message) bool {
-	for _, n := range c.Out.News() {
+	for _, n := range c.OutNames.News() {
 		if !c.Send(n) {
 			return false
 		}
@@ -125,10 +125,10 @@
 	}
 }
 
-// Quiet tells whether so little has been sent lately that the peer needs a sign
+// HeartbeatDue tells whether so little has been sent lately that the peer needs a sign
 // of life, if it is to have one at intervals.
-func (c *Conn) Quiet(every time.Duration) bool {
-	return time.Now().UnixNano()-c.sentAt.Load() > int64(every-HeartbeatEvery/4)
+func (c *Conn) HeartbeatDue(every time.Duration) bool {
+	return time.Now().UnixNano()-c.sentAt.Load() > int64(every-MinHeartbeatInterval/4)
 }
 
 // Close ends the link for a reason; later calls do nothing.
--- a/link/keep.go
+++ b/link/keep.go
@@ -13,9 +13,9 @@
 	lastRetry  = time.Second
 )
 
-// Keep holds a link to an address: it dials again, with exponential backoff
+// KeepConnected holds a link to an address: it dials again, with exponential backoff
 // and jitter, until ctx ends. report hears why each link ended.
-func Keep(ctx context.Context, address string, opts Options, report func(error)) {
+func KeepConnected(ctx context.Context, address string, opts Options, report func(error)) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = firstRetry
 	b.MaxInterval = lastRetry
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -56,7 +56,7 @@
 	require.Equal(t, EventUp, up.Kind)
 	require.Equal(t, EventUp, (<-accepted.events).Kind)
 	for i := range uint64(3) {
-		require.True(t, up.Conn.SendNamed(wire.Claim{Seq: i, Team: up.Conn.Out.Number("ajax")}))
+		require.True(t, up.Conn.SendNamed(wire.Claim{Seq: i, Team: up.Conn.OutNames.Number("ajax")}))
 	}
 	name := <-accepted.events
 	require.Equal(t, wire.Name{Number: 0, Text: "ajax"}, name.Msg)
@@ -99,7 +99,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	refused := make(chan error, 1)
 	s := newSide()
-	s.opts.Refused = func(_ string, err error) { refused <- err }
+	s.opts.OnEnd = func(_ string, err error) { refused <- err }
 	done := make(chan struct{})
 	go func() {
 		_ = Listen(ctx, ln, s.opts)
--- a/link/listen.go
+++ b/link/listen.go
@@ -36,8 +36,8 @@
 		}
 		wg.Go(func() {
 			defer func() { <-room }()
-			if err := serve(ctx, raw, opts); err != nil && opts.Refused != nil {
-				opts.Refused(raw.RemoteAddr().String(), err)
+			if err := serve(ctx, raw, opts); err != nil && opts.OnEnd != nil {
+				opts.OnEnd(raw.RemoteAddr().String(), err)
 			}
 		})
 	}
--- a/link/meter.go
+++ b/link/meter.go
@@ -42,9 +42,9 @@
 	m.types[t].ReadBytes += int64(bytes)
 }
 
-// Grant counts the bytes that a count of what is left adds to the headers of
+// CountGrant counts the bytes that a count of what is left adds to the headers of
 // one granted request.
-func (m *Meter) Grant(bytes int) { m.sent(wire.TypeGrant, bytes) }
+func (m *Meter) CountGrant(bytes int) { m.sent(wire.TypeGrant, bytes) }
 
 // Snapshot returns the types that were seen, in the order of their numbers.
 func (m *Meter) Snapshot() []Traffic {
--- a/link/options.go
+++ b/link/options.go
@@ -12,10 +12,10 @@
 const (
 	// DefaultTimeout is how long a peer that gives a sign of life every
 	// HeartbeatEvery may be silent before its link is cut.
-	DefaultTimeout = missed * HeartbeatEvery
-	// HeartbeatEvery is the time between two signs of life on a quiet link of a
+	DefaultTimeout = missed * MinHeartbeatInterval
+	// MinHeartbeatInterval is the time between two signs of life on a quiet link of a
 	// process with few links.
-	HeartbeatEvery = time.Second
+	MinHeartbeatInterval = time.Second
 	// linksPerSecond is how many quiet links a process keeps alive each second;
 	// one with more links does so less often, and says how often.
 	linksPerSecond = 100
@@ -30,20 +30,20 @@
 
 // Options is what links of one process have in common.
 type Options struct {
-	Hello   func() wire.Hello              // what this process says first, at the time of connecting
-	Events  chan<- Event                   // bounded; readers wait for room, which slows the peer down
-	Timeout time.Duration                  // DefaultTimeout where zero
-	Secure  *secure.Store                  // nil for plain TCP
-	Accept  wire.Role                      // the role that may connect here; any where empty
-	Dial    DialFunc                       // net.Dialer where nil
-	Refused func(remote string, err error) // hears why accepted links ended; may be nil
-	Meter   *Meter                         // counts messages and bytes; may be nil
+	Hello      func() wire.Hello              // what this process says first, at the time of connecting
+	Events     chan<- Event                   // bounded; readers wait for room, which slows the peer down
+	Timeout    time.Duration                  // DefaultTimeout where zero
+	Secure     *secure.Store                  // nil for plain TCP
+	AcceptRole wire.Role                      // the role that may connect here; any where empty
+	Dial       DialFunc                       // net.Dialer where nil
+	OnEnd      func(remote string, err error) // hears why accepted links ended; may be nil
+	Meter      *Meter                         // counts messages and bytes; may be nil
 }
 
-// AliveEvery returns the time between two signs of life on a quiet link of a
+// HeartbeatInterval returns the time between two signs of life on a quiet link of a
 // process with a number of links.
-func AliveEvery(links int) time.Duration {
-	return max(HeartbeatEvery, time.Duration(links)*time.Second/linksPerSecond)
+func HeartbeatInterval(links int) time.Duration {
+	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/linksPerSecond)
 }
 
 func (o Options) timeout() time.Duration {
--- a/link/rows.go
+++ b/link/rows.go
@@ -7,32 +7,32 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// SpellCounts spells counts with the names of this link.
-func (c *Conn) SpellCounts(counts []fleet.Count) []wire.DemandRow {
+// EncodeCounts spells counts with the names of this link.
+func (c *Conn) EncodeCounts(counts []fleet.Count) []wire.DemandRow {
 	rows := make([]wire.DemandRow, len(counts))
 	for i, n := range counts {
-		rows[i] = c.SpellCount(n)
+		rows[i] = c.EncodeCount(n)
 	}
 	return rows
 }
 
-// SpellCount spells one count with the names of this link.
-func (c *Conn) SpellCount(n fleet.Count) wire.DemandRow {
+// EncodeCount spells one count with the names of this link.
+func (c *Conn) EncodeCount(n fleet.Count) wire.DemandRow {
 	return wire.DemandRow{
-		Work:      c.Out.Number(string(n.Key.Work)),
-		Team:      c.Out.Number(string(n.Key.Team)),
+		Work:      c.OutNames.Number(string(n.Key.Work)),
+		Team:      c.OutNames.Number(string(n.Key.Team)),
 		Class:     n.Key.Class,
 		Count:     uint32(n.Waiting),
 		OldestAge: uint32(n.OldestAge / time.Millisecond),
 	}
 }
 
-// ReadCounts reads counts from this link. Rows with names that were never sent
+// DecodeCounts reads counts from this link. Rows with names that were never sent
 // are left out.
-func (c *Conn) ReadCounts(rows []wire.DemandRow) []fleet.Count {
+func (c *Conn) DecodeCounts(rows []wire.DemandRow) []fleet.Count {
 	counts := make([]fleet.Count, 0, len(rows))
 	for _, r := range rows {
-		n := c.ReadCount(r)
+		n := c.DecodeCount(r)
 		if n.Key.Team != "" && n.Key.Work != "" {
 			counts = append(counts, n)
 		}
@@ -40,30 +40,30 @@
 	return counts
 }
 
-// ReadCount reads one count from this link.
-func (c *Conn) ReadCount(r wire.DemandRow) fleet.Count {
+// DecodeCount reads one count from this link.
+func (c *Conn) DecodeCount(r wire.DemandRow) fleet.Count {
 	return fleet.Count{
-		Key:       c.ReadKey(r.Work, r.Team, r.Class),
+		Key:       c.DecodeKey(r.Work, r.Team, r.Class),
 		Waiting:   int(r.Count),
 		OldestAge: time.Duration(r.OldestAge) * time.Millisecond,
 	}
 }
 
-// ReadKey reads the name of a line from this link.
-func (c *Conn) ReadKey(work, team wire.Number, class fleet.Class) fleet.DemandKey {
+// DecodeKey reads the name of a line from this link.
+func (c *Conn) DecodeKey(work, team wire.Number, class fleet.Class) fleet.DemandKey {
 	return fleet.DemandKey{
-		Work:  fleet.Work(c.In.Text(work)),
-		Team:  fleet.Team(c.In.Text(team)),
+		Work:  fleet.Work(c.InNames.Text(work)),
+		Team:  fleet.Team(c.InNames.Text(team)),
 		Class: class,
 	}
 }
 
-// SpellService spells service rows with the names of this link.
-func (c *Conn) SpellService(rows []fleet.ServiceRow) []wire.ServiceRow {
+// EncodeService spells service rows with the names of this link.
+func (c *Conn) EncodeService(rows []fleet.ServiceRow) []wire.ServiceRow {
 	out := make([]wire.ServiceRow, len(rows))
 	for i, r := range rows {
 		out[i] = wire.ServiceRow{
-			Team:    c.Out.Number(string(r.Team)),
+			Team:    c.OutNames.Number(string(r.Team)),
 			Service: int64(r.Service / time.Millisecond),
 			Lift:    int64(r.Lift / time.Millisecond),
 		}
@@ -71,12 +71,12 @@
 	return out
 }
 
-// ReadService reads service rows from this link. Rows with names that were
+// DecodeService reads service rows from this link. Rows with names that were
 // never sent are left out.
-func (c *Conn) ReadService(rows []wire.ServiceRow) []fleet.ServiceRow {
+func (c *Conn) DecodeService(rows []wire.ServiceRow) []fleet.ServiceRow {
 	out := make([]fleet.ServiceRow, 0, len(rows))
 	for _, r := range rows {
-		team := c.In.Text(r.Team)
+		team := c.InNames.Text(r.Team)
 		if team == "" {
 			continue
 		}
--- a/link/tls.go
+++ b/link/tls.go
@@ -9,9 +9,9 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// ErrImpostor means that a peer calls itself by another name or role than its
+// ErrIdentityMismatch means that a peer calls itself by another name or role than its
 // certificate does.
-var ErrImpostor = errors.New("the peer's hello and its certificate disagree; give each process the certificate of its own name and role")
+var ErrIdentityMismatch = errors.New("the peer's hello and its certificate disagree; give each process the certificate of its own name and role")
 
 // client wraps a dialled connection where the fleet has keys.
 func (o Options) client(raw net.Conn) net.Conn {
@@ -28,7 +28,7 @@
 	}
 	return tls.NewListener(ln, &tls.Config{
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return o.Secure.Server(secure.Identity{Role: string(o.Accept)}), nil
+			return o.Secure.Server(secure.Identity{Role: string(o.AcceptRole)}), nil
 		},
 	})
 }
@@ -41,11 +41,11 @@
 	}
 	certs := conn.ConnectionState().PeerCertificates
 	if len(certs) == 0 {
-		return ErrImpostor
+		return ErrIdentityMismatch
 	}
 	id := secure.IdentityOf(certs[0])
 	if id.Name != string(h.Name) || id.Role != string(h.Role) {
-		return errors.Wrapf(ErrImpostor, "hello of %s %q, certificate of %s %q", h.Role, h.Name, id.Role, id.Name)
+		return errors.Wrapf(ErrIdentityMismatch, "hello of %s %q, certificate of %s %q", h.Role, h.Name, id.Role, id.Name)
 	}
 	return nil
 }
--- a/process/pulse.go
+++ b/process/pulse.go
@@ -13,7 +13,7 @@
 // Adjust follows the number of links. It returns whether the time between two
 // signs has changed, so that the peers must be told.
 func (p *Pulse) Adjust(links int) bool {
-	every := link.AliveEvery(links)
+	every := link.HeartbeatInterval(links)
 	changed := every != p.every
 	p.every = every
 	return changed
--- a/relay/copy.go
+++ b/relay/copy.go
@@ -20,10 +20,10 @@
 
 // Errors of Copy: which side failed decides what can be said of the request.
 var (
-	// ErrSource means that the answer broke off before its end.
-	ErrSource = errors.New("the answer broke off before its end")
-	// ErrReader means that the other side no longer takes the answer.
-	ErrReader = errors.New("the reader of the answer has gone or is too slow")
+	// ErrRead means that the answer broke off before its end.
+	ErrRead = errors.New("the answer broke off before its end")
+	// ErrWrite means that the other side no longer takes the answer.
+	ErrWrite = errors.New("the reader of the answer has gone or is too slow")
 )
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
@@ -37,14 +37,14 @@
 		n, err := src.Read(buf[:])
 		if n > 0 {
 			if werr := writePiece(w, rc, buf[:n]); werr != nil {
-				return errors.Mark(werr, ErrReader)
+				return errors.Mark(werr, ErrWrite)
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return errors.Mark(err, ErrSource)
+			return errors.Mark(err, ErrRead)
 		}
 	}
 }
@@ -57,8 +57,8 @@
 	return rc.Flush()
 }
 
-// Finish reads the short answer by which an agent turns a request away to its
+// DiscardBody reads the short answer by which an agent turns a request away to its
 // end: only then the connection can be used again. Where that fails, another one is opened.
-func Finish(body io.Reader) {
+func DiscardBody(body io.Reader) {
 	_, _ = io.CopyN(io.Discard, body, finishBytes)
 }
--- a/relay/header.go
+++ b/relay/header.go
@@ -7,16 +7,16 @@
 
 // Headers of croftvale's own, and standard ones that it reads.
 const (
-	HeaderRequestID  = "X-Request-Id"
-	HeaderRan        = "Croftvale-Ran"        // yes, no or unknown
-	HeaderClaim      = "Croftvale-Claim"      // router to agent: the claim that is granted, and after a blank what is left of its line, as count/ms
-	HeaderTeam       = "Croftvale-Team"       // router to agent
-	HeaderWork       = "Croftvale-Work"       // router to agent
-	HeaderClass      = "Croftvale-Class"      // urgent, ordinary or batch
-	HeaderRepeatable = "Croftvale-Repeatable" // yes or no
-	HeaderDeadline   = "Croftvale-Deadline"   // time left, such as 2s
-	HeaderIdempotent = "Idempotency-Key"
-	HeaderKeyMade    = "Croftvale-Key-Made" // when the key was first used: RFC 3339 with fractions of a second
+	HeaderRequestID      = "X-Request-Id"
+	HeaderRan            = "Croftvale-Ran"        // yes, no or unknown
+	HeaderClaim          = "Croftvale-Claim"      // router to agent: the claim that is granted, and after a blank what is left of its line, as count/ms
+	HeaderTeam           = "Croftvale-Team"       // router to agent
+	HeaderWork           = "Croftvale-Work"       // router to agent
+	HeaderClass          = "Croftvale-Class"      // urgent, ordinary or batch
+	HeaderRepeatable     = "Croftvale-Repeatable" // yes or no
+	HeaderDeadline       = "Croftvale-Deadline"   // time left, such as 2s
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderKeyCreatedAt   = "Croftvale-Key-Made" // when the key was first used: RFC 3339 with fractions of a second
 )
 
 // hopByHop headers belong to one connection and are never forwarded.
--- a/relay/sent.go
+++ b/relay/sent.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// Sent tells whether any byte of a request may have left this process. While
+// SendTracker tells whether any byte of a request may have left this process. While
 // it has not, the request has provably not run.
-type Sent struct{ wrote atomic.Bool }
+type SendTracker struct{ wrote atomic.Bool }
 
 // Trace returns the request with the watch on it.
-func (s *Sent) Trace(req *http.Request) *http.Request {
+func (s *SendTracker) Trace(req *http.Request) *http.Request {
 	trace := &httptrace.ClientTrace{
 		// A header field is noted before its bytes reach the connection.
 		WroteHeaderField: func(string, []string) { s.wrote.Store(true) },
@@ -19,5 +19,5 @@
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 }
 
-// MayHaveLeft reports whether the request may have reached the other side.
-func (s *Sent) MayHaveLeft() bool { return s.wrote.Load() }
+// MayHaveSent reports whether the request may have reached the other side.
+func (s *SendTracker) MayHaveSent() bool { return s.wrote.Load() }
--- a/router/admission.go
+++ b/router/admission.go
@@ -44,11 +44,11 @@
 }
 
 // open returns the body for one run.
-func (b *body) open() *relay.OnceBody {
+func (b *body) open() *relay.SingleUseBody {
 	if b.rest != nil {
 		b.spent = true
 	}
-	return relay.NewOnceBody(b.head, b.rest)
+	return relay.NewSingleUseBody(b.head, b.rest)
 }
 
 // admit checks a request at the door.
@@ -166,12 +166,12 @@
 // readKey reads the idempotency key of a request that may not be repeated; of
 // others it is the server's business alone.
 func (a *admission) readKey(h http.Header) bool {
-	text := h.Get(relay.HeaderIdempotent)
+	text := h.Get(relay.HeaderIdempotencyKey)
 	if text == "" || a.repeatable {
 		return true
 	}
 	a.idempotency = &idempotency{key: once.NewKey(a.team.Name, a.work.Name, text)}
-	v := h.Get(relay.HeaderKeyMade)
+	v := h.Get(relay.HeaderKeyCreatedAt)
 	if v == "" {
 		return true
 	}
--- a/router/alive.go
+++ b/router/alive.go
@@ -20,7 +20,7 @@
 		return
 	}
 	for _, p := range c.peers {
-		if p.conn.Quiet(c.pulse.Every()) {
+		if p.conn.HeartbeatDue(c.pulse.Every()) {
 			p.conn.Send(wire.Alive{})
 		}
 	}
--- a/router/core.go
+++ b/router/core.go
@@ -82,7 +82,7 @@
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(queue.TickInterval)
 	defer tick.Stop()
-	beat := time.NewTicker(link.HeartbeatEvery)
+	beat := time.NewTicker(link.MinHeartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -113,11 +113,11 @@
 	switch cmd := cmd.(type) {
 	case queue.DemandCmd:
 		c.send(cmd.Agent, func(conn *link.Conn) wire.Message {
-			return wire.Demand{Rows: conn.SpellCounts(cmd.Counts)}
+			return wire.Demand{Rows: conn.EncodeCounts(cmd.Counts)}
 		})
 	case queue.DenyCmd:
 		c.send(cmd.Claim.Agent, func(conn *link.Conn) wire.Message {
-			return wire.Deny{Seq: cmd.Claim.Seq, Row: conn.SpellCount(cmd.Count)}
+			return wire.Deny{Seq: cmd.Claim.Seq, Row: conn.EncodeCount(cmd.Count)}
 		})
 	case queue.RunCmd:
 		c.runRequest(cmd)
--- a/router/dialer.go
+++ b/router/dialer.go
@@ -37,7 +37,7 @@
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.kept[address] = cancel
 	d.wg.Go(func() {
-		link.Keep(ctx, address, d.opts, func(err error) {
+		link.KeepConnected(ctx, address, d.opts, func(err error) {
 			d.log.Debug().Str("address", address).Err(err).Msg("control link ended")
 		})
 	})
--- a/router/duty.go
+++ b/router/duty.go
@@ -190,17 +190,17 @@
 	switch cmd := cmd.(type) {
 	case ledger.TotalsCmd:
 		c.send(cmd.Agent, func(conn *link.Conn) wire.Message {
-			return wire.Totals{Rows: conn.SpellService(cmd.Rows)}
+			return wire.Totals{Rows: conn.EncodeService(cmd.Rows)}
 		})
 	case ledger.HallTotalsCmd:
 		c.send(cmd.Peer, func(conn *link.Conn) wire.Message {
-			return wire.HallTotals{Hall: cmd.Hall, Rows: conn.SpellService(cmd.Rows)}
+			return wire.HallTotals{Hall: cmd.Hall, Rows: conn.EncodeService(cmd.Rows)}
 		})
 	case ledger.AgentRowsCmd:
 		c.send(cmd.Peer, func(conn *link.Conn) wire.Message {
 			return wire.AgentRows{
 				Hall: cmd.Hall, Agent: cmd.Source.Agent,
-				Incarnation: cmd.Source.Incarnation, Rows: conn.SpellService(cmd.Rows),
+				Incarnation: cmd.Source.Incarnation, Rows: conn.EncodeService(cmd.Rows),
 			}
 		})
 	}
--- a/router/handler.go
+++ b/router/handler.go
@@ -134,17 +134,17 @@
 	defer cancel()
 	answered := make(chan struct{})
 	go giveUp(g.abort, answered, cancel)
-	var sent relay.Sent
+	var sent relay.SendTracker
 	req := sent.Trace(outgoing(r, a, g).WithContext(ctx))
 	if h.secure {
 		req.URL.Scheme = "https"
 	}
-	h.meter.Grant(len(g.left) + 1)
+	h.meter.CountGrant(len(g.left) + 1)
 	res, err := h.transport.RoundTrip(req)
 	close(answered)
 	if err != nil {
 		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("agent gave no answer")
-		if sent.MayHaveLeft() {
+		if sent.MayHaveSent() {
 			return queue.OutcomeUnknown
 		}
 		return queue.OutcomeNotRun
@@ -153,10 +153,10 @@
 	switch res.Header.Get(relay.HeaderRan) {
 	case "yes":
 	case "no":
-		relay.Finish(res.Body)
+		relay.DiscardBody(res.Body)
 		return queue.OutcomeNotRun
 	default:
-		relay.Finish(res.Body)
+		relay.DiscardBody(res.Body)
 		return queue.OutcomeUnknown
 	}
 	h.events <- answerEvent{n}
--- a/router/keys.go
+++ b/router/keys.go
@@ -47,7 +47,7 @@
 	case once.ReleaseCmd:
 		c.send(cmd.Owner, func(conn *link.Conn) wire.Message {
 			return wire.KeyRelease{
-				Request: cmd.Holder.Request, Work: conn.Out.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
+				Request: cmd.Holder.Request, Work: conn.OutNames.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
 			}
 		})
 	case once.DecideCmd:
@@ -57,7 +57,7 @@
 
 func keyReserve(conn *link.Conn, cmd once.ReserveCmd) wire.KeyReserve {
 	m := wire.KeyReserve{
-		Request: cmd.Holder.Request, Work: conn.Out.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
+		Request: cmd.Holder.Request, Work: conn.OutNames.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
 	}
 	if !cmd.CreatedAt.IsZero() {
 		m.Made = cmd.CreatedAt.UnixMilli()
--- a/router/links.go
+++ b/router/links.go
@@ -72,24 +72,24 @@
 			Now: c.now(), Agent: name, Incarnation: p.conn.Peer.Incarnation, Slots: int(m.Slots), First: m.First,
 		})
 	case wire.Name:
-		p.conn.In.Learn(m)
+		p.conn.InNames.Learn(m)
 	case wire.Claim:
 		c.feed(queue.ClaimMsg{
 			Now:   c.now(),
 			Claim: fleet.ClaimID{Agent: name, Incarnation: p.conn.Peer.Incarnation, Seq: m.Seq},
-			Key:   p.conn.ReadKey(m.Work, m.Team, m.Class),
+			Key:   p.conn.DecodeKey(m.Work, m.Team, m.Class),
 		})
 	case wire.Service:
 		c.feedHub(ledger.ServiceMsg{
-			Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall, Rows: p.conn.ReadService(m.Rows),
+			Now: c.now(), Source: sourceOf(p), Hall: p.conn.Peer.Hall, Rows: p.conn.DecodeService(m.Rows),
 		})
 	case wire.AgentRows:
 		c.feedHub(ledger.ServiceMsg{
 			Now: c.now(), Source: ledger.Source{Agent: m.Agent, Incarnation: m.Incarnation},
-			Hall: m.Hall, Rows: p.conn.ReadService(m.Rows),
+			Hall: m.Hall, Rows: p.conn.DecodeService(m.Rows),
 		})
 	case wire.HallTotals:
-		c.feedHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.ReadService(m.Rows)})
+		c.feedHub(ledger.HallTotalsMsg{Now: c.now(), Hall: m.Hall, Rows: p.conn.DecodeService(m.Rows)})
 	case wire.KeyVerdict:
 		c.onVerdict(name, m)
 	case wire.BundlePull:
--- a/router/router.go
+++ b/router/router.go
@@ -190,7 +190,7 @@
 	defer end()
 	opts := link.Options{
 		Hello: r.core.hello, Events: r.core.links, Meter: r.core.meter, Dial: r.dial,
-		Secure: r.secure, Accept: wire.RoleRouter, Refused: process.LinkEnded(r.log),
+		Secure: r.secure, AcceptRole: wire.RoleRouter, OnEnd: process.LinkEnded(r.log),
 	}
 	r.core.dialer = &dialer{ctx: life, opts: opts, log: r.log, kept: map[string]context.CancelFunc{}}
 	hs := &http.Server{
--- a/standin/e2e/path_test.go
+++ b/standin/e2e/path_test.go
@@ -183,7 +183,7 @@
 func TestKeyThroughAnotherRouter(t *testing.T) {
 	s := newSmall(t)
 	call := func(router int, key, made string) caller.Answer {
-		header := map[string]string{relay.HeaderIdempotent: key, relay.HeaderKeyMade: made}
+		header := map[string]string{relay.HeaderIdempotencyKey: key, relay.HeaderKeyCreatedAt: made}
 		return s.caller.Call(context.Background(), "POST", s.url(router)+"/squad/1", nil, header)
 	}
 	require.Equal(t, "idempotency_key_unsure", call(0, "k0", "").Reason, "the fleet has just started")
