--- a/backend/conn.go
+++ b/backend/conn.go
@@ -16,11 +16,11 @@
 // ErrWrongResponse says that a connection brought answers to other requests only.
 var ErrWrongResponse = errors.New("the connection brought an answer to another request")
 
-// strayAnswers is how many answers to earlier requests are passed over.
-const strayAnswers = 2
+// maxStaleResponses is how many answers to earlier requests are passed over.
+const maxStaleResponses = 2
 
-// strayBytes bounds the body of an answer that is passed over.
-const strayBytes = 1 << 20
+// maxStaleBodyBytes bounds the body of an answer that is passed over.
+const maxStaleBodyBytes = 1 << 20
 
 // Conn is one connection to a backend server; it serves one request at a time.
 type Conn struct {
@@ -29,7 +29,7 @@
 	address   string
 	reader    *bufio.Reader
 	idleUntil time.Time
-	answer    *http.Response
+	response  *http.Response
 	sent      bool
 }
 
@@ -50,7 +50,7 @@
 	if err := r.Header.Write(&head); err != nil {
 		return errors.Mark(err, ErrUnsent)
 	}
-	if len(r.Body) > 0 || takesBody(r.Method) {
+	if len(r.Body) > 0 || expectsBody(r.Method) {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
@@ -63,30 +63,30 @@
 	return err
 }
 
-func takesBody(method string) bool {
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
 // ReadResponse reads the answer that mine accepts. Answers to earlier requests, which
 // a server may send late, are passed over.
-func (c *Conn) ReadResponse(method string, mine func(*http.Response) bool) (*http.Response, error) {
+func (c *Conn) ReadResponse(method string, matches func(*http.Response) bool) (*http.Response, error) {
 	request := &http.Request{Method: method}
-	for range strayAnswers + 1 {
-		answer, err := http.ReadResponse(c.reader, request)
+	for range maxStaleResponses + 1 {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode/100 == 1 {
+		if response.StatusCode/100 == 1 {
 			continue
 		}
-		if mine(answer) {
-			c.answer = answer
-			return answer, nil
+		if matches(response) {
+			c.response = response
+			return response, nil
 		}
-		if answer.Close {
+		if response.Close {
 			break
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, strayBytes); err != io.EOF {
+		if _, err := io.CopyN(io.Discard, response.Body, maxStaleBodyBytes); err != io.EOF {
 			break
 		}
 	}
@@ -96,12 +96,12 @@
 // Release keeps the connection for the next request after a whole answer. It
 // closes one that has more to say, or whose server wants it closed.
 func (c *Conn) Release() {
-	if c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 {
+	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.idleUntil = time.Now().Add(keptFor(c.answer.Header.Get("Keep-Alive")))
-	c.answer = nil
+	c.idleUntil = time.Now().Add(idleTimeout(c.response.Header.Get("Keep-Alive")))
+	c.response = nil
 	c.sent = false
 	if c.SetDeadline(time.Time{}) != nil {
 		c.Close()
@@ -110,8 +110,8 @@
 	c.pool.put(c)
 }
 
-// keptFor reads how long a server keeps an idle connection.
-func keptFor(keepAlive string) time.Duration {
+// idleTimeout reads how long a server keeps an idle connection.
+func idleTimeout(keepAlive string) time.Duration {
 	for field := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -121,13 +121,13 @@
 		if err != nil || seconds < 0 {
 			continue
 		}
-		return min(time.Duration(seconds)*time.Second, idleMost) - idleMargin
+		return min(time.Duration(seconds)*time.Second, maxIdleTime) - idleMargin
 	}
-	return idleMost - idleMargin
+	return maxIdleTime - idleMargin
 }
 
-// quiet tells whether an idle connection is open and has nothing to read: bytes
+// isReusable tells whether an idle connection is open and has nothing to read: bytes
 // that come without a request belong to no request.
-func (c *Conn) quiet() bool {
+func (c *Conn) isReusable() bool {
 	return c.reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -15,11 +15,11 @@
 const (
 	// idleMost is how long a connection is kept without use where the server
 	// does not say.
-	idleMost = 20 * time.Second
+	maxIdleTime = 20 * time.Second
 	// idleMargin is taken off the time that a server states.
 	idleMargin = 1200 * time.Millisecond
 	// readSize is the buffer of a connection.
-	readSize = 4 << 10
+	readBufferSize = 4 << 10
 )
 
 // ErrUnsent marks an attempt of which no byte has left.
@@ -29,9 +29,9 @@
 // get to run, so that it says nothing of the backend server.
 var ErrRouterLate = errors.New("this process ran too late to connect")
 
-// overdue is how long after its time an attempt to connect is given up at the most where the
+// dialTimeoutSlack is how long after its time an attempt to connect is given up at the most where the
 // process gets to run.
-const overdue = 30 * time.Millisecond
+const dialTimeoutSlack = 30 * time.Millisecond
 
 // Options bound what connections may take.
 type Options struct {
@@ -77,7 +77,7 @@
 		if c == nil {
 			return p.Dial(ctx, address)
 		}
-		if time.Now().Before(c.idleUntil) && c.quiet() {
+		if time.Now().Before(c.idleUntil) && c.isReusable() {
 			return c, nil
 		}
 		c.Close()
@@ -99,16 +99,16 @@
 // Dial opens a new connection to an address, within the time that the options allow. An
 // error is marked with ErrUnsent, and with ErrOverdue where this process ran late.
 func (p *Pool) Dial(ctx context.Context, address string) (*Conn, error) {
-	began := time.Now()
+	start := time.Now()
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		err = errors.Mark(err, ErrUnsent)
-		if time.Since(began) > p.options.DialTimeout+overdue {
+		if time.Since(start) > p.options.DialTimeout+dialTimeoutSlack {
 			err = errors.Mark(err, ErrRouterLate)
 		}
 		return nil, err
 	}
-	return &Conn{Conn: raw, pool: p, address: address, reader: bufio.NewReaderSize(raw, readSize)}, nil
+	return &Conn{Conn: raw, pool: p, address: address, reader: bufio.NewReaderSize(raw, readBufferSize)}, nil
 }
 
 func (p *Pool) put(c *Conn) {
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -16,12 +16,12 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
-	stuck := NewPool(Options{DialTimeout: 10 * time.Millisecond})
-	stuck.dialer.Control = func(string, string, syscall.RawConn) error {
-		time.Sleep(10*time.Millisecond + 2*overdue)
+	latePool := NewPool(Options{DialTimeout: 10 * time.Millisecond})
+	latePool.dialer.Control = func(string, string, syscall.RawConn) error {
+		time.Sleep(10*time.Millisecond + 2*dialTimeoutSlack)
 		return nil
 	}
-	_, err = stuck.Dial(t.Context(), address)
+	_, err = latePool.Dial(t.Context(), address)
 	require.True(t, errors.Is(err, ErrUnsent))
 	require.True(t, errors.Is(err, ErrRouterLate))
 
--- a/internal/hostclock/clock.go
+++ b/internal/hostclock/clock.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastSuspension is from where a difference between the two clocks is a suspension: they are read
+// minSuspension is from where a difference between the two clocks is a suspension: they are read
 // one after the other, and a late process may pause between.
-const leastSuspension = 100 * time.Millisecond
+const minSuspension = 100 * time.Millisecond
 
 // Clock tells the time since it was made. Make one with New.
 type Clock struct {
@@ -23,9 +23,9 @@
 	boot      func() (time.Duration, error) // counts suspensions too
 	suspended atomic.Int64                  // nanoseconds, found so far
 
-	mu     sync.Mutex
-	bootAt time.Duration // what boot gave when the clock was made
-	blind  bool          // boot gives nothing
+	mu            sync.Mutex
+	startBootTime time.Duration // what boot gave when the clock was made
+	noBootTime    bool          // boot gives nothing
 }
 
 // New returns a clock that begins now.
@@ -34,7 +34,7 @@
 func newClock(boot func() (time.Duration, error)) *Clock {
 	c := &Clock{start: time.Now(), boot: boot}
 	at, err := boot()
-	c.bootAt, c.blind = at, err != nil
+	c.startBootTime, c.noBootTime = at, err != nil
 	return c
 }
 
@@ -54,20 +54,20 @@
 func (c *Clock) CheckSuspension() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.blind {
+	if c.noBootTime {
 		return 0
 	}
-	steady := time.Since(c.start)
+	elapsed := time.Since(c.start)
 	boot, err := c.boot()
 	if err != nil {
-		c.blind = true
+		c.noBootTime = true
 		return 0
 	}
-	known := time.Duration(c.suspended.Load())
-	found := boot - c.bootAt - steady - known
-	if found < leastSuspension {
+	counted := time.Duration(c.suspended.Load())
+	found := boot - c.startBootTime - elapsed - counted
+	if found < minSuspension {
 		return 0
 	}
-	c.suspended.Store(int64(known + found))
+	c.suspended.Store(int64(counted + found))
 	return found
 }
--- a/internal/hostclock/clock_test.go
+++ b/internal/hostclock/clock_test.go
@@ -13,49 +13,49 @@
 // looked at, and goes on steadily. Small differences between the two clocks don't add up.
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		away, skew := time.Duration(0), time.Duration(0)
-		c := newClock(func() (time.Duration, error) { return time.Hour + time.Since(began) + away + skew, nil })
+		start := time.Now()
+		suspended, skew := time.Duration(0), time.Duration(0)
+		c := newClock(func() (time.Duration, error) { return time.Hour + time.Since(start) + suspended + skew, nil })
 		require.Zero(t, c.Now())
 		time.Sleep(time.Second)
 		require.Zero(t, c.CheckSuspension())
-		away = 3 * time.Second
+		suspended = 3 * time.Second
 		require.Equal(t, time.Second, c.Now(), "nobody has looked")
 		require.Equal(t, 3*time.Second, c.CheckSuspension())
 		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, 4*time.Second, c.Now())
 		for range 100 {
 			time.Sleep(time.Second)
-			skew = leastSuspension/2 - skew
+			skew = minSuspension/2 - skew
 			require.Zero(t, c.CheckSuspension())
 		}
-		away += time.Minute
-		require.InDelta(t, float64(time.Minute), float64(c.CheckSuspension()), float64(leastSuspension))
-		require.InDelta(t, float64(164*time.Second), float64(c.Now()), float64(leastSuspension))
+		suspended += time.Minute
+		require.InDelta(t, float64(time.Minute), float64(c.CheckSuspension()), float64(minSuspension))
+		require.InDelta(t, float64(164*time.Second), float64(c.Now()), float64(minSuspension))
 	})
 }
 
-// TestWithoutThatClock has a host that doesn't tell: the steady clock goes on alone.
-func TestWithoutThatClock(t *testing.T) {
+// TestWithoutBootClock has a host that doesn't tell: the steady clock goes on alone.
+func TestWithoutBootClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fails := false
+		failing := false
 		c := newClock(func() (time.Duration, error) {
-			if fails {
+			if failing {
 				return 0, errors.New("no such clock")
 			}
 			return time.Hour, nil
 		})
-		fails = true
+		failing = true
 		time.Sleep(time.Second)
 		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, time.Second, c.Now())
-		fails = false
+		failing = false
 		require.Zero(t, c.CheckSuspension(), "what it told once has no start to compare with")
 	})
 }
 
-// TestThisHost reads the clocks of the host that runs the test.
-func TestThisHost(t *testing.T) {
+// TestSystemClocks reads the clocks of the host that runs the test.
+func TestSystemClocks(t *testing.T) {
 	c := New()
 	before := c.Now()
 	require.Zero(t, c.CheckSuspension())
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -13,8 +13,8 @@
 
 const header = "Retry-After"
 
-// longest keeps sums of times within a time.Duration; no server lives so long.
-const longest = 1000 * time.Hour
+// maxDelay keeps sums of times within a time.Duration; no server lives so long.
+const maxDelay = 1000 * time.Hour
 
 // ErrInvalid means that a Retry-After is neither a number of seconds nor a date.
 var ErrInvalid = errors.New("Retry-After is neither a number of seconds nor a date beside a Date")
@@ -24,7 +24,7 @@
 // from the answer's own Date, since clocks of hosts differ.
 func Read(status int, h http.Header) (time.Duration, error) {
 	value := h.Get(header)
-	if value == "" || !speaksOfAll(status) {
+	if value == "" || !appliesToAllRequests(status) {
 		return 0, nil
 	}
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
@@ -41,10 +41,10 @@
 	return max(until.Sub(from), 0), nil
 }
 
-// speaksOfAll tells whether an answer of a status speaks of all requests of who sent one: a
+// appliesToAllRequests tells whether an answer of a status speaks of all requests of who sent one: a
 // 503 does, and so does a 429 for one who sends for many callers. With other statuses the
 // header has another meaning.
-func speaksOfAll(status int) bool {
+func appliesToAllRequests(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
@@ -52,5 +52,5 @@
 	if math.IsNaN(seconds) || seconds < 0 {
 		return 0, errors.Wrapf(ErrInvalid, "%q", value)
 	}
-	return time.Duration(min(seconds, longest.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(seconds, maxDelay.Seconds()) * float64(time.Second)), nil
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -11,11 +11,11 @@
 func TestRead(t *testing.T) {
 	const date = "Fri, 07 Aug 2026 10:00:00 GMT"
 	for name, c := range map[string]struct {
-		status int
-		value  string
-		date   string
-		want   time.Duration
-		bad    bool
+		status  int
+		value   string
+		date    string
+		want    time.Duration
+		invalid bool
 	}{
 		"nothing":                 {status: 503},
 		"seconds":                 {status: 503, value: "3", want: 3 * time.Second},
@@ -24,13 +24,13 @@
 		"too many requests":       {status: 429, value: "2", want: 2 * time.Second},
 		"another status":          {status: 500, value: "3"},
 		"a redirection":           {status: 301, value: "3"},
-		"for ever":                {status: 503, value: "+Inf", want: longest},
+		"for ever":                {status: 503, value: "+Inf", want: maxDelay},
 		"a date":                  {status: 503, value: "Fri, 07 Aug 2026 10:00:04 GMT", date: date, want: 4 * time.Second},
 		"a date that is over":     {status: 503, value: date, date: "Fri, 07 Aug 2026 10:00:04 GMT"},
-		"a date beside none":      {status: 503, value: date, bad: true},
-		"less than nothing":       {status: 503, value: "-3", bad: true},
-		"no number":               {status: 503, value: "NaN", bad: true},
-		"neither number nor date": {status: 503, value: "soon", bad: true},
+		"a date beside none":      {status: 503, value: date, invalid: true},
+		"less than nothing":       {status: 503, value: "-3", invalid: true},
+		"no number":               {status: 503, value: "NaN", invalid: true},
+		"neither number nor date": {status: 503, value: "soon", invalid: true},
 	} {
 		h := http.Header{}
 		if c.value != "" {
@@ -41,7 +41,7 @@
 		}
 		got, err := Read(c.status, h)
 		require.Equal(t, c.want, got, name)
-		if c.bad {
+		if c.invalid {
 			require.ErrorIs(t, err, ErrInvalid, name)
 		} else {
 			require.NoError(t, err, name)
--- a/internal/socket/queued.go
+++ b/internal/socket/queued.go
@@ -12,18 +12,18 @@
 // system calls for each: the cheapest way to tell a caller that nothing of its
 // request was read, and that it should ask another host. A listener that is no
 // socket has no queue.
-func CloseQueued(ln net.Listener, most int) int {
-	system, ok := ln.(syscall.Conn)
+func CloseQueued(ln net.Listener, limit int) int {
+	sc, ok := ln.(syscall.Conn)
 	if !ok {
 		return 0
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sc.SyscallConn()
 	if err != nil {
 		return 0 // the listener is closed, and its queue with it
 	}
 	closed := 0
 	err = raw.Control(func(fd uintptr) {
-		for closed < most {
+		for closed < limit {
 			conn, _, err := unix.Accept4(int(fd), unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 			if err != nil {
 				return // the queue is empty
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -21,27 +21,27 @@
 // Peek tells what a connection has to read. A connection that is no socket
 // counts as quiet.
 func Peek(conn net.Conn) ReadState {
-	system, ok := conn.(syscall.Conn)
+	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return Idle
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sc.SyscallConn()
 	if err != nil {
 		return Closed
 	}
-	out := Closed
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN:
-			out = Idle
+			state = Idle
 		case err == nil && n > 0:
-			out = Readable
+			state = Readable
 		}
 	})
 	if err != nil {
 		return Closed
 	}
-	return out
+	return state
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLook(t *testing.T) {
+func TestPeek(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -22,8 +22,8 @@
 	require.Eventually(t, func() bool { return Peek(server) == Readable }, 10*time.Second, time.Millisecond)
 	require.NoError(t, server.Close())
 	require.Equal(t, Closed, Peek(server))
-	require.Equal(t, Idle, Peek(nothing{}))
+	require.Equal(t, Idle, Peek(nonSocketConn{}))
 }
 
 // nothing is a connection without a socket.
-type nothing struct{ net.Conn }
+type nonSocketConn struct{ net.Conn }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -10,8 +10,8 @@
 func Sleep(ctx context.Context, d time.Duration) { Until(ctx, nil, d) }
 
 // Until waits until a channel is closed, for some time at most, or until ctx ends.
-func Until(ctx context.Context, closed <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+func Until(ctx context.Context, closed <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-closed:
--- a/link/conn.go
+++ b/link/conn.go
@@ -28,13 +28,13 @@
 	OutNames wire.Namer // names in messages to the peer
 	InNames  wire.Names // names in messages from the peer
 
-	raw    net.Conn
-	opts   Options
-	sentAt atomic.Int64 // when the last message was handed over, in Unix nanoseconds
-	out    chan wire.Message
-	once   sync.Once
-	closed chan struct{}
-	err    error
+	raw           net.Conn
+	opts          Options
+	lastSendNanos atomic.Int64 // when the last message was handed over, in Unix nanoseconds
+	queue         chan wire.Message
+	closeOnce     sync.Once
+	closed        chan struct{}
+	err           error
 }
 
 // Dial connects to a control address and runs the link until it ends or ctx
@@ -53,7 +53,7 @@
 		Remote: raw.RemoteAddr().String(),
 		raw:    raw,
 		opts:   opts,
-		out:    make(chan wire.Message, outgoing),
+		queue:  make(chan wire.Message, sendQueueSize),
 		closed: make(chan struct{}),
 	}
 	defer c.Close(nil)
@@ -116,8 +116,8 @@
 	default:
 	}
 	select {
-	case c.out <- m:
-		c.sentAt.Store(time.Now().UnixNano())
+	case c.queue <- m:
+		c.lastSendNanos.Store(time.Now().UnixNano())
 		return true
 	default:
 		c.Close(ErrTooSlow)
@@ -127,14 +127,14 @@
 
 // HeartbeatDue tells whether so little has been sent lately that the peer needs a sign
 // of life, if it is to have one at intervals.
-func (c *Conn) HeartbeatDue(every time.Duration) bool {
-	return time.Now().UnixNano()-c.sentAt.Load() > int64(every-MinHeartbeatInterval/4)
+func (c *Conn) HeartbeatDue(interval time.Duration) bool {
+	return time.Now().UnixNano()-c.lastSendNanos.Load() > int64(interval-MinHeartbeatInterval/4)
 }
 
 // Close ends the link for a reason; later calls do nothing.
-func (c *Conn) Close(why error) {
-	c.once.Do(func() {
-		c.err = why
+func (c *Conn) Close(reason error) {
+	c.closeOnce.Do(func() {
+		c.err = reason
 		close(c.closed)
 		_ = c.raw.Close() // why says more than its error
 	})
@@ -147,7 +147,7 @@
 		select {
 		case <-c.closed:
 			return
-		case m := <-c.out:
+		case m := <-c.queue:
 			if err := c.writeOne(w, m); err != nil {
 				c.Close(err)
 				return
@@ -166,7 +166,7 @@
 		return err
 	}
 	c.opts.Meter.sent(m.Type(), len(frame))
-	if len(c.out) > 0 {
+	if len(c.queue) > 0 {
 		return nil
 	}
 	return w.Flush()
@@ -174,9 +174,9 @@
 
 // read delivers messages until the link ends or the peer falls silent.
 func (c *Conn) read(r *bufio.Reader) error {
-	patience := c.opts.timeout()
+	readTimeout := c.opts.timeout()
 	for {
-		_ = c.raw.SetReadDeadline(time.Now().Add(patience))
+		_ = c.raw.SetReadDeadline(time.Now().Add(readTimeout))
 		m, n, err := wire.Read(r)
 		if errors.Is(err, wire.ErrUnknownType) {
 			continue // from a newer release; what it says is not for us
@@ -186,7 +186,7 @@
 		}
 		c.opts.Meter.read(m.Type(), n)
 		if h, ok := m.(wire.Heartbeat); ok {
-			patience = max(c.opts.timeout(), missed*time.Duration(h.Every)*time.Millisecond)
+			readTimeout = max(c.opts.timeout(), maxMissedHeartbeats*time.Duration(h.Every)*time.Millisecond)
 		}
 		c.opts.Events <- Event{Conn: c, Kind: EventMessage, Msg: m}
 	}
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -14,24 +14,24 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // side is one end of links.
-type side struct {
+type endpoint struct {
 	opts   Options
 	events chan Event
 }
 
-func newSide() side {
+func newEndpoint() endpoint {
 	events := make(chan Event, 16)
 	hello := func() wire.Hello { return wire.Hello{Name: "peer", Role: wire.RoleRouter, Hall: "a"} }
-	return side{events: events, opts: Options{Events: events, Meter: &Meter{}, Hello: hello}}
+	return endpoint{events: events, opts: Options{Events: events, Meter: &Meter{}, Hello: hello}}
 }
 
 // pair returns two linked ends, and what ends the link.
-func pair(t *testing.T) (dialled, accepted side, end func()) {
+func pair(t *testing.T) (dialled, accepted endpoint, end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	dialled, accepted = newSide(), newSide()
+	dialled, accepted = newEndpoint(), newEndpoint()
 	done := make(chan struct{}, 2)
 	go func() {
 		_ = Listen(ctx, ln, accepted.opts)
@@ -71,9 +71,9 @@
 	require.Equal(t, EventDown, (<-accepted.events).Kind)
 }
 
-// TestFullLinkIsCut holds that a peer which does not read loses its link, and
+// TestFullLinkIsClosed holds that a peer which does not read loses its link, and
 // that the sender never waits.
-func TestFullLinkIsCut(t *testing.T) {
+func TestFullLinkIsClosed(t *testing.T) {
 	dialled, accepted, end := pair(t)
 	conn := (<-dialled.events).Conn
 	require.Equal(t, EventUp, (<-accepted.events).Kind)
@@ -92,14 +92,14 @@
 	close(accepted.events)
 }
 
-// TestStrangerIsRefused holds that what does not say hello gets no link.
-func TestStrangerIsRefused(t *testing.T) {
+// TestPeerWithoutHelloIsRejected holds that what does not say hello gets no link.
+func TestPeerWithoutHelloIsRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	refused := make(chan error, 1)
-	s := newSide()
-	s.opts.OnEnd = func(_ string, err error) { refused <- err }
+	ended := make(chan error, 1)
+	s := newEndpoint()
+	s.opts.OnEnd = func(_ string, err error) { ended <- err }
 	done := make(chan struct{})
 	go func() {
 		_ = Listen(ctx, ln, s.opts)
@@ -109,7 +109,7 @@
 	require.NoError(t, err)
 	_, err = c.Write([]byte("GET /state HTTP/1.1\r\nHost: 127.0.0.1:7000\r\nUser-Agent: somebody/1.0\r\nAccept: */*\r\n\r\n"))
 	require.NoError(t, err)
-	require.True(t, errors.Is(<-refused, ErrNoHello))
+	require.True(t, errors.Is(<-ended, ErrNoHello))
 	require.NoError(t, c.Close())
 	cancel()
 	<-done
--- a/link/listen.go
+++ b/link/listen.go
@@ -19,7 +19,7 @@
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	room := make(chan struct{}, maxConns)
+	slots := make(chan struct{}, maxConns)
 	for {
 		raw, err := ln.Accept()
 		if err != nil {
@@ -29,13 +29,13 @@
 			return errors.Wrap(err, "accept control links")
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			_ = raw.Close() // the peer dials again
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			if err := serve(ctx, raw, opts); err != nil && opts.OnEnd != nil {
 				opts.OnEnd(raw.RemoteAddr().String(), err)
 			}
--- a/link/options.go
+++ b/link/options.go
@@ -12,17 +12,17 @@
 const (
 	// DefaultTimeout is how long a peer that gives a sign of life every
 	// HeartbeatEvery may be silent before its link is cut.
-	DefaultTimeout = missed * MinHeartbeatInterval
+	DefaultTimeout = maxMissedHeartbeats * MinHeartbeatInterval
 	// MinHeartbeatInterval is the time between two signs of life on a quiet link of a
 	// process with few links.
 	MinHeartbeatInterval = time.Second
 	// linksPerSecond is how many quiet links a process keeps alive each second;
 	// one with more links does so less often, and says how often.
-	linksPerSecond = 100
+	heartbeatsPerSecond = 100
 	// missed is how many signs of life must be missing.
-	missed = 3
+	maxMissedHeartbeats = 3
 	// outgoing is how many messages may wait for the writer.
-	outgoing = 1024
+	sendQueueSize = 1024
 )
 
 // DialFunc opens a network connection, as net.Dialer.DialContext does.
@@ -43,7 +43,7 @@
 // HeartbeatInterval returns the time between two signs of life on a quiet link of a
 // process with a number of links.
 func HeartbeatInterval(links int) time.Duration {
-	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/linksPerSecond)
+	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/heartbeatsPerSecond)
 }
 
 func (o Options) timeout() time.Duration {
--- a/link/keep.go
+++ b/link/reconnect.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = time.Second
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = time.Second
 )
 
 // KeepConnected holds a link to an address: it dials again, with exponential backoff
 // and jitter, until ctx ends. report hears why each link ended.
-func KeepConnected(ctx context.Context, address string, opts Options, report func(error)) {
+func KeepConnected(ctx context.Context, address string, opts Options, onEnd func(error)) {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstRetry
-	b.MaxInterval = lastRetry
+	b.InitialInterval = initialRetryDelay
+	b.MaxInterval = maxRetryDelay
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		err := Dial(ctx, address, opts)
 		if ctx.Err() != nil {
 			return
 		}
-		report(err)
-		if time.Since(began) > lastRetry {
+		onEnd(err)
+		if time.Since(start) > maxRetryDelay {
 			b.Reset()
 		}
 		wait.Sleep(ctx, b.NextBackOff())
--- a/relay/copy.go
+++ b/relay/copy.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	bufferSize = 32 << 10
+	copyBufferSize = 32 << 10
 	// finishBytes is the size of the longest answer by which an agent turns a
 	// request away.
-	finishBytes = 4 << 10
+	maxDiscardBytes = 4 << 10
 	// writeTimeout is how long a reader may take to accept one piece.
 	writeTimeout = 30 * time.Second
 )
@@ -26,17 +26,17 @@
 	ErrWrite = errors.New("the reader of the answer has gone or is too slow")
 )
 
-var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+var buffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
 // Copy passes an answer on piece by piece, each at once.
 func Copy(w http.ResponseWriter, src io.Reader) error {
-	buf := buffers.Get().(*[bufferSize]byte)
+	buf := buffers.Get().(*[copyBufferSize]byte)
 	defer buffers.Put(buf)
 	rc := http.NewResponseController(w)
 	for {
 		n, err := src.Read(buf[:])
 		if n > 0 {
-			if werr := writePiece(w, rc, buf[:n]); werr != nil {
+			if werr := writeChunk(w, rc, buf[:n]); werr != nil {
 				return errors.Mark(werr, ErrWrite)
 			}
 		}
@@ -49,9 +49,9 @@
 	}
 }
 
-func writePiece(w io.Writer, rc *http.ResponseController, piece []byte) error {
+func writeChunk(w io.Writer, rc *http.ResponseController, chunk []byte) error {
 	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // test writers have none
-	if _, err := w.Write(piece); err != nil {
+	if _, err := w.Write(chunk); err != nil {
 		return err
 	}
 	return rc.Flush()
@@ -60,5 +60,5 @@
 // DiscardBody reads the short answer by which an agent turns a request away to its
 // end: only then the connection can be used again. Where that fails, another one is opened.
 func DiscardBody(body io.Reader) {
-	_, _ = io.CopyN(io.Discard, body, finishBytes)
+	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 }
--- a/relay/header.go
+++ b/relay/header.go
@@ -28,10 +28,10 @@
 
 // CopyHeader copies the headers that go end to end, except those named in
 // without.
-func CopyHeader(dst, src http.Header, without ...string) {
-	named := connectionNames(src)
+func CopyHeader(dst, src http.Header, exclude ...string) {
+	listed := connectionNames(src)
 	for key, values := range src {
-		if hopByHop[key] || named[key] || contains(without, key) {
+		if hopByHop[key] || listed[key] || contains(exclude, key) {
 			continue
 		}
 		dst[key] = append([]string(nil), values...)
