--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,16 +13,16 @@
 	"github.com/croftvale/croftvale/internal/socket"
 )
 
-// ErrWrongResponse says that a connection brought answers to other requests only.
-var ErrWrongResponse = errors.New("the connection brought an answer to another request")
+// ErrWrongResponse means that a connection returned only responses to other requests.
+var ErrWrongResponse = errors.New("the connection returned a response to another request")
 
-// maxStaleResponses is how many answers to earlier requests are passed over.
+// maxStaleResponses is the number of responses to earlier requests that ReadResponse skips.
 const maxStaleResponses = 2
 
-// maxStaleBodyBytes bounds the body of an answer that is passed over.
+// maxStaleBodyBytes is the largest body of a response that ReadResponse skips.
 const maxStaleBodyBytes = 1 << 20
 
-// Conn is one connection to a backend server; it serves one request at a time.
+// Conn is a connection to a backend server. It serves one request at a time.
 type Conn struct {
 	net.Conn
 	pool      *Pool
@@ -33,7 +33,7 @@
 	sent      bool
 }
 
-// Request is what is sent, in the form of the wire.
+// Request is an HTTP request as it is written to a connection.
 type Request struct {
 	Method string
 	Target string // path and query as the caller sent them
@@ -42,7 +42,7 @@
 	Body   []byte
 }
 
-// Send writes a request. The error is marked ErrUnsent where no byte has left.
+// Send writes a request. The error is marked with ErrUnsent if no byte was sent.
 func (c *Conn) Send(r *Request) error {
 	var head strings.Builder
 	head.Grow(1 << 10)
@@ -67,8 +67,8 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// ReadResponse reads the answer that mine accepts. Answers to earlier requests, which
-// a server may send late, are passed over.
+// ReadResponse returns the first response that matches accepts. It skips informational
+// responses and responses to earlier requests, which a server may send late.
 func (c *Conn) ReadResponse(method string, matches func(*http.Response) bool) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for range maxStaleResponses + 1 {
@@ -93,8 +93,8 @@
 	return nil, ErrWrongResponse
 }
 
-// Release keeps the connection for the next request after a whole answer. It
-// closes one that has more to say, or whose server wants it closed.
+// Release returns the connection to the pool after the response was read to its end. It
+// closes the connection if unread bytes remain or the server asked to close it.
 func (c *Conn) Release() {
 	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		c.Close()
@@ -110,7 +110,7 @@
 	c.pool.put(c)
 }
 
-// idleTimeout reads how long a server keeps an idle connection.
+// idleTimeout returns how long an idle connection is kept, from the server's Keep-Alive header.
 func idleTimeout(keepAlive string) time.Duration {
 	for field := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -126,8 +126,8 @@
 	return maxIdleTime - idleMargin
 }
 
-// isReusable tells whether an idle connection is open and has nothing to read: bytes
-// that come without a request belong to no request.
+// isReusable reports whether an idle connection is open and has nothing to read. Bytes that
+// arrive while no request is pending belong to no request.
 func (c *Conn) isReusable() bool {
 	return c.reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle
 }
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// idleMost is how long a connection is kept without use where the server
-	// does not say.
+	// maxIdleTime is the keep-alive timeout of a server that states none, and the
+	// upper limit for a stated one.
 	maxIdleTime = 20 * time.Second
-	// idleMargin is taken off the time that a server states.
+	// idleMargin is subtracted from the keep-alive timeout, so that the router drops
+	// a connection before the server closes it.
 	idleMargin = 1200 * time.Millisecond
-	// readSize is the buffer of a connection.
+	// readBufferSize is the size of a connection's read buffer in bytes.
 	readBufferSize = 4 << 10
 )
 
-// ErrUnsent marks an attempt of which no byte has left.
+// ErrUnsent marks an attempt that sent no byte of its request.
 var ErrUnsent = errors.New("nothing was sent to the backend server")
 
-// ErrRouterLate marks an attempt to connect that was given up long after its time: this process did not
-// get to run, so that it says nothing of the backend server.
-var ErrRouterLate = errors.New("this process ran too late to connect")
+// ErrRouterLate marks a dial that failed long after its timeout. This process got no processor
+// time, so the failure is no evidence about the backend server.
+var ErrRouterLate = errors.New("dial failed long after its timeout: this process got no processor time")
 
-// dialTimeoutSlack is how long after its time an attempt to connect is given up at the most where the
-// process gets to run.
+// dialTimeoutSlack is the longest time by which a dial overruns its timeout while this process
+// gets processor time.
 const dialTimeoutSlack = 30 * time.Millisecond
 
-// Options bound what connections may take.
+// Options limits the connections of a Pool.
 type Options struct {
-	DialTimeout       time.Duration // for a new connection
-	AckTimeout        time.Duration // after which a peer that acknowledges nothing is lost
-	MaxIdlePerAddress int           // kept connections of one address
+	DialTimeout       time.Duration // time limit for opening a connection
+	AckTimeout        time.Duration // time without an acknowledgement after which a peer counts as lost
+	MaxIdlePerAddress int           // limit of idle connections to one address
 }
 
 // Pool keeps idle connections by address.
@@ -62,7 +63,7 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Where it fails, keep-alive probes find a silent peer later.
+				// If this fails, keep-alive probes detect a silent peer later.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(o.AckTimeout.Milliseconds()))
 			})
 		},
@@ -70,7 +71,7 @@
 	return p
 }
 
-// Get returns a connection to an address, a kept one where one is sound.
+// Get returns a connection to an address. It reuses an idle one if one is still usable.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
 		c := p.take(address)
@@ -96,8 +97,8 @@
 	return c
 }
 
-// Dial opens a new connection to an address, within the time that the options allow. An
-// error is marked with ErrUnsent, and with ErrOverdue where this process ran late.
+// Dial opens a new connection to an address within DialTimeout. An error is marked with
+// ErrUnsent, and also with ErrRouterLate if this process ran late.
 func (p *Pool) Dial(ctx context.Context, address string) (*Conn, error) {
 	start := time.Now()
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
@@ -121,8 +122,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Sweep closes what has been idle too long, and everything to addresses that
-// are no longer wanted.
+// Sweep closes connections that have been idle too long, and all idle connections to
+// addresses that are no longer wanted.
 func (p *Pool) Sweep(wanted func(address string) bool) {
 	now := time.Now()
 	p.mu.Lock()
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDialOverdue has a process get no processor time while it connects: that it fails says nothing
-// of the backend server, unlike a connection that is refused.
+// TestDialOverdue checks that a dial that fails because this process gets no processor time is
+// marked with ErrRouterLate, since it is no evidence about the backend server. A refused
+// connection is not marked.
 func TestDialOverdue(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/hostclock/clock.go
+++ b/internal/hostclock/clock.go
@@ -1,8 +1,8 @@
-// Package hostclock is a steady clock that goes on while the host is suspended.
+// Package hostclock provides a steady clock that also advances while the host is suspended.
 //
-// Go's monotonic clock stands still then. A process that wakes would take what it heard before
-// for news, and what it owes callers for owed still: leases, contact with others, deadlines and
-// rates all count the time that others have lived through meanwhile.
+// Go's monotonic clock stops during a suspension. With that clock, a resumed process would treat
+// old messages as recent and expired obligations to callers as current. Leases, contact with
+// peers, deadlines and rates must all include the time of the suspension.
 package hostclock
 
 import (
@@ -13,22 +13,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is from where a difference between the two clocks is a suspension: they are read
-// one after the other, and a late process may pause between.
+// minSuspension is the smallest difference between the host's boot clock and the steady clock
+// that counts as a suspension. They are read one after the other, and a late process may pause in between.
 const minSuspension = 100 * time.Millisecond
 
-// Clock tells the time since it was made. Make one with New.
+// Clock measures the time since its creation. Create one with New.
 type Clock struct {
 	start     time.Time
-	boot      func() (time.Duration, error) // counts suspensions too
-	suspended atomic.Int64                  // nanoseconds, found so far
+	boot      func() (time.Duration, error) // reads a clock that includes suspensions
+	suspended atomic.Int64                  // nanoseconds detected so far
 
 	mu            sync.Mutex
-	startBootTime time.Duration // what boot gave when the clock was made
-	noBootTime    bool          // boot gives nothing
+	startBootTime time.Duration // value of boot when the clock was created
+	noBootTime    bool          // boot has failed
 }
 
-// New returns a clock that begins now.
+// New returns a clock that starts now.
 func New() *Clock { return newClock(bootTime) }
 
 func newClock(boot func() (time.Duration, error)) *Clock {
@@ -38,19 +38,20 @@
 	return c
 }
 
-// bootTime reads the clock of the host that goes on while it is suspended.
+// bootTime reads the host's clock that also advances during a suspension.
 func bootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts)
 	return time.Duration(ts.Nano()), err
 }
 
-// Now returns the time since the clock was made, with the suspensions that Look has found.
+// Now returns the time since the clock was created, with the suspensions that CheckSuspension
+// has detected.
 func (c *Clock) Now() time.Duration { return time.Since(c.start) + time.Duration(c.suspended.Load()) }
 
-// CheckSuspension finds out whether the host was suspended since the last call, and for how long. It
-// costs a system call, so it is for every few milliseconds, and for before something is done
-// that the past may have overtaken. Where the host has no such clock there is never any.
+// CheckSuspension returns how long the host was suspended since the last call, or 0. It costs a
+// system call: call it every few milliseconds, and before an action that a suspension may have
+// made obsolete. On a host without a clock that includes suspensions it always returns 0.
 func (c *Clock) CheckSuspension() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hostclock/clock_test.go
+++ b/internal/hostclock/clock_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSuspensionsCount has a host be suspended twice: the clock jumps by so much, once it has been
-// looked at, and goes on steadily. Small differences between the two clocks don't add up.
+// TestSuspensionsCount suspends a host twice. The clock jumps by the length of a suspension once
+// it is checked, and otherwise advances steadily. Small differences between the two clocks don't
+// add up.
 func TestSuspensionsCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -20,7 +21,7 @@
 		time.Sleep(time.Second)
 		require.Zero(t, c.CheckSuspension())
 		suspended = 3 * time.Second
-		require.Equal(t, time.Second, c.Now(), "nobody has looked")
+		require.Equal(t, time.Second, c.Now(), "not checked yet")
 		require.Equal(t, 3*time.Second, c.CheckSuspension())
 		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, 4*time.Second, c.Now())
@@ -35,7 +36,7 @@
 	})
 }
 
-// TestWithoutBootClock has a host that doesn't tell: the steady clock goes on alone.
+// TestWithoutBootClock checks that only the steady clock counts if the boot clock fails.
 func TestWithoutBootClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failing := false
@@ -50,7 +51,7 @@
 		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, time.Second, c.Now())
 		failing = false
-		require.Zero(t, c.CheckSuspension(), "what it told once has no start to compare with")
+		require.Zero(t, c.CheckSuspension(), "a value after a failure has no start value to compare with")
 	})
 }
 
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package retryafter reads how long a server that turns a request away wants to get no
+// Package retryafter reads how long a server that refuses a request asks to receive no
 // others.
 package retryafter
 
@@ -13,15 +13,17 @@
 
 const header = "Retry-After"
 
-// maxDelay keeps sums of times within a time.Duration; no server lives so long.
+// maxDelay keeps sums of times within a time.Duration. No server runs that long.
 const maxDelay = 1000 * time.Hour
 
-// ErrInvalid means that a Retry-After is neither a number of seconds nor a date.
-var ErrInvalid = errors.New("Retry-After is neither a number of seconds nor a date beside a Date")
+// ErrInvalid means that a Retry-After header is neither a number of seconds nor a date in a
+// response with a Date header.
+var ErrInvalid = errors.New("Retry-After is neither a number of seconds nor a date in a response with a Date header")
 
-// Read returns for how long a server wants nothing more from who sent a request, by its
-// answer's status and headers; 0: it doesn't say. Fractions of seconds count. A date counts
-// from the answer's own Date, since clocks of hosts differ.
+// Read returns how long a server asks the sender of a request to send nothing more, from the
+// status and headers of its response. It returns 0 if the server does not ask. Fractions of
+// a second count. A date is relative to the Date header of the response, since clocks of hosts
+// differ.
 func Read(status int, h http.Header) (time.Duration, error) {
 	value := h.Get(header)
 	if value == "" || !appliesToAllRequests(status) {
@@ -41,9 +43,9 @@
 	return max(until.Sub(from), 0), nil
 }
 
-// appliesToAllRequests tells whether an answer of a status speaks of all requests of who sent one: a
-// 503 does, and so does a 429 for one who sends for many callers. With other statuses the
-// header has another meaning.
+// appliesToAllRequests reports whether Retry-After in a response with this status applies to all
+// requests of the sender. It does with 503, and with 429 for a sender that serves many callers.
+// With other statuses the header has another meaning.
 func appliesToAllRequests(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -19,17 +19,17 @@
 	}{
 		"nothing":                 {status: 503},
 		"seconds":                 {status: 503, value: "3", want: 3 * time.Second},
-		"parts of a second":       {status: 503, value: "0.25", want: 250 * time.Millisecond},
+		"fraction of a second":    {status: 503, value: "0.25", want: 250 * time.Millisecond},
 		"none":                    {status: 503, value: "0"},
 		"too many requests":       {status: 429, value: "2", want: 2 * time.Second},
 		"another status":          {status: 500, value: "3"},
 		"a redirection":           {status: 301, value: "3"},
-		"for ever":                {status: 503, value: "+Inf", want: maxDelay},
+		"infinite time":           {status: 503, value: "+Inf", want: maxDelay},
 		"a date":                  {status: 503, value: "Fri, 07 Aug 2026 10:00:04 GMT", date: date, want: 4 * time.Second},
-		"a date that is over":     {status: 503, value: date, date: "Fri, 07 Aug 2026 10:00:04 GMT"},
-		"a date beside none":      {status: 503, value: date, invalid: true},
-		"less than nothing":       {status: 503, value: "-3", invalid: true},
-		"no number":               {status: 503, value: "NaN", invalid: true},
+		"a past date":             {status: 503, value: date, date: "Fri, 07 Aug 2026 10:00:04 GMT"},
+		"a date without Date":     {status: 503, value: date, invalid: true},
+		"negative seconds":        {status: 503, value: "-3", invalid: true},
+		"not a number":            {status: 503, value: "NaN", invalid: true},
 		"neither number nor date": {status: 503, value: "soon", invalid: true},
 	} {
 		h := http.Header{}
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,6 +1,6 @@
-// Package seeded runs a package's tests with a fixed seed for rapid, so that CI
-// gives the same verdict every time. A longer or other run is a matter of
-// flags: go test ./proof -rapid.seed=7 -rapid.checks=100000.
+// Package seeded runs a package's tests with a fixed seed for rapid, so that CI gives
+// the same result every time. Flags select another seed or a longer run:
+// go test ./proof -rapid.seed=7 -rapid.checks=100000.
 //
 //	func TestMain(m *testing.M) { seeded.Main(m) }
 package seeded
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// defaults are the values of rapid's flags that are not given.
+// defaults holds the values of rapid's flags that the command line does not set.
 var defaults = map[string]string{
 	"rapid.seed":       "20261202",
 	"rapid.checks":     "300",
--- a/internal/socket/queued.go
+++ b/internal/socket/queued.go
@@ -7,11 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// CloseQueued closes the connections that wait in a listener's queue, most of them
-// at the most, without reading them, and returns how many there were. It takes two
-// system calls for each: the cheapest way to tell a caller that nothing of its
-// request was read, and that it should ask another host. A listener that is no
-// socket has no queue.
+// CloseQueued closes connections that wait in a listener's accept queue, at most limit of
+// them, without reading them, and returns how many it closed. It takes two system calls
+// for each: the cheapest way to show a caller that nothing of its request was read and
+// that it should try another host. A listener that is not a socket has no queue.
 func CloseQueued(ln net.Listener, limit int) int {
 	sc, ok := ln.(syscall.Conn)
 	if !ok {
@@ -19,7 +18,7 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return 0 // the listener is closed, and its queue with it
+		return 0 // the listener and its queue are closed
 	}
 	closed := 0
 	err = raw.Control(func(fd uintptr) {
@@ -28,7 +27,7 @@
 			if err != nil {
 				return // the queue is empty
 			}
-			_ = unix.Close(conn) // nothing was written that could be lost
+			_ = unix.Close(conn) // nothing was written, so nothing is lost
 			closed++
 		}
 	})
--- a/internal/socket/queued_test.go
+++ b/internal/socket/queued_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCloseQueued closes what waits in a listener's queue, up to a bound, and leaves
-// the listener able to accept.
+// TestCloseQueued checks that CloseQueued closes waiting connections up to the limit and
+// that the listener can still accept.
 func TestCloseQueued(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at what a connection has to read, without reading it.
+// Package socket inspects and closes connections without reading from them.
 package socket
 
 import (
@@ -8,18 +8,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadState is what a connection has to read.
+// ReadState describes what a connection has to read.
 type ReadState int
 
-// What a connection may have to read.
+// The read states of a connection.
 const (
-	Idle     ReadState = iota // it is open and quiet
-	Readable                  // bytes have come
-	Closed                    // the peer has closed it, or it failed
+	Idle     ReadState = iota // open, with nothing to read
+	Readable                  // bytes have arrived
+	Closed                    // closed by the peer, or failed
 )
 
-// Peek tells what a connection has to read. A connection that is no socket
-// counts as quiet.
+// Peek returns the read state of a connection without reading from it. A connection that
+// is not a socket counts as Idle.
 func Peek(conn net.Conn) ReadState {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -25,5 +25,5 @@
 	require.Equal(t, Idle, Peek(nonSocketConn{}))
 }
 
-// nothing is a connection without a socket.
+// nonSocketConn is a connection without a socket.
 type nonSocketConn struct{ net.Conn }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait waits for a time that the end of a context cuts short.
+// Package wait pauses for a duration or until a context ends.
 package wait
 
 import (
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Sleep waits for some time, or until ctx ends.
+// Sleep waits for d or until ctx ends.
 func Sleep(ctx context.Context, d time.Duration) { Until(ctx, nil, d) }
 
-// Until waits until a channel is closed, for some time at most, or until ctx ends.
+// Until waits until a channel is closed, timeout passes or ctx ends.
 func Until(ctx context.Context, closed <-chan struct{}, timeout time.Duration) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/link/conn.go
+++ b/link/conn.go
@@ -14,31 +14,31 @@
 
 // Errors that end a link.
 var (
-	// ErrNoHello means that the other side is no croftvale process.
-	ErrNoHello = errors.New("peer did not say hello; check that the address is a control address")
-	// ErrTooSlow means that the peer did not take its messages.
-	ErrTooSlow = errors.New("peer does not take its messages; the link is cut and will be dialled again")
+	// ErrNoHello means that the other side is not a croftvale process.
+	ErrNoHello = errors.New("peer sent no hello; check that the address is a control address")
+	// ErrTooSlow means that the peer does not read its messages fast enough.
+	ErrTooSlow = errors.New("peer does not read its messages; the link is closed and will be dialled again")
 )
 
-// Conn is one control link. Its methods may be called from any goroutine; its
-// name tables are for the one goroutine that handles the link's events.
+// Conn is a control link. Its methods may be called from any goroutine, but its name
+// tables may be used only by the goroutine that handles the link's events.
 type Conn struct {
-	Peer     wire.Hello // what the other side said first
+	Peer     wire.Hello // the peer's first message
 	Remote   string
-	OutNames wire.Namer // names in messages to the peer
-	InNames  wire.Names // names in messages from the peer
+	OutNames wire.Namer // numbers of names in messages to the peer
+	InNames  wire.Names // numbers of names in messages from the peer
 
 	raw           net.Conn
 	opts          Options
-	lastSendNanos atomic.Int64 // when the last message was handed over, in Unix nanoseconds
+	lastSendNanos atomic.Int64 // when Send last queued a message, in Unix nanoseconds
 	queue         chan wire.Message
 	closeOnce     sync.Once
 	closed        chan struct{}
 	err           error
 }
 
-// Dial connects to a control address and runs the link until it ends or ctx
-// does. It returns why it ended.
+// Dial connects to a control address and runs the link until the link or ctx ends. It
+// returns the reason.
 func Dial(ctx context.Context, address string, opts Options) error {
 	raw, err := opts.dial()(ctx, "tcp", address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return serve(ctx, opts.client(raw), opts)
 }
 
-// serve says hello and runs a link over an open connection.
+// serve exchanges hellos and runs a link over an open connection.
 func serve(ctx context.Context, raw net.Conn, opts Options) error {
 	c := &Conn{
 		Remote: raw.RemoteAddr().String(),
@@ -71,19 +71,19 @@
 	return c.err
 }
 
-// hello exchanges the first messages.
+// hello sends the hello of this process and reads the peer's.
 func (c *Conn) hello(r *bufio.Reader) error {
 	frame, err := wire.Encode(c.opts.Hello())
 	if err != nil {
 		return err
 	}
-	_ = c.raw.SetDeadline(time.Now().Add(c.opts.timeout())) // here and below: a closed connection shows when it is used
+	_ = c.raw.SetDeadline(time.Now().Add(c.opts.timeout())) // here and below: if the connection is closed, the next use fails
 	if _, err := c.raw.Write(frame); err != nil {
-		return errors.Wrap(err, "say hello")
+		return errors.Wrap(err, "send hello")
 	}
 	m, _, err := wire.Read(r)
 	if err != nil {
-		return errors.Mark(errors.Wrap(err, "wait for hello"), ErrNoHello)
+		return errors.Mark(errors.Wrap(err, "read hello"), ErrNoHello)
 	}
 	h, ok := m.(wire.Hello)
 	if !ok {
@@ -96,8 +96,8 @@
 	return c.raw.SetDeadline(time.Time{})
 }
 
-// SendNamed sends a message that uses numbers of Out, and before it the names
-// that are new to the peer.
+// SendNamed sends the names that are new to the peer, then a message that uses numbers of
+// OutNames. It reports whether all were queued.
 func (c *Conn) SendNamed(m wire.Message) bool {
 	for _, n := range c.OutNames.News() {
 		if !c.Send(n) {
@@ -107,8 +107,8 @@
 	return c.Send(m)
 }
 
-// Send hands a message to the writer. It never waits: a link whose channel is
-// full is cut, and Send returns false.
+// Send queues a message for the writer and reports whether it did. It never blocks: a link
+// whose queue is full is closed.
 func (c *Conn) Send(m wire.Message) bool {
 	select {
 	case <-c.closed:
@@ -125,22 +125,22 @@
 	}
 }
 
-// HeartbeatDue tells whether so little has been sent lately that the peer needs a sign
-// of life, if it is to have one at intervals.
+// HeartbeatDue reports whether the last message was sent so long ago that the peer needs a
+// heartbeat now to receive a message in each interval.
 func (c *Conn) HeartbeatDue(interval time.Duration) bool {
 	return time.Now().UnixNano()-c.lastSendNanos.Load() > int64(interval-MinHeartbeatInterval/4)
 }
 
-// Close ends the link for a reason; later calls do nothing.
+// Close ends the link for a reason. Later calls do nothing.
 func (c *Conn) Close(reason error) {
 	c.closeOnce.Do(func() {
 		c.err = reason
 		close(c.closed)
-		_ = c.raw.Close() // why says more than its error
+		_ = c.raw.Close() // reason explains more than this error
 	})
 }
 
-// write sends messages and flushes whenever none waits.
+// write sends queued messages and flushes whenever the queue is empty.
 func (c *Conn) write() {
 	w := bufio.NewWriter(c.raw)
 	for {
@@ -172,14 +172,14 @@
 	return w.Flush()
 }
 
-// read delivers messages until the link ends or the peer falls silent.
+// read delivers messages until the link ends or the peer is silent for too long.
 func (c *Conn) read(r *bufio.Reader) error {
 	readTimeout := c.opts.timeout()
 	for {
 		_ = c.raw.SetReadDeadline(time.Now().Add(readTimeout))
 		m, n, err := wire.Read(r)
 		if errors.Is(err, wire.ErrUnknownType) {
-			continue // from a newer release; what it says is not for us
+			continue // from a newer release; this process does not need it
 		}
 		if err != nil {
 			return err
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,8 +1,9 @@
-// Package link carries control messages between processes over TCP. A Conn has
-// one goroutine that reads and one that writes; both are joined to the rest of
-// the process by bounded channels. A peer that does not keep up loses its
-// link, never the process its time.
+// Package link carries control messages between processes over TCP. A Conn has one
+// goroutine that reads and one that writes; bounded channels connect both to the rest
+// of the process. A peer that does not keep up loses its link and never blocks the
+// process.
 //
-//	conn, err := link.Dial(ctx, addr, opts)
-//	conn.Send(wire.Heartbeat{Generation: 7})
+//	go link.KeepConnected(ctx, addr, opts, onEnd)
+//	up := <-events // EventUp
+//	up.Conn.Send(wire.Heartbeat{Generation: 7})
 package link
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -13,7 +13,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// side is one end of links.
+// endpoint is one end of a link.
 type endpoint struct {
 	opts   Options
 	events chan Event
@@ -25,7 +25,7 @@
 	return endpoint{events: events, opts: Options{Events: events, Meter: &Meter{}, Hello: hello}}
 }
 
-// pair returns two linked ends, and what ends the link.
+// pair returns two linked endpoints and a function that ends the link.
 func pair(t *testing.T) (dialled, accepted endpoint, end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestLinkCarriesInOrder holds that messages come in order, with the names that
-// they use before them, and that both ends hear of the end.
+// TestLinkCarriesInOrder checks that messages arrive in order, after the names that they
+// use, and that both ends receive EventDown.
 func TestLinkCarriesInOrder(t *testing.T) {
 	dialled, accepted, end := pair(t)
 	up := <-dialled.events
@@ -71,15 +71,15 @@
 	require.Equal(t, EventDown, (<-accepted.events).Kind)
 }
 
-// TestFullLinkIsClosed holds that a peer which does not read loses its link, and
-// that the sender never waits.
+// TestFullLinkIsClosed checks that a peer that does not read loses its link and that the
+// sender never blocks.
 func TestFullLinkIsClosed(t *testing.T) {
 	dialled, accepted, end := pair(t)
 	conn := (<-dialled.events).Conn
 	require.Equal(t, EventUp, (<-accepted.events).Kind)
 	big := wire.BundleData{Content: make([]byte, 1<<20)}
 	sent := 0
-	for conn.Send(big) { // nobody takes events at the other end
+	for conn.Send(big) { // the other end reads no events
 		sent++
 		require.Less(t, sent, 100_000)
 	}
@@ -92,7 +92,7 @@
 	close(accepted.events)
 }
 
-// TestPeerWithoutHelloIsRejected holds that what does not say hello gets no link.
+// TestPeerWithoutHelloIsRejected checks that a peer that sends no hello gets no link.
 func TestPeerWithoutHelloIsRejected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/link/listen.go
+++ b/link/listen.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxConns bounds the control links that a process accepts.
+// maxConns is the largest number of control links that a process accepts.
 const maxConns = 4096
 
-// Listen accepts links on a listener until ctx ends, then waits for all of
-// them to end. Connections above the limit are closed at once.
+// Listen accepts links on a listener until ctx ends, then waits for all of them to end.
+// It closes connections above maxConns at once.
 func Listen(ctx context.Context, ln net.Listener, opts Options) error {
 	ln = opts.listener(ln)
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
--- a/link/meter.go
+++ b/link/meter.go
@@ -6,7 +6,7 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// Traffic is what one type of message has cost so far.
+// Traffic counts the messages of one type and their bytes.
 type Traffic struct {
 	Type      string `json:"type"`
 	SentCount int64  `json:"sent_count"`
@@ -42,11 +42,11 @@
 	m.types[t].ReadBytes += int64(bytes)
 }
 
-// CountGrant counts the bytes that a count of what is left adds to the headers of
-// one granted request.
+// CountGrant counts the bytes that the remaining queue length adds to the headers of one
+// granted request.
 func (m *Meter) CountGrant(bytes int) { m.sent(wire.TypeGrant, bytes) }
 
-// Snapshot returns the types that were seen, in the order of their numbers.
+// Snapshot returns the types that have traffic, ordered by their numbers.
 func (m *Meter) Snapshot() []Traffic {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/link/options.go
+++ b/link/options.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// DefaultTimeout is how long a peer that gives a sign of life every
-	// HeartbeatEvery may be silent before its link is cut.
+	// DefaultTimeout is how long a peer that sends a heartbeat every
+	// MinHeartbeatInterval may be silent before its link is closed.
 	DefaultTimeout = maxMissedHeartbeats * MinHeartbeatInterval
-	// MinHeartbeatInterval is the time between two signs of life on a quiet link of a
+	// MinHeartbeatInterval is the time between two heartbeats on an idle link of a
 	// process with few links.
 	MinHeartbeatInterval = time.Second
-	// linksPerSecond is how many quiet links a process keeps alive each second;
-	// one with more links does so less often, and says how often.
+	// heartbeatsPerSecond is the largest number of heartbeats that a process sends per
+	// second. With more idle links it sends them less often, and states the interval in
+	// each.
 	heartbeatsPerSecond = 100
-	// missed is how many signs of life must be missing.
+	// maxMissedHeartbeats is the number of missing heartbeats that closes a link.
 	maxMissedHeartbeats = 3
-	// outgoing is how many messages may wait for the writer.
+	// sendQueueSize is the number of messages that may wait for the writer.
 	sendQueueSize = 1024
 )
 
 // DialFunc opens a network connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options is what links of one process have in common.
+// Options holds what all links of a process have in common.
 type Options struct {
-	Hello      func() wire.Hello              // what this process says first, at the time of connecting
-	Events     chan<- Event                   // bounded; readers wait for room, which slows the peer down
-	Timeout    time.Duration                  // DefaultTimeout where zero
+	Hello      func() wire.Hello              // returns the first message to send; called for each connection
+	Events     chan<- Event                   // bounded; a link waits while it is full, which slows the peer down
+	Timeout    time.Duration                  // DefaultTimeout if zero
 	Secure     *secure.Store                  // nil for plain TCP
-	AcceptRole wire.Role                      // the role that may connect here; any where empty
-	Dial       DialFunc                       // net.Dialer where nil
-	OnEnd      func(remote string, err error) // hears why accepted links ended; may be nil
+	AcceptRole wire.Role                      // the role that may connect here; any if empty
+	Dial       DialFunc                       // net.Dialer if nil
+	OnEnd      func(remote string, err error) // receives the error of each accepted link that fails; may be nil
 	Meter      *Meter                         // counts messages and bytes; may be nil
 }
 
-// HeartbeatInterval returns the time between two signs of life on a quiet link of a
-// process with a number of links.
+// HeartbeatInterval returns the time between two heartbeats on an idle link of a process
+// with the given number of links.
 func HeartbeatInterval(links int) time.Duration {
 	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/heartbeatsPerSecond)
 }
--- a/link/reconnect.go
+++ b/link/reconnect.go
@@ -13,8 +13,8 @@
 	maxRetryDelay     = time.Second
 )
 
-// KeepConnected holds a link to an address: it dials again, with exponential backoff
-// and jitter, until ctx ends. report hears why each link ended.
+// KeepConnected holds a link to an address open: it redials with exponential backoff and
+// jitter until ctx ends. onEnd receives the reason why each link ended.
 func KeepConnected(ctx context.Context, address string, opts Options, onEnd func(error)) {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialRetryDelay
--- a/link/rows.go
+++ b/link/rows.go
@@ -7,7 +7,7 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// EncodeCounts spells counts with the names of this link.
+// EncodeCounts converts counts to rows with the name numbers of this link.
 func (c *Conn) EncodeCounts(counts []fleet.Count) []wire.DemandRow {
 	rows := make([]wire.DemandRow, len(counts))
 	for i, n := range counts {
@@ -16,7 +16,7 @@
 	return rows
 }
 
-// EncodeCount spells one count with the names of this link.
+// EncodeCount converts one count to a row with the name numbers of this link.
 func (c *Conn) EncodeCount(n fleet.Count) wire.DemandRow {
 	return wire.DemandRow{
 		Work:      c.OutNames.Number(string(n.Key.Work)),
@@ -27,8 +27,8 @@
 	}
 }
 
-// DecodeCounts reads counts from this link. Rows with names that were never sent
-// are left out.
+// DecodeCounts converts rows from this link to counts. It skips rows with names that were
+// never sent.
 func (c *Conn) DecodeCounts(rows []wire.DemandRow) []fleet.Count {
 	counts := make([]fleet.Count, 0, len(rows))
 	for _, r := range rows {
@@ -40,7 +40,7 @@
 	return counts
 }
 
-// DecodeCount reads one count from this link.
+// DecodeCount converts one row from this link to a count.
 func (c *Conn) DecodeCount(r wire.DemandRow) fleet.Count {
 	return fleet.Count{
 		Key:       c.DecodeKey(r.Work, r.Team, r.Class),
@@ -49,7 +49,7 @@
 	}
 }
 
-// DecodeKey reads the name of a line from this link.
+// DecodeKey returns the key of a queue from the name numbers of this link.
 func (c *Conn) DecodeKey(work, team wire.Number, class fleet.Class) fleet.DemandKey {
 	return fleet.DemandKey{
 		Work:  fleet.Work(c.InNames.Text(work)),
@@ -58,7 +58,7 @@
 	}
 }
 
-// EncodeService spells service rows with the names of this link.
+// EncodeService converts service rows to rows with the name numbers of this link.
 func (c *Conn) EncodeService(rows []fleet.ServiceRow) []wire.ServiceRow {
 	out := make([]wire.ServiceRow, len(rows))
 	for i, r := range rows {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// DecodeService reads service rows from this link. Rows with names that were
-// never sent are left out.
+// DecodeService converts rows from this link to service rows. It skips rows with names that
+// were never sent.
 func (c *Conn) DecodeService(rows []wire.ServiceRow) []fleet.ServiceRow {
 	out := make([]fleet.ServiceRow, 0, len(rows))
 	for _, r := range rows {
--- a/link/tls.go
+++ b/link/tls.go
@@ -9,11 +9,11 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// ErrIdentityMismatch means that a peer calls itself by another name or role than its
-// certificate does.
+// ErrIdentityMismatch means that the name or role in a peer's hello differs from its
+// certificate.
 var ErrIdentityMismatch = errors.New("the peer's hello and its certificate disagree; give each process the certificate of its own name and role")
 
-// client wraps a dialled connection where the fleet has keys.
+// client wraps a dialled connection in TLS if the fleet has keys.
 func (o Options) client(raw net.Conn) net.Conn {
 	if o.Secure == nil {
 		return raw
@@ -21,7 +21,7 @@
 	return tls.Client(raw, o.Secure.Client(secure.Identity{}))
 }
 
-// listener wraps a listener where the fleet has keys.
+// listener wraps a listener in TLS if the fleet has keys.
 func (o Options) listener(ln net.Listener) net.Listener {
 	if o.Secure == nil {
 		return ln
@@ -33,7 +33,7 @@
 	})
 }
 
-// checkIdentity holds a peer's hello against its certificate.
+// checkIdentity compares a peer's hello with its certificate.
 func checkIdentity(raw net.Conn, h wire.Hello) error {
 	conn, ok := raw.(*tls.Conn)
 	if !ok {
--- a/relay/body.go
+++ b/relay/body.go
@@ -5,13 +5,12 @@
 	"io"
 )
 
-// SingleUseBody is a request body that can't be rewound. net/http sends a request
-// again by itself when a kept connection turns out to be closed and the body
-// is absent or can be rewound; a request that may run only once must not be.
+// SingleUseBody is a request body that can't be rewound. net/http resends a request on
+// its own if a kept connection turns out to be closed and the body is absent or can be
+// rewound. A request that may run only once must not be resent.
 type SingleUseBody struct{ r io.Reader }
 
-// NewSingleUseBody returns a body over bytes and, after them, the rest of a stream,
-// which may be nil.
+// NewSingleUseBody returns a body that reads head and then rest, which may be nil.
 func NewSingleUseBody(head []byte, rest io.Reader) *SingleUseBody {
 	if rest == nil {
 		return &SingleUseBody{r: bytes.NewReader(head)}
@@ -22,5 +21,5 @@
 // Read implements io.Reader.
 func (b *SingleUseBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// Close implements io.Closer; the stream is its owner's to close.
+// Close implements io.Closer. It does nothing: the owner of the stream closes it.
 func (b *SingleUseBody) Close() error { return nil }
--- a/relay/copy.go
+++ b/relay/copy.go
@@ -11,24 +11,24 @@
 
 const (
 	copyBufferSize = 32 << 10
-	// finishBytes is the size of the longest answer by which an agent turns a
-	// request away.
+	// maxDiscardBytes is the size of the longest response with which an agent refuses a
+	// request.
 	maxDiscardBytes = 4 << 10
-	// writeTimeout is how long a reader may take to accept one piece.
+	// writeTimeout is how long the receiver may take to accept one chunk.
 	writeTimeout = 30 * time.Second
 )
 
-// Errors of Copy: which side failed decides what can be said of the request.
+// Errors of Copy. The side that failed determines what can be reported about the request.
 var (
-	// ErrRead means that the answer broke off before its end.
-	ErrRead = errors.New("the answer broke off before its end")
-	// ErrWrite means that the other side no longer takes the answer.
-	ErrWrite = errors.New("the reader of the answer has gone or is too slow")
+	// ErrRead means that the response ended early.
+	ErrRead = errors.New("the response ended early")
+	// ErrWrite means that the receiver no longer accepts the response.
+	ErrWrite = errors.New("the receiver of the response has disconnected or is too slow")
 )
 
 var buffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Copy passes an answer on piece by piece, each at once.
+// Copy forwards a response chunk by chunk and flushes each chunk at once.
 func Copy(w http.ResponseWriter, src io.Reader) error {
 	buf := buffers.Get().(*[copyBufferSize]byte)
 	defer buffers.Put(buf)
@@ -50,15 +50,15 @@
 }
 
 func writeChunk(w io.Writer, rc *http.ResponseController, chunk []byte) error {
-	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // test writers have none
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // test writers don't support deadlines
 	if _, err := w.Write(chunk); err != nil {
 		return err
 	}
 	return rc.Flush()
 }
 
-// DiscardBody reads the short answer by which an agent turns a request away to its
-// end: only then the connection can be used again. Where that fails, another one is opened.
+// DiscardBody reads the short response with which an agent refuses a request to its end. The
+// connection can be reused only then; if reading fails, another connection is opened.
 func DiscardBody(body io.Reader) {
 	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 }
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,7 +1,7 @@
-// Package relay holds what routers and agents share in passing a request on by
-// HTTP: the names of headers, which headers go end to end, and copying a
-// streamed answer.
+// Package relay holds what routers and agents share to forward requests over HTTP: the
+// names of headers, the selection of end-to-end headers, and the copying of a streamed
+// response.
 //
 //	relay.CopyHeader(w.Header(), res.Header)
-//	n, err := relay.Copy(w, res.Body)
+//	err := relay.Copy(w, res.Body)
 package relay
--- a/relay/header.go
+++ b/relay/header.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Headers of croftvale's own, and standard ones that it reads.
+// Headers specific to croftvale, and standard headers that it reads.
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderRan            = "Croftvale-Ran"        // yes, no or unknown
-	HeaderClaim          = "Croftvale-Claim"      // router to agent: the claim that is granted, and after a blank what is left of its line, as count/ms
+	HeaderClaim          = "Croftvale-Claim"      // router to agent: the granted claim, then a blank and what remains in its queue as count/ms
 	HeaderTeam           = "Croftvale-Team"       // router to agent
 	HeaderWork           = "Croftvale-Work"       // router to agent
 	HeaderClass          = "Croftvale-Class"      // urgent, ordinary or batch
@@ -19,15 +19,14 @@
 	HeaderKeyCreatedAt   = "Croftvale-Key-Made" // when the key was first used: RFC 3339 with fractions of a second
 )
 
-// hopByHop headers belong to one connection and are never forwarded.
+// hopByHop headers apply to one connection and are never forwarded.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// CopyHeader copies the headers that go end to end, except those named in
-// without.
+// CopyHeader copies the end-to-end headers, except those listed in exclude.
 func CopyHeader(dst, src http.Header, exclude ...string) {
 	listed := connectionNames(src)
 	for key, values := range src {
@@ -38,7 +37,7 @@
 	}
 }
 
-// connectionNames returns the headers that the Connection header names.
+// connectionNames returns the headers that the Connection header lists.
 func connectionNames(h http.Header) map[string]bool {
 	names := map[string]bool{}
 	for _, v := range h["Connection"] {
--- a/relay/sendtracker.go
+++ b/relay/sendtracker.go
@@ -6,14 +6,14 @@
 	"sync/atomic"
 )
 
-// SendTracker tells whether any byte of a request may have left this process. While
-// it has not, the request has provably not run.
+// SendTracker records whether any byte of a request may have left this process. Until then
+// the request has provably not run.
 type SendTracker struct{ wrote atomic.Bool }
 
-// Trace returns the request with the watch on it.
+// Trace returns the request with a trace that updates the tracker.
 func (s *SendTracker) Trace(req *http.Request) *http.Request {
 	trace := &httptrace.ClientTrace{
-		// A header field is noted before its bytes reach the connection.
+		// This is called before the bytes of the field reach the connection.
 		WroteHeaderField: func(string, []string) { s.wrote.Store(true) },
 	}
 	return req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
