--- a/agent/backend.go
+++ b/agent/backend.go
@@ -44,7 +44,7 @@
 // forward sends a started request to the backend server and streams the response
 // back.
 func (p *proxy) forward(w http.ResponseWriter, r *http.Request, t *target) {
-	var sent relay.Sent
+	var sent relay.SendTracker
 	req := sent.Trace(newServerRequest(r, t))
 	repeatable := r.Header.Get(relay.HeaderRepeatable) == "yes"
 	res, err := p.backend.transport(repeatable).RoundTrip(req)
@@ -69,9 +69,9 @@
 
 // handleFailure records a run without a response from the backend server, and
 // sends the router a refusal that states whether the request may have run.
-func (p *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.Sent, err error) {
+func (p *proxy) handleFailure(w http.ResponseWriter, r *http.Request, sent *relay.SendTracker, err error) {
 	ran := "no"
-	if sent.MayHaveLeft() {
+	if sent.MayHaveSent() {
 		ran = "unknown"
 	}
 	if r.Context().Err() == nil {
@@ -92,7 +92,7 @@
 		Method:        r.Method,
 		URL:           &u,
 		Header:        http.Header{},
-		Body:          relay.NewOnceBody(nil, r.Body),
+		Body:          relay.NewSingleUseBody(nil, r.Body),
 		ContentLength: r.ContentLength,
 		Host:          u.Host,
 	}
--- a/agent/core.go
+++ b/agent/core.go
@@ -56,7 +56,7 @@
 func (c *core) run(ctx context.Context) {
 	tick := time.NewTicker(sched.TickInterval)
 	defer tick.Stop()
-	heartbeat := time.NewTicker(link.HeartbeatEvery)
+	heartbeat := time.NewTicker(link.MinHeartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
@@ -91,7 +91,7 @@
 		c.send(cmd.Router, func(*link.Conn) wire.Message { return wire.Free{Slots: uint32(cmd.Slots), First: cmd.First} })
 	case sched.ServiceCmd:
 		c.send(cmd.Router, func(conn *link.Conn) wire.Message {
-			return wire.Service{Rows: conn.SpellService(cmd.Rows)}
+			return wire.Service{Rows: conn.EncodeService(cmd.Rows)}
 		})
 	case sched.StartCmd:
 		c.decide(cmd.Seq, decisionStart)
@@ -104,8 +104,8 @@
 func encodeClaim(conn *link.Conn, cmd sched.ClaimCmd) wire.Claim {
 	return wire.Claim{
 		Seq:   cmd.Seq,
-		Work:  conn.Out.Number(string(cmd.Key.Work)),
-		Team:  conn.Out.Number(string(cmd.Key.Team)),
+		Work:  conn.OutNames.Number(string(cmd.Key.Work)),
+		Team:  conn.OutNames.Number(string(cmd.Key.Team)),
 		Class: cmd.Key.Class,
 	}
 }
--- a/agent/links.go
+++ b/agent/links.go
@@ -56,13 +56,13 @@
 	case wire.Alive:
 		c.updateScheduler(sched.RouterAliveMsg{Now: c.now(), Router: name})
 	case wire.Name:
-		r.conn.In.Add(m)
+		r.conn.InNames.Add(m)
 	case wire.Demand:
-		c.updateScheduler(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.ReadCounts(m.Rows)})
+		c.updateScheduler(sched.DemandMsg{Now: c.now(), Router: name, Counts: r.conn.DecodeCounts(m.Rows)})
 	case wire.Deny:
-		c.updateScheduler(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.ReadCount(m.Row)})
+		c.updateScheduler(sched.DenyMsg{Now: c.now(), Seq: m.Seq, Count: r.conn.DecodeCount(m.Row)})
 	case wire.Totals:
-		c.updateScheduler(sched.TotalsMsg{Now: c.now(), Rows: r.conn.ReadService(m.Rows)})
+		c.updateScheduler(sched.TotalsMsg{Now: c.now(), Rows: r.conn.DecodeService(m.Rows)})
 	case wire.KeyReserve:
 		c.reserveKey(r, m)
 	case wire.KeyRelease:
--- a/backend/conn.go
+++ b/backend/conn.go
@@ -13,27 +13,27 @@
 	"github.com/croftvale/croftvale/internal/socket"
 )
 
-// ErrForeign says that a connection brought answers to other requests only.
-var ErrForeign = errors.New("the connection brought an answer to another request")
+// ErrWrongResponse means that a connection returned only responses to other requests.
+var ErrWrongResponse = errors.New("the connection returned a response to another request")
 
-// strayAnswers is how many answers to earlier requests are passed over.
-const strayAnswers = 2
+// maxStaleResponses is the number of responses to earlier requests that ReadResponse skips.
+const maxStaleResponses = 2
 
-// strayBytes bounds the body of an answer that is passed over.
-const strayBytes = 1 << 20
+// maxStaleBodyBytes is the largest body of a response that ReadResponse skips.
+const maxStaleBodyBytes = 1 << 20
 
-// Conn is one connection to a backend server; it serves one request at a time.
+// Conn is a connection to a backend server. It serves one request at a time.
 type Conn struct {
 	net.Conn
 	pool      *Pool
 	address   string
 	reader    *bufio.Reader
 	idleUntil time.Time
-	answer    *http.Response
+	response  *http.Response
 	sent      bool
 }
 
-// Request is what is sent, in the form of the wire.
+// Request is an HTTP request as it is written to a connection.
 type Request struct {
 	Method string
 	Target string // path and query as the caller sent them
@@ -42,7 +42,7 @@
 	Body   []byte
 }
 
-// Send writes a request. The error is marked ErrUnsent where no byte has left.
+// Send writes a request. The error is marked with ErrUnsent if no byte was sent.
 func (c *Conn) Send(r *Request) error {
 	var head strings.Builder
 	head.Grow(1 << 10)
@@ -50,7 +50,7 @@
 	if err := r.Header.Write(&head); err != nil {
 		return errors.Mark(err, ErrUnsent)
 	}
-	if len(r.Body) > 0 || takesBody(r.Method) {
+	if len(r.Body) > 0 || expectsBody(r.Method) {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
@@ -63,45 +63,45 @@
 	return err
 }
 
-func takesBody(method string) bool {
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// Answer reads the answer that mine accepts. Answers to earlier requests, which
-// a server may send late, are passed over.
-func (c *Conn) Answer(method string, mine func(*http.Response) bool) (*http.Response, error) {
+// ReadResponse returns the first response that matches accepts. It skips informational
+// responses and responses to earlier requests, which a server may send late.
+func (c *Conn) ReadResponse(method string, matches func(*http.Response) bool) (*http.Response, error) {
 	request := &http.Request{Method: method}
-	for range strayAnswers + 1 {
-		answer, err := http.ReadResponse(c.reader, request)
+	for range maxStaleResponses + 1 {
+		response, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode/100 == 1 {
+		if response.StatusCode/100 == 1 {
 			continue
 		}
-		if mine(answer) {
-			c.answer = answer
-			return answer, nil
+		if matches(response) {
+			c.response = response
+			return response, nil
 		}
-		if answer.Close {
+		if response.Close {
 			break
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, strayBytes); err != io.EOF {
+		if _, err := io.CopyN(io.Discard, response.Body, maxStaleBodyBytes); err != io.EOF {
 			break
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrWrongResponse
 }
 
-// Release keeps the connection for the next request after a whole answer. It
-// closes one that has more to say, or whose server wants it closed.
+// Release returns the connection to the pool after the response was read to its end. It
+// closes the connection if unread bytes remain or the server asked to close it.
 func (c *Conn) Release() {
-	if c.answer == nil || c.answer.Close || c.reader.Buffered() > 0 {
+	if c.response == nil || c.response.Close || c.reader.Buffered() > 0 {
 		c.Close()
 		return
 	}
-	c.idleUntil = time.Now().Add(keptFor(c.answer.Header.Get("Keep-Alive")))
-	c.answer = nil
+	c.idleUntil = time.Now().Add(idleTimeout(c.response.Header.Get("Keep-Alive")))
+	c.response = nil
 	c.sent = false
 	if c.SetDeadline(time.Time{}) != nil {
 		c.Close()
@@ -110,8 +110,8 @@
 	c.pool.put(c)
 }
 
-// keptFor reads how long a server keeps an idle connection.
-func keptFor(keepAlive string) time.Duration {
+// idleTimeout returns how long an idle connection is kept, from the server's Keep-Alive header.
+func idleTimeout(keepAlive string) time.Duration {
 	for field := range strings.SplitSeq(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -121,13 +121,13 @@
 		if err != nil || seconds < 0 {
 			continue
 		}
-		return min(time.Duration(seconds)*time.Second, idleMost) - idleMargin
+		return min(time.Duration(seconds)*time.Second, maxIdleTime) - idleMargin
 	}
-	return idleMost - idleMargin
+	return maxIdleTime - idleMargin
 }
 
-// quiet tells whether an idle connection is open and has nothing to read: bytes
-// that come without a request belong to no request.
-func (c *Conn) quiet() bool {
-	return c.reader.Buffered() == 0 && socket.Look(c.Conn) == socket.Nothing
+// isReusable reports whether an idle connection is open and has nothing to read. Bytes that
+// arrive while no request is pending belong to no request.
+func (c *Conn) isReusable() bool {
+	return c.reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle
 }
--- a/backend/pool_test.go
+++ b/backend/pool_test.go
@@ -10,23 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDialOverdue has a process get no processor time while it connects: that it fails says nothing
-// of the backend server, unlike a connection that is refused.
+// TestDialOverdue checks that a dial that fails because this process gets no processor time is
+// marked with ErrRouterLate, since it is no evidence about the backend server. A refused
+// connection is not marked.
 func TestDialOverdue(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
-	stuck := NewPool(Options{DialTimeout: 10 * time.Millisecond})
-	stuck.dialer.Control = func(string, string, syscall.RawConn) error {
-		time.Sleep(10*time.Millisecond + 2*overdue)
+	latePool := NewPool(Options{DialTimeout: 10 * time.Millisecond})
+	latePool.dialer.Control = func(string, string, syscall.RawConn) error {
+		time.Sleep(10*time.Millisecond + 2*dialTimeoutSlack)
 		return nil
 	}
-	_, err = stuck.Dial(t.Context(), address)
+	_, err = latePool.Dial(t.Context(), address)
 	require.True(t, errors.Is(err, ErrUnsent))
-	require.True(t, errors.Is(err, ErrOverdue))
+	require.True(t, errors.Is(err, ErrRouterLate))
 
 	require.NoError(t, listener.Close())
 	_, err = NewPool(Options{DialTimeout: time.Minute}).Dial(t.Context(), address)
 	require.True(t, errors.Is(err, ErrUnsent))
-	require.False(t, errors.Is(err, ErrOverdue))
+	require.False(t, errors.Is(err, ErrRouterLate))
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket looks at what a connection has to read, without reading it.
+// Package socket inspects and closes connections without reading from them.
 package socket
 
 import (
@@ -8,40 +8,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unread is what a connection has to read.
-type Unread int
+// ReadState describes what a connection has to read.
+type ReadState int
 
-// What a connection may have to read.
+// The read states of a connection.
 const (
-	Nothing Unread = iota // it is open and quiet
-	Bytes                 // bytes have come
-	Ended                 // the peer has closed it, or it failed
+	Idle     ReadState = iota // open, with nothing to read
+	Readable                  // bytes have arrived
+	Closed                    // closed by the peer, or failed
 )
 
-// Look tells what a connection has to read. A connection that is no socket
-// counts as quiet.
-func Look(conn net.Conn) Unread {
-	system, ok := conn.(syscall.Conn)
+// Peek returns the read state of a connection without reading from it. A connection that
+// is not a socket counts as Idle.
+func Peek(conn net.Conn) ReadState {
+	sc, ok := conn.(syscall.Conn)
 	if !ok {
-		return Nothing
+		return Idle
 	}
-	raw, err := system.SyscallConn()
+	raw, err := sc.SyscallConn()
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	out := Ended
+	state := Closed
 	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EAGAIN:
-			out = Nothing
+			state = Idle
 		case err == nil && n > 0:
-			out = Bytes
+			state = Readable
 		}
 	})
 	if err != nil {
-		return Ended
+		return Closed
 	}
-	return out
+	return state
 }
--- a/link/listen.go
+++ b/link/listen.go
@@ -8,18 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxConns bounds the control links that a process accepts.
+// maxConns is the largest number of control links that a process accepts.
 const maxConns = 4096
 
-// Listen accepts links on a listener until ctx ends, then waits for all of
-// them to end. Connections above the limit are closed at once.
+// Listen accepts links on a listener until ctx ends, then waits for all of them to end.
+// It closes connections above maxConns at once.
 func Listen(ctx context.Context, ln net.Listener, opts Options) error {
 	ln = opts.listener(ln)
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	room := make(chan struct{}, maxConns)
+	slots := make(chan struct{}, maxConns)
 	for {
 		raw, err := ln.Accept()
 		if err != nil {
@@ -29,15 +29,15 @@
 			return errors.Wrap(err, "accept control links")
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			_ = raw.Close() // the peer dials again
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
-			if err := serve(ctx, raw, opts); err != nil && opts.Refused != nil {
-				opts.Refused(raw.RemoteAddr().String(), err)
+			defer func() { <-slots }()
+			if err := serve(ctx, raw, opts); err != nil && opts.OnEnd != nil {
+				opts.OnEnd(raw.RemoteAddr().String(), err)
 			}
 		})
 	}
--- a/relay/copy.go
+++ b/relay/copy.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	bufferSize = 32 << 10
-	// finishBytes is the size of the longest answer by which an agent turns a
-	// request away.
-	finishBytes = 4 << 10
-	// writeTimeout is how long a reader may take to accept one piece.
+	copyBufferSize = 32 << 10
+	// maxDiscardBytes is the size of the longest response with which an agent refuses a
+	// request.
+	maxDiscardBytes = 4 << 10
+	// writeTimeout is how long the receiver may take to accept one chunk.
 	writeTimeout = 30 * time.Second
 )
 
-// Errors of Copy: which side failed decides what can be said of the request.
+// Errors of Copy. The side that failed determines what can be reported about the request.
 var (
-	// ErrSource means that the answer broke off before its end.
-	ErrSource = errors.New("the answer broke off before its end")
-	// ErrReader means that the other side no longer takes the answer.
-	ErrReader = errors.New("the reader of the answer has gone or is too slow")
+	// ErrRead means that the response ended early.
+	ErrRead = errors.New("the response ended early")
+	// ErrWrite means that the receiver no longer accepts the response.
+	ErrWrite = errors.New("the receiver of the response has disconnected or is too slow")
 )
 
-var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
+var buffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// Copy passes an answer on piece by piece, each at once.
+// Copy forwards a response chunk by chunk and flushes each chunk at once.
 func Copy(w http.ResponseWriter, src io.Reader) error {
-	buf := buffers.Get().(*[bufferSize]byte)
+	buf := buffers.Get().(*[copyBufferSize]byte)
 	defer buffers.Put(buf)
 	rc := http.NewResponseController(w)
 	for {
 		n, err := src.Read(buf[:])
 		if n > 0 {
-			if werr := writePiece(w, rc, buf[:n]); werr != nil {
-				return errors.Mark(werr, ErrReader)
+			if werr := writeChunk(w, rc, buf[:n]); werr != nil {
+				return errors.Mark(werr, ErrWrite)
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return errors.Mark(err, ErrSource)
+			return errors.Mark(err, ErrRead)
 		}
 	}
 }
 
-func writePiece(w io.Writer, rc *http.ResponseController, piece []byte) error {
-	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // test writers have none
-	if _, err := w.Write(piece); err != nil {
+func writeChunk(w io.Writer, rc *http.ResponseController, chunk []byte) error {
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // test writers don't support deadlines
+	if _, err := w.Write(chunk); err != nil {
 		return err
 	}
 	return rc.Flush()
 }
 
-// Finish reads the short answer by which an agent turns a request away to its
-// end: only then the connection can be used again. Where that fails, another one is opened.
-func Finish(body io.Reader) {
-	_, _ = io.CopyN(io.Discard, body, finishBytes)
+// DiscardBody reads the short response with which an agent refuses a request to its end. The
+// connection can be reused only then; if reading fails, another connection is opened.
+func DiscardBody(body io.Reader) {
+	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -44,11 +44,11 @@
 }
 
 // open returns a reader over the whole body for one attempt.
-func (b *body) open() *relay.OnceBody {
+func (b *body) open() *relay.SingleUseBody {
 	if b.rest != nil {
 		b.consumed = true
 	}
-	return relay.NewOnceBody(b.head, b.rest)
+	return relay.NewSingleUseBody(b.head, b.rest)
 }
 
 // admit reads and checks a request before it is queued. It returns a refusal
@@ -172,12 +172,12 @@
 // repeated. The key of a repeatable request concerns only the backend server.
 // It reports whether the key's creation time is valid.
 func (a *admission) readIdempotencyKey(h http.Header) bool {
-	text := h.Get(relay.HeaderIdempotent)
+	text := h.Get(relay.HeaderIdempotencyKey)
 	if text == "" || a.repeatable {
 		return true
 	}
 	a.idempotency = &idempotency{key: once.NewKey(a.team.Name, a.work.Name, text)}
-	v := h.Get(relay.HeaderKeyMade)
+	v := h.Get(relay.HeaderKeyCreatedAt)
 	if v == "" {
 		return true
 	}
--- a/router/dialer.go
+++ b/router/dialer.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.cancels[address] = cancel
 	d.wg.Go(func() {
-		link.Keep(ctx, address, d.opts, func(err error) {
+		link.KeepConnected(ctx, address, d.opts, func(err error) {
 			d.log.Debug().Str("address", address).Err(err).Msg("control link ended")
 		})
 	})
--- a/router/handler.go
+++ b/router/handler.go
@@ -140,17 +140,17 @@
 	defer cancel()
 	responded := make(chan struct{})
 	go cancelOnAbort(g.abort, responded, cancel)
-	var sent relay.Sent
+	var sent relay.SendTracker
 	req := sent.Trace(newAgentRequest(r, a, g).WithContext(ctx))
 	if h.secure {
 		req.URL.Scheme = "https"
 	}
-	h.meter.Grant(len(g.remaining) + 1)
+	h.meter.CountGrant(len(g.remaining) + 1)
 	res, err := h.transport.RoundTrip(req)
 	close(responded)
 	if err != nil {
 		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("no response from agent")
-		if sent.MayHaveLeft() {
+		if sent.MayHaveSent() {
 			return queue.OutcomeUnknown
 		}
 		return queue.OutcomeNotRun
@@ -159,10 +159,10 @@
 	switch res.Header.Get(relay.HeaderRan) {
 	case "yes":
 	case "no":
-		relay.Finish(res.Body)
+		relay.DiscardBody(res.Body)
 		return queue.OutcomeNotRun
 	default:
-		relay.Finish(res.Body)
+		relay.DiscardBody(res.Body)
 		return queue.OutcomeUnknown
 	}
 	h.events <- responseStartedEvent{n}
--- a/router/keys.go
+++ b/router/keys.go
@@ -49,7 +49,7 @@
 	case once.ReleaseCmd:
 		c.send(cmd.Owner, func(conn *link.Conn) wire.Message {
 			return wire.KeyRelease{
-				Request: cmd.Holder.Request, Work: conn.Out.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
+				Request: cmd.Holder.Request, Work: conn.OutNames.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
 			}
 		})
 	case once.DecideCmd:
@@ -59,7 +59,7 @@
 
 func keyReserve(conn *link.Conn, cmd once.ReserveCmd) wire.KeyReserve {
 	m := wire.KeyReserve{
-		Request: cmd.Holder.Request, Work: conn.Out.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
+		Request: cmd.Holder.Request, Work: conn.OutNames.Number(string(cmd.Key.Work)), Digest: cmd.Key.Digest[:],
 	}
 	if !cmd.CreatedAt.IsZero() {
 		m.Made = cmd.CreatedAt.UnixMilli()
