--- a/adopt/keeper.go
+++ b/adopt/keeper.go
@@ -14,12 +14,12 @@
 type Keeper struct {
 	adopter bundle.Adopter
 	offers  chan bundle.OfferMsg
-	adopted func(bundle.InForce)
+	adopted func(bundle.Active)
 	refused func(error)
 }
 
 // NewKeeper returns a keeper. The functions are called from Run's goroutine.
-func NewKeeper(v bundle.Verifier, adopted func(bundle.InForce), refused func(error)) *Keeper {
+func NewKeeper(v bundle.Verifier, adopted func(bundle.Active), refused func(error)) *Keeper {
 	return &Keeper{
 		adopter: bundle.Adopter{Verifier: v},
 		offers:  make(chan bundle.OfferMsg, room),
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -65,13 +65,13 @@
 		left:        make(chan struct{}),
 	}
 	a.server = newServer(a.core, logger)
-	a.core.bundles = func(f bundle.InForce) { a.server.configure(f) }
+	a.core.bundles = func(f bundle.Active) { a.server.configure(f) }
 	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.adopted, a.refused)
 	a.admin = admin.New(admin.Source{Ready: a.server.ready, State: a.dump})
 	return a, nil
 }
 
-func (a *Agent) adopted(f bundle.InForce) { a.core.events <- bundleEvent{f} }
+func (a *Agent) adopted(f bundle.Active) { a.core.events <- bundleEvent{f} }
 
 func (a *Agent) refused(err error) {
 	a.log.Warn().Err(err).Msg("bundle refused")
--- a/agent/core.go
+++ b/agent/core.go
@@ -30,11 +30,11 @@
 	links       chan link.Event
 	meter       *link.Meter
 	keeper      *adopt.Keeper
-	bundles     func(bundle.InForce) // hears of each bundle in force
+	bundles     func(bundle.Active) // hears of each bundle in force
 
 	machine   *sched.Machine
 	keys      *once.KeyTable
-	inForce   bundle.InForce
+	inForce   bundle.Active
 	routers   map[fleet.Name]*routerLink
 	waiting   map[uint64]chan<- verdict
 	serving   bool
@@ -191,7 +191,7 @@
 }
 
 // adopted puts a bundle in force here.
-func (c *core) adopted(f bundle.InForce) {
+func (c *core) adopted(f bundle.Active) {
 	c.inForce = f
 	c.pullAgain = 0
 	b := f.Bundle.WithDefaults()
--- a/agent/event.go
+++ b/agent/event.go
@@ -30,7 +30,7 @@
 type endEvent struct{ seq uint64 }
 
 // bundleEvent brings a bundle that is now in force.
-type bundleEvent struct{ inForce bundle.InForce }
+type bundleEvent struct{ inForce bundle.Active }
 
 // healthEvent says whether the server takes work.
 type healthEvent struct{ serving bool }
--- a/agent/server.go
+++ b/agent/server.go
@@ -39,7 +39,7 @@
 }
 
 // configure takes a new bundle.
-func (s *server) configure(f bundle.InForce) {
+func (s *server) configure(f bundle.Active) {
 	b := f.Bundle.WithDefaults()
 	own, ok := serverOf(b, s.core.settings.Name)
 	if !ok {
--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -5,8 +5,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// InForce is a bundle with the order that put it in force.
-type InForce struct {
+// Active is a bundle with the order that put it in force.
+type Active struct {
 	Order   Order
 	Bundle  Bundle // as signed
 	Content []byte // packed, for passing on; nil where it was made by a patch
@@ -14,26 +14,26 @@
 
 // Packed returns the packed bundle. After a patch it is worked out anew at
 // each call, since hardly anyone asks for it: keep it if it is asked for.
-func (f InForce) Packed() []byte {
+func (f Active) Packed() []byte {
 	if f.Content != nil {
 		return f.Content
 	}
-	return pack(Canonical(f.Bundle))
+	return compress(Canonical(f.Bundle))
 }
 
 // Generation returns the generation in force, 0 before the first.
-func (f InForce) Generation() fleet.Generation { return f.Order.Generation }
+func (f Active) Generation() fleet.Generation { return f.Order.Generation }
 
 // Adopter decides which bundle a process has in force. It only ever moves to
 // a higher generation whose order and content check out; the zero value,
 // given a Verifier, is ready for use.
 type Adopter struct {
 	Verifier Verifier
-	current  InForce
+	current  Active
 }
 
 // Current returns what is in force.
-func (a *Adopter) Current() InForce { return a.current }
+func (a *Adopter) Current() Active { return a.current }
 
 // OfferMsg says that a bundle may be had. Order is the encoded order; Content
 // is the packed bundle or, where Base is not zero, a patch on that generation.
@@ -72,21 +72,21 @@
 }
 
 // content takes what an offer brings, if it has the digest that was ordered.
-func (a *Adopter) content(o Order, m OfferMsg) (InForce, error) {
+func (a *Adopter) content(o Order, m OfferMsg) (Active, error) {
 	if m.Base == 0 {
-		b, err := Open(m.Content, o.Digest)
-		return InForce{Order: o, Bundle: b, Content: m.Content}, err
+		b, err := Unpack(m.Content, o.Digest)
+		return Active{Order: o, Bundle: b, Content: m.Content}, err
 	}
 	if m.Base != a.current.Generation() {
-		return InForce{}, errors.Wrapf(ErrPatch, "made for generation %d", m.Base)
+		return Active{}, errors.Wrapf(ErrPatch, "made for generation %d", m.Base)
 	}
 	p, err := DecodePatch(m.Content)
 	if err != nil {
-		return InForce{}, errors.Mark(err, ErrPatch)
+		return Active{}, errors.Mark(err, ErrPatch)
 	}
 	b := p.Apply(a.current.Bundle)
 	if DigestOf(b) != o.Digest {
-		return InForce{}, ErrPatch
+		return Active{}, ErrPatch
 	}
-	return InForce{Order: o, Bundle: b}, nil
+	return Active{Order: o, Bundle: b}, nil
 }
--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -38,7 +38,7 @@
 	for _, size := range []struct{ teams, servers int }{{10, 15}, {540, 1000}, {540, 10000}} {
 		b.Run(fmt.Sprintf("teams=%d/servers=%d", size.teams, size.servers), func(b *testing.B) {
 			key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
-			digest, content := Seal(sized(size.teams, size.servers))
+			digest, content := Pack(sized(size.teams, size.servers))
 			order := Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(key).Encode()
 			v := Verifier{Operators: Operators{"anna": key.Public().(ed25519.PublicKey)}}
 			b.ReportAllocs()
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -8,7 +8,7 @@
 
 // Change is one thing that a roll changes.
 type Change struct {
-	What   string // such as `team "zurich"`
+	Entry  string // such as `team "zurich"`
 	Before string // empty where it is new
 	After  string // empty where it goes
 }
@@ -17,11 +17,11 @@
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
-		return fmt.Sprintf("+ %s %s", c.What, c.After)
+		return fmt.Sprintf("+ %s %s", c.Entry, c.After)
 	case c.After == "":
-		return fmt.Sprintf("- %s %s", c.What, c.Before)
+		return fmt.Sprintf("- %s %s", c.Entry, c.Before)
 	}
-	return fmt.Sprintf("~ %s %s -> %s", c.What, c.Before, c.After)
+	return fmt.Sprintf("~ %s %s -> %s", c.Entry, c.Before, c.After)
 }
 
 // Diff lists what differs between two bundles, in a stable order.
@@ -37,11 +37,11 @@
 	var out []Change
 	for k := range names {
 		if before[k] != after[k] {
-			out = append(out, Change{What: k, Before: before[k], After: after[k]})
+			out = append(out, Change{Entry: k, Before: before[k], After: after[k]})
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int {
-		if a.What < b.What {
+		if a.Entry < b.Entry {
 			return -1
 		}
 		return 1
--- a/bundle/doc.go
+++ b/bundle/doc.go
@@ -4,7 +4,7 @@
 // force by a signed order that names its digest and generation:
 //
 //	b, err := bundle.Parse("fleet.toml", source)
-//	digest, content := bundle.Seal(b)
+//	digest, content := bundle.Pack(b)
 //	signoff := bundle.SignOff(key, digest)
 //
 // Everything here is pure: files, the platform and clocks are the callers'.
--- a/bundle/order.go
+++ b/bundle/order.go
@@ -24,25 +24,25 @@
 // Order puts one bundle in force. It is the only object that moves: the
 // platform's pointer is an order, and links carry orders.
 type Order struct {
-	Generation fleet.Generation `json:"generation"`
-	Digest     Digest           `json:"digest"`
-	RollID     string           `json:"roll_id"`
-	Operator   string           `json:"operator"`
-	At         string           `json:"at"`     // RFC 3339, for people
-	Recent     []string         `json:"recent"` // roll ids of the orders before this one, the newest first
-	Signoffs   []Signoff        `json:"signoffs"`
-	Signature  []byte           `json:"signature"`
+	Generation    fleet.Generation `json:"generation"`
+	Digest        Digest           `json:"digest"`
+	RollID        string           `json:"roll_id"`
+	Operator      string           `json:"operator"`
+	CreatedAt     string           `json:"at"`     // RFC 3339, for people
+	RecentRollIDs []string         `json:"recent"` // roll ids of the orders before this one, the newest first
+	Signoffs      []Signoff        `json:"signoffs"`
+	Signature     []byte           `json:"signature"`
 }
 
 // recentKept is how many roll ids an order remembers.
 const recentKept = 32
 
-// RecentFor returns what the order that replaces this one remembers.
-func (o Order) RecentFor() []string {
+// NextRecentRollIDs returns what the order that replaces this one remembers.
+func (o Order) NextRecentRollIDs() []string {
 	if o.RollID == "" {
 		return nil
 	}
-	recent := append([]string{o.RollID}, o.Recent...)
+	recent := append([]string{o.RollID}, o.RecentRollIDs...)
 	return recent[:min(len(recent), recentKept)]
 }
 
@@ -53,7 +53,7 @@
 // from passing as an order.
 func (o Order) signedText() []byte {
 	return fmt.Appendf(nil, "croftvale order\n%d\n%s\n%s\n%s\n%s\n%q\n",
-		o.Generation, o.Digest, o.RollID, o.Operator, o.At, o.Recent)
+		o.Generation, o.Digest, o.RollID, o.Operator, o.CreatedAt, o.RecentRollIDs)
 }
 
 func signoffText(d Digest) []byte {
@@ -82,8 +82,8 @@
 
 // Verifier tells whether orders may be obeyed.
 type Verifier struct {
-	Operators Operators
-	Signoffs  int // operators who must have signed the digest off
+	Operators   Operators
+	MinSignoffs int // operators who must have signed the digest off
 }
 
 // Decode reads an order and verifies it.
@@ -101,8 +101,8 @@
 	if !ok || !ed25519.Verify(key, o.signedText(), o.Signature) {
 		return errors.Wrapf(ErrSignature, "generation %d by %q", o.Generation, o.Operator)
 	}
-	if n := v.countSignoffs(o); n < v.Signoffs {
-		return errors.Wrapf(ErrSignoffs, "generation %d has %d of %d", o.Generation, n, v.Signoffs)
+	if n := v.countSignoffs(o); n < v.MinSignoffs {
+		return errors.Wrapf(ErrSignoffs, "generation %d has %d of %d", o.Generation, n, v.MinSignoffs)
 	}
 	return nil
 }
--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -29,7 +29,7 @@
 
 func TestVerifyRefuses(t *testing.T) {
 	anna, piet, eve := keyOf(1), keyOf(2), keyOf(3)
-	v := Verifier{Operators: operatorsOf(map[string]ed25519.PrivateKey{"anna": anna, "piet": piet}), Signoffs: 2}
+	v := Verifier{Operators: operatorsOf(map[string]ed25519.PrivateKey{"anna": anna, "piet": piet}), MinSignoffs: 2}
 	digest := Digest("d1")
 	good := Order{
 		Generation: 3, Digest: digest, RollID: "r", Operator: "anna",
@@ -66,7 +66,7 @@
 		for range rapid.IntRange(1, 30).Draw(rt, "offers") {
 			next := b
 			next.Teams = []Team{{Name: "zurich", Share: float64(rapid.IntRange(1, 3).Draw(rt, "share"))}}
-			digest, content := Seal(next)
+			digest, content := Pack(next)
 			key, operator := anna, "anna"
 			forged := rapid.IntRange(0, 4).Draw(rt, "forged") == 0
 			if forged {
--- a/bundle/seal.go
+++ b/bundle/pack.go
@@ -57,14 +57,14 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Seal returns the digest and the packed content of a bundle, as the platform
+// Pack returns the digest and the packed content of a bundle, as the platform
 // holds it and links carry it.
-func Seal(b Bundle) (Digest, []byte) {
+func Pack(b Bundle) (Digest, []byte) {
 	canonical := Canonical(b)
-	return digestBytes(canonical), pack(canonical)
+	return digestBytes(canonical), compress(canonical)
 }
 
-func pack(canonical []byte) []byte {
+func compress(canonical []byte) []byte {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
 	_, _ = w.Write(canonical) // here and below: a bytes.Buffer never fails
@@ -72,8 +72,8 @@
 	return buf.Bytes()
 }
 
-// Open unpacks content and refuses it unless its digest is want.
-func Open(content []byte, want Digest) (Bundle, error) {
+// Unpack unpacks content and refuses it unless its digest is want.
+func Unpack(content []byte, want Digest) (Bundle, error) {
 	r, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
 		return Bundle{}, errors.Mark(errors.Wrap(err, "unpack bundle"), ErrDigest)
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -36,8 +36,8 @@
 	b, err := Parse("fleet.toml", []byte(goodSource))
 	require.NoError(t, err)
 	require.Equal(t, 2.0, b.Teams[0].Share)
-	digest, content := Seal(b)
-	back, err := Open(content, digest)
+	digest, content := Pack(b)
+	back, err := Unpack(content, digest)
 	require.NoError(t, err)
 	require.Equal(t, DigestOf(b), DigestOf(back))
 	require.Equal(t, PreferBytes, back.WithDefaults().Policy.Prefer)
@@ -48,10 +48,10 @@
 func TestOpenRefusesOtherContent(t *testing.T) {
 	b, err := Parse("fleet.toml", []byte(goodSource))
 	require.NoError(t, err)
-	digest, _ := Seal(b)
+	digest, _ := Pack(b)
 	b.Teams[0].Share = 9
-	_, other := Seal(b)
-	_, err = Open(other, digest)
+	_, other := Pack(b)
+	_, err = Unpack(other, digest)
 	require.ErrorIs(t, err, ErrDigest)
 }
 
@@ -112,8 +112,8 @@
 		if err != nil {
 			return
 		}
-		digest, content := Seal(b)
-		_, err = Open(content, digest)
+		digest, content := Pack(b)
+		_, err = Unpack(content, digest)
 		require.NoError(t, err)
 	})
 }
@@ -122,12 +122,12 @@
 func FuzzOpen(f *testing.F) {
 	b, err := Parse("f", []byte(goodSource))
 	require.NoError(f, err)
-	digest, content := Seal(b)
+	digest, content := Pack(b)
 	f.Add(content)
 	f.Add(content[:len(content)/2])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if got, err := Open(data, digest); err == nil {
+		if got, err := Unpack(data, digest); err == nil {
 			require.Equal(t, digest, DigestOf(got))
 		}
 	})
--- a/bundle/patch.go
+++ b/bundle/patch.go
@@ -15,14 +15,14 @@
 // Patch is what one bundle has that another has not. It needs no signature of
 // its own: what it makes must have the digest that a signed order names.
 type Patch struct {
-	Policy      *Policy      `json:"policy,omitempty"`
-	Limits      *Limits      `json:"limits,omitempty"`
-	Teams       []Team       `json:"teams,omitempty"`
-	GoneTeams   []fleet.Team `json:"gone_teams,omitempty"`
-	Works       []Work       `json:"works,omitempty"`
-	GoneWorks   []fleet.Work `json:"gone_works,omitempty"`
-	Servers     []Server     `json:"servers,omitempty"`
-	GoneServers []fleet.Name `json:"gone_servers,omitempty"`
+	Policy         *Policy      `json:"policy,omitempty"`
+	Limits         *Limits      `json:"limits,omitempty"`
+	Teams          []Team       `json:"teams,omitempty"`
+	RemovedTeams   []fleet.Team `json:"gone_teams,omitempty"`
+	Works          []Work       `json:"works,omitempty"`
+	RemovedWorks   []fleet.Work `json:"gone_works,omitempty"`
+	Servers        []Server     `json:"servers,omitempty"`
+	RemovedServers []fleet.Name `json:"gone_servers,omitempty"`
 }
 
 // NewPatch returns what turns one bundle into another.
@@ -34,9 +34,9 @@
 	if spell(from.Limits) != spell(to.Limits) {
 		p.Limits = &to.Limits
 	}
-	p.Teams, p.GoneTeams = differences(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
-	p.Works, p.GoneWorks = differences(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
-	p.Servers, p.GoneServers = differences(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
+	p.Teams, p.RemovedTeams = differences(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
+	p.Works, p.RemovedWorks = differences(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
+	p.Servers, p.RemovedServers = differences(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
 	return p
 }
 
@@ -65,9 +65,9 @@
 	if p.Limits != nil {
 		b.Limits = *p.Limits
 	}
-	b.Teams = patched(b.Teams, p.Teams, p.GoneTeams, func(t Team) fleet.Team { return t.Name })
-	b.Works = patched(b.Works, p.Works, p.GoneWorks, func(w Work) fleet.Work { return w.Name })
-	b.Servers = patched(b.Servers, p.Servers, p.GoneServers, func(s Server) fleet.Name { return s.Name })
+	b.Teams = patched(b.Teams, p.Teams, p.RemovedTeams, func(t Team) fleet.Team { return t.Name })
+	b.Works = patched(b.Works, p.Works, p.RemovedWorks, func(w Work) fleet.Work { return w.Name })
+	b.Servers = patched(b.Servers, p.Servers, p.RemovedServers, func(s Server) fleet.Name { return s.Name })
 	return b
 }
 
--- a/bundle/patch_test.go
+++ b/bundle/patch_test.go
@@ -45,7 +45,7 @@
 	a := Adopter{Verifier: Verifier{Operators: operatorsOf(keysOf(anna))}}
 	first, second := sized(3, 3), sized(4, 2)
 	offer := func(g fleet.Generation, b Bundle, base fleet.Generation, from Bundle) OfferMsg {
-		digest, content := Seal(b)
+		digest, content := Pack(b)
 		o := Order{Generation: g, Digest: digest, Operator: "anna"}.Sign(anna)
 		if base > 0 {
 			content = NewPatch(from, b).Encode()
@@ -65,7 +65,7 @@
 	require.NoError(t, err)
 	require.Equal(t, Adopted, what)
 	require.Equal(t, DigestOf(second), DigestOf(a.Current().Bundle))
-	_, err = Open(a.Current().Packed(), DigestOf(second))
+	_, err = Unpack(a.Current().Packed(), DigestOf(second))
 	require.NoError(t, err, "what was patched can be passed on whole")
 }
 
@@ -79,7 +79,7 @@
 			to.Teams[7].Share = 9
 			anna := keyOf(1)
 			v := Verifier{Operators: operatorsOf(keysOf(anna))}
-			digest, content := Seal(from)
+			digest, content := Pack(from)
 			first := OfferMsg{Order: Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(anna).Encode(), Content: content}
 			patch := NewPatch(from, to).Encode()
 			next := OfferMsg{Order: Order{Generation: 2, Digest: DigestOf(to), Operator: "anna"}.Sign(anna).Encode(), Content: patch, Base: 1}
--- a/bundle/patches.go
+++ b/bundle/patches.go
@@ -12,13 +12,13 @@
 // Patches holds what turns recent generations into the one in force, for peers
 // that lag. The zero value is ready for use.
 type Patches struct {
-	recent []InForce // the newest last, without the one in force
+	recent []Active // the newest last, without the one in force
 	ready  map[fleet.Generation][]byte
-	now    InForce
+	now    Active
 }
 
-// Adopted notes a bundle that is in force now.
-func (p *Patches) Adopted(f InForce) {
+// SetCurrent notes a bundle that is in force now.
+func (p *Patches) SetCurrent(f Active) {
 	if p.now.Generation() > 0 {
 		p.recent = append(p.recent, p.now)
 	}
--- a/cmd/croftvale/bundle.go
+++ b/cmd/croftvale/bundle.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	digest, content := bundle.Seal(b)
+	digest, content := bundle.Pack(b)
 	fmt.Printf("ok: %d teams, %d works, %d servers; %d bytes packed; digest %s\n",
 		len(b.Teams), len(b.Works), len(b.Servers), len(content), digest)
 	return nil
@@ -87,19 +87,19 @@
 }
 
 // read takes a signed bundle as it is and packs a source.
-func (c bundleSignCmd) read() (operate.Signed, error) {
+func (c bundleSignCmd) read() (operate.SignedBundle, error) {
 	data, err := os.ReadFile(c.Source)
 	if err != nil {
-		return operate.Signed{}, errors.Wrapf(err, "read %s", c.Source)
+		return operate.SignedBundle{}, errors.Wrapf(err, "read %s", c.Source)
 	}
-	if s, err := operate.ReadSigned(data); err == nil {
+	if s, err := operate.DecodeSignedBundle(data); err == nil {
 		return s, nil
 	}
 	b, err := bundle.Parse(c.Source, data)
 	if err != nil {
-		return operate.Signed{}, err
+		return operate.SignedBundle{}, err
 	}
-	return operate.NewSigned(b), nil
+	return operate.NewSignedBundle(b), nil
 }
 
 type bundleRollCmd struct {
@@ -123,7 +123,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "read %s", c.Signed)
 	}
-	s, err := operate.ReadSigned(data)
+	s, err := operate.DecodeSignedBundle(data)
 	if err != nil {
 		return err
 	}
@@ -148,11 +148,11 @@
 	if err != nil {
 		return err
 	}
-	o, _, err := operate.Current(context.Background(), client)
+	o, _, err := operate.CurrentOrder(context.Background(), client)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("rolled: generation %d by %s at %s, digest %s\n", o.Generation, o.Operator, o.At, o.Digest)
+	fmt.Printf("rolled: generation %d by %s at %s, digest %s\n", o.Generation, o.Operator, o.CreatedAt, o.Digest)
 	found := map[string]operate.Summary{}
 	for _, a := range c.Processes {
 		if err := gather(a, found); err != nil {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	_, b, err := operate.InForce(context.Background(), client)
+	_, b, err := operate.CurrentBundle(context.Background(), client)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	o, now, err := operate.InForce(context.Background(), client)
+	o, now, err := operate.CurrentBundle(context.Background(), client)
 	if err != nil {
 		return err
 	}
--- a/cmd/croftvale/state.go
+++ b/cmd/croftvale/state.go
@@ -19,7 +19,7 @@
 
 // Run prints a process's dump, as JSON or in a form for reading.
 func (c stateCmd) Run() error {
-	dump, err := operate.State(context.Background(), c.Address)
+	dump, err := operate.FetchState(context.Background(), c.Address)
 	if err != nil {
 		return err
 	}
--- a/cmd/croftvale/status.go
+++ b/cmd/croftvale/status.go
@@ -18,7 +18,7 @@
 
 // gather asks one process for itself and, if it is a router, its peers.
 func gather(address string, found map[string]operate.Summary) error {
-	dump, err := operate.State(context.Background(), address)
+	dump, err := operate.FetchState(context.Background(), address)
 	if err != nil {
 		return err
 	}
--- a/examples/sign/main.go
+++ b/examples/sign/main.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		log.Fatal(err)
 	}
-	digest, content := bundle.Seal(b)
+	digest, content := bundle.Pack(b)
 	order := bundle.Order{
 		Generation: 1,
 		Digest:     digest,
@@ -38,7 +38,7 @@
 		Signoffs:   []bundle.Signoff{bundle.SignOff("anna", private, digest)},
 	}.Sign(private)
 
-	a := bundle.Adopter{Verifier: bundle.Verifier{Operators: bundle.Operators{"anna": public}, Signoffs: 1}}
+	a := bundle.Adopter{Verifier: bundle.Verifier{Operators: bundle.Operators{"anna": public}, MinSignoffs: 1}}
 	offer := bundle.OfferMsg{Order: order.Encode(), Content: content}
 	for range 2 {
 		what, err := a.Update(offer)
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -22,8 +22,8 @@
 	DefaultTimeout = 2 * time.Second
 	// WatchTimeout is how long a watch waits for a change.
 	WatchTimeout = 30 * time.Second
-	// MaxObject is the largest object, in bytes.
-	MaxObject = 1 << 20
+	// MaxObjectBytes is the largest object, in bytes.
+	MaxObjectBytes = 1 << 20
 
 	defaultCallsPerSecond = 20
 	defaultBurst          = 40
@@ -125,7 +125,7 @@
 		return nil, err
 	}
 	var hosts []Host
-	if err := json.NewDecoder(io.LimitReader(res.Body, MaxObject)).Decode(&hosts); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, MaxObjectBytes)).Decode(&hosts); err != nil {
 		return nil, because(err, ErrUnavailable)
 	}
 	return hosts, nil
@@ -148,8 +148,8 @@
 	if err := statusError(res); err != nil {
 		return Object{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, MaxObject+1))
-	if err != nil || len(body) > MaxObject {
+	body, err := io.ReadAll(io.LimitReader(res.Body, MaxObjectBytes+1))
+	if err != nil || len(body) > MaxObjectBytes {
 		return Object{}, errors.Wrapf(ErrUnavailable, "read %s/%s", ref.Kind, ref.Name)
 	}
 	return Object{Ref: ref, Version: parseETag(res.Header.Get("ETag")), Body: body}, nil
@@ -171,7 +171,7 @@
 // drain reads an answer to its end, so that its connection can be used again. Where that fails it
 // can't, and another one is opened.
 func drain(res *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObject))
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObjectBytes))
 	_ = res.Body.Close()
 }
 
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -30,11 +30,11 @@
 
 // Host is an entry of the platform's list of hosts. The list lags.
 type Host struct {
-	Name  fleet.Name `json:"name"`
-	Role  string     `json:"role"`
-	Hall  fleet.Hall `json:"hall"`
-	Links string     `json:"links"` // control address
-	State HostState  `json:"state"`
+	Name           fleet.Name `json:"name"`
+	Role           string     `json:"role"`
+	Hall           fleet.Hall `json:"hall"`
+	ControlAddress string     `json:"links"` // control address
+	State          HostState  `json:"state"`
 }
 
 // The objects that hold the bundle.
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -28,8 +28,8 @@
 	ErrLostRace = errors.New(`another roll came first and nothing of yours is in force; look at "croftvale bundle diff", then roll again`)
 	// ErrReplaced means that the roll took effect, and another came after it.
 	ErrReplaced = errors.New(`your roll took effect and has been replaced since; look at "croftvale bundle diff"`)
-	// ErrUndecided means that nobody can say yet whether the roll took effect.
-	ErrUndecided = errors.New(`the platform does not say whether the roll took effect; run "croftvale bundle status" when it answers again`)
+	// ErrOutcomeUnknown means that nobody can say yet whether the roll took effect.
+	ErrOutcomeUnknown = errors.New(`the platform does not say whether the roll took effect; run "croftvale bundle status" when it answers again`)
 )
 
 // Roller puts signed bundles in force.
@@ -43,22 +43,22 @@
 
 // Roll writes the content, then moves the pointer from what it read to the
 // next generation. It returns the order that is in force through it.
-func (r Roller) Roll(ctx context.Context, s Signed) (bundle.Order, error) {
+func (r Roller) Roll(ctx context.Context, s SignedBundle) (bundle.Order, error) {
 	if err := r.putContent(ctx, s); err != nil {
 		return bundle.Order{}, err
 	}
-	current, at, err := Current(ctx, r.Store)
+	current, at, err := CurrentOrder(ctx, r.Store)
 	if err != nil {
 		return bundle.Order{}, err
 	}
 	order := bundle.Order{
-		Generation: current.Generation + 1,
-		Digest:     s.Digest,
-		RollID:     r.RollID,
-		Operator:   r.Operator,
-		At:         r.Now.UTC().Format(time.RFC3339),
-		Recent:     current.RecentFor(),
-		Signoffs:   s.Signoffs,
+		Generation:    current.Generation + 1,
+		Digest:        s.Digest,
+		RollID:        r.RollID,
+		Operator:      r.Operator,
+		CreatedAt:     r.Now.UTC().Format(time.RFC3339),
+		RecentRollIDs: current.NextRecentRollIDs(),
+		Signoffs:      s.Signoffs,
 	}.Sign(r.Key)
 	_, err = r.Store.Put(ctx, objectapi.BundlePointer, order.Encode(), at)
 	if err == nil {
@@ -69,7 +69,7 @@
 
 // putContent stores the content under its digest. That it is there already,
 // from this roll or an earlier one, is as good.
-func (r Roller) putContent(ctx context.Context, s Signed) error {
+func (r Roller) putContent(ctx context.Context, s SignedBundle) error {
 	ref := objectapi.BundleContent(string(s.Digest))
 	_, err := r.Store.Put(ctx, ref, s.Content, 0)
 	if err == nil || errors.Is(err, objectapi.ErrConflict) {
@@ -90,22 +90,22 @@
 		return bundle.Order{}, errors.Wrap(why, "move the bundle pointer; nothing is rolled")
 	}
 	now, err := retry(ctx, func() (bundle.Order, error) {
-		now, _, err := Current(ctx, r.Store)
+		now, _, err := CurrentOrder(ctx, r.Store)
 		return now, err
 	})
 	switch {
 	case err != nil:
-		return bundle.Order{}, errors.Mark(err, ErrUndecided)
+		return bundle.Order{}, errors.Mark(err, ErrOutcomeUnknown)
 	case now.RollID == o.RollID:
 		return o, nil
-	case slices.Contains(now.Recent, o.RollID):
-		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", now.Generation, now.Operator, now.At)
+	case slices.Contains(now.RecentRollIDs, o.RollID):
+		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
 	case conflict || now.Generation >= o.Generation:
-		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.At)
+		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
 	}
 	// The pointer is where it was. A delayed write could still land, but not
 	// unseen: it carries the same version condition as any next roll.
-	return bundle.Order{}, errors.Wrapf(ErrUndecided, "the pointer is still at generation %d", now.Generation)
+	return bundle.Order{}, errors.Wrapf(ErrOutcomeUnknown, "the pointer is still at generation %d", now.Generation)
 }
 
 // retry asks until the platform answers, with backoff.
@@ -119,9 +119,9 @@
 	}, backoff.WithMaxTries(readBackTries))
 }
 
-// Current reads the order in force and the pointer's version; a platform
+// CurrentOrder reads the order in force and the pointer's version; a platform
 // without one has generation 0.
-func Current(ctx context.Context, s Store) (bundle.Order, objectapi.Version, error) {
+func CurrentOrder(ctx context.Context, s Store) (bundle.Order, objectapi.Version, error) {
 	obj, err := s.Get(ctx, objectapi.BundlePointer)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return bundle.Order{}, 0, nil
@@ -136,9 +136,9 @@
 	return o, obj.Version, nil
 }
 
-// InForce reads the order in force and its bundle.
-func InForce(ctx context.Context, s Store) (bundle.Order, bundle.Bundle, error) {
-	o, _, err := Current(ctx, s)
+// CurrentBundle reads the order in force and its bundle.
+func CurrentBundle(ctx context.Context, s Store) (bundle.Order, bundle.Bundle, error) {
+	o, _, err := CurrentOrder(ctx, s)
 	if err != nil || o.Generation == 0 {
 		return o, bundle.Bundle{}, err
 	}
@@ -146,6 +146,6 @@
 	if err != nil {
 		return o, bundle.Bundle{}, errors.Wrap(err, "read the bundle's content")
 	}
-	b, err := bundle.Open(obj.Body, o.Digest)
+	b, err := bundle.Unpack(obj.Body, o.Digest)
 	return o, b, err
 }
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -67,7 +67,7 @@
 	s.version++
 	s.objects[ref] = objectapi.Object{Ref: ref, Version: s.version, Body: body}
 	if ref == objectapi.BundlePointer {
-		o, _, err := Current(context.Background(), &store{objects: s.objects, mishap: func() mishap { return wellDone }})
+		o, _, err := CurrentOrder(context.Background(), &store{objects: s.objects, mishap: func() mishap { return wellDone }})
 		if err != nil {
 			panic(err)
 		}
@@ -94,8 +94,8 @@
 	return Roller{Store: s, Operator: name, Key: ed25519.NewKeyFromSeed(seed), RollID: id, Now: time.Unix(0, 0)}
 }
 
-func signedOf(share int) Signed {
-	return NewSigned(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
+func signedOf(share int) SignedBundle {
+	return NewSignedBundle(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
 }
 
 // TestRollsFormALine lets operators race under lost replies and outages. The
@@ -130,7 +130,7 @@
 	switch {
 	case err == nil && !took:
 		rt.Fatalf("%s says it rolled and did not", id)
-	case errors.Is(err, ErrUndecided):
+	case errors.Is(err, ErrOutcomeUnknown):
 		// Nothing was promised.
 	case errors.Is(err, ErrReplaced):
 		if !took {
--- a/operate/state.go
+++ b/operate/state.go
@@ -37,8 +37,8 @@
 	Generation fleet.Generation `json:"generation"`
 }
 
-// State reads the dump of the process whose admin address is given.
-func State(ctx context.Context, address string) ([]byte, error) {
+// FetchState reads the dump of the process whose admin address is given.
+func FetchState(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/state", nil)
--- a/router/core.go
+++ b/router/core.go
@@ -39,7 +39,7 @@
 	queue   *queue.Machine
 	hub     *ledger.Hub
 	keys    *once.Coordinator
-	inForce bundle.InForce
+	inForce bundle.Active
 	patches bundle.Patches
 	policy  bundle.Policy
 	servers map[fleet.Name]bundle.Server
@@ -165,7 +165,7 @@
 	f := p.inForce
 	c.inForce = f
 	c.pullAgain = 0
-	c.patches.Adopted(f)
+	c.patches.SetCurrent(f)
 	c.policy = p.bundle.Policy
 	c.servers = p.servers
 	c.feed(queue.ConfigMsg{Now: c.now(), Config: p.config})
--- a/router/duty.go
+++ b/router/duty.go
@@ -116,7 +116,7 @@
 	}
 	for _, h := range c.hosts {
 		if _, live := c.duty.halls[h.Name]; live && c.dials(h) {
-			out[h.Links] = true
+			out[h.ControlAddress] = true
 		}
 	}
 	for _, a := range c.settings.Peers {
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -12,14 +12,14 @@
 // prepared is a bundle in force with all that can be worked out of it away
 // from the core: a large one takes tens of milliseconds.
 type prepared struct {
-	inForce bundle.InForce
+	inForce bundle.Active
 	bundle  bundle.Bundle // with defaults
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
 	table   *table
 }
 
-func prepare(f bundle.InForce, s settings.Process) prepared {
+func prepare(f bundle.Active, s settings.Process) prepared {
 	b := f.Bundle.WithDefaults()
 	p := prepared{
 		inForce: f,
--- a/router/router.go
+++ b/router/router.go
@@ -123,7 +123,7 @@
 
 // adopted prepares a bundle for the core, in the keeper's goroutine. Requests
 // are admitted under it once the core knows of it.
-func (r *Router) adopted(f bundle.InForce) {
+func (r *Router) adopted(f bundle.Active) {
 	r.core.events <- bundleEvent{prepare(f, r.settings.Process)}
 }
 
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -174,5 +174,5 @@
 			ops[o.Name] = key
 		}
 	}
-	return bundle.Verifier{Operators: ops, Signoffs: p.Signoffs}
+	return bundle.Verifier{Operators: ops, MinSignoffs: p.Signoffs}
 }
--- a/standin/capacity/measure_bundle.go
+++ b/standin/capacity/measure_bundle.go
@@ -73,7 +73,7 @@
 	v := bundle.Verifier{Operators: bundle.Operators{"anna": anna.Public().(ed25519.PublicKey)}}
 	from, to := fullBundle(), fullBundle()
 	to.Teams[7].Share = 9
-	digest, content := bundle.Seal(from)
+	digest, content := bundle.Pack(from)
 	s.BundleBytes = float64(len(content))
 	first := bundle.Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(anna)
 	next := bundle.Order{Generation: 2, Digest: bundle.DigestOf(to), Operator: "anna"}.Sign(anna).Encode()
--- a/standin/e2e/fleet_test.go
+++ b/standin/e2e/fleet_test.go
@@ -25,7 +25,7 @@
 
 // linked keeps the daemons' code in the test's binary, so that the go command
 // does not take results for current that an older daemon gave.
-var linked = []any{router.New, agent.New, operate.InForce}
+var linked = []any{router.New, agent.New, operate.CurrentBundle}
 
 // bin is the folder with the daemon, built once.
 var bin string
--- a/standin/lab/platform.go
+++ b/standin/lab/platform.go
@@ -25,7 +25,7 @@
 		}
 		hosts = append(hosts, objectapi.Host{
 			Name: p.Name, Role: p.Role, Hall: conf.Hall, State: state,
-			Links: l.address(p.IP, portLinks),
+			ControlAddress: l.address(p.IP, portLinks),
 		})
 	}
 	l.Platform.SetHosts(hosts)
@@ -37,7 +37,7 @@
 	if len(b.Servers) == 0 {
 		b.Servers = l.servers
 	}
-	s := operate.NewSigned(b)
+	s := operate.NewSignedBundle(b)
 	s.Signoffs = append(s.Signoffs, bundle.SignOff(operator, l.key, s.Digest))
 	r := operate.Roller{
 		Store: objectapi.NewClient(l.platAddr), Operator: operator, Key: l.key,
--- a/standin/lab/routers.go
+++ b/standin/lab/routers.go
@@ -112,7 +112,7 @@
 
 func state[S any](ctx context.Context, admin string) (S, error) {
 	var s S
-	dump, err := operate.State(ctx, admin)
+	dump, err := operate.FetchState(ctx, admin)
 	if err != nil {
 		return s, err
 	}
--- a/standin/platformd/platform.go
+++ b/standin/platformd/platform.go
@@ -151,7 +151,7 @@
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, objectapi.MaxObject))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, objectapi.MaxObjectBytes))
 	if err != nil {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
