--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -63,7 +63,7 @@
 	if o.Generation <= a.current.Generation() {
 		return Outdated, nil
 	}
-	next, err := a.content(o, m)
+	next, err := a.decodeOffer(o, m)
 	if err != nil {
 		return Refused, err
 	}
@@ -71,8 +71,8 @@
 	return Adopted, nil
 }
 
-// content takes what an offer brings, if it has the digest that was ordered.
-func (a *Adopter) content(o Order, m OfferMsg) (Active, error) {
+// decodeOffer takes what an offer brings, if it has the digest that was ordered.
+func (a *Adopter) decodeOffer(o Order, m OfferMsg) (Active, error) {
 	if m.Base == 0 {
 		b, err := Unpack(m.Content, o.Digest)
 		return Active{Order: o, Bundle: b, Content: m.Content}, err
--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// sized returns a bundle with teams and servers of usual names.
-func sized(teams, servers int) Bundle {
+// newTestBundle returns a bundle with teams and servers of usual names.
+func newTestBundle(teams, servers int) Bundle {
 	b := Bundle{Works: []Work{{Name: "report", Kind: KindModel, Path: "/v1/completions"}}}
 	for i := range teams {
 		hash := digestBytes(fmt.Append(nil, i))
@@ -38,7 +38,7 @@
 	for _, size := range []struct{ teams, servers int }{{10, 15}, {540, 1000}, {540, 10000}} {
 		b.Run(fmt.Sprintf("teams=%d/servers=%d", size.teams, size.servers), func(b *testing.B) {
 			key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
-			digest, content := Pack(sized(size.teams, size.servers))
+			digest, content := Pack(newTestBundle(size.teams, size.servers))
 			order := Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(key).Encode()
 			v := Verifier{Operators: Operators{"anna": key.Public().(ed25519.PublicKey)}}
 			b.ReportAllocs()
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -25,7 +25,7 @@
 }
 
 func checkPolicy(f *tomlfile.File, p Policy) {
-	if _, ok := preferences[p.Prefer]; p.Prefer != "" && !ok {
+	if _, ok := defaultsByPreference[p.Prefer]; p.Prefer != "" && !ok {
 		f.Add("policy.prefer", p.Prefer, `write "gap" or "bytes"`)
 	}
 	switch p.Sharing {
@@ -36,19 +36,19 @@
 	if p.ClaimAhead != nil && *p.ClaimAhead < 0 {
 		f.Add("policy.claim_ahead", *p.ClaimAhead, "write a whole number from 0")
 	}
-	notNegative(f, "policy.hubs_per_hall", p.HubsPerHall)
-	notNegative(f, "policy.links_per_server", p.LinksPerServer)
+	checkNotNegative(f, "policy.hubs_per_hall", p.HubsPerHall)
+	checkNotNegative(f, "policy.links_per_server", p.LinksPerServer)
 }
 
 func checkLimits(f *tomlfile.File, l Limits) {
-	notNegative(f, "limits.max_waiting", l.MaxWaiting)
-	notNegative(f, "limits.max_waiting_per_team", l.MaxWaitingPerTeam)
+	checkNotNegative(f, "limits.max_waiting", l.MaxWaiting)
+	checkNotNegative(f, "limits.max_waiting_per_team", l.MaxWaitingPerTeam)
 	if l.RetryBudget < 0 || l.RetryBudget > 1 || math.IsNaN(l.RetryBudget) {
 		f.Add("limits.retry_budget", l.RetryBudget, "write retries per first attempt, from 0 to 1")
 	}
 }
 
-func notNegative(f *tomlfile.File, key string, v int) {
+func checkNotNegative(f *tomlfile.File, key string, v int) {
 	if v < 0 {
 		f.Add(key, v, "write a whole number from 0; 0 takes the default")
 	}
@@ -60,16 +60,16 @@
 		f.Add("works", "none", "add at least one [[works]] table")
 	}
 	for i, w := range works {
-		checkName(f, at("works", i, "name"), string(w.Name), seen[w.Name])
+		checkName(f, entryKey("works", i, "name"), string(w.Name), seen[w.Name])
 		seen[w.Name] = true
 		if w.Kind != KindModel && w.Kind != KindApp {
-			f.Add(at("works", i, "kind"), w.Kind, `write "model" or "app"`)
+			f.Add(entryKey("works", i, "kind"), w.Kind, `write "model" or "app"`)
 		}
 		if !strings.HasPrefix(w.Path, "/") {
-			f.Add(at("works", i, "path"), w.Path, "write a path that starts with /; end it in /* for a prefix")
+			f.Add(entryKey("works", i, "path"), w.Path, "write a path that starts with /; end it in /* for a prefix")
 		}
 		if _, ok := fleet.ParseClass(w.Class); w.Class != "" && !ok {
-			f.Add(at("works", i, "class"), w.Class, `write "urgent", "ordinary" or "batch"`)
+			f.Add(entryKey("works", i, "class"), w.Class, `write "urgent", "ordinary" or "batch"`)
 		}
 	}
 	return seen
@@ -82,14 +82,14 @@
 		f.Add("teams", "none", "add at least one [[teams]] table")
 	}
 	for i, t := range teams {
-		checkName(f, at("teams", i, "name"), string(t.Name), seen[t.Name])
+		checkName(f, entryKey("teams", i, "name"), string(t.Name), seen[t.Name])
 		seen[t.Name] = true
 		if !(t.Share > 0) || math.IsInf(t.Share, 0) {
-			f.Add(at("teams", i, "share"), t.Share, "write a number above 0")
+			f.Add(entryKey("teams", i, "share"), t.Share, "write a number above 0")
 		}
-		notNegative(f, at("teams", i, "max_waiting"), t.MaxWaiting)
-		checkKeys(f, at("teams", i, "keys"), t.Keys, keys)
-		checkWorkList(f, at("teams", i, "works"), t.Works, works)
+		checkNotNegative(f, entryKey("teams", i, "max_waiting"), t.MaxWaiting)
+		checkKeys(f, entryKey("teams", i, "keys"), t.Keys, keys)
+		checkWorkList(f, entryKey("teams", i, "works"), t.Works, works)
 	}
 }
 
@@ -110,21 +110,21 @@
 func checkServers(f *tomlfile.File, servers []Server, works map[fleet.Work]bool) {
 	seen := map[fleet.Name]bool{}
 	for i, s := range servers {
-		checkName(f, at("servers", i, "name"), string(s.Name), seen[s.Name])
+		checkName(f, entryKey("servers", i, "name"), string(s.Name), seen[s.Name])
 		seen[s.Name] = true
 		if s.Hall == "" {
-			f.Add(at("servers", i, "hall"), `""`, "name the data hall that the server stands in")
+			f.Add(entryKey("servers", i, "hall"), `""`, "name the data hall that the server stands in")
 		}
-		checkAddress(f, at("servers", i, "agent"), s.Agent)
-		checkAddress(f, at("servers", i, "serve"), s.Serve)
-		checkAddress(f, at("servers", i, "address"), s.Address)
+		checkAddress(f, entryKey("servers", i, "agent"), s.Agent)
+		checkAddress(f, entryKey("servers", i, "serve"), s.Serve)
+		checkAddress(f, entryKey("servers", i, "address"), s.Address)
 		if s.Slots < 1 || s.Slots > maxSlots {
-			f.Add(at("servers", i, "slots"), s.Slots, "write a whole number from 1 to 4096")
+			f.Add(entryKey("servers", i, "slots"), s.Slots, "write a whole number from 1 to 4096")
 		}
 		if len(s.Works) == 0 {
-			f.Add(at("servers", i, "works"), "none", "name at least one work that the server runs")
+			f.Add(entryKey("servers", i, "works"), "none", "name at least one work that the server runs")
 		}
-		checkWorkList(f, at("servers", i, "works"), s.Works, works)
+		checkWorkList(f, entryKey("servers", i, "works"), s.Works, works)
 	}
 }
 
--- a/bundle/defaults.go
+++ b/bundle/defaults.go
@@ -30,15 +30,15 @@
 	SharingFIFO  = "fifo"
 )
 
-// sharing is what a preference stands for.
-type sharing struct {
-	every time.Duration
-	delta time.Duration
+// sharingDefaults is what a preference stands for.
+type sharingDefaults struct {
+	shareEvery time.Duration
+	delta      time.Duration
 }
 
-var preferences = map[Preference]sharing{
-	PreferGap:   {every: time.Second, delta: 10 * time.Second},
-	PreferBytes: {every: 2 * time.Second, delta: 20 * time.Second},
+var defaultsByPreference = map[Preference]sharingDefaults{
+	PreferGap:   {shareEvery: time.Second, delta: 10 * time.Second},
+	PreferBytes: {shareEvery: 2 * time.Second, delta: 20 * time.Second},
 }
 
 // WithDefaults returns the bundle with every default filled in. Processes run
@@ -65,8 +65,8 @@
 	if p.Sharing == "" {
 		p.Sharing = SharingFleet
 	}
-	s := preferences[p.Prefer]
-	p.ShareEvery = tomlfile.Duration(p.ShareEvery.Or(s.every))
+	s := defaultsByPreference[p.Prefer]
+	p.ShareEvery = tomlfile.Duration(p.ShareEvery.Or(s.shareEvery))
 	p.Delta = tomlfile.Duration(p.Delta.Or(s.delta))
 	p.UrgentBorrow = tomlfile.Duration(p.UrgentBorrow.Or(DefaultUrgentBorrow))
 	p.CatchUp = tomlfile.Duration(p.CatchUp.Or(DefaultCatchUp))
@@ -74,14 +74,14 @@
 		ahead := DefaultClaimAhead
 		p.ClaimAhead = &ahead
 	}
-	p.HubsPerHall = orInt(p.HubsPerHall, DefaultHubsPerHall)
-	p.LinksPerServer = orInt(p.LinksPerServer, DefaultLinksPerServer)
+	p.HubsPerHall = intOrDefault(p.HubsPerHall, DefaultHubsPerHall)
+	p.LinksPerServer = intOrDefault(p.LinksPerServer, DefaultLinksPerServer)
 	return p
 }
 
 func (l Limits) withDefaults() Limits {
-	l.MaxWaiting = orInt(l.MaxWaiting, DefaultMaxWaiting)
-	l.MaxWaitingPerTeam = orInt(l.MaxWaitingPerTeam, DefaultMaxWaitingPerTeam)
+	l.MaxWaiting = intOrDefault(l.MaxWaiting, DefaultMaxWaiting)
+	l.MaxWaitingPerTeam = intOrDefault(l.MaxWaitingPerTeam, DefaultMaxWaitingPerTeam)
 	l.MaxBody = tomlfile.Size(l.MaxBody.Or(DefaultMaxBody))
 	l.MaxWait = tomlfile.Duration(l.MaxWait.Or(DefaultMaxWait))
 	if l.RetryBudget == 0 {
@@ -103,7 +103,7 @@
 	return names
 }
 
-func orInt(v, def int) int {
+func intOrDefault(v, def int) int {
 	if v == 0 {
 		return def
 	}
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -26,7 +26,7 @@
 
 // Diff lists what differs between two bundles, in a stable order.
 func Diff(old, new Bundle) []Change {
-	before, after := parts(old), parts(new)
+	before, after := encodeEntries(old), encodeEntries(new)
 	names := map[string]bool{}
 	for k := range before {
 		names[k] = true
@@ -49,25 +49,25 @@
 	return out
 }
 
-// parts spells each named part of a bundle.
-func parts(b Bundle) map[string]string {
+// encodeEntries spells each named part of a bundle.
+func encodeEntries(b Bundle) map[string]string {
 	out := map[string]string{
-		"policy": spell(b.Policy),
-		"limits": spell(b.Limits),
+		"policy": encodeJSON(b.Policy),
+		"limits": encodeJSON(b.Limits),
 	}
 	for _, t := range b.Teams {
-		out[fmt.Sprintf("team %q", t.Name)] = spell(t)
+		out[fmt.Sprintf("team %q", t.Name)] = encodeJSON(t)
 	}
 	for _, w := range b.Works {
-		out[fmt.Sprintf("work %q", w.Name)] = spell(w)
+		out[fmt.Sprintf("work %q", w.Name)] = encodeJSON(w)
 	}
 	for _, s := range b.Servers {
-		out[fmt.Sprintf("server %q", s.Name)] = spell(s)
+		out[fmt.Sprintf("server %q", s.Name)] = encodeJSON(s)
 	}
 	return out
 }
 
-func spell(v any) string {
+func encodeJSON(v any) string {
 	out, err := json.Marshal(v)
 	if err != nil {
 		panic(err) // plain structs always encode
--- a/bundle/order.go
+++ b/bundle/order.go
@@ -34,8 +34,8 @@
 	Signature     []byte           `json:"signature"`
 }
 
-// recentKept is how many roll ids an order remembers.
-const recentKept = 32
+// maxRecentRolls is how many roll ids an order remembers.
+const maxRecentRolls = 32
 
 // NextRecentRollIDs returns what the order that replaces this one remembers.
 func (o Order) NextRecentRollIDs() []string {
@@ -43,31 +43,31 @@
 		return nil
 	}
 	recent := append([]string{o.RollID}, o.RecentRollIDs...)
-	return recent[:min(len(recent), recentKept)]
+	return recent[:min(len(recent), maxRecentRolls)]
 }
 
 // Operators maps the names of operators to their public keys.
 type Operators map[string]ed25519.PublicKey
 
-// signedText returns what a signature covers; the first word keeps a sign-off
+// signedPayload returns what a signature covers; the first word keeps a sign-off
 // from passing as an order.
-func (o Order) signedText() []byte {
+func (o Order) signedPayload() []byte {
 	return fmt.Appendf(nil, "croftvale order\n%d\n%s\n%s\n%s\n%s\n%q\n",
 		o.Generation, o.Digest, o.RollID, o.Operator, o.CreatedAt, o.RecentRollIDs)
 }
 
-func signoffText(d Digest) []byte {
+func signoffPayload(d Digest) []byte {
 	return fmt.Appendf(nil, "croftvale signoff\n%s\n", d)
 }
 
 // SignOff signs a digest off in the name of an operator.
 func SignOff(operator string, key ed25519.PrivateKey, d Digest) Signoff {
-	return Signoff{Operator: operator, Signature: ed25519.Sign(key, signoffText(d))}
+	return Signoff{Operator: operator, Signature: ed25519.Sign(key, signoffPayload(d))}
 }
 
 // Sign returns the order signed by the operator whom it names.
 func (o Order) Sign(key ed25519.PrivateKey) Order {
-	o.Signature = ed25519.Sign(key, o.signedText())
+	o.Signature = ed25519.Sign(key, o.signedPayload())
 	return o
 }
 
@@ -98,7 +98,7 @@
 // Verify checks the order's own signature and counts its valid sign-offs.
 func (v Verifier) Verify(o Order) error {
 	key, ok := v.Operators[o.Operator]
-	if !ok || !ed25519.Verify(key, o.signedText(), o.Signature) {
+	if !ok || !ed25519.Verify(key, o.signedPayload(), o.Signature) {
 		return errors.Wrapf(ErrSignature, "generation %d by %q", o.Generation, o.Operator)
 	}
 	if n := v.countSignoffs(o); n < v.MinSignoffs {
@@ -109,7 +109,7 @@
 
 func (v Verifier) countSignoffs(o Order) int {
 	valid := map[string]bool{}
-	text := signoffText(o.Digest)
+	text := signoffPayload(o.Digest)
 	for _, s := range o.Signoffs {
 		key, ok := v.Operators[s.Operator]
 		if ok && ed25519.Verify(key, text, s.Signature) {
--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-func keyOf(b byte) ed25519.PrivateKey {
+func testKey(b byte) ed25519.PrivateKey {
 	seed := make([]byte, ed25519.SeedSize)
 	seed[0] = b
 	return ed25519.NewKeyFromSeed(seed)
 }
 
-func keysOf(anna ed25519.PrivateKey) map[string]ed25519.PrivateKey {
+func keysOfAnna(anna ed25519.PrivateKey) map[string]ed25519.PrivateKey {
 	return map[string]ed25519.PrivateKey{"anna": anna}
 }
 
-func operatorsOf(keys map[string]ed25519.PrivateKey) Operators {
+func newOperators(keys map[string]ed25519.PrivateKey) Operators {
 	ops := Operators{}
 	for n, k := range keys {
 		ops[n] = k.Public().(ed25519.PublicKey)
@@ -28,8 +28,8 @@
 }
 
 func TestVerifyRefuses(t *testing.T) {
-	anna, piet, eve := keyOf(1), keyOf(2), keyOf(3)
-	v := Verifier{Operators: operatorsOf(map[string]ed25519.PrivateKey{"anna": anna, "piet": piet}), MinSignoffs: 2}
+	anna, piet, eve := testKey(1), testKey(2), testKey(3)
+	v := Verifier{Operators: newOperators(map[string]ed25519.PrivateKey{"anna": anna, "piet": piet}), MinSignoffs: 2}
 	digest := Digest("d1")
 	good := Order{
 		Generation: 3, Digest: digest, RollID: "r", Operator: "anna",
@@ -43,8 +43,8 @@
 	other := good
 	other.Digest = "d2"
 	require.ErrorIs(t, v.Verify(other), ErrSignature)
-	stranger := Order{Generation: 3, Digest: digest, Operator: "eve", Signoffs: good.Signoffs}.Sign(eve)
-	require.ErrorIs(t, v.Verify(stranger), ErrSignature)
+	unknownOperator := Order{Generation: 3, Digest: digest, Operator: "eve", Signoffs: good.Signoffs}.Sign(eve)
+	require.ErrorIs(t, v.Verify(unknownOperator), ErrSignature)
 	alone := good
 	alone.Signoffs = []Signoff{good.Signoffs[0], good.Signoffs[0]}
 	require.ErrorIs(t, v.Verify(alone), ErrSignoffs, "one operator twice is one sign-off")
@@ -56,8 +56,8 @@
 // TestAdopterNeverGoesBack offers bundles in any order, again and again, some
 // forged or broken: what is in force only ever rises, and is always signed.
 func TestAdopterNeverGoesBack(t *testing.T) {
-	anna, eve := keyOf(1), keyOf(3)
-	v := Verifier{Operators: operatorsOf(map[string]ed25519.PrivateKey{"anna": anna})}
+	anna, eve := testKey(1), testKey(3)
+	v := Verifier{Operators: newOperators(map[string]ed25519.PrivateKey{"anna": anna})}
 	b, err := Parse("f", []byte(goodSource))
 	require.NoError(t, err)
 	rapid.Check(t, func(rt *rapid.T) {
--- a/bundle/pack.go
+++ b/bundle/pack.go
@@ -14,8 +14,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// maxUnpacked bounds what Open will inflate, in bytes.
-const maxUnpacked = 64 << 20
+// maxUnpackedBytes bounds what Open will inflate, in bytes.
+const maxUnpackedBytes = 64 << 20
 
 // ErrDigest means that content is not what its order names.
 var ErrDigest = errors.New("bundle content does not match its digest; fetch it again, and roll the bundle again if that fails")
@@ -26,9 +26,9 @@
 // Canonical returns the bytes that a digest and signatures cover: JSON with
 // the lists sorted by name, so that order in the source means nothing.
 func Canonical(b Bundle) []byte {
-	b.Teams = sorted(b.Teams, func(t Team) fleet.Team { return t.Name })
-	b.Works = sorted(b.Works, func(w Work) fleet.Work { return w.Name })
-	b.Servers = sorted(b.Servers, func(s Server) fleet.Name { return s.Name })
+	b.Teams = sortedByName(b.Teams, func(t Team) fleet.Team { return t.Name })
+	b.Works = sortedByName(b.Works, func(w Work) fleet.Work { return w.Name })
+	b.Servers = sortedByName(b.Servers, func(s Server) fleet.Name { return s.Name })
 	out, err := json.Marshal(b)
 	if err != nil {
 		// Plain structs of strings and numbers always encode; NaN shares are
@@ -38,9 +38,9 @@
 	return out
 }
 
-// sorted returns a copy of a list by name, and nil for an empty one: the two
+// sortedByName returns a copy of a list by name, and nil for an empty one: the two
 // would be spelt differently.
-func sorted[E any, N cmp.Ordered](list []E, name func(E) N) []E {
+func sortedByName[E any, N cmp.Ordered](list []E, name func(E) N) []E {
 	if len(list) == 0 {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return Bundle{}, errors.Mark(errors.Wrap(err, "unpack bundle"), ErrDigest)
 	}
-	canonical, err := io.ReadAll(io.LimitReader(r, maxUnpacked))
+	canonical, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return Bundle{}, errors.Mark(errors.Wrap(err, "unpack bundle"), ErrDigest)
 	}
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -21,7 +21,7 @@
 	return b, nil
 }
 
-// at spells the key of one field of a list's entry.
-func at(list string, i int, field string) string {
+// entryKey spells the key of one field of a list's entry.
+func entryKey(list string, i int, field string) string {
 	return fmt.Sprintf("%s[%d].%s", list, i, field)
 }
--- a/bundle/patch.go
+++ b/bundle/patch.go
@@ -28,15 +28,15 @@
 // NewPatch returns what turns one bundle into another.
 func NewPatch(from, to Bundle) Patch {
 	var p Patch
-	if spell(from.Policy) != spell(to.Policy) {
+	if encodeJSON(from.Policy) != encodeJSON(to.Policy) {
 		p.Policy = &to.Policy
 	}
-	if spell(from.Limits) != spell(to.Limits) {
+	if encodeJSON(from.Limits) != encodeJSON(to.Limits) {
 		p.Limits = &to.Limits
 	}
-	p.Teams, p.RemovedTeams = differences(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
-	p.Works, p.RemovedWorks = differences(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
-	p.Servers, p.RemovedServers = differences(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
+	p.Teams, p.RemovedTeams = diffEntries(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
+	p.Works, p.RemovedWorks = diffEntries(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
+	p.Servers, p.RemovedServers = diffEntries(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
 	return p
 }
 
@@ -65,39 +65,39 @@
 	if p.Limits != nil {
 		b.Limits = *p.Limits
 	}
-	b.Teams = patched(b.Teams, p.Teams, p.RemovedTeams, func(t Team) fleet.Team { return t.Name })
-	b.Works = patched(b.Works, p.Works, p.RemovedWorks, func(w Work) fleet.Work { return w.Name })
-	b.Servers = patched(b.Servers, p.Servers, p.RemovedServers, func(s Server) fleet.Name { return s.Name })
+	b.Teams = patchEntries(b.Teams, p.Teams, p.RemovedTeams, func(t Team) fleet.Team { return t.Name })
+	b.Works = patchEntries(b.Works, p.Works, p.RemovedWorks, func(w Work) fleet.Work { return w.Name })
+	b.Servers = patchEntries(b.Servers, p.Servers, p.RemovedServers, func(s Server) fleet.Name { return s.Name })
 	return b
 }
 
-// differences returns the entries of to that from has not, or has otherwise,
+// diffEntries returns the entries of to that from has not, or has otherwise,
 // and the names that to no longer has.
-func differences[E any, N cmp.Ordered](from, to []E, name func(E) N) (changed []E, gone []N) {
+func diffEntries[E any, N cmp.Ordered](from, to []E, name func(E) N) (changed []E, removed []N) {
 	old := map[N]string{}
 	for _, e := range from {
-		old[name(e)] = spell(e)
+		old[name(e)] = encodeJSON(e)
 	}
 	for _, e := range to {
-		if was, ok := old[name(e)]; !ok || was != spell(e) {
+		if was, ok := old[name(e)]; !ok || was != encodeJSON(e) {
 			changed = append(changed, e)
 		}
 		delete(old, name(e))
 	}
 	for n := range old {
-		gone = append(gone, n)
+		removed = append(removed, n)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-// patched returns a list with entries replaced, added and taken away.
-func patched[E any, N cmp.Ordered](list, changed []E, gone []N, name func(E) N) []E {
-	if len(changed)+len(gone) == 0 {
+// patchEntries returns a list with entries replaced, added and taken away.
+func patchEntries[E any, N cmp.Ordered](list, changed []E, removed []N, name func(E) N) []E {
+	if len(changed)+len(removed) == 0 {
 		return list
 	}
 	drop := map[N]bool{}
-	for _, n := range gone {
+	for _, n := range removed {
 		drop[n] = true
 	}
 	for _, e := range changed {
--- a/bundle/patch_test.go
+++ b/bundle/patch_test.go
@@ -12,8 +12,8 @@
 // TestPatchMakesTheSameBundle holds that for any two bundles the patch between
 // them gives the digest of the second, over its encoded form.
 func TestPatchMakesTheSameBundle(t *testing.T) {
-	any2 := func(rt *rapid.T, label string) Bundle {
-		b := sized(rapid.IntRange(0, 6).Draw(rt, label+" teams"), rapid.IntRange(0, 6).Draw(rt, label+" servers"))
+	drawBundle := func(rt *rapid.T, label string) Bundle {
+		b := newTestBundle(rapid.IntRange(0, 6).Draw(rt, label+" teams"), rapid.IntRange(0, 6).Draw(rt, label+" servers"))
 		for i := range b.Teams {
 			b.Teams[i].Share = float64(rapid.IntRange(1, 3).Draw(rt, label+" share"))
 		}
@@ -27,7 +27,7 @@
 		return b
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		from, to := any2(rt, "from"), any2(rt, "to")
+		from, to := drawBundle(rt, "from"), drawBundle(rt, "to")
 		p, err := DecodePatch(NewPatch(from, to).Encode())
 		if err != nil {
 			rt.Fatal(err)
@@ -41,9 +41,9 @@
 // TestAdopterTakesPatches holds that a patch is taken on the generation that
 // it is made for, and refused on any other.
 func TestAdopterTakesPatches(t *testing.T) {
-	anna := keyOf(1)
-	a := Adopter{Verifier: Verifier{Operators: operatorsOf(keysOf(anna))}}
-	first, second := sized(3, 3), sized(4, 2)
+	anna := testKey(1)
+	a := Adopter{Verifier: Verifier{Operators: newOperators(keysOfAnna(anna))}}
+	first, second := newTestBundle(3, 3), newTestBundle(4, 2)
 	offer := func(g fleet.Generation, b Bundle, base fleet.Generation, from Bundle) OfferMsg {
 		digest, content := Pack(b)
 		o := Order{Generation: g, Digest: digest, Operator: "anna"}.Sign(anna)
@@ -74,11 +74,11 @@
 func BenchmarkPatch(b *testing.B) {
 	for _, servers := range []int{15, 1000, 10000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			from := sized(540, servers)
-			to := sized(540, servers)
+			from := newTestBundle(540, servers)
+			to := newTestBundle(540, servers)
 			to.Teams[7].Share = 9
-			anna := keyOf(1)
-			v := Verifier{Operators: operatorsOf(keysOf(anna))}
+			anna := testKey(1)
+			v := Verifier{Operators: newOperators(keysOfAnna(anna))}
 			digest, content := Pack(from)
 			first := OfferMsg{Order: Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(anna).Encode(), Content: content}
 			patch := NewPatch(from, to).Encode()
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -31,10 +31,10 @@
 
 // Client calls the platform. It is safe for use by many goroutines.
 type Client struct {
-	base   string
-	http   *http.Client
-	budget *rate.Limiter
-	calls  atomic.Int64
+	base    string
+	http    *http.Client
+	limiter *rate.Limiter
+	calls   atomic.Int64
 }
 
 // Option changes a Client.
@@ -43,7 +43,7 @@
 // WithCallsPerSecond sets the budget of calls that all users of the client
 // share, so that one process can't use up the platform's.
 func WithCallsPerSecond(n float64) Option {
-	return func(c *Client) { c.budget = rate.NewLimiter(rate.Limit(n), defaultBurst) }
+	return func(c *Client) { c.limiter = rate.NewLimiter(rate.Limit(n), defaultBurst) }
 }
 
 // WithHTTPClient sets the HTTP client, for TLS or for tests.
@@ -54,9 +54,9 @@
 // NewClient returns a client for the platform at an IP number and port.
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{
-		base:   "http://" + address + "/v1/",
-		http:   &http.Client{},
-		budget: rate.NewLimiter(defaultCallsPerSecond, defaultBurst),
+		base:    "http://" + address + "/v1/",
+		http:    &http.Client{},
+		limiter: rate.NewLimiter(defaultCallsPerSecond, defaultBurst),
 	}
 	for _, o := range opts {
 		o(c)
@@ -85,23 +85,23 @@
 
 // Put writes an object that must be at a version; 0 means that it must not
 // exist. It returns the new version.
-func (c *Client) Put(ctx context.Context, ref Ref, body []byte, at Version) (Version, error) {
+func (c *Client) Put(ctx context.Context, ref Ref, body []byte, ifVersion Version) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.objectURL(ref), bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	if at == 0 {
+	if ifVersion == 0 {
 		req.Header.Set("If-None-Match", "*")
 	} else {
-		req.Header.Set("If-Match", etag(at))
+		req.Header.Set("If-Match", etag(ifVersion))
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return 0, because(err, ErrOutcomeUnknown)
+		return 0, wrapKind(err, ErrOutcomeUnknown)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return 0, err
 	}
@@ -118,15 +118,15 @@
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return nil, because(err, ErrUnavailable)
+		return nil, wrapKind(err, ErrUnavailable)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return nil, err
 	}
 	var hosts []Host
 	if err := json.NewDecoder(io.LimitReader(res.Body, MaxObjectBytes)).Decode(&hosts); err != nil {
-		return nil, because(err, ErrUnavailable)
+		return nil, wrapKind(err, ErrUnavailable)
 	}
 	return hosts, nil
 }
@@ -142,9 +142,9 @@
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return Object{}, because(err, ErrUnavailable)
+		return Object{}, wrapKind(err, ErrUnavailable)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return Object{}, err
 	}
@@ -156,21 +156,21 @@
 }
 
 func (c *Client) do(req *http.Request) (*http.Response, error) {
-	if err := c.budget.Wait(req.Context()); err != nil {
+	if err := c.limiter.Wait(req.Context()); err != nil {
 		return nil, err
 	}
 	c.calls.Add(1)
 	return c.http.Do(req)
 }
 
-// because returns one of this package's errors, with its remedy, for a cause.
-func because(cause, kind error) error {
+// wrapKind returns one of this package's errors, with its remedy, for a cause.
+func wrapKind(cause, kind error) error {
 	return errors.Mark(errors.Wrap(cause, kind.Error()), kind)
 }
 
-// drain reads an answer to its end, so that its connection can be used again. Where that fails it
+// drainBody reads an answer to its end, so that its connection can be used again. Where that fails it
 // can't, and another one is opened.
-func drain(res *http.Response) {
+func drainBody(res *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObjectBytes))
 	_ = res.Body.Close()
 }
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -11,26 +11,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// answering returns a client for a platform that answers all calls alike.
-func answering(t *testing.T, answer http.HandlerFunc) *Client {
+// newTestClient returns a client for a platform that answers all calls alike.
+func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
-	s := httptest.NewServer(answer)
+	s := httptest.NewServer(handler)
 	t.Cleanup(s.Close)
 	return NewClient(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// TestErrorsTellWhatHappened holds that each kind of failure is told apart, a
+// TestErrorKinds holds that each kind of failure is told apart, a
 // write whose answer is lost above all, and that messages name the remedy.
-func TestErrorsTellWhatHappened(t *testing.T) {
+func TestErrorKinds(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
 	gone := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	cases := []struct {
-		name   string
-		answer http.HandlerFunc
-		get    error
-		put    error
+		name    string
+		handler http.HandlerFunc
+		get     error
+		put     error
 	}{
 		{"not there", status(404), ErrNotFound, ErrNotFound},
 		{"changed meanwhile", status(412), ErrConflict, ErrConflict},
@@ -41,7 +41,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := answering(t, c.answer)
+			p := newTestClient(t, c.handler)
 			_, err := p.Get(context.Background(), BundlePointer)
 			require.True(t, errors.Is(err, c.get), "%v", err)
 			require.ErrorContains(t, err, c.get.Error())
@@ -55,7 +55,7 @@
 // TestWritesAreConditional holds the conditions that a write carries.
 func TestWritesAreConditional(t *testing.T) {
 	var got []http.Header
-	p := answering(t, func(w http.ResponseWriter, r *http.Request) {
+	p := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		got = append(got, r.Header)
 		w.Header().Set("ETag", `"8"`)
 	})
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -19,8 +19,8 @@
 	Put(ctx context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error)
 }
 
-// readBackTries bounds how often a roll asks what became of a write.
-const readBackTries = 8
+// maxReadBackTries bounds how often a roll asks what became of a write.
+const maxReadBackTries = 8
 
 // Errors of a roll; each says what to do.
 var (
@@ -64,7 +64,7 @@
 	if err == nil {
 		return order, nil
 	}
-	return r.resolve(ctx, order, err)
+	return r.resolveOutcome(ctx, order, err)
 }
 
 // putContent stores the content under its digest. That it is there already,
@@ -82,12 +82,12 @@
 	return errors.Wrap(err, "store the bundle's content; nothing is rolled")
 }
 
-// resolve finds out what became of a pointer write that did not succeed
+// resolveOutcome finds out what became of a pointer write that did not succeed
 // plainly. After a lost reply only the roll id at the pointer tells.
-func (r Roller) resolve(ctx context.Context, o bundle.Order, why error) (bundle.Order, error) {
-	conflict := errors.Is(why, objectapi.ErrConflict)
-	if !conflict && !errors.Is(why, objectapi.ErrOutcomeUnknown) {
-		return bundle.Order{}, errors.Wrap(why, "move the bundle pointer; nothing is rolled")
+func (r Roller) resolveOutcome(ctx context.Context, o bundle.Order, cause error) (bundle.Order, error) {
+	conflict := errors.Is(cause, objectapi.ErrConflict)
+	if !conflict && !errors.Is(cause, objectapi.ErrOutcomeUnknown) {
+		return bundle.Order{}, errors.Wrap(cause, "move the bundle pointer; nothing is rolled")
 	}
 	now, err := retry(ctx, func() (bundle.Order, error) {
 		now, _, err := CurrentOrder(ctx, r.Store)
@@ -109,14 +109,14 @@
 }
 
 // retry asks until the platform answers, with backoff.
-func retry[T any](ctx context.Context, ask func() (T, error)) (T, error) {
+func retry[T any](ctx context.Context, op func() (T, error)) (T, error) {
 	return backoff.Retry(ctx, func() (T, error) {
-		v, err := ask()
+		v, err := op()
 		if err != nil && errors.Is(err, objectapi.ErrNotFound) {
 			return v, backoff.Permanent(err)
 		}
 		return v, err
-	}, backoff.WithMaxTries(readBackTries))
+	}, backoff.WithMaxTries(maxReadBackTries))
 }
 
 // CurrentOrder reads the order in force and the pointer's version; a platform
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -15,31 +15,31 @@
 	"pgregory.net/rapid"
 )
 
-// store is the platform's oracle: it keeps every pointer there ever was, loses
+// fakeStore is the platform's oracle: it keeps every pointer there ever was, loses
 // replies, fails, and lets another operator in between.
-type store struct {
-	objects map[objectapi.Ref]objectapi.Object
-	version objectapi.Version
-	history []bundle.Order
-	mishap  func() mishap
-	between func() // runs before a pointer write
+type fakeStore struct {
+	objects          map[objectapi.Ref]objectapi.Object
+	version          objectapi.Version
+	history          []bundle.Order
+	nextFault        func() fault
+	beforePointerPut func() // runs before a pointer write
 }
 
-type mishap int
+type fault int
 
 const (
-	wellDone  mishap = iota
-	refused          // not written
-	lostReply        // written, but the answer is lost
-	lostWrite        // not written, and the answer is lost too
+	noFault     fault = iota
+	unavailable       // not written
+	lostReply         // written, but the answer is lost
+	lostWrite         // not written, and the answer is lost too
 )
 
-func newStore(m func() mishap) *store {
-	return &store{objects: map[objectapi.Ref]objectapi.Object{}, mishap: m}
+func newStore(m func() fault) *fakeStore {
+	return &fakeStore{objects: map[objectapi.Ref]objectapi.Object{}, nextFault: m}
 }
 
-func (s *store) Get(_ context.Context, ref objectapi.Ref) (objectapi.Object, error) {
-	if s.mishap() == refused {
+func (s *fakeStore) Get(_ context.Context, ref objectapi.Ref) (objectapi.Object, error) {
+	if s.nextFault() == unavailable {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	o, ok := s.objects[ref]
@@ -49,15 +49,15 @@
 	return o, nil
 }
 
-func (s *store) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
-	if ref == objectapi.BundlePointer && s.between != nil {
-		between := s.between
-		s.between = nil
+func (s *fakeStore) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
+	if ref == objectapi.BundlePointer && s.beforePointerPut != nil {
+		between := s.beforePointerPut
+		s.beforePointerPut = nil
 		between()
 	}
-	m := s.mishap()
+	m := s.nextFault()
 	switch {
-	case m == refused:
+	case m == unavailable:
 		return 0, objectapi.ErrUnavailable
 	case m == lostWrite:
 		return 0, objectapi.ErrOutcomeUnknown
@@ -67,7 +67,7 @@
 	s.version++
 	s.objects[ref] = objectapi.Object{Ref: ref, Version: s.version, Body: body}
 	if ref == objectapi.BundlePointer {
-		o, _, err := CurrentOrder(context.Background(), &store{objects: s.objects, mishap: func() mishap { return wellDone }})
+		o, _, err := CurrentOrder(context.Background(), &fakeStore{objects: s.objects, nextFault: func() fault { return noFault }})
 		if err != nil {
 			panic(err)
 		}
@@ -79,7 +79,7 @@
 	return s.version, nil
 }
 
-func (s *store) rolled(id string) bool {
+func (s *fakeStore) accepted(id string) bool {
 	for _, o := range s.history {
 		if o.RollID == id {
 			return true
@@ -88,13 +88,13 @@
 	return false
 }
 
-func roller(s Store, name, id string) Roller {
+func newRoller(s Store, name, id string) Roller {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
 	return Roller{Store: s, Operator: name, Key: ed25519.NewKeyFromSeed(seed), RollID: id, Now: time.Unix(0, 0)}
 }
 
-func signedOf(share int) SignedBundle {
+func newSignedBundle(share int) SignedBundle {
 	return NewSignedBundle(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
 }
 
@@ -103,17 +103,17 @@
 // says it lost is not.
 func TestRollsFormALine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(*testing.T) { raceOnce(rt) })
+		synctest.Test(t, func(*testing.T) { raceRolls(rt) })
 	})
 }
 
-func raceOnce(rt *rapid.T) {
-	s := newStore(func() mishap {
-		return mishap(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
+func raceRolls(rt *rapid.T) {
+	s := newStore(func() fault {
+		return fault(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
 	})
 	for i := range rapid.IntRange(1, 6).Draw(rt, "rolls") {
 		if rapid.Bool().Draw(rt, "race") {
-			s.between = func() { rollOnce(rt, s, "piet", fmt.Sprintf("p%d", i)) }
+			s.beforePointerPut = func() { rollOnce(rt, s, "piet", fmt.Sprintf("p%d", i)) }
 		}
 		rollOnce(rt, s, "anna", fmt.Sprintf("a%d", i))
 	}
@@ -124,9 +124,9 @@
 	}
 }
 
-func rollOnce(rt *rapid.T, s *store, who, id string) {
-	_, err := roller(s, who, id).Roll(context.Background(), signedOf(1))
-	took := s.rolled(id)
+func rollOnce(rt *rapid.T, s *fakeStore, who, id string) {
+	_, err := newRoller(s, who, id).Roll(context.Background(), newSignedBundle(1))
+	took := s.accepted(id)
 	switch {
 	case err == nil && !took:
 		rt.Fatalf("%s says it rolled and did not", id)
@@ -142,27 +142,27 @@
 }
 
 func TestLoserIsToldByWhom(t *testing.T) {
-	s := newStore(func() mishap { return wellDone })
-	s.between = func() {
-		_, err := roller(s, "piet", "p").Roll(context.Background(), signedOf(2))
+	s := newStore(func() fault { return noFault })
+	s.beforePointerPut = func() {
+		_, err := newRoller(s, "piet", "p").Roll(context.Background(), newSignedBundle(2))
 		require.NoError(t, err)
 	}
-	_, err := roller(s, "anna", "a").Roll(context.Background(), signedOf(1))
+	_, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
 	require.ErrorIs(t, err, ErrLostRace)
 	require.ErrorContains(t, err, "generation 1 by piet")
 }
 
 func TestLostReplyIsResolved(t *testing.T) {
-	mishaps := []mishap{wellDone, wellDone, lostReply}
-	s := newStore(func() mishap {
-		if len(mishaps) == 0 {
-			return wellDone
+	faults := []fault{noFault, noFault, lostReply}
+	s := newStore(func() fault {
+		if len(faults) == 0 {
+			return noFault
 		}
-		m := mishaps[0]
-		mishaps = mishaps[1:]
+		m := faults[0]
+		faults = faults[1:]
 		return m
 	})
-	o, err := roller(s, "anna", "a").Roll(context.Background(), signedOf(1))
+	o, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, o.Generation)
 	require.Len(t, s.history, 1)
--- a/operate/state.go
+++ b/operate/state.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	stateTimeout = 5 * time.Second
-	maxState     = 64 << 20
+	stateTimeout  = 5 * time.Second
+	maxStateBytes = 64 << 20
 )
 
 // ErrState means that a process gave no dump.
@@ -50,7 +50,7 @@
 		return nil, errors.Mark(errors.Wrapf(err, "%s: %s", address, ErrState.Error()), ErrState)
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxState))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxStateBytes))
 	if err != nil || res.StatusCode != http.StatusOK {
 		return nil, errors.Wrapf(ErrState, "%s answered %d", address, res.StatusCode)
 	}
