--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -45,9 +45,9 @@
 	require.ErrorIs(t, v.Verify(other), ErrSignature)
 	unknownOperator := Order{Generation: 3, Digest: digest, Operator: "eve", Signoffs: good.Signoffs}.Sign(eve)
 	require.ErrorIs(t, v.Verify(unknownOperator), ErrSignature)
-	alone := good
-	alone.Signoffs = []Signoff{good.Signoffs[0], good.Signoffs[0]}
-	require.ErrorIs(t, v.Verify(alone), ErrSignoffs, "one operator twice is one sign-off")
+	duplicated := good
+	duplicated.Signoffs = []Signoff{good.Signoffs[0], good.Signoffs[0]}
+	require.ErrorIs(t, v.Verify(duplicated), ErrSignoffs, "one operator twice is one sign-off")
 	swapped := good
 	swapped.Signoffs = []Signoff{good.Signoffs[0], {Operator: "piet", Signature: good.Signature}}
 	require.ErrorIs(t, v.Verify(swapped), ErrSignoffs, "an order's signature is no sign-off")
@@ -72,26 +72,26 @@
 			if forged {
 				key = eve
 			}
-			o := Order{Generation: genOf(rt), Digest: digest, Operator: operator}.Sign(key)
+			o := Order{Generation: drawGeneration(rt), Digest: digest, Operator: operator}.Sign(key)
 			broken := rapid.IntRange(0, 4).Draw(rt, "broken") == 0
 			if broken {
 				content = content[:len(content)-3]
 			}
-			what, err := a.Update(OfferMsg{Order: o.Encode(), Content: content})
-			fresh := o.Generation > highest.Generation
+			outcome, err := a.Update(OfferMsg{Order: o.Encode(), Content: content})
+			newer := o.Generation > highest.Generation
 			switch {
-			case forged || (broken && fresh):
-				if what != Refused || err == nil {
-					rt.Fatalf("took a bad offer: %v", what)
+			case forged || (broken && newer):
+				if outcome != Refused || err == nil {
+					rt.Fatalf("took a bad offer: %v", outcome)
 				}
-			case fresh:
-				if what != Adopted {
-					rt.Fatalf("did not take generation %d: %v %v", o.Generation, what, err)
+			case newer:
+				if outcome != Adopted {
+					rt.Fatalf("did not take generation %d: %v %v", o.Generation, outcome, err)
 				}
 				highest = o
 			default:
-				if what != Outdated {
-					rt.Fatalf("went back to %d: %v", o.Generation, what)
+				if outcome != Outdated {
+					rt.Fatalf("went back to %d: %v", o.Generation, outcome)
 				}
 			}
 			if a.Current().Generation() != highest.Generation || a.Current().Order.Digest != highest.Digest {
@@ -101,6 +101,6 @@
 	})
 }
 
-func genOf(rt *rapid.T) fleet.Generation {
+func drawGeneration(rt *rapid.T) fleet.Generation {
 	return fleet.Generation(rapid.IntRange(1, 12).Draw(rt, "generation"))
 }
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -51,9 +51,9 @@
 
 func (s *fakeStore) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
 	if ref == objectapi.BundlePointer && s.beforePointerPut != nil {
-		between := s.beforePointerPut
+		hook := s.beforePointerPut
 		s.beforePointerPut = nil
-		between()
+		hook()
 	}
 	m := s.nextFault()
 	switch {
@@ -126,17 +126,17 @@
 
 func rollOnce(rt *rapid.T, s *fakeStore, who, id string) {
 	_, err := newRoller(s, who, id).Roll(context.Background(), newSignedBundle(1))
-	took := s.accepted(id)
+	tookEffect := s.accepted(id)
 	switch {
-	case err == nil && !took:
+	case err == nil && !tookEffect:
 		rt.Fatalf("%s says it rolled and did not", id)
 	case errors.Is(err, ErrOutcomeUnknown):
 		// Nothing was promised.
 	case errors.Is(err, ErrReplaced):
-		if !took {
+		if !tookEffect {
 			rt.Fatalf("%s says it took effect and did not", id)
 		}
-	case err != nil && took:
+	case err != nil && tookEffect:
 		rt.Fatalf("%s took effect and says %v", id, err)
 	}
 }
