--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -44,7 +44,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				a := Adopter{Verifier: v}
-				if what, err := a.Update(OfferMsg{Order: order, Content: content}); what != Adopted {
+				if outcome, err := a.Update(OfferMsg{Order: order, Content: content}); outcome != Adopted {
 					b.Fatal(err)
 				}
 			}
--- a/bundle/patch_test.go
+++ b/bundle/patch_test.go
@@ -84,13 +84,13 @@
 			patch := NewPatch(from, to).Encode()
 			next := OfferMsg{Order: Order{Generation: 2, Digest: DigestOf(to), Operator: "anna"}.Sign(anna).Encode(), Content: patch, Base: 1}
 			a := Adopter{Verifier: v}
-			if what, err := a.Update(first); what != Adopted {
+			if outcome, err := a.Update(first); outcome != Adopted {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				again := a
-				if what, err := again.Update(next); what != Adopted {
+				adopter := a
+				if outcome, err := adopter.Update(next); outcome != Adopted {
 					b.Fatal(err)
 				}
 			}
