--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -5,15 +5,17 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// Active is a bundle with the order that put it in force.
+// Active is a bundle together with the signed order that made it the active
+// configuration.
 type Active struct {
 	Order   Order
-	Bundle  Bundle // as signed
-	Content []byte // packed, for passing on; nil where it was made by a patch
+	Bundle  Bundle // as signed, without defaults
+	Content []byte // compressed, for forwarding to peers; nil if the bundle was built by a patch
 }
 
-// Packed returns the packed bundle. After a patch it is worked out anew at
-// each call, since hardly anyone asks for it: keep it if it is asked for.
+// Packed returns the compressed bundle. If the bundle was built by a patch, each
+// call compresses it again, because the result is rarely needed; callers that
+// need it repeatedly should store it in Content.
 func (f Active) Packed() []byte {
 	if f.Content != nil {
 		return f.Content
@@ -21,40 +23,40 @@
 	return compress(Canonical(f.Bundle))
 }
 
-// Generation returns the generation in force, 0 before the first.
+// Generation returns the active generation, or 0 before the first one.
 func (f Active) Generation() fleet.Generation { return f.Order.Generation }
 
-// Adopter decides which bundle a process has in force. It only ever moves to
-// a higher generation whose order and content check out; the zero value,
-// given a Verifier, is ready for use.
+// Adopter decides which bundle is active in a process. It only moves to a higher
+// generation, and only if the order and the content are valid. An Adopter with
+// only its Verifier set is ready to use.
 type Adopter struct {
 	Verifier Verifier
 	current  Active
 }
 
-// Current returns what is in force.
+// Current returns the active bundle and its order.
 func (a *Adopter) Current() Active { return a.current }
 
-// OfferMsg says that a bundle may be had. Order is the encoded order; Content
-// is the packed bundle or, where Base is not zero, a patch on that generation.
+// OfferMsg offers a new bundle. Order is the encoded order. Content is the
+// compressed bundle or, if Base is not zero, an encoded patch to generation Base.
 type OfferMsg struct {
 	Order   []byte
 	Content []byte
 	Base    fleet.Generation
 }
 
-// Adoption says what came of an offer.
+// Adoption is the outcome of an offer.
 type Adoption int
 
 // The outcomes of an offer.
 const (
-	Adopted  Adoption = iota // it is now in force
-	Outdated                 // what is in force is as new or newer
-	Refused                  // the error says why
+	Adopted  Adoption = iota // the offered bundle is now active
+	Outdated                 // the active generation is the same or newer
+	Refused                  // the offer is invalid; the error gives the reason
 )
 
-// Update takes an offer and says what came of it. A refused or outdated offer
-// changes nothing.
+// Update handles an offer and returns its outcome. A refused or outdated offer
+// leaves the active bundle unchanged.
 func (a *Adopter) Update(m OfferMsg) (Adoption, error) {
 	o, err := a.Verifier.Decode(m.Order)
 	if err != nil {
@@ -71,7 +73,8 @@
 	return Adopted, nil
 }
 
-// decodeOffer takes what an offer brings, if it has the digest that was ordered.
+// decodeOffer returns the bundle that an offer carries. It fails unless the
+// bundle has the digest that the order names.
 func (a *Adopter) decodeOffer(o Order, m OfferMsg) (Active, error) {
 	if m.Base == 0 {
 		b, err := Unpack(m.Content, o.Digest)
--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -10,7 +10,8 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// newTestBundle returns a bundle with teams and servers of usual names.
+// newTestBundle returns a bundle with the given numbers of teams and servers,
+// whose names have a realistic length.
 func newTestBundle(teams, servers int) Bundle {
 	b := Bundle{Works: []Work{{Name: "report", Kind: KindModel, Path: "/v1/completions"}}}
 	for i := range teams {
@@ -32,8 +33,8 @@
 	return b
 }
 
-// BenchmarkAdopt is what each process spends on a new bundle: verifying,
-// unpacking and decoding it. It reports the packed size.
+// BenchmarkAdopt measures the cost of a new bundle to each process: verifying,
+// decompressing and decoding it. It reports the compressed size.
 func BenchmarkAdopt(b *testing.B) {
 	for _, size := range []struct{ teams, servers int }{{10, 15}, {540, 1000}, {540, 10000}} {
 		b.Run(fmt.Sprintf("teams=%d/servers=%d", size.teams, size.servers), func(b *testing.B) {
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -14,37 +14,37 @@
 	Servers []Server `toml:"servers" json:"servers"`
 }
 
-// Preference says which side of the trade a fleet leans to.
+// Preference selects the trade-off between fairness and control traffic.
 type Preference string
 
 // The preferences.
 const (
-	// PreferGap shares counters often, for a small fairness gap.
+	// PreferGap exchanges counters often, to keep the fairness gap small.
 	PreferGap Preference = "gap"
-	// PreferBytes shares counters seldom, for thin links.
+	// PreferBytes exchanges counters less often, for links with little bandwidth.
 	PreferBytes Preference = "bytes"
 )
 
-// Policy sets how the fleet shares capacity. Zero values take the defaults of
-// the preference; see Policy.WithDefaults.
+// Policy configures how the fleet shares capacity. Zero values take the defaults
+// of the preference; see Policy.WithDefaults.
 type Policy struct {
 	Prefer         Preference        `toml:"prefer" json:"prefer,omitempty"`
 	Sharing        string            `toml:"sharing" json:"sharing,omitempty"`             // "fleet"; "local" and "fifo" are baselines for measurements
-	ShareEvery     tomlfile.Duration `toml:"share_every" json:"share_every,omitempty"`     // longest time between two service messages while service flows
-	Delta          tomlfile.Duration `toml:"delta" json:"delta,omitempty"`                 // slot time of unsent service of one team that is sent at once
-	UrgentBorrow   tomlfile.Duration `toml:"urgent_borrow" json:"urgent_borrow,omitempty"` // slot time per share that urgent work may take ahead of its team's turn
-	CatchUp        tomlfile.Duration `toml:"catch_up" json:"catch_up,omitempty"`           // largest deficit per share that is ever repaid
-	ClaimAhead     *int              `toml:"claim_ahead" json:"claim_ahead,omitempty"`     // claims an agent may hold beyond its slots
+	ShareEvery     tomlfile.Duration `toml:"share_every" json:"share_every,omitempty"`     // maximum interval between service messages while servers run requests
+	Delta          tomlfile.Duration `toml:"delta" json:"delta,omitempty"`                 // unsent service of one team, in slot time, that triggers an immediate message
+	UrgentBorrow   tomlfile.Duration `toml:"urgent_borrow" json:"urgent_borrow,omitempty"` // slot time per share that urgent requests may use before their team's turn
+	CatchUp        tomlfile.Duration `toml:"catch_up" json:"catch_up,omitempty"`           // maximum deficit per share that is made up later
+	ClaimAhead     *int              `toml:"claim_ahead" json:"claim_ahead,omitempty"`     // claims that an agent may hold in addition to its slots
 	HubsPerHall    int               `toml:"hubs_per_hall" json:"hubs_per_hall,omitempty"`
-	LinksPerServer int               `toml:"links_per_server" json:"links_per_server,omitempty"` // routers that link to one agent
+	LinksPerServer int               `toml:"links_per_server" json:"links_per_server,omitempty"` // routers that connect to one agent
 }
 
-// Limits bounds what callers can ask of one router.
+// Limits bounds the requests that one router accepts.
 type Limits struct {
-	MaxWaiting        int               `toml:"max_waiting" json:"max_waiting,omitempty"`                   // requests, all teams
-	MaxWaitingPerTeam int               `toml:"max_waiting_per_team" json:"max_waiting_per_team,omitempty"` // requests, unless the team says otherwise
+	MaxWaiting        int               `toml:"max_waiting" json:"max_waiting,omitempty"`                   // requests of all teams
+	MaxWaitingPerTeam int               `toml:"max_waiting_per_team" json:"max_waiting_per_team,omitempty"` // requests; Team.MaxWaiting overrides it
 	MaxBody           tomlfile.Size     `toml:"max_body" json:"max_body,omitempty"`
-	MaxWait           tomlfile.Duration `toml:"max_wait" json:"max_wait,omitempty"`         // longest a request may wait
+	MaxWait           tomlfile.Duration `toml:"max_wait" json:"max_wait,omitempty"`         // maximum time a request may wait
 	RetryBudget       float64           `toml:"retry_budget" json:"retry_budget,omitempty"` // retries per first attempt
 }
 
@@ -54,10 +54,10 @@
 	Share      float64      `toml:"share" json:"share"`
 	Keys       []string     `toml:"keys" json:"keys,omitempty"`               // "sha256:" and the hex digest of a bearer key
 	MaxWaiting int          `toml:"max_waiting" json:"max_waiting,omitempty"` // requests at one router
-	Works      []fleet.Work `toml:"works" json:"works,omitempty"`             // works the team may ask for; none means all
+	Works      []fleet.Work `toml:"works" json:"works,omitempty"`             // works the team may request; empty means all
 }
 
-// Kind tells model engines from plain services.
+// Kind distinguishes model engines from plain services.
 type Kind string
 
 // The kinds of work.
@@ -66,23 +66,23 @@
 	KindApp   Kind = "app"
 )
 
-// Work is one kind of work and the requests that ask for it.
+// Work is one kind of work and the rule that matches its requests.
 type Work struct {
 	Name       fleet.Work `toml:"name" json:"name"`
 	Kind       Kind       `toml:"kind" json:"kind"`
-	Method     string     `toml:"method" json:"method,omitempty"` // any method where empty
-	Path       string     `toml:"path" json:"path"`               // exact, or a prefix that ends in /*
-	Model      string     `toml:"model" json:"model,omitempty"`   // the "model" field that the body must have; any where empty
+	Method     string     `toml:"method" json:"method,omitempty"` // empty matches any method
+	Path       string     `toml:"path" json:"path"`               // exact path, or a prefix that ends in /*
+	Model      string     `toml:"model" json:"model,omitempty"`   // required "model" field of the body; empty matches any
 	Class      string     `toml:"class" json:"class,omitempty"`
 	Repeatable bool       `toml:"repeatable" json:"repeatable,omitempty"`
 }
 
-// Server is one backend server and the agent beside it.
+// Server is one backend server and the agent on the same host.
 type Server struct {
 	Name         fleet.Name       `toml:"name" json:"name"`
 	Hall         fleet.Hall       `toml:"hall" json:"hall"`
-	Agent        tomlfile.Address `toml:"agent" json:"agent"` // control links to the agent
-	Serve        tomlfile.Address `toml:"serve" json:"serve"` // granted requests, by HTTP, to the agent
+	Agent        tomlfile.Address `toml:"agent" json:"agent"` // the agent's address for control links
+	Serve        tomlfile.Address `toml:"serve" json:"serve"` // the agent's HTTP address for granted requests
 	Address      tomlfile.Address `toml:"address" json:"address"`
 	Slots        int              `toml:"slots" json:"slots"`
 	Works        []fleet.Work     `toml:"works" json:"works"`
--- a/bundle/check.go
+++ b/bundle/check.go
@@ -9,13 +9,15 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// KeyHashPrefix starts the hash of a bearer key in a bundle.
+// KeyHashPrefix is the prefix of a bearer key's hash in a bundle.
 const KeyHashPrefix = "sha256:"
 
-// maxSlots bounds the slots of one server; a larger number is a slip.
+// maxSlots is the maximum number of slots of one server. Larger numbers are
+// rejected as typing errors.
 const maxSlots = 4096
 
-// check records every fault of the values; the file's form is already sound.
+// check records every invalid value in f. The decoder has already checked the
+// syntax, keys and types.
 func check(f *tomlfile.File, b Bundle) {
 	checkPolicy(f, b.Policy)
 	checkLimits(f, b.Limits)
@@ -31,7 +33,7 @@
 	switch p.Sharing {
 	case "", SharingFleet, SharingLocal, SharingFIFO:
 	default:
-		f.Add("policy.sharing", p.Sharing, `write "fleet", or "local" or "fifo" to measure without it`)
+		f.Add("policy.sharing", p.Sharing, `write "fleet", or "local" or "fifo" as a baseline for measurements`)
 	}
 	if p.ClaimAhead != nil && *p.ClaimAhead < 0 {
 		f.Add("policy.claim_ahead", *p.ClaimAhead, "write a whole number from 0")
@@ -113,7 +115,7 @@
 		checkName(f, entryKey("servers", i, "name"), string(s.Name), seen[s.Name])
 		seen[s.Name] = true
 		if s.Hall == "" {
-			f.Add(entryKey("servers", i, "hall"), `""`, "name the data hall that the server stands in")
+			f.Add(entryKey("servers", i, "hall"), `""`, "write the name of the server's data hall")
 		}
 		checkAddress(f, entryKey("servers", i, "agent"), s.Agent)
 		checkAddress(f, entryKey("servers", i, "serve"), s.Serve)
@@ -139,7 +141,7 @@
 		f.Add(key, `"`+name+`"`, "write a name without blanks or slashes")
 	}
 	if taken {
-		f.Add(key, name, "this name stands twice; give each entry its own")
+		f.Add(key, name, "duplicate name; give each entry its own")
 	}
 }
 
--- a/bundle/defaults.go
+++ b/bundle/defaults.go
@@ -8,9 +8,9 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// Defaults of limits and policy.
+// Defaults of the limits, the policy and the health probe.
 const (
-	DefaultMaxWaiting        = 8_000 // some 200 MB of a router's memory
+	DefaultMaxWaiting        = 8_000 // requests; they take about 200 MB of a router's memory
 	DefaultMaxWaitingPerTeam = 2_000
 	DefaultMaxBody           = 4 << 20
 	DefaultMaxWait           = time.Minute
@@ -23,14 +23,14 @@
 	DefaultProbe             = "/health"
 )
 
-// The ways of sharing capacity.
+// The values of Policy.Sharing.
 const (
 	SharingFleet = "fleet"
 	SharingLocal = "local"
 	SharingFIFO  = "fifo"
 )
 
-// sharingDefaults is what a preference stands for.
+// sharingDefaults holds the defaults that a preference selects.
 type sharingDefaults struct {
 	shareEvery time.Duration
 	delta      time.Duration
@@ -41,8 +41,9 @@
 	PreferBytes: {shareEvery: 2 * time.Second, delta: 20 * time.Second},
 }
 
-// WithDefaults returns the bundle with every default filled in. Processes run
-// on this form; only the operators' own text is signed and shown.
+// WithDefaults returns the bundle with all defaults filled in. Processes use
+// this form. Signatures and command output use the bundle as the operators wrote
+// it.
 func (b Bundle) WithDefaults() Bundle {
 	b.Policy = b.Policy.WithDefaults()
 	b.Limits = b.Limits.withDefaults()
@@ -57,7 +58,7 @@
 	return b
 }
 
-// WithDefaults returns the policy with every default filled in.
+// WithDefaults returns the policy with all defaults filled in.
 func (p Policy) WithDefaults() Policy {
 	if p.Prefer == "" {
 		p.Prefer = PreferGap
@@ -90,8 +91,8 @@
 	return l
 }
 
-// ServersOf returns the names of the servers that run a work, leaving ones
-// too, in order.
+// ServersOf returns the sorted names of the servers that run a work, including
+// leaving servers.
 func (b Bundle) ServersOf(w fleet.Work) []fleet.Name {
 	var names []fleet.Name
 	for _, s := range b.Servers {
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -6,14 +6,15 @@
 	"slices"
 )
 
-// Change is one thing that a roll changes.
+// Change is one difference between two bundles.
 type Change struct {
-	Entry  string // such as `team "zurich"`
-	Before string // empty where it is new
-	After  string // empty where it goes
+	Entry  string // such as `team "zurich"` or "policy"
+	Before string // JSON; empty if the entry is added
+	After  string // JSON; empty if the entry is removed
 }
 
-// String spells the change in one line with a leading +, - or ~.
+// String formats the change as one line that starts with + (added), - (removed)
+// or ~ (changed).
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -24,7 +25,7 @@
 	return fmt.Sprintf("~ %s %s -> %s", c.Entry, c.Before, c.After)
 }
 
-// Diff lists what differs between two bundles, in a stable order.
+// Diff returns the differences between two bundles, sorted by entry.
 func Diff(old, new Bundle) []Change {
 	before, after := encodeEntries(old), encodeEntries(new)
 	names := map[string]bool{}
@@ -49,7 +50,7 @@
 	return out
 }
 
-// encodeEntries spells each named part of a bundle.
+// encodeEntries returns the JSON of each entry of a bundle, by entry name.
 func encodeEntries(b Bundle) map[string]string {
 	out := map[string]string{
 		"policy": encodeJSON(b.Policy),
@@ -70,7 +71,7 @@
 func encodeJSON(v any) string {
 	out, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs always encode
+		panic(err) // unreachable: plain structs always encode
 	}
 	return string(out)
 }
--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -39,7 +39,7 @@
 
 	later := good
 	later.Generation++
-	require.ErrorIs(t, v.Verify(later), ErrSignature, "a raised generation is not signed")
+	require.ErrorIs(t, v.Verify(later), ErrSignature, "the signature covers the generation")
 	other := good
 	other.Digest = "d2"
 	require.ErrorIs(t, v.Verify(other), ErrSignature)
@@ -47,14 +47,15 @@
 	require.ErrorIs(t, v.Verify(unknownOperator), ErrSignature)
 	duplicated := good
 	duplicated.Signoffs = []Signoff{good.Signoffs[0], good.Signoffs[0]}
-	require.ErrorIs(t, v.Verify(duplicated), ErrSignoffs, "one operator twice is one sign-off")
+	require.ErrorIs(t, v.Verify(duplicated), ErrSignoffs, "two sign-offs of one operator count once")
 	swapped := good
 	swapped.Signoffs = []Signoff{good.Signoffs[0], {Operator: "piet", Signature: good.Signature}}
-	require.ErrorIs(t, v.Verify(swapped), ErrSignoffs, "an order's signature is no sign-off")
+	require.ErrorIs(t, v.Verify(swapped), ErrSignoffs, "the signature of an order is not valid as a sign-off")
 }
 
-// TestAdopterNeverGoesBack offers bundles in any order, again and again, some
-// forged or broken: what is in force only ever rises, and is always signed.
+// TestAdopterNeverGoesBack offers bundles repeatedly and in random order, some
+// of them forged or truncated. It checks that the active generation only
+// increases and always has a valid signature.
 func TestAdopterNeverGoesBack(t *testing.T) {
 	anna, eve := testKey(1), testKey(3)
 	v := Verifier{Operators: newOperators(map[string]ed25519.PrivateKey{"anna": anna})}
@@ -82,20 +83,20 @@
 			switch {
 			case forged || (broken && newer):
 				if outcome != Refused || err == nil {
-					rt.Fatalf("took a bad offer: %v", outcome)
+					rt.Fatalf("adopted a forged or truncated offer: %v", outcome)
 				}
 			case newer:
 				if outcome != Adopted {
-					rt.Fatalf("did not take generation %d: %v %v", o.Generation, outcome, err)
+					rt.Fatalf("did not adopt generation %d: %v %v", o.Generation, outcome, err)
 				}
 				highest = o
 			default:
 				if outcome != Outdated {
-					rt.Fatalf("went back to %d: %v", o.Generation, outcome)
+					rt.Fatalf("offer of the outdated generation %d: got outcome %v", o.Generation, outcome)
 				}
 			}
 			if a.Current().Generation() != highest.Generation || a.Current().Order.Digest != highest.Digest {
-				rt.Fatalf("in force %d, want %d", a.Current().Generation(), highest.Generation)
+				rt.Fatalf("active generation %d, want %d", a.Current().Generation(), highest.Generation)
 			}
 		}
 	})
--- a/bundle/pack.go
+++ b/bundle/pack.go
@@ -14,32 +14,32 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// maxUnpackedBytes bounds what Open will inflate, in bytes.
+// maxUnpackedBytes is the most that Unpack decompresses, in bytes.
 const maxUnpackedBytes = 64 << 20
 
-// ErrDigest means that content is not what its order names.
+// ErrDigest means that the content does not have the digest that its order names.
 var ErrDigest = errors.New("bundle content does not match its digest; fetch it again, and roll the bundle again if that fails")
 
 // Digest is the SHA-256 of a bundle's canonical form, in hex.
 type Digest string
 
-// Canonical returns the bytes that a digest and signatures cover: JSON with
-// the lists sorted by name, so that order in the source means nothing.
+// Canonical returns the canonical form of a bundle, which its digest covers: JSON
+// with the lists sorted by name, so that their order in the source has no effect.
 func Canonical(b Bundle) []byte {
 	b.Teams = sortedByName(b.Teams, func(t Team) fleet.Team { return t.Name })
 	b.Works = sortedByName(b.Works, func(w Work) fleet.Work { return w.Name })
 	b.Servers = sortedByName(b.Servers, func(s Server) fleet.Name { return s.Name })
 	out, err := json.Marshal(b)
 	if err != nil {
-		// Plain structs of strings and numbers always encode; NaN shares are
-		// refused by check.
+		// Unreachable: plain structs of strings and numbers always encode, and
+		// check rejects NaN shares.
 		panic(err)
 	}
 	return out
 }
 
-// sortedByName returns a copy of a list by name, and nil for an empty one: the two
-// would be spelt differently.
+// sortedByName returns a copy of a list sorted by name, and nil for an empty list,
+// because JSON encodes nil and empty slices differently.
 func sortedByName[E any, N cmp.Ordered](list []E, name func(E) N) []E {
 	if len(list) == 0 {
 		return nil
@@ -57,8 +57,8 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Pack returns the digest and the packed content of a bundle, as the platform
-// holds it and links carry it.
+// Pack returns the digest and the compressed content of a bundle. The content is
+// stored on the platform and sent over links.
 func Pack(b Bundle) (Digest, []byte) {
 	canonical := Canonical(b)
 	return digestBytes(canonical), compress(canonical)
@@ -67,12 +67,13 @@
 func compress(canonical []byte) []byte {
 	var buf bytes.Buffer
 	w := gzip.NewWriter(&buf)
-	_, _ = w.Write(canonical) // here and below: a bytes.Buffer never fails
+	_, _ = w.Write(canonical) // here and below: writes to a bytes.Buffer never fail
 	_ = w.Close()
 	return buf.Bytes()
 }
 
-// Unpack unpacks content and refuses it unless its digest is want.
+// Unpack decompresses and decodes the content of a bundle. It returns ErrDigest
+// unless the digest of the content is want.
 func Unpack(content []byte, want Digest) (Bundle, error) {
 	r, err := gzip.NewReader(bytes.NewReader(content))
 	if err != nil {
--- a/bundle/parse.go
+++ b/bundle/parse.go
@@ -6,8 +6,8 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// Parse reads a bundle source and checks it. The error names every fault
-// with file, line, key and remedy.
+// Parse decodes and checks the TOML source of a bundle. The error lists every
+// problem with file, line, key and remedy.
 func Parse(file string, source []byte) (Bundle, error) {
 	var b Bundle
 	f, err := tomlfile.Decode(file, source, &b)
@@ -21,7 +21,7 @@
 	return b, nil
 }
 
-// entryKey spells the key of one field of a list's entry.
+// entryKey returns the key of a field of a list entry, such as "teams[0].name".
 func entryKey(list string, i int, field string) string {
 	return fmt.Sprintf("%s[%d].%s", list, i, field)
 }
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -43,8 +43,8 @@
 	require.Equal(t, PreferBytes, back.WithDefaults().Policy.Prefer)
 }
 
-// TestOpenRefusesOtherContent holds that a whole bundle under another's digest
-// is not taken.
+// TestOpenRefusesOtherContent checks that Unpack rejects an intact bundle that
+// has another digest.
 func TestOpenRefusesOtherContent(t *testing.T) {
 	b, err := Parse("fleet.toml", []byte(goodSource))
 	require.NoError(t, err)
@@ -55,7 +55,8 @@
 	require.ErrorIs(t, err, ErrDigest)
 }
 
-// TestParseBad holds that every fault is named with file, line, key and remedy.
+// TestParseBad checks that each kind of problem is reported with file, line, key
+// and remedy.
 func TestParseBad(t *testing.T) {
 	cases := []struct{ old, new, want string }{
 		{`share = 2.0`, `share = 0.0`, "fleet.toml:8: teams[0].share = 0: write a number above 0"},
@@ -80,7 +81,7 @@
 		{`works = ["report"]`, `works = ["rapport"]`, "servers[0].works = rapport: no [[works]] table has this name"},
 		{`[limits]`, `[limits`, "fleet.toml:4"},
 		{goodSource, ``, "teams = none: add at least one [[teams]] table"},
-		{`[[works]]`, "[[teams]]\nname = \"zurich\"\nshare = 1.0\n[[works]]", "teams[1].name = zurich: this name stands twice"},
+		{`[[works]]`, "[[teams]]\nname = \"zurich\"\nshare = 1.0\n[[works]]", "teams[1].name = zurich: duplicate name"},
 	}
 	for _, c := range cases {
 		t.Run(c.new, func(t *testing.T) {
@@ -93,7 +94,8 @@
 	}
 }
 
-// TestParseNamesAllFaults holds that one run shows every fault.
+// TestParseNamesAllFaults checks that one call reports all problems, not only the
+// first.
 func TestParseNamesAllFaults(t *testing.T) {
 	source := strings.NewReplacer("share = 2.0", "share = -1.0", "slots = 8", "slots = 0").Replace(goodSource)
 	_, err := Parse("fleet.toml", []byte(source))
@@ -102,7 +104,8 @@
 	require.Len(t, problems, 2)
 }
 
-// FuzzParse holds that no source, however broken, does more than fail.
+// FuzzParse checks that Parse returns an error for any malformed source and does
+// not panic, and that a bundle it accepts survives Pack and Unpack.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(goodSource))
 	f.Add([]byte("[[teams]]\n[[teams.x]]"))
@@ -118,7 +121,7 @@
 	})
 }
 
-// FuzzOpen holds that no content, however broken, is taken for a bundle.
+// FuzzOpen checks that Unpack accepts only content with the given digest.
 func FuzzOpen(f *testing.F) {
 	b, err := Parse("f", []byte(goodSource))
 	require.NoError(f, err)
--- a/bundle/patch.go
+++ b/bundle/patch.go
@@ -9,11 +9,13 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// ErrPatch means that a patch does not fit; ask for the whole bundle.
-var ErrPatch = errors.New("bundle patch does not fit what is in force; ask for the whole bundle")
+// ErrPatch means that a patch does not apply to the active bundle. The receiver
+// must request the whole bundle.
+var ErrPatch = errors.New("bundle patch does not apply to the active bundle; request the whole bundle")
 
-// Patch is what one bundle has that another has not. It needs no signature of
-// its own: what it makes must have the digest that a signed order names.
+// Patch holds the changes from one bundle to another. It has no signature of its
+// own, because the resulting bundle must have the digest that a signed order
+// names.
 type Patch struct {
 	Policy         *Policy      `json:"policy,omitempty"`
 	Limits         *Limits      `json:"limits,omitempty"`
@@ -25,7 +27,7 @@
 	RemovedServers []fleet.Name `json:"gone_servers,omitempty"`
 }
 
-// NewPatch returns what turns one bundle into another.
+// NewPatch returns the patch that turns from into to.
 func NewPatch(from, to Bundle) Patch {
 	var p Patch
 	if encodeJSON(from.Policy) != encodeJSON(to.Policy) {
@@ -40,23 +42,23 @@
 	return p
 }
 
-// Encode returns the form that links carry.
+// Encode returns the JSON that is sent over links.
 func (p Patch) Encode() []byte {
 	out, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // plain structs of strings and numbers always encode
+		panic(err) // unreachable: plain structs of strings and numbers always encode
 	}
 	return out
 }
 
-// DecodePatch reads what Encode wrote.
+// DecodePatch decodes the output of Encode.
 func DecodePatch(data []byte) (Patch, error) {
 	var p Patch
 	err := json.Unmarshal(data, &p)
 	return p, errors.Wrap(err, "decode bundle patch")
 }
 
-// Apply returns the bundle that the patch makes of another, with its lists in
+// Apply returns b with the patch applied. Lists that the patch changes are in
 // canonical order.
 func (p Patch) Apply(b Bundle) Bundle {
 	if p.Policy != nil {
@@ -71,8 +73,8 @@
 	return b
 }
 
-// diffEntries returns the entries of to that from has not, or has otherwise,
-// and the names that to no longer has.
+// diffEntries returns the entries of to that are new or differ from those in
+// from, and the sorted names of the entries that only from has.
 func diffEntries[E any, N cmp.Ordered](from, to []E, name func(E) N) (changed []E, removed []N) {
 	old := map[N]string{}
 	for _, e := range from {
@@ -91,7 +93,8 @@
 	return changed, removed
 }
 
-// patchEntries returns a list with entries replaced, added and taken away.
+// patchEntries returns list with the changed entries replaced or added and the
+// removed ones left out, sorted by name.
 func patchEntries[E any, N cmp.Ordered](list, changed []E, removed []N, name func(E) N) []E {
 	if len(changed)+len(removed) == 0 {
 		return list
--- a/bundle/patch_test.go
+++ b/bundle/patch_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPatchMakesTheSameBundle holds that for any two bundles the patch between
-// them gives the digest of the second, over its encoded form.
+// TestPatchMakesTheSameBundle checks for random pairs of bundles that the patch
+// between them, encoded and decoded, turns the first into a bundle with the
+// digest of the second.
 func TestPatchMakesTheSameBundle(t *testing.T) {
 	drawBundle := func(rt *rapid.T, label string) Bundle {
 		b := newTestBundle(rapid.IntRange(0, 6).Draw(rt, label+" teams"), rapid.IntRange(0, 6).Draw(rt, label+" servers"))
@@ -33,13 +34,13 @@
 			rt.Fatal(err)
 		}
 		if got := DigestOf(p.Apply(from)); got != DigestOf(to) {
-			rt.Fatalf("%s is not %s", got, DigestOf(to))
+			rt.Fatalf("patched bundle has digest %s, want %s", got, DigestOf(to))
 		}
 	})
 }
 
-// TestAdopterTakesPatches holds that a patch is taken on the generation that
-// it is made for, and refused on any other.
+// TestAdopterTakesPatches checks that a patch is adopted only if it was made for
+// the active generation and results in the ordered digest.
 func TestAdopterTakesPatches(t *testing.T) {
 	anna := testKey(1)
 	a := Adopter{Verifier: Verifier{Operators: newOperators(keysOfAnna(anna))}}
@@ -56,21 +57,21 @@
 	require.NoError(t, err)
 	require.Equal(t, Adopted, outcome)
 	outcome, err = a.Update(offer(3, second, 2, first))
-	require.ErrorIs(t, err, ErrPatch, "made for another generation")
+	require.ErrorIs(t, err, ErrPatch, "the patch was made for another generation")
 	require.Equal(t, Refused, outcome)
 	outcome, err = a.Update(offer(3, second, 1, Bundle{}))
-	require.Equal(t, Refused, outcome, "made from another bundle: %v", err)
+	require.Equal(t, Refused, outcome, "the patch was made from another bundle: %v", err)
 	require.EqualValues(t, 1, a.Current().Generation())
 	outcome, err = a.Update(offer(3, second, 1, first))
 	require.NoError(t, err)
 	require.Equal(t, Adopted, outcome)
 	require.Equal(t, DigestOf(second), DigestOf(a.Current().Bundle))
 	_, err = Unpack(a.Current().Packed(), DigestOf(second))
-	require.NoError(t, err, "what was patched can be passed on whole")
+	require.NoError(t, err, "a patched bundle can be forwarded whole")
 }
 
-// BenchmarkPatch is what a process spends on a change of one team, and the
-// bytes that it takes on a link.
+// BenchmarkPatch measures the cost to a process of a change to one team, and the
+// bytes that the change takes on a link.
 func BenchmarkPatch(b *testing.B) {
 	for _, servers := range []int{15, 1000, 10000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/bundle/patches.go
+++ b/bundle/patches.go
@@ -2,22 +2,23 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// maxPatchBytes is the size, in bytes, above which the whole bundle, which is
-// packed, is as good.
+// maxPatchBytes is the largest patch that is sent, in bytes. Patches are not
+// compressed, so above this size the compressed whole bundle costs no more.
 const maxPatchBytes = 64 << 10
 
-// maxPatchBases is how many generations back a process can patch from.
+// maxPatchBases is the number of earlier bundles that a process keeps in order to
+// make patches from them.
 const maxPatchBases = 8
 
-// Patches holds what turns recent generations into the one in force, for peers
-// that lag. The zero value is ready for use.
+// Patches makes and caches patches from recent generations to the active one, for
+// peers that are behind. The zero value is ready to use.
 type Patches struct {
-	recent  []Active // the newest last, without the one in force
+	recent  []Active // newest last, without current
 	encoded map[fleet.Generation][]byte
 	current Active
 }
 
-// SetCurrent notes a bundle that is in force now.
+// SetCurrent records the bundle that has become active.
 func (p *Patches) SetCurrent(f Active) {
 	if p.current.Generation() > 0 {
 		p.recent = append(p.recent, p.current)
@@ -29,8 +30,8 @@
 	p.encoded = map[fleet.Generation][]byte{}
 }
 
-// From returns the encoded patch from a generation to the one in force, if it
-// is recent and the patch is small.
+// From returns the encoded patch from generation g to the active one. It reports
+// false if g is not a recent generation or the patch exceeds maxPatchBytes.
 func (p *Patches) From(g fleet.Generation) ([]byte, bool) {
 	if patch, ok := p.encoded[g]; ok {
 		return patch, patch != nil
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// DefaultTimeout bounds one call that is not a watch.
+	// DefaultTimeout is the timeout of a call that is not a watch.
 	DefaultTimeout = 2 * time.Second
-	// WatchTimeout is how long a watch waits for a change.
+	// WatchTimeout is the time that a watch waits for a change.
 	WatchTimeout = 30 * time.Second
-	// MaxObjectBytes is the largest object, in bytes.
+	// MaxObjectBytes is the maximum size of an object, in bytes.
 	MaxObjectBytes = 1 << 20
 
 	defaultCallsPerSecond = 20
 	defaultBurst          = 40
 )
 
-// Client calls the platform. It is safe for use by many goroutines.
+// Client calls the object API of the platform. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -37,11 +37,11 @@
 	calls   atomic.Int64
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithCallsPerSecond sets the budget of calls that all users of the client
-// share, so that one process can't use up the platform's.
+// WithCallsPerSecond sets the rate limit that all users of the client share. It
+// prevents one process from using up the capacity of the platform.
 func WithCallsPerSecond(n float64) Option {
 	return func(c *Client) { c.limiter = rate.NewLimiter(rate.Limit(n), defaultBurst) }
 }
@@ -51,7 +51,7 @@
 	return func(c *Client) { c.http = h }
 }
 
-// NewClient returns a client for the platform at an IP number and port.
+// NewClient returns a client for the platform at address, an IP address and port.
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{
 		base:    "http://" + address + "/v1/",
@@ -64,7 +64,7 @@
 	return c
 }
 
-// Calls returns how many calls were made; a waiting watch is one.
+// Calls returns the number of calls made so far. A watch counts as one call.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 // Get reads an object.
@@ -74,8 +74,8 @@
 	return c.read(ctx, ref, c.objectURL(ref))
 }
 
-// Watch waits until an object is newer than a version and reads it. After
-// WatchTimeout without a change it returns the error ErrNotFound.
+// Watch waits until an object has a version newer than after and reads it. If
+// there is no change within WatchTimeout, it returns ErrNotFound.
 func (c *Client) Watch(ctx context.Context, ref Ref, after Version) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+DefaultTimeout)
 	defer cancel()
@@ -83,8 +83,8 @@
 	return c.read(ctx, ref, u)
 }
 
-// Put writes an object that must be at a version; 0 means that it must not
-// exist. It returns the new version.
+// Put writes an object if it is at version ifVersion, where 0 means that it must
+// not exist. It returns the new version.
 func (c *Client) Put(ctx context.Context, ref Ref, body []byte, ifVersion Version) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultTimeout)
 	defer cancel()
@@ -163,19 +163,20 @@
 	return c.http.Do(req)
 }
 
-// wrapKind returns one of this package's errors, with its remedy, for a cause.
+// wrapKind wraps cause in kind, one of this package's errors, and its message.
 func wrapKind(cause, kind error) error {
 	return errors.Mark(errors.Wrap(cause, kind.Error()), kind)
 }
 
-// drainBody reads an answer to its end, so that its connection can be used again. Where that fails it
-// can't, and another one is opened.
+// drainBody reads a response to its end and closes it, so that its connection can
+// be reused. Errors are ignored: the next call then opens a new connection.
 func drainBody(res *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObjectBytes))
 	_ = res.Body.Close()
 }
 
-// statusError turns an answer's status into an error, or nil.
+// statusError returns the error for the status of a response, or nil if the call
+// succeeded.
 func statusError(res *http.Response) error {
 	switch {
 	case res.StatusCode == http.StatusNotFound, res.StatusCode == http.StatusNotModified:
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newTestClient returns a client for a platform that answers all calls alike.
+// newTestClient returns a client of a platform that handles every call with handler.
 func newTestClient(t *testing.T, handler http.HandlerFunc) *Client {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -19,8 +19,8 @@
 	return NewClient(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// TestErrorKinds holds that each kind of failure is told apart, a
-// write whose answer is lost above all, and that messages name the remedy.
+// TestErrorKinds checks that each kind of failure gives its own error, in
+// particular a write whose response is lost, and that messages include the remedy.
 func TestErrorKinds(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestWritesAreConditional holds the conditions that a write carries.
+// TestWritesAreConditional checks the precondition headers of writes.
 func TestWritesAreConditional(t *testing.T) {
 	var got []http.Header
 	p := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
--- a/objectapi/doc.go
+++ b/objectapi/doc.go
@@ -1,10 +1,10 @@
-// Package objectapi is the client of the platform's object API: objects with
-// versions, conditional updates and watches over HTTP, and the list of hosts.
+// Package objectapi is an HTTP client for the platform's object API: versioned
+// objects with conditional writes and watches, and the list of hosts.
 //
 //	c := objectapi.NewClient("10.0.0.9:7000")
 //	obj, err := c.Get(ctx, objectapi.Ref{Kind: "bundle", Name: "current"})
-//	_, err = c.Put(ctx, obj.Ref, body, obj.Version) // fails if someone was faster
+//	_, err = c.Put(ctx, obj.Ref, body, obj.Version) // fails if the object has changed since
 //
-// A write whose answer is lost may have taken effect: such an error is
-// ErrOutcomeUnknown, and only reading back tells.
+// A write whose response is lost may have taken effect. Its error is
+// ErrOutcomeUnknown, and the caller must read the object back to find out.
 package objectapi
--- a/objectapi/errors.go
+++ b/objectapi/errors.go
@@ -2,16 +2,17 @@
 
 import "github.com/cockroachdb/errors"
 
-// Errors of the client; test for them with errors.Is.
+// Errors of the client, for use with errors.Is.
 var (
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object does not exist, or that a watch timed
+	// out without a change.
 	ErrNotFound = errors.New("no such object on the platform")
-	// ErrConflict means that the object is not at the version that was given,
-	// and nothing was written. Read it again and decide anew.
-	ErrConflict = errors.New("the object has changed on the platform; read it again and decide anew")
-	// ErrUnavailable means that the platform refused or could not be reached,
-	// and nothing was written.
-	ErrUnavailable = errors.New("the platform does not answer; what is in force stays in force, try again later")
+	// ErrConflict means that the object is not at the expected version and
+	// nothing was written. The caller should read it again before retrying.
+	ErrConflict = errors.New("the object has changed on the platform; read it again before retrying")
+	// ErrUnavailable means that the platform refused the call or could not be
+	// reached, and that nothing was written.
+	ErrUnavailable = errors.New("the platform is unavailable; the active configuration stays active, try again later")
 	// ErrOutcomeUnknown means that a write may or may not have taken effect.
-	ErrOutcomeUnknown = errors.New("the platform's answer to a write was lost; read the object back to learn whether it took effect")
+	ErrOutcomeUnknown = errors.New("the platform's response to a write was lost; read the object back to find out whether the write took effect")
 )
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -2,24 +2,24 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// Ref names an object.
+// Ref identifies an object.
 type Ref struct {
 	Kind string
 	Name string
 }
 
-// Version is the platform's word for one state of an object. It only grows;
-// 0 stands for "does not exist".
+// Version identifies one state of an object. The platform assigns versions in
+// increasing order; 0 means that the object does not exist.
 type Version uint64
 
-// Object is an object as it was read.
+// Object is an object with the version at which it was read.
 type Object struct {
 	Ref     Ref
 	Version Version
 	Body    []byte
 }
 
-// HostState says what the platform knows of a host.
+// HostState is the state of a host according to the platform.
 type HostState string
 
 // The states of a host.
@@ -28,21 +28,22 @@
 	HostLeaving HostState = "leaving"
 )
 
-// Host is an entry of the platform's list of hosts. The list lags.
+// Host is an entry of the platform's list of hosts, which may be out of date.
 type Host struct {
 	Name           fleet.Name `json:"name"`
 	Role           string     `json:"role"`
 	Hall           fleet.Hall `json:"hall"`
-	ControlAddress string     `json:"links"` // control address
+	ControlAddress string     `json:"links"` // address for control links
 	State          HostState  `json:"state"`
 }
 
 // The objects that hold the bundle.
 var (
-	// BundlePointer is the one object that moves: the order in force.
+	// BundlePointer holds the current order. It is the only bundle object that is
+	// overwritten.
 	BundlePointer = Ref{Kind: "bundle", Name: "current"}
 )
 
-// BundleContent returns the object that holds the content of a digest. Such
-// objects are made once and never change.
+// BundleContent returns the ref of the bundle content with a digest. Such objects
+// are written once and never change.
 func BundleContent(digest string) Ref { return Ref{Kind: "content", Name: digest} }
--- a/operate/doc.go
+++ b/operate/doc.go
@@ -1,6 +1,6 @@
-// Package operate is what the operators' client does with the platform and the
-// processes: roll a bundle, read what is in force, dump state. Commands print;
-// this package decides.
+// Package operate implements the actions of the operators' client: rolling out a
+// bundle through the platform, reading the active bundle, and fetching the state
+// dump of a process. The commands only parse arguments and print results.
 //
 //	r := operate.Roller{Store: client, Operator: "anna", Key: key}
 //	result, err := r.Roll(ctx, signed)
--- a/operate/keys.go
+++ b/operate/keys.go
@@ -13,10 +13,11 @@
 	"github.com/croftvale/croftvale/bundle"
 )
 
-// ErrKeyFile means that a private key can't be read.
+// ErrKeyFile means that the text is not a valid private key.
 var ErrKeyFile = errors.New(`not a private key; make one with "croftvale keys new"`)
 
-// NewKey makes an operator's key pair and returns both halves in base64.
+// NewKey generates an operator's key pair and returns both keys in base64. The
+// private key is encoded as its seed.
 func NewKey() (private, public string, err error) {
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -26,7 +27,7 @@
 	return enc.EncodeToString(priv.Seed()), enc.EncodeToString(pub), nil
 }
 
-// ReadKey reads a private key from a file that NewKey's text was written to.
+// ReadKey reads a private key from a file that holds the text from NewKey.
 func ReadKey(path string) (ed25519.PrivateKey, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -35,7 +36,7 @@
 	return ParseKey(strings.TrimSpace(string(data)))
 }
 
-// ParseKey reads the private half that NewKey returned.
+// ParseKey decodes a private key that NewKey returned.
 func ParseKey(text string) (ed25519.PrivateKey, error) {
 	seed, err := base64.StdEncoding.DecodeString(text)
 	if err != nil || len(seed) != ed25519.SeedSize {
@@ -44,13 +45,13 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// NewTeamKey makes a team's bearer key and the hash that goes in the bundle.
+// NewTeamKey generates a team's bearer key and its hash for the bundle.
 func NewTeamKey() (key, hash string) {
 	key = "cv-" + rand.Text()
 	return key, HashTeamKey(key)
 }
 
-// HashTeamKey returns the hash of a bearer key, as the bundle holds it.
+// HashTeamKey returns the hash of a bearer key in the form used in bundles.
 func HashTeamKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return bundle.KeyHashPrefix + hex.EncodeToString(sum[:])
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -13,36 +13,37 @@
 	"github.com/croftvale/croftvale/objectapi"
 )
 
-// Store is the part of the platform that a roll needs.
+// Store holds the methods of objectapi.Client that this package needs.
 type Store interface {
 	Get(ctx context.Context, ref objectapi.Ref) (objectapi.Object, error)
 	Put(ctx context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error)
 }
 
-// maxReadBackTries bounds how often a roll asks what became of a write.
+// maxReadBackTries is the maximum number of attempts to read back a write whose
+// outcome is unknown.
 const maxReadBackTries = 8
 
-// Errors of a roll; each says what to do.
+// Errors of a roll. Each message includes a remedy.
 var (
-	// ErrLostRace means that another operator's roll came first.
-	ErrLostRace = errors.New(`another roll came first and nothing of yours is in force; look at "croftvale bundle diff", then roll again`)
-	// ErrReplaced means that the roll took effect, and another came after it.
+	// ErrLostRace means that another roll came first and this one had no effect.
+	ErrLostRace = errors.New(`another roll came first and yours had no effect; look at "croftvale bundle diff", then roll again`)
+	// ErrReplaced means that the roll took effect, but a later roll has replaced it.
 	ErrReplaced = errors.New(`your roll took effect and has been replaced since; look at "croftvale bundle diff"`)
-	// ErrOutcomeUnknown means that nobody can say yet whether the roll took effect.
-	ErrOutcomeUnknown = errors.New(`the platform does not say whether the roll took effect; run "croftvale bundle status" when it answers again`)
+	// ErrOutcomeUnknown means that it is not known yet whether the roll took effect.
+	ErrOutcomeUnknown = errors.New(`it is unknown whether the roll took effect; run "croftvale bundle status" when the platform is available again`)
 )
 
-// Roller puts signed bundles in force.
+// Roller makes signed bundles active.
 type Roller struct {
 	Store    Store
 	Operator string
 	Key      ed25519.PrivateKey
-	RollID   string // unique to this roll; tells it apart after a lost reply
+	RollID   string // unique to this roll; identifies it after a lost response
 	Now      time.Time
 }
 
-// Roll writes the content, then moves the pointer from what it read to the
-// next generation. It returns the order that is in force through it.
+// Roll writes the content of s, then replaces the order at the bundle pointer with
+// one of the next generation. It returns the order that took effect.
 func (r Roller) Roll(ctx context.Context, s SignedBundle) (bundle.Order, error) {
 	if err := r.putContent(ctx, s); err != nil {
 		return bundle.Order{}, err
@@ -67,8 +68,8 @@
 	return r.resolveOutcome(ctx, order, err)
 }
 
-// putContent stores the content under its digest. That it is there already,
-// from this roll or an earlier one, is as good.
+// putContent stores the content under its digest. It also succeeds if this roll
+// or an earlier one has already stored it.
 func (r Roller) putContent(ctx context.Context, s SignedBundle) error {
 	ref := objectapi.BundleContent(string(s.Digest))
 	_, err := r.Store.Put(ctx, ref, s.Content, 0)
@@ -82,8 +83,8 @@
 	return errors.Wrap(err, "store the bundle's content; nothing is rolled")
 }
 
-// resolveOutcome finds out what became of a pointer write that did not succeed
-// plainly. After a lost reply only the roll id at the pointer tells.
+// resolveOutcome determines whether a failed write of the pointer took effect.
+// After a lost response, only the roll IDs in the current order show this.
 func (r Roller) resolveOutcome(ctx context.Context, o bundle.Order, cause error) (bundle.Order, error) {
 	conflict := errors.Is(cause, objectapi.ErrConflict)
 	if !conflict && !errors.Is(cause, objectapi.ErrOutcomeUnknown) {
@@ -103,12 +104,14 @@
 	case conflict || now.Generation >= o.Generation:
 		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
 	}
-	// The pointer is where it was. A delayed write could still land, but not
-	// unseen: it carries the same version condition as any next roll.
+	// The pointer has not changed. A delayed write could still take effect, but
+	// not unnoticed: it has the same version condition as the next roll, so only
+	// one of the two can succeed.
 	return bundle.Order{}, errors.Wrapf(ErrOutcomeUnknown, "the pointer is still at generation %d", now.Generation)
 }
 
-// retry asks until the platform answers, with backoff.
+// retry calls op with backoff until it succeeds, returns ErrNotFound, or has been
+// tried maxReadBackTries times.
 func retry[T any](ctx context.Context, op func() (T, error)) (T, error) {
 	return backoff.Retry(ctx, func() (T, error) {
 		v, err := op()
@@ -119,8 +122,8 @@
 	}, backoff.WithMaxTries(maxReadBackTries))
 }
 
-// CurrentOrder reads the order in force and the pointer's version; a platform
-// without one has generation 0.
+// CurrentOrder reads the current order and the version of the bundle pointer. If
+// the platform has no order, the generation and the version are 0.
 func CurrentOrder(ctx context.Context, s Store) (bundle.Order, objectapi.Version, error) {
 	obj, err := s.Get(ctx, objectapi.BundlePointer)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -136,7 +139,8 @@
 	return o, obj.Version, nil
 }
 
-// CurrentBundle reads the order in force and its bundle.
+// CurrentBundle reads the current order and its bundle. If the platform has no
+// order, both are zero.
 func CurrentBundle(ctx context.Context, s Store) (bundle.Order, bundle.Bundle, error) {
 	o, _, err := CurrentOrder(ctx, s)
 	if err != nil || o.Generation == 0 {
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -15,14 +15,15 @@
 	"pgregory.net/rapid"
 )
 
-// fakeStore is the platform's oracle: it keeps every pointer there ever was, loses
-// replies, fails, and lets another operator in between.
+// fakeStore is an in-memory platform that records every order written to the
+// bundle pointer. It can inject faults and run another operator's roll just before
+// a pointer write.
 type fakeStore struct {
 	objects          map[objectapi.Ref]objectapi.Object
 	version          objectapi.Version
 	history          []bundle.Order
 	nextFault        func() fault
-	beforePointerPut func() // runs before a pointer write
+	beforePointerPut func() // if not nil, runs once before the next pointer write
 }
 
 type fault int
@@ -30,8 +31,8 @@
 const (
 	noFault     fault = iota
 	unavailable       // not written
-	lostReply         // written, but the answer is lost
-	lostWrite         // not written, and the answer is lost too
+	lostReply         // written, but the response is lost
+	lostWrite         // not written, and the response is lost
 )
 
 func newStore(m func() fault) *fakeStore {
@@ -98,9 +99,10 @@
 	return NewSignedBundle(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
 }
 
-// TestRollsFormALine lets operators race under lost replies and outages. The
-// accepted orders form a line, a roll that says it is in force is, and one that
-// says it lost is not.
+// TestRollsFormALine runs racing rolls of several operators with lost responses
+// and outages. It checks that the accepted orders have consecutive generations,
+// that every roll reported as successful or replaced took effect, and that no
+// roll reported as failed did. A roll with an unknown outcome may have either.
 func TestRollsFormALine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(*testing.T) { raceRolls(rt) })
@@ -119,7 +121,7 @@
 	}
 	for i, o := range s.history {
 		if int(o.Generation) != i+1 {
-			rt.Fatalf("generation %d at place %d", o.Generation, i)
+			rt.Fatalf("order has generation %d at index %d", o.Generation, i)
 		}
 	}
 }
@@ -129,15 +131,15 @@
 	tookEffect := s.accepted(id)
 	switch {
 	case err == nil && !tookEffect:
-		rt.Fatalf("%s says it rolled and did not", id)
+		rt.Fatalf("roll %s succeeded but did not take effect", id)
 	case errors.Is(err, ErrOutcomeUnknown):
-		// Nothing was promised.
+		// Either outcome is allowed.
 	case errors.Is(err, ErrReplaced):
 		if !tookEffect {
-			rt.Fatalf("%s says it took effect and did not", id)
+			rt.Fatalf("roll %s was reported as replaced but never took effect", id)
 		}
 	case err != nil && tookEffect:
-		rt.Fatalf("%s took effect and says %v", id, err)
+		rt.Fatalf("roll %s took effect but returned %v", id, err)
 	}
 }
 
--- a/operate/state.go
+++ b/operate/state.go
@@ -16,10 +16,10 @@
 	maxStateBytes = 64 << 20
 )
 
-// ErrState means that a process gave no dump.
+// ErrState means that no state dump could be fetched from a process.
 var ErrState = errors.New("no state from this address; give the admin address of a running process")
 
-// Summary is what every process's dump has.
+// Summary holds the fields that the state dump of every process has.
 type Summary struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -29,7 +29,7 @@
 	Peers      []PeerSummary    `json:"peers"`
 }
 
-// PeerSummary is what a router knows of another process.
+// PeerSummary is the view that a router has of another process.
 type PeerSummary struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -37,7 +37,7 @@
 	Generation fleet.Generation `json:"generation"`
 }
 
-// FetchState reads the dump of the process whose admin address is given.
+// FetchState fetches the state dump of the process with an admin address.
 func FetchState(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -52,12 +52,12 @@
 	defer func() { _ = res.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxStateBytes))
 	if err != nil || res.StatusCode != http.StatusOK {
-		return nil, errors.Wrapf(ErrState, "%s answered %d", address, res.StatusCode)
+		return nil, errors.Wrapf(ErrState, "%s responded with status %d", address, res.StatusCode)
 	}
 	return data, nil
 }
 
-// Summarize reads the part of a dump that every process has.
+// Summarize decodes the fields of a state dump that every process has.
 func Summarize(dump []byte) (Summary, error) {
 	var s Summary
 	err := json.Unmarshal(dump, &s)
