--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -38,7 +38,8 @@
 func (a *Adopter) Current() Active { return a.current }
 
 // OfferMsg offers a new bundle. Order is the encoded order. Content is the
-// compressed bundle or, if Base is not zero, an encoded patch to generation Base.
+// compressed bundle or, if Base is not zero, an encoded patch from generation
+// Base.
 type OfferMsg struct {
 	Order   []byte
 	Content []byte
--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -29,13 +29,13 @@
 // of the preference; see Policy.WithDefaults.
 type Policy struct {
 	Prefer         Preference        `toml:"prefer" json:"prefer,omitempty"`
-	Sharing        string            `toml:"sharing" json:"sharing,omitempty"`             // "fleet"; "local" and "fifo" are baselines for measurements
-	ShareEvery     tomlfile.Duration `toml:"share_every" json:"share_every,omitempty"`     // maximum interval between service messages while servers run requests
-	Delta          tomlfile.Duration `toml:"delta" json:"delta,omitempty"`                 // unsent service of one team, in slot time, that triggers an immediate message
-	UrgentBorrow   tomlfile.Duration `toml:"urgent_borrow" json:"urgent_borrow,omitempty"` // slot time per share that urgent requests may use before their team's turn
-	CatchUp        tomlfile.Duration `toml:"catch_up" json:"catch_up,omitempty"`           // maximum deficit per share that is made up later
-	ClaimAhead     *int              `toml:"claim_ahead" json:"claim_ahead,omitempty"`     // claims that an agent may hold in addition to its slots
-	HubsPerHall    int               `toml:"hubs_per_hall" json:"hubs_per_hall,omitempty"`
+	Sharing        string            `toml:"sharing" json:"sharing,omitempty"`                   // "fleet"; "local" and "fifo" are baselines for measurements
+	ShareEvery     tomlfile.Duration `toml:"share_every" json:"share_every,omitempty"`           // maximum interval between service messages while servers run requests
+	Delta          tomlfile.Duration `toml:"delta" json:"delta,omitempty"`                       // unsent service of one team, in slot time, that triggers an immediate message
+	UrgentBorrow   tomlfile.Duration `toml:"urgent_borrow" json:"urgent_borrow,omitempty"`       // slot time per share that urgent requests may use before their team's turn
+	CatchUp        tomlfile.Duration `toml:"catch_up" json:"catch_up,omitempty"`                 // maximum deficit per share that is made up later
+	ClaimAhead     *int              `toml:"claim_ahead" json:"claim_ahead,omitempty"`           // claims that an agent may hold in addition to its slots
+	HubsPerHall    int               `toml:"hubs_per_hall" json:"hubs_per_hall,omitempty"`       // routers per data hall that exchange service totals with other halls
 	LinksPerServer int               `toml:"links_per_server" json:"links_per_server,omitempty"` // routers that connect to one agent
 }
 
@@ -77,7 +77,7 @@
 	Repeatable bool       `toml:"repeatable" json:"repeatable,omitempty"`
 }
 
-// Server is one backend server and the agent on the same host.
+// Server is one backend server and its agent.
 type Server struct {
 	Name         fleet.Name       `toml:"name" json:"name"`
 	Hall         fleet.Hall       `toml:"hall" json:"hall"`
--- a/bundle/order.go
+++ b/bundle/order.go
@@ -15,8 +15,8 @@
 	ErrSignoffs  = errors.New("bundle has too few sign-offs; have another operator run \"croftvale bundle sign\"")
 )
 
-// Signoff is one operator's signed approval of a bundle, which is
-// identified by its digest.
+// Signoff is one operator's signed approval of a bundle, which is identified by
+// its digest.
 type Signoff struct {
 	Operator  string `json:"operator"`
 	Signature []byte `json:"signature"`
--- a/bundle/patches.go
+++ b/bundle/patches.go
@@ -13,8 +13,8 @@
 // Patches makes and caches patches from recent generations to the active one, for
 // peers that are behind. The zero value is ready to use.
 type Patches struct {
-	recent  []Active // newest last, without current
-	encoded map[fleet.Generation][]byte
+	recent  []Active                    // newest last, without current
+	encoded map[fleet.Generation][]byte // patches by the generation they start from; nil if too large
 	current Active
 }
 
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -33,7 +33,8 @@
 	ErrOutcomeUnknown = errors.New(`it is unknown whether the roll took effect; run "croftvale bundle status" when the platform is available again`)
 )
 
-// Roller makes signed bundles active.
+// Roller rolls signed bundles: it writes an order to the platform that makes a
+// bundle the active configuration of the fleet.
 type Roller struct {
 	Store    Store
 	Operator string
--- a/operate/state.go
+++ b/operate/state.go
@@ -29,7 +29,7 @@
 	Peers      []PeerSummary    `json:"peers"`
 }
 
-// PeerSummary is the view that a router has of another process.
+// PeerSummary holds what a router reports about another process.
 type PeerSummary struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -37,7 +37,7 @@
 	Generation fleet.Generation `json:"generation"`
 }
 
-// FetchState fetches the state dump of the process with an admin address.
+// FetchState fetches the state dump of the process whose admin address is given.
 func FetchState(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
