--- a/agent/core.go
+++ b/agent/core.go
@@ -31,11 +31,11 @@
 	links       chan link.Event
 	meter       *link.Meter
 	keeper      *adopt.Keeper
-	onBundle    func(bundle.InForce) // called with each bundle that comes into force
+	onBundle    func(bundle.Active) // called with each bundle that comes into force
 
 	scheduler *sched.Machine
 	keys      *once.KeyTable
-	inForce   bundle.InForce
+	inForce   bundle.Active
 	routers   map[fleet.Name]*routerLink
 	replies   map[uint64]chan<- decision // for requests that wait to start, by sequence number of the claim
 	serving   bool
@@ -196,7 +196,7 @@
 }
 
 // applyBundle makes a bundle the one in force for the core and the proxy.
-func (c *core) applyBundle(f bundle.InForce) {
+func (c *core) applyBundle(f bundle.Active) {
 	c.inForce = f
 	c.nextPull = 0
 	b := f.Bundle.WithDefaults()
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -39,7 +39,7 @@
 }
 
 // configure applies a new bundle and requests a probe.
-func (p *proxy) configure(f bundle.InForce) {
+func (p *proxy) configure(f bundle.Active) {
 	b := f.Bundle.WithDefaults()
 	own, ok := findServer(b, p.core.settings.Name)
 	if !ok {
--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -5,56 +5,59 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// InForce is a bundle with the order that put it in force.
-type InForce struct {
+// Active is a bundle together with the signed order that made it the active
+// configuration.
+type Active struct {
 	Order   Order
-	Bundle  Bundle // as signed
-	Content []byte // packed, for passing on; nil where it was made by a patch
+	Bundle  Bundle // as signed, without defaults
+	Content []byte // compressed, for forwarding to peers; nil if the bundle was built by a patch
 }
 
-// Packed returns the packed bundle. After a patch it is worked out anew at
-// each call, since hardly anyone asks for it: keep it if it is asked for.
-func (f InForce) Packed() []byte {
+// Packed returns the compressed bundle. If the bundle was built by a patch, each
+// call compresses it again, because the result is rarely needed; callers that
+// need it repeatedly should store it in Content.
+func (f Active) Packed() []byte {
 	if f.Content != nil {
 		return f.Content
 	}
-	return pack(Canonical(f.Bundle))
+	return compress(Canonical(f.Bundle))
 }
 
-// Generation returns the generation in force, 0 before the first.
-func (f InForce) Generation() fleet.Generation { return f.Order.Generation }
+// Generation returns the active generation, or 0 before the first one.
+func (f Active) Generation() fleet.Generation { return f.Order.Generation }
 
-// Adopter decides which bundle a process has in force. It only ever moves to
-// a higher generation whose order and content check out; the zero value,
-// given a Verifier, is ready for use.
+// Adopter decides which bundle is active in a process. It only moves to a higher
+// generation, and only if the order and the content are valid. An Adopter with
+// only its Verifier set is ready to use.
 type Adopter struct {
 	Verifier Verifier
-	current  InForce
+	current  Active
 }
 
-// Current returns what is in force.
-func (a *Adopter) Current() InForce { return a.current }
+// Current returns the active bundle and its order.
+func (a *Adopter) Current() Active { return a.current }
 
-// OfferMsg says that a bundle may be had. Order is the encoded order; Content
-// is the packed bundle or, where Base is not zero, a patch on that generation.
+// OfferMsg offers a new bundle. Order is the encoded order. Content is the
+// compressed bundle or, if Base is not zero, an encoded patch from generation
+// Base.
 type OfferMsg struct {
 	Order   []byte
 	Content []byte
 	Base    fleet.Generation
 }
 
-// Adoption says what came of an offer.
+// Adoption is the outcome of an offer.
 type Adoption int
 
 // The outcomes of an offer.
 const (
-	Adopted  Adoption = iota // it is now in force
-	Outdated                 // what is in force is as new or newer
-	Refused                  // the error says why
+	Adopted  Adoption = iota // the offered bundle is now active
+	Outdated                 // the active generation is the same or newer
+	Refused                  // the offer is invalid; the error gives the reason
 )
 
-// Update takes an offer and says what came of it. A refused or outdated offer
-// changes nothing.
+// Update handles an offer and returns its outcome. A refused or outdated offer
+// leaves the active bundle unchanged.
 func (a *Adopter) Update(m OfferMsg) (Adoption, error) {
 	o, err := a.Verifier.Decode(m.Order)
 	if err != nil {
@@ -63,7 +66,7 @@
 	if o.Generation <= a.current.Generation() {
 		return Outdated, nil
 	}
-	next, err := a.content(o, m)
+	next, err := a.decodeOffer(o, m)
 	if err != nil {
 		return Refused, err
 	}
@@ -71,22 +74,23 @@
 	return Adopted, nil
 }
 
-// content takes what an offer brings, if it has the digest that was ordered.
-func (a *Adopter) content(o Order, m OfferMsg) (InForce, error) {
+// decodeOffer returns the bundle that an offer carries. It fails unless the
+// bundle has the digest that the order names.
+func (a *Adopter) decodeOffer(o Order, m OfferMsg) (Active, error) {
 	if m.Base == 0 {
-		b, err := Open(m.Content, o.Digest)
-		return InForce{Order: o, Bundle: b, Content: m.Content}, err
+		b, err := Unpack(m.Content, o.Digest)
+		return Active{Order: o, Bundle: b, Content: m.Content}, err
 	}
 	if m.Base != a.current.Generation() {
-		return InForce{}, errors.Wrapf(ErrPatch, "made for generation %d", m.Base)
+		return Active{}, errors.Wrapf(ErrPatch, "made for generation %d", m.Base)
 	}
 	p, err := DecodePatch(m.Content)
 	if err != nil {
-		return InForce{}, errors.Mark(err, ErrPatch)
+		return Active{}, errors.Mark(err, ErrPatch)
 	}
 	b := p.Apply(a.current.Bundle)
 	if DigestOf(b) != o.Digest {
-		return InForce{}, ErrPatch
+		return Active{}, ErrPatch
 	}
-	return InForce{Order: o, Bundle: b}, nil
+	return Active{Order: o, Bundle: b}, nil
 }
--- a/bundle/bench_test.go
+++ b/bundle/bench_test.go
@@ -10,8 +10,9 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// sized returns a bundle with teams and servers of usual names.
-func sized(teams, servers int) Bundle {
+// newTestBundle returns a bundle with the given numbers of teams and servers,
+// whose names have a realistic length.
+func newTestBundle(teams, servers int) Bundle {
 	b := Bundle{Works: []Work{{Name: "report", Kind: KindModel, Path: "/v1/completions"}}}
 	for i := range teams {
 		hash := digestBytes(fmt.Append(nil, i))
@@ -32,19 +33,19 @@
 	return b
 }
 
-// BenchmarkAdopt is what each process spends on a new bundle: verifying,
-// unpacking and decoding it. It reports the packed size.
+// BenchmarkAdopt measures the cost of a new bundle to each process: verifying,
+// decompressing and decoding it. It reports the compressed size.
 func BenchmarkAdopt(b *testing.B) {
 	for _, size := range []struct{ teams, servers int }{{10, 15}, {540, 1000}, {540, 10000}} {
 		b.Run(fmt.Sprintf("teams=%d/servers=%d", size.teams, size.servers), func(b *testing.B) {
 			key := ed25519.NewKeyFromSeed(make([]byte, ed25519.SeedSize))
-			digest, content := Seal(sized(size.teams, size.servers))
+			digest, content := Pack(newTestBundle(size.teams, size.servers))
 			order := Order{Generation: 1, Digest: digest, Operator: "anna"}.Sign(key).Encode()
 			v := Verifier{Operators: Operators{"anna": key.Public().(ed25519.PublicKey)}}
 			b.ReportAllocs()
 			for b.Loop() {
 				a := Adopter{Verifier: v}
-				if what, err := a.Update(OfferMsg{Order: order, Content: content}); what != Adopted {
+				if outcome, err := a.Update(OfferMsg{Order: order, Content: content}); outcome != Adopted {
 					b.Fatal(err)
 				}
 			}
--- a/bundle/defaults.go
+++ b/bundle/defaults.go
@@ -8,9 +8,9 @@
 	"github.com/croftvale/croftvale/tomlfile"
 )
 
-// Defaults of limits and policy.
+// Defaults of the limits, the policy and the health probe.
 const (
-	DefaultMaxWaiting        = 8_000 // some 200 MB of a router's memory
+	DefaultMaxWaiting        = 8_000 // requests; they take about 200 MB of a router's memory
 	DefaultMaxWaitingPerTeam = 2_000
 	DefaultMaxBody           = 4 << 20
 	DefaultMaxWait           = time.Minute
@@ -23,26 +23,27 @@
 	DefaultProbe             = "/health"
 )
 
-// The ways of sharing capacity.
+// The values of Policy.Sharing.
 const (
 	SharingFleet = "fleet"
 	SharingLocal = "local"
 	SharingFIFO  = "fifo"
 )
 
-// sharing is what a preference stands for.
-type sharing struct {
-	every time.Duration
-	delta time.Duration
+// sharingDefaults holds the defaults that a preference selects.
+type sharingDefaults struct {
+	shareEvery time.Duration
+	delta      time.Duration
 }
 
-var preferences = map[Preference]sharing{
-	PreferGap:   {every: time.Second, delta: 10 * time.Second},
-	PreferBytes: {every: 2 * time.Second, delta: 20 * time.Second},
+var defaultsByPreference = map[Preference]sharingDefaults{
+	PreferGap:   {shareEvery: time.Second, delta: 10 * time.Second},
+	PreferBytes: {shareEvery: 2 * time.Second, delta: 20 * time.Second},
 }
 
-// WithDefaults returns the bundle with every default filled in. Processes run
-// on this form; only the operators' own text is signed and shown.
+// WithDefaults returns the bundle with all defaults filled in. Processes use
+// this form. Signatures and command output use the bundle as the operators wrote
+// it.
 func (b Bundle) WithDefaults() Bundle {
 	b.Policy = b.Policy.WithDefaults()
 	b.Limits = b.Limits.withDefaults()
@@ -57,7 +58,7 @@
 	return b
 }
 
-// WithDefaults returns the policy with every default filled in.
+// WithDefaults returns the policy with all defaults filled in.
 func (p Policy) WithDefaults() Policy {
 	if p.Prefer == "" {
 		p.Prefer = PreferGap
@@ -65,8 +66,8 @@
 	if p.Sharing == "" {
 		p.Sharing = SharingFleet
 	}
-	s := preferences[p.Prefer]
-	p.ShareEvery = tomlfile.Duration(p.ShareEvery.Or(s.every))
+	s := defaultsByPreference[p.Prefer]
+	p.ShareEvery = tomlfile.Duration(p.ShareEvery.Or(s.shareEvery))
 	p.Delta = tomlfile.Duration(p.Delta.Or(s.delta))
 	p.UrgentBorrow = tomlfile.Duration(p.UrgentBorrow.Or(DefaultUrgentBorrow))
 	p.CatchUp = tomlfile.Duration(p.CatchUp.Or(DefaultCatchUp))
@@ -74,14 +75,14 @@
 		ahead := DefaultClaimAhead
 		p.ClaimAhead = &ahead
 	}
-	p.HubsPerHall = orInt(p.HubsPerHall, DefaultHubsPerHall)
-	p.LinksPerServer = orInt(p.LinksPerServer, DefaultLinksPerServer)
+	p.HubsPerHall = intOrDefault(p.HubsPerHall, DefaultHubsPerHall)
+	p.LinksPerServer = intOrDefault(p.LinksPerServer, DefaultLinksPerServer)
 	return p
 }
 
 func (l Limits) withDefaults() Limits {
-	l.MaxWaiting = orInt(l.MaxWaiting, DefaultMaxWaiting)
-	l.MaxWaitingPerTeam = orInt(l.MaxWaitingPerTeam, DefaultMaxWaitingPerTeam)
+	l.MaxWaiting = intOrDefault(l.MaxWaiting, DefaultMaxWaiting)
+	l.MaxWaitingPerTeam = intOrDefault(l.MaxWaitingPerTeam, DefaultMaxWaitingPerTeam)
 	l.MaxBody = tomlfile.Size(l.MaxBody.Or(DefaultMaxBody))
 	l.MaxWait = tomlfile.Duration(l.MaxWait.Or(DefaultMaxWait))
 	if l.RetryBudget == 0 {
@@ -90,8 +91,8 @@
 	return l
 }
 
-// ServersOf returns the names of the servers that run a work, leaving ones
-// too, in order.
+// ServersOf returns the sorted names of the servers that run a work, including
+// leaving servers.
 func (b Bundle) ServersOf(w fleet.Work) []fleet.Name {
 	var names []fleet.Name
 	for _, s := range b.Servers {
@@ -103,7 +104,7 @@
 	return names
 }
 
-func orInt(v, def int) int {
+func intOrDefault(v, def int) int {
 	if v == 0 {
 		return def
 	}
--- a/bundle/diff.go
+++ b/bundle/diff.go
@@ -6,27 +6,28 @@
 	"slices"
 )
 
-// Change is one thing that a roll changes.
+// Change is one difference between two bundles.
 type Change struct {
-	What   string // such as `team "zurich"`
-	Before string // empty where it is new
-	After  string // empty where it goes
+	Entry  string // such as `team "zurich"` or "policy"
+	Before string // JSON; empty if the entry is added
+	After  string // JSON; empty if the entry is removed
 }
 
-// String spells the change in one line with a leading +, - or ~.
+// String formats the change as one line that starts with + (added), - (removed)
+// or ~ (changed).
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
-		return fmt.Sprintf("+ %s %s", c.What, c.After)
+		return fmt.Sprintf("+ %s %s", c.Entry, c.After)
 	case c.After == "":
-		return fmt.Sprintf("- %s %s", c.What, c.Before)
+		return fmt.Sprintf("- %s %s", c.Entry, c.Before)
 	}
-	return fmt.Sprintf("~ %s %s -> %s", c.What, c.Before, c.After)
+	return fmt.Sprintf("~ %s %s -> %s", c.Entry, c.Before, c.After)
 }
 
-// Diff lists what differs between two bundles, in a stable order.
+// Diff returns the differences between two bundles, sorted by entry.
 func Diff(old, new Bundle) []Change {
-	before, after := parts(old), parts(new)
+	before, after := encodeEntries(old), encodeEntries(new)
 	names := map[string]bool{}
 	for k := range before {
 		names[k] = true
@@ -37,11 +38,11 @@
 	var out []Change
 	for k := range names {
 		if before[k] != after[k] {
-			out = append(out, Change{What: k, Before: before[k], After: after[k]})
+			out = append(out, Change{Entry: k, Before: before[k], After: after[k]})
 		}
 	}
 	slices.SortFunc(out, func(a, b Change) int {
-		if a.What < b.What {
+		if a.Entry < b.Entry {
 			return -1
 		}
 		return 1
@@ -49,28 +50,28 @@
 	return out
 }
 
-// parts spells each named part of a bundle.
-func parts(b Bundle) map[string]string {
+// encodeEntries returns the JSON of each entry of a bundle, by entry name.
+func encodeEntries(b Bundle) map[string]string {
 	out := map[string]string{
-		"policy": spell(b.Policy),
-		"limits": spell(b.Limits),
+		"policy": encodeJSON(b.Policy),
+		"limits": encodeJSON(b.Limits),
 	}
 	for _, t := range b.Teams {
-		out[fmt.Sprintf("team %q", t.Name)] = spell(t)
+		out[fmt.Sprintf("team %q", t.Name)] = encodeJSON(t)
 	}
 	for _, w := range b.Works {
-		out[fmt.Sprintf("work %q", w.Name)] = spell(w)
+		out[fmt.Sprintf("work %q", w.Name)] = encodeJSON(w)
 	}
 	for _, s := range b.Servers {
-		out[fmt.Sprintf("server %q", s.Name)] = spell(s)
+		out[fmt.Sprintf("server %q", s.Name)] = encodeJSON(s)
 	}
 	return out
 }
 
-func spell(v any) string {
+func encodeJSON(v any) string {
 	out, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // plain structs always encode
+		panic(err) // unreachable: plain structs always encode
 	}
 	return string(out)
 }
--- a/bundle/patch.go
+++ b/bundle/patch.go
@@ -9,54 +9,56 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// ErrPatch means that a patch does not fit; ask for the whole bundle.
-var ErrPatch = errors.New("bundle patch does not fit what is in force; ask for the whole bundle")
+// ErrPatch means that a patch does not apply to the active bundle. The receiver
+// must request the whole bundle.
+var ErrPatch = errors.New("bundle patch does not apply to the active bundle; request the whole bundle")
 
-// Patch is what one bundle has that another has not. It needs no signature of
-// its own: what it makes must have the digest that a signed order names.
+// Patch holds the changes from one bundle to another. It has no signature of its
+// own, because the resulting bundle must have the digest that a signed order
+// names.
 type Patch struct {
-	Policy      *Policy      `json:"policy,omitempty"`
-	Limits      *Limits      `json:"limits,omitempty"`
-	Teams       []Team       `json:"teams,omitempty"`
-	GoneTeams   []fleet.Team `json:"gone_teams,omitempty"`
-	Works       []Work       `json:"works,omitempty"`
-	GoneWorks   []fleet.Work `json:"gone_works,omitempty"`
-	Servers     []Server     `json:"servers,omitempty"`
-	GoneServers []fleet.Name `json:"gone_servers,omitempty"`
+	Policy         *Policy      `json:"policy,omitempty"`
+	Limits         *Limits      `json:"limits,omitempty"`
+	Teams          []Team       `json:"teams,omitempty"`
+	RemovedTeams   []fleet.Team `json:"gone_teams,omitempty"`
+	Works          []Work       `json:"works,omitempty"`
+	RemovedWorks   []fleet.Work `json:"gone_works,omitempty"`
+	Servers        []Server     `json:"servers,omitempty"`
+	RemovedServers []fleet.Name `json:"gone_servers,omitempty"`
 }
 
-// NewPatch returns what turns one bundle into another.
+// NewPatch returns the patch that turns from into to.
 func NewPatch(from, to Bundle) Patch {
 	var p Patch
-	if spell(from.Policy) != spell(to.Policy) {
+	if encodeJSON(from.Policy) != encodeJSON(to.Policy) {
 		p.Policy = &to.Policy
 	}
-	if spell(from.Limits) != spell(to.Limits) {
+	if encodeJSON(from.Limits) != encodeJSON(to.Limits) {
 		p.Limits = &to.Limits
 	}
-	p.Teams, p.GoneTeams = differences(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
-	p.Works, p.GoneWorks = differences(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
-	p.Servers, p.GoneServers = differences(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
+	p.Teams, p.RemovedTeams = diffEntries(from.Teams, to.Teams, func(t Team) fleet.Team { return t.Name })
+	p.Works, p.RemovedWorks = diffEntries(from.Works, to.Works, func(w Work) fleet.Work { return w.Name })
+	p.Servers, p.RemovedServers = diffEntries(from.Servers, to.Servers, func(s Server) fleet.Name { return s.Name })
 	return p
 }
 
-// Encode returns the form that links carry.
+// Encode returns the JSON that is sent over links.
 func (p Patch) Encode() []byte {
 	out, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // plain structs of strings and numbers always encode
+		panic(err) // unreachable: plain structs of strings and numbers always encode
 	}
 	return out
 }
 
-// DecodePatch reads what Encode wrote.
+// DecodePatch decodes the output of Encode.
 func DecodePatch(data []byte) (Patch, error) {
 	var p Patch
 	err := json.Unmarshal(data, &p)
 	return p, errors.Wrap(err, "decode bundle patch")
 }
 
-// Apply returns the bundle that the patch makes of another, with its lists in
+// Apply returns b with the patch applied. Lists that the patch changes are in
 // canonical order.
 func (p Patch) Apply(b Bundle) Bundle {
 	if p.Policy != nil {
@@ -65,39 +67,40 @@
 	if p.Limits != nil {
 		b.Limits = *p.Limits
 	}
-	b.Teams = patched(b.Teams, p.Teams, p.GoneTeams, func(t Team) fleet.Team { return t.Name })
-	b.Works = patched(b.Works, p.Works, p.GoneWorks, func(w Work) fleet.Work { return w.Name })
-	b.Servers = patched(b.Servers, p.Servers, p.GoneServers, func(s Server) fleet.Name { return s.Name })
+	b.Teams = patchEntries(b.Teams, p.Teams, p.RemovedTeams, func(t Team) fleet.Team { return t.Name })
+	b.Works = patchEntries(b.Works, p.Works, p.RemovedWorks, func(w Work) fleet.Work { return w.Name })
+	b.Servers = patchEntries(b.Servers, p.Servers, p.RemovedServers, func(s Server) fleet.Name { return s.Name })
 	return b
 }
 
-// differences returns the entries of to that from has not, or has otherwise,
-// and the names that to no longer has.
-func differences[E any, N cmp.Ordered](from, to []E, name func(E) N) (changed []E, gone []N) {
+// diffEntries returns the entries of to that are new or differ from those in
+// from, and the sorted names of the entries that only from has.
+func diffEntries[E any, N cmp.Ordered](from, to []E, name func(E) N) (changed []E, removed []N) {
 	old := map[N]string{}
 	for _, e := range from {
-		old[name(e)] = spell(e)
+		old[name(e)] = encodeJSON(e)
 	}
 	for _, e := range to {
-		if was, ok := old[name(e)]; !ok || was != spell(e) {
+		if was, ok := old[name(e)]; !ok || was != encodeJSON(e) {
 			changed = append(changed, e)
 		}
 		delete(old, name(e))
 	}
 	for n := range old {
-		gone = append(gone, n)
+		removed = append(removed, n)
 	}
-	slices.Sort(gone)
-	return changed, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-// patched returns a list with entries replaced, added and taken away.
-func patched[E any, N cmp.Ordered](list, changed []E, gone []N, name func(E) N) []E {
-	if len(changed)+len(gone) == 0 {
+// patchEntries returns list with the changed entries replaced or added and the
+// removed ones left out, sorted by name.
+func patchEntries[E any, N cmp.Ordered](list, changed []E, removed []N, name func(E) N) []E {
+	if len(changed)+len(removed) == 0 {
 		return list
 	}
 	drop := map[N]bool{}
-	for _, n := range gone {
+	for _, n := range removed {
 		drop[n] = true
 	}
 	for _, e := range changed {
--- a/bundle/patches.go
+++ b/bundle/patches.go
@@ -2,48 +2,49 @@
 
 import "github.com/croftvale/croftvale/fleet"
 
-// maxPatch is the size, in bytes, above which the whole bundle, which is
-// packed, is as good.
-const maxPatch = 64 << 10
+// maxPatchBytes is the largest patch that is sent, in bytes. Patches are not
+// compressed, so above this size the compressed whole bundle costs no more.
+const maxPatchBytes = 64 << 10
 
-// patchesKept is how many generations back a process can patch from.
-const patchesKept = 8
+// maxPatchBases is the number of earlier bundles that a process keeps in order to
+// make patches from them.
+const maxPatchBases = 8
 
-// Patches holds what turns recent generations into the one in force, for peers
-// that lag. The zero value is ready for use.
+// Patches makes and caches patches from recent generations to the active one, for
+// peers that are behind. The zero value is ready to use.
 type Patches struct {
-	recent []InForce // the newest last, without the one in force
-	ready  map[fleet.Generation][]byte
-	now    InForce
+	recent  []Active                    // newest last, without current
+	encoded map[fleet.Generation][]byte // patches by the generation they start from; nil if too large
+	current Active
 }
 
-// Adopted notes a bundle that is in force now.
-func (p *Patches) Adopted(f InForce) {
-	if p.now.Generation() > 0 {
-		p.recent = append(p.recent, p.now)
+// SetCurrent records the bundle that has become active.
+func (p *Patches) SetCurrent(f Active) {
+	if p.current.Generation() > 0 {
+		p.recent = append(p.recent, p.current)
 	}
-	if n := len(p.recent); n > patchesKept {
-		p.recent = p.recent[n-patchesKept:]
+	if n := len(p.recent); n > maxPatchBases {
+		p.recent = p.recent[n-maxPatchBases:]
 	}
-	p.now = f
-	p.ready = map[fleet.Generation][]byte{}
+	p.current = f
+	p.encoded = map[fleet.Generation][]byte{}
 }
 
-// From returns the encoded patch from a generation to the one in force, if it
-// is recent and the patch is small.
+// From returns the encoded patch from generation g to the active one. It reports
+// false if g is not a recent generation or the patch exceeds maxPatchBytes.
 func (p *Patches) From(g fleet.Generation) ([]byte, bool) {
-	if patch, ok := p.ready[g]; ok {
+	if patch, ok := p.encoded[g]; ok {
 		return patch, patch != nil
 	}
 	for _, old := range p.recent {
 		if old.Generation() != g {
 			continue
 		}
-		patch := NewPatch(old.Bundle, p.now.Bundle).Encode()
-		if len(patch) > maxPatch {
+		patch := NewPatch(old.Bundle, p.current.Bundle).Encode()
+		if len(patch) > maxPatchBytes {
 			patch = nil
 		}
-		p.ready[g] = patch
+		p.encoded[g] = patch
 		return patch, patch != nil
 	}
 	return nil, false
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -18,32 +18,32 @@
 )
 
 const (
-	// DefaultTimeout bounds one call that is not a watch.
+	// DefaultTimeout is the timeout of a call that is not a watch.
 	DefaultTimeout = 2 * time.Second
-	// WatchTimeout is how long a watch waits for a change.
+	// WatchTimeout is the time that a watch waits for a change.
 	WatchTimeout = 30 * time.Second
-	// MaxObject is the largest object, in bytes.
-	MaxObject = 1 << 20
+	// MaxObjectBytes is the maximum size of an object, in bytes.
+	MaxObjectBytes = 1 << 20
 
 	defaultCallsPerSecond = 20
 	defaultBurst          = 40
 )
 
-// Client calls the platform. It is safe for use by many goroutines.
+// Client calls the object API of the platform. It is safe for concurrent use.
 type Client struct {
-	base   string
-	http   *http.Client
-	budget *rate.Limiter
-	calls  atomic.Int64
+	base    string
+	http    *http.Client
+	limiter *rate.Limiter
+	calls   atomic.Int64
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithCallsPerSecond sets the budget of calls that all users of the client
-// share, so that one process can't use up the platform's.
+// WithCallsPerSecond sets the rate limit that all users of the client share. It
+// prevents one process from using up the capacity of the platform.
 func WithCallsPerSecond(n float64) Option {
-	return func(c *Client) { c.budget = rate.NewLimiter(rate.Limit(n), defaultBurst) }
+	return func(c *Client) { c.limiter = rate.NewLimiter(rate.Limit(n), defaultBurst) }
 }
 
 // WithHTTPClient sets the HTTP client, for TLS or for tests.
@@ -51,12 +51,12 @@
 	return func(c *Client) { c.http = h }
 }
 
-// NewClient returns a client for the platform at an IP number and port.
+// NewClient returns a client for the platform at address, an IP address and port.
 func NewClient(address string, opts ...Option) *Client {
 	c := &Client{
-		base:   "http://" + address + "/v1/",
-		http:   &http.Client{},
-		budget: rate.NewLimiter(defaultCallsPerSecond, defaultBurst),
+		base:    "http://" + address + "/v1/",
+		http:    &http.Client{},
+		limiter: rate.NewLimiter(defaultCallsPerSecond, defaultBurst),
 	}
 	for _, o := range opts {
 		o(c)
@@ -64,7 +64,7 @@
 	return c
 }
 
-// Calls returns how many calls were made; a waiting watch is one.
+// Calls returns the number of calls made so far. A watch counts as one call.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 // Get reads an object.
@@ -74,8 +74,8 @@
 	return c.read(ctx, ref, c.objectURL(ref))
 }
 
-// Watch waits until an object is newer than a version and reads it. After
-// WatchTimeout without a change it returns the error ErrNotFound.
+// Watch waits until an object has a version newer than after and reads it. If
+// there is no change within WatchTimeout, it returns ErrNotFound.
 func (c *Client) Watch(ctx context.Context, ref Ref, after Version) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, WatchTimeout+DefaultTimeout)
 	defer cancel()
@@ -83,25 +83,25 @@
 	return c.read(ctx, ref, u)
 }
 
-// Put writes an object that must be at a version; 0 means that it must not
-// exist. It returns the new version.
-func (c *Client) Put(ctx context.Context, ref Ref, body []byte, at Version) (Version, error) {
+// Put writes an object if it is at version ifVersion, where 0 means that it must
+// not exist. It returns the new version.
+func (c *Client) Put(ctx context.Context, ref Ref, body []byte, ifVersion Version) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, c.objectURL(ref), bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
-	if at == 0 {
+	if ifVersion == 0 {
 		req.Header.Set("If-None-Match", "*")
 	} else {
-		req.Header.Set("If-Match", etag(at))
+		req.Header.Set("If-Match", etag(ifVersion))
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return 0, because(err, ErrOutcomeUnknown)
+		return 0, wrapKind(err, ErrOutcomeUnknown)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return 0, err
 	}
@@ -118,15 +118,15 @@
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return nil, because(err, ErrUnavailable)
+		return nil, wrapKind(err, ErrUnavailable)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return nil, err
 	}
 	var hosts []Host
-	if err := json.NewDecoder(io.LimitReader(res.Body, MaxObject)).Decode(&hosts); err != nil {
-		return nil, because(err, ErrUnavailable)
+	if err := json.NewDecoder(io.LimitReader(res.Body, MaxObjectBytes)).Decode(&hosts); err != nil {
+		return nil, wrapKind(err, ErrUnavailable)
 	}
 	return hosts, nil
 }
@@ -142,40 +142,41 @@
 	}
 	res, err := c.do(req)
 	if err != nil {
-		return Object{}, because(err, ErrUnavailable)
+		return Object{}, wrapKind(err, ErrUnavailable)
 	}
-	defer drain(res)
+	defer drainBody(res)
 	if err := statusError(res); err != nil {
 		return Object{}, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, MaxObject+1))
-	if err != nil || len(body) > MaxObject {
+	body, err := io.ReadAll(io.LimitReader(res.Body, MaxObjectBytes+1))
+	if err != nil || len(body) > MaxObjectBytes {
 		return Object{}, errors.Wrapf(ErrUnavailable, "read %s/%s", ref.Kind, ref.Name)
 	}
 	return Object{Ref: ref, Version: parseETag(res.Header.Get("ETag")), Body: body}, nil
 }
 
 func (c *Client) do(req *http.Request) (*http.Response, error) {
-	if err := c.budget.Wait(req.Context()); err != nil {
+	if err := c.limiter.Wait(req.Context()); err != nil {
 		return nil, err
 	}
 	c.calls.Add(1)
 	return c.http.Do(req)
 }
 
-// because returns one of this package's errors, with its remedy, for a cause.
-func because(cause, kind error) error {
+// wrapKind wraps cause in kind, one of this package's errors, and its message.
+func wrapKind(cause, kind error) error {
 	return errors.Mark(errors.Wrap(cause, kind.Error()), kind)
 }
 
-// drain reads an answer to its end, so that its connection can be used again. Where that fails it
-// can't, and another one is opened.
-func drain(res *http.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObject))
+// drainBody reads a response to its end and closes it, so that its connection can
+// be reused. Errors are ignored: the next call then opens a new connection.
+func drainBody(res *http.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, MaxObjectBytes))
 	_ = res.Body.Close()
 }
 
-// statusError turns an answer's status into an error, or nil.
+// statusError returns the error for the status of a response, or nil if the call
+// succeeded.
 func statusError(res *http.Response) error {
 	switch {
 	case res.StatusCode == http.StatusNotFound, res.StatusCode == http.StatusNotModified:
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -13,63 +13,65 @@
 	"github.com/croftvale/croftvale/objectapi"
 )
 
-// Store is the part of the platform that a roll needs.
+// Store holds the methods of objectapi.Client that this package needs.
 type Store interface {
 	Get(ctx context.Context, ref objectapi.Ref) (objectapi.Object, error)
 	Put(ctx context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error)
 }
 
-// readBackTries bounds how often a roll asks what became of a write.
-const readBackTries = 8
+// maxReadBackTries is the maximum number of attempts to read back a write whose
+// outcome is unknown.
+const maxReadBackTries = 8
 
-// Errors of a roll; each says what to do.
+// Errors of a roll. Each message includes a remedy.
 var (
-	// ErrLostRace means that another operator's roll came first.
-	ErrLostRace = errors.New(`another roll came first and nothing of yours is in force; look at "croftvale bundle diff", then roll again`)
-	// ErrReplaced means that the roll took effect, and another came after it.
+	// ErrLostRace means that another roll came first and this one had no effect.
+	ErrLostRace = errors.New(`another roll came first and yours had no effect; look at "croftvale bundle diff", then roll again`)
+	// ErrReplaced means that the roll took effect, but a later roll has replaced it.
 	ErrReplaced = errors.New(`your roll took effect and has been replaced since; look at "croftvale bundle diff"`)
-	// ErrUndecided means that nobody can say yet whether the roll took effect.
-	ErrUndecided = errors.New(`the platform does not say whether the roll took effect; run "croftvale bundle status" when it answers again`)
+	// ErrOutcomeUnknown means that it is not known yet whether the roll took effect.
+	ErrOutcomeUnknown = errors.New(`it is unknown whether the roll took effect; run "croftvale bundle status" when the platform is available again`)
 )
 
-// Roller puts signed bundles in force.
+// Roller rolls signed bundles: it writes an order to the platform that makes a
+// bundle the active configuration of the fleet.
 type Roller struct {
 	Store    Store
 	Operator string
 	Key      ed25519.PrivateKey
-	RollID   string // unique to this roll; tells it apart after a lost reply
+	RollID   string // unique to this roll; identifies it after a lost response
 	Now      time.Time
 }
 
-// Roll writes the content, then moves the pointer from what it read to the
-// next generation. It returns the order that is in force through it.
-func (r Roller) Roll(ctx context.Context, s Signed) (bundle.Order, error) {
+// Roll writes the content of s, then replaces the order at the bundle pointer with
+// one of the next generation. It returns the order that took effect.
+func (r Roller) Roll(ctx context.Context, s SignedBundle) (bundle.Order, error) {
 	if err := r.putContent(ctx, s); err != nil {
 		return bundle.Order{}, err
 	}
-	current, at, err := Current(ctx, r.Store)
+	current, at, err := CurrentOrder(ctx, r.Store)
 	if err != nil {
 		return bundle.Order{}, err
 	}
 	order := bundle.Order{
-		Generation: current.Generation + 1,
-		Digest:     s.Digest,
-		RollID:     r.RollID,
-		Operator:   r.Operator,
-		At:         r.Now.UTC().Format(time.RFC3339),
-		Recent:     current.RecentFor(),
-		Signoffs:   s.Signoffs,
+		Generation:    current.Generation + 1,
+		Digest:        s.Digest,
+		RollID:        r.RollID,
+		Operator:      r.Operator,
+		CreatedAt:     r.Now.UTC().Format(time.RFC3339),
+		RecentRollIDs: current.NextRecentRollIDs(),
+		Signoffs:      s.Signoffs,
 	}.Sign(r.Key)
 	_, err = r.Store.Put(ctx, objectapi.BundlePointer, order.Encode(), at)
 	if err == nil {
 		return order, nil
 	}
-	return r.resolve(ctx, order, err)
+	return r.resolveOutcome(ctx, order, err)
 }
 
-// putContent stores the content under its digest. That it is there already,
-// from this roll or an earlier one, is as good.
-func (r Roller) putContent(ctx context.Context, s Signed) error {
+// putContent stores the content under its digest. It also succeeds if this roll
+// or an earlier one has already stored it.
+func (r Roller) putContent(ctx context.Context, s SignedBundle) error {
 	ref := objectapi.BundleContent(string(s.Digest))
 	_, err := r.Store.Put(ctx, ref, s.Content, 0)
 	if err == nil || errors.Is(err, objectapi.ErrConflict) {
@@ -82,46 +84,48 @@
 	return errors.Wrap(err, "store the bundle's content; nothing is rolled")
 }
 
-// resolve finds out what became of a pointer write that did not succeed
-// plainly. After a lost reply only the roll id at the pointer tells.
-func (r Roller) resolve(ctx context.Context, o bundle.Order, why error) (bundle.Order, error) {
-	conflict := errors.Is(why, objectapi.ErrConflict)
-	if !conflict && !errors.Is(why, objectapi.ErrOutcomeUnknown) {
-		return bundle.Order{}, errors.Wrap(why, "move the bundle pointer; nothing is rolled")
+// resolveOutcome determines whether a failed write of the pointer took effect.
+// After a lost response, only the roll IDs in the current order show this.
+func (r Roller) resolveOutcome(ctx context.Context, o bundle.Order, cause error) (bundle.Order, error) {
+	conflict := errors.Is(cause, objectapi.ErrConflict)
+	if !conflict && !errors.Is(cause, objectapi.ErrOutcomeUnknown) {
+		return bundle.Order{}, errors.Wrap(cause, "move the bundle pointer; nothing is rolled")
 	}
 	now, err := retry(ctx, func() (bundle.Order, error) {
-		now, _, err := Current(ctx, r.Store)
+		now, _, err := CurrentOrder(ctx, r.Store)
 		return now, err
 	})
 	switch {
 	case err != nil:
-		return bundle.Order{}, errors.Mark(err, ErrUndecided)
+		return bundle.Order{}, errors.Mark(err, ErrOutcomeUnknown)
 	case now.RollID == o.RollID:
 		return o, nil
-	case slices.Contains(now.Recent, o.RollID):
-		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", now.Generation, now.Operator, now.At)
+	case slices.Contains(now.RecentRollIDs, o.RollID):
+		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
 	case conflict || now.Generation >= o.Generation:
-		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.At)
+		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
 	}
-	// The pointer is where it was. A delayed write could still land, but not
-	// unseen: it carries the same version condition as any next roll.
-	return bundle.Order{}, errors.Wrapf(ErrUndecided, "the pointer is still at generation %d", now.Generation)
+	// The pointer has not changed. A delayed write could still take effect, but
+	// not unnoticed: it has the same version condition as the next roll, so only
+	// one of the two can succeed.
+	return bundle.Order{}, errors.Wrapf(ErrOutcomeUnknown, "the pointer is still at generation %d", now.Generation)
 }
 
-// retry asks until the platform answers, with backoff.
-func retry[T any](ctx context.Context, ask func() (T, error)) (T, error) {
+// retry calls op with backoff until it succeeds, returns ErrNotFound, or has been
+// tried maxReadBackTries times.
+func retry[T any](ctx context.Context, op func() (T, error)) (T, error) {
 	return backoff.Retry(ctx, func() (T, error) {
-		v, err := ask()
+		v, err := op()
 		if err != nil && errors.Is(err, objectapi.ErrNotFound) {
 			return v, backoff.Permanent(err)
 		}
 		return v, err
-	}, backoff.WithMaxTries(readBackTries))
+	}, backoff.WithMaxTries(maxReadBackTries))
 }
 
-// Current reads the order in force and the pointer's version; a platform
-// without one has generation 0.
-func Current(ctx context.Context, s Store) (bundle.Order, objectapi.Version, error) {
+// CurrentOrder reads the current order and the version of the bundle pointer. If
+// the platform has no order, the generation and the version are 0.
+func CurrentOrder(ctx context.Context, s Store) (bundle.Order, objectapi.Version, error) {
 	obj, err := s.Get(ctx, objectapi.BundlePointer)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return bundle.Order{}, 0, nil
@@ -136,9 +140,10 @@
 	return o, obj.Version, nil
 }
 
-// InForce reads the order in force and its bundle.
-func InForce(ctx context.Context, s Store) (bundle.Order, bundle.Bundle, error) {
-	o, _, err := Current(ctx, s)
+// CurrentBundle reads the current order and its bundle. If the platform has no
+// order, both are zero.
+func CurrentBundle(ctx context.Context, s Store) (bundle.Order, bundle.Bundle, error) {
+	o, _, err := CurrentOrder(ctx, s)
 	if err != nil || o.Generation == 0 {
 		return o, bundle.Bundle{}, err
 	}
@@ -146,6 +151,6 @@
 	if err != nil {
 		return o, bundle.Bundle{}, errors.Wrap(err, "read the bundle's content")
 	}
-	b, err := bundle.Open(obj.Body, o.Digest)
+	b, err := bundle.Unpack(obj.Body, o.Digest)
 	return o, b, err
 }
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -15,31 +15,32 @@
 	"pgregory.net/rapid"
 )
 
-// store is the platform's oracle: it keeps every pointer there ever was, loses
-// replies, fails, and lets another operator in between.
-type store struct {
-	objects map[objectapi.Ref]objectapi.Object
-	version objectapi.Version
-	history []bundle.Order
-	mishap  func() mishap
-	between func() // runs before a pointer write
+// fakeStore is an in-memory platform that records every order written to the
+// bundle pointer. It can inject faults and run another operator's roll just before
+// a pointer write.
+type fakeStore struct {
+	objects          map[objectapi.Ref]objectapi.Object
+	version          objectapi.Version
+	history          []bundle.Order
+	nextFault        func() fault
+	beforePointerPut func() // if not nil, runs once before the next pointer write
 }
 
-type mishap int
+type fault int
 
 const (
-	wellDone  mishap = iota
-	refused          // not written
-	lostReply        // written, but the answer is lost
-	lostWrite        // not written, and the answer is lost too
+	noFault     fault = iota
+	unavailable       // not written
+	lostReply         // written, but the response is lost
+	lostWrite         // not written, and the response is lost
 )
 
-func newStore(m func() mishap) *store {
-	return &store{objects: map[objectapi.Ref]objectapi.Object{}, mishap: m}
+func newStore(m func() fault) *fakeStore {
+	return &fakeStore{objects: map[objectapi.Ref]objectapi.Object{}, nextFault: m}
 }
 
-func (s *store) Get(_ context.Context, ref objectapi.Ref) (objectapi.Object, error) {
-	if s.mishap() == refused {
+func (s *fakeStore) Get(_ context.Context, ref objectapi.Ref) (objectapi.Object, error) {
+	if s.nextFault() == unavailable {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	o, ok := s.objects[ref]
@@ -49,15 +50,15 @@
 	return o, nil
 }
 
-func (s *store) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
-	if ref == objectapi.BundlePointer && s.between != nil {
-		between := s.between
-		s.between = nil
-		between()
+func (s *fakeStore) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
+	if ref == objectapi.BundlePointer && s.beforePointerPut != nil {
+		hook := s.beforePointerPut
+		s.beforePointerPut = nil
+		hook()
 	}
-	m := s.mishap()
+	m := s.nextFault()
 	switch {
-	case m == refused:
+	case m == unavailable:
 		return 0, objectapi.ErrUnavailable
 	case m == lostWrite:
 		return 0, objectapi.ErrOutcomeUnknown
@@ -67,7 +68,7 @@
 	s.version++
 	s.objects[ref] = objectapi.Object{Ref: ref, Version: s.version, Body: body}
 	if ref == objectapi.BundlePointer {
-		o, _, err := Current(context.Background(), &store{objects: s.objects, mishap: func() mishap { return wellDone }})
+		o, _, err := CurrentOrder(context.Background(), &fakeStore{objects: s.objects, nextFault: func() fault { return noFault }})
 		if err != nil {
 			panic(err)
 		}
@@ -79,7 +80,7 @@
 	return s.version, nil
 }
 
-func (s *store) rolled(id string) bool {
+func (s *fakeStore) accepted(id string) bool {
 	for _, o := range s.history {
 		if o.RollID == id {
 			return true
@@ -88,81 +89,82 @@
 	return false
 }
 
-func roller(s Store, name, id string) Roller {
+func newRoller(s Store, name, id string) Roller {
 	seed := make([]byte, ed25519.SeedSize)
 	copy(seed, name)
 	return Roller{Store: s, Operator: name, Key: ed25519.NewKeyFromSeed(seed), RollID: id, Now: time.Unix(0, 0)}
 }
 
-func signedOf(share int) Signed {
-	return NewSigned(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
+func newSignedBundle(share int) SignedBundle {
+	return NewSignedBundle(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
 }
 
-// TestRollsFormALine lets operators race under lost replies and outages. The
-// accepted orders form a line, a roll that says it is in force is, and one that
-// says it lost is not.
+// TestRollsFormALine runs racing rolls of several operators with lost responses
+// and outages. It checks that the accepted orders have consecutive generations,
+// that every roll reported as successful or replaced took effect, and that no
+// roll reported as failed did. A roll with an unknown outcome may have either.
 func TestRollsFormALine(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(*testing.T) { raceOnce(rt) })
+		synctest.Test(t, func(*testing.T) { raceRolls(rt) })
 	})
 }
 
-func raceOnce(rt *rapid.T) {
-	s := newStore(func() mishap {
-		return mishap(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
+func raceRolls(rt *rapid.T) {
+	s := newStore(func() fault {
+		return fault(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
 	})
 	for i := range rapid.IntRange(1, 6).Draw(rt, "rolls") {
 		if rapid.Bool().Draw(rt, "race") {
-			s.between = func() { rollOnce(rt, s, "piet", fmt.Sprintf("p%d", i)) }
+			s.beforePointerPut = func() { rollOnce(rt, s, "piet", fmt.Sprintf("p%d", i)) }
 		}
 		rollOnce(rt, s, "anna", fmt.Sprintf("a%d", i))
 	}
 	for i, o := range s.history {
 		if int(o.Generation) != i+1 {
-			rt.Fatalf("generation %d at place %d", o.Generation, i)
+			rt.Fatalf("order has generation %d at index %d", o.Generation, i)
 		}
 	}
 }
 
-func rollOnce(rt *rapid.T, s *store, who, id string) {
-	_, err := roller(s, who, id).Roll(context.Background(), signedOf(1))
-	took := s.rolled(id)
+func rollOnce(rt *rapid.T, s *fakeStore, who, id string) {
+	_, err := newRoller(s, who, id).Roll(context.Background(), newSignedBundle(1))
+	tookEffect := s.accepted(id)
 	switch {
-	case err == nil && !took:
-		rt.Fatalf("%s says it rolled and did not", id)
-	case errors.Is(err, ErrUndecided):
-		// Nothing was promised.
+	case err == nil && !tookEffect:
+		rt.Fatalf("roll %s succeeded but did not take effect", id)
+	case errors.Is(err, ErrOutcomeUnknown):
+		// Either outcome is allowed.
 	case errors.Is(err, ErrReplaced):
-		if !took {
-			rt.Fatalf("%s says it took effect and did not", id)
+		if !tookEffect {
+			rt.Fatalf("roll %s was reported as replaced but never took effect", id)
 		}
-	case err != nil && took:
-		rt.Fatalf("%s took effect and says %v", id, err)
+	case err != nil && tookEffect:
+		rt.Fatalf("roll %s took effect but returned %v", id, err)
 	}
 }
 
 func TestLoserIsToldByWhom(t *testing.T) {
-	s := newStore(func() mishap { return wellDone })
-	s.between = func() {
-		_, err := roller(s, "piet", "p").Roll(context.Background(), signedOf(2))
+	s := newStore(func() fault { return noFault })
+	s.beforePointerPut = func() {
+		_, err := newRoller(s, "piet", "p").Roll(context.Background(), newSignedBundle(2))
 		require.NoError(t, err)
 	}
-	_, err := roller(s, "anna", "a").Roll(context.Background(), signedOf(1))
+	_, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
 	require.ErrorIs(t, err, ErrLostRace)
 	require.ErrorContains(t, err, "generation 1 by piet")
 }
 
 func TestLostReplyIsResolved(t *testing.T) {
-	mishaps := []mishap{wellDone, wellDone, lostReply}
-	s := newStore(func() mishap {
-		if len(mishaps) == 0 {
-			return wellDone
+	faults := []fault{noFault, noFault, lostReply}
+	s := newStore(func() fault {
+		if len(faults) == 0 {
+			return noFault
 		}
-		m := mishaps[0]
-		mishaps = mishaps[1:]
+		m := faults[0]
+		faults = faults[1:]
 		return m
 	})
-	o, err := roller(s, "anna", "a").Roll(context.Background(), signedOf(1))
+	o, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, o.Generation)
 	require.Len(t, s.history, 1)
--- a/operate/state.go
+++ b/operate/state.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	stateTimeout = 5 * time.Second
-	maxState     = 64 << 20
+	stateTimeout  = 5 * time.Second
+	maxStateBytes = 64 << 20
 )
 
-// ErrState means that a process gave no dump.
+// ErrState means that no state dump could be fetched from a process.
 var ErrState = errors.New("no state from this address; give the admin address of a running process")
 
-// Summary is what every process's dump has.
+// Summary holds the fields that the state dump of every process has.
 type Summary struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -29,7 +29,7 @@
 	Peers      []PeerSummary    `json:"peers"`
 }
 
-// PeerSummary is what a router knows of another process.
+// PeerSummary holds what a router reports about another process.
 type PeerSummary struct {
 	Name       fleet.Name       `json:"name"`
 	Role       string           `json:"role"`
@@ -37,8 +37,8 @@
 	Generation fleet.Generation `json:"generation"`
 }
 
-// State reads the dump of the process whose admin address is given.
-func State(ctx context.Context, address string) ([]byte, error) {
+// FetchState fetches the state dump of the process whose admin address is given.
+func FetchState(ctx context.Context, address string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/state", nil)
@@ -50,14 +50,14 @@
 		return nil, errors.Mark(errors.Wrapf(err, "%s: %s", address, ErrState.Error()), ErrState)
 	}
 	defer func() { _ = res.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxState))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxStateBytes))
 	if err != nil || res.StatusCode != http.StatusOK {
-		return nil, errors.Wrapf(ErrState, "%s answered %d", address, res.StatusCode)
+		return nil, errors.Wrapf(ErrState, "%s responded with status %d", address, res.StatusCode)
 	}
 	return data, nil
 }
 
-// Summarize reads the part of a dump that every process has.
+// Summarize decodes the fields of a state dump that every process has.
 func Summarize(dump []byte) (Summary, error) {
 	var s Summary
 	err := json.Unmarshal(dump, &s)
--- a/router/core.go
+++ b/router/core.go
@@ -40,7 +40,7 @@
 	queue      *queue.Machine
 	hub        *ledger.Hub
 	keys       *once.Coordinator
-	inForce    bundle.InForce
+	inForce    bundle.Active
 	patches    bundle.Patches
 	policy     bundle.Policy
 	servers    map[fleet.Name]bundle.Server
@@ -170,7 +170,7 @@
 	f := p.inForce
 	c.inForce = f
 	c.nextPull = 0
-	c.patches.Adopted(f)
+	c.patches.SetCurrent(f)
 	c.policy = p.bundle.Policy
 	c.servers = p.servers
 	c.updateQueue(queue.ConfigMsg{Now: c.now(), Config: p.config})
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -118,7 +118,7 @@
 	}
 	for _, h := range c.hosts {
 		if _, live := c.assignment.halls[h.Name]; live && c.shouldDial(h) {
-			out[h.Links] = true
+			out[h.ControlAddress] = true
 		}
 	}
 	for _, a := range c.settings.Peers {
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -13,14 +13,14 @@
 // computed outside the core's goroutine, because a large bundle takes tens of
 // milliseconds.
 type preparedBundle struct {
-	inForce bundle.InForce
+	inForce bundle.Active
 	bundle  bundle.Bundle // with defaults applied
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
 	table   *table
 }
 
-func prepareBundle(f bundle.InForce, s settings.Process) preparedBundle {
+func prepareBundle(f bundle.Active, s settings.Process) preparedBundle {
 	b := f.Bundle.WithDefaults()
 	p := preparedBundle{
 		inForce: f,
--- a/router/router.go
+++ b/router/router.go
@@ -124,7 +124,7 @@
 
 // onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
 // core. New requests use it once the core has applied it.
-func (r *Router) onBundleAdopted(f bundle.InForce) {
+func (r *Router) onBundleAdopted(f bundle.Active) {
 	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
 }
 
