--- a/link/options.go
+++ b/link/options.go
@@ -16,10 +16,10 @@
 	// MinHeartbeatInterval is the time between two heartbeats on an idle link of a
 	// process with few links.
 	MinHeartbeatInterval = time.Second
-	// heartbeatsPerSecond is the largest number of heartbeats that a process sends per
+	// maxHeartbeatsPerSecond is the largest number of heartbeats that a process sends per
 	// second. With more idle links it sends them less often, and states the interval in
 	// each.
-	heartbeatsPerSecond = 100
+	maxHeartbeatsPerSecond = 100
 	// maxMissedHeartbeats is the number of missing heartbeats that closes a link.
 	maxMissedHeartbeats = 3
 	// sendQueueSize is the number of messages that may wait for the writer.
@@ -44,7 +44,7 @@
 // HeartbeatInterval returns the time between two heartbeats on an idle link of a process
 // with the given number of links.
 func HeartbeatInterval(links int) time.Duration {
-	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/heartbeatsPerSecond)
+	return max(MinHeartbeatInterval, time.Duration(links)*time.Second/maxHeartbeatsPerSecond)
 }
 
 func (o Options) timeout() time.Duration {
