--- a/backend/conn.go
+++ b/backend/conn.go
@@ -16,10 +16,10 @@
 // ErrWrongResponse means that a connection returned only responses to other requests.
 var ErrWrongResponse = errors.New("the connection returned a response to another request")
 
-// maxStaleResponses is the number of responses to earlier requests that ReadResponse skips.
+// maxStaleResponses is the largest number of responses to earlier requests that ReadResponse skips.
 const maxStaleResponses = 2
 
-// maxStaleBodyBytes is the largest body of a response that ReadResponse skips.
+// maxStaleBodyBytes is the size of the largest response body that ReadResponse skips.
 const maxStaleBodyBytes = 1 << 20
 
 // Conn is a connection to a backend server. It serves one request at a time.
@@ -67,8 +67,8 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// ReadResponse returns the first response that matches accepts. It skips informational
-// responses and responses to earlier requests, which a server may send late.
+// ReadResponse returns the first response for which matches reports true. It skips
+// informational responses and responses to earlier requests, which a server may send late.
 func (c *Conn) ReadResponse(method string, matches func(*http.Response) bool) (*http.Response, error) {
 	request := &http.Request{Method: method}
 	for range maxStaleResponses + 1 {
@@ -126,7 +126,7 @@
 	return maxIdleTime - idleMargin
 }
 
-// isReusable reports whether an idle connection is open and has nothing to read. Bytes that
+// isReusable reports whether an idle connection is open and has no unread bytes. Bytes that
 // arrive while no request is pending belong to no request.
 func (c *Conn) isReusable() bool {
 	return c.reader.Buffered() == 0 && socket.Peek(c.Conn) == socket.Idle
--- a/backend/pool.go
+++ b/backend/pool.go
@@ -30,14 +30,14 @@
 // time, so the failure is no evidence about the backend server.
 var ErrRouterLate = errors.New("dial failed long after its timeout: this process got no processor time")
 
-// dialTimeoutSlack is the longest time by which a dial overruns its timeout while this process
-// gets processor time.
+// dialTimeoutSlack is how far a dial may overrun its timeout before ErrRouterLate marks its error.
+// A process that gets processor time stays within it.
 const dialTimeoutSlack = 30 * time.Millisecond
 
 // Options limits the connections of a Pool.
 type Options struct {
 	DialTimeout       time.Duration // time limit for opening a connection
-	AckTimeout        time.Duration // time without an acknowledgement after which a peer counts as lost
+	AckTimeout        time.Duration // how long a peer may acknowledge nothing before it counts as lost
 	MaxIdlePerAddress int           // limit of idle connections to one address
 }
 
@@ -71,7 +71,7 @@
 	return p
 }
 
-// Get returns a connection to an address. It reuses an idle one if one is still usable.
+// Get returns a connection to an address: an idle one that is still usable, or else a new one.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
 		c := p.take(address)
--- a/internal/hostclock/clock.go
+++ b/internal/hostclock/clock.go
@@ -1,8 +1,8 @@
 // Package hostclock provides a steady clock that also advances while the host is suspended.
 //
 // Go's monotonic clock stops during a suspension. With that clock, a resumed process would treat
-// old messages as recent and expired obligations to callers as current. Leases, contact with
-// peers, deadlines and rates must all include the time of the suspension.
+// old messages as recent, and requests that callers have given up as still due. Leases, failure
+// detection, deadlines and rates must all include the time of the suspension.
 package hostclock
 
 import (
@@ -14,7 +14,8 @@
 )
 
 // minSuspension is the smallest difference between the host's boot clock and the steady clock
-// that counts as a suspension. They are read one after the other, and a late process may pause in between.
+// that counts as a suspension. They are read one after the other, and a late process may pause
+// in between.
 const minSuspension = 100 * time.Millisecond
 
 // Clock measures the time since its creation. Create one with New.
@@ -45,7 +46,7 @@
 	return time.Duration(ts.Nano()), err
 }
 
-// Now returns the time since the clock was created, with the suspensions that CheckSuspension
+// Now returns the time since the clock was created, including the suspensions that CheckSuspension
 // has detected.
 func (c *Clock) Now() time.Duration { return time.Since(c.start) + time.Duration(c.suspended.Load()) }
 
--- a/internal/hostclock/clock_test.go
+++ b/internal/hostclock/clock_test.go
@@ -51,7 +51,7 @@
 		require.Zero(t, c.CheckSuspension())
 		require.Equal(t, time.Second, c.Now())
 		failing = false
-		require.Zero(t, c.CheckSuspension(), "a value after a failure has no start value to compare with")
+		require.Zero(t, c.CheckSuspension(), "after a failure, the boot clock has no start value to compare with")
 	})
 }
 
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,5 +1,5 @@
-// Package retryafter reads how long a server that refuses a request asks to receive no
-// others.
+// Package retryafter reads from the Retry-After header of a refusal how long a server asks its
+// client to send no more requests.
 package retryafter
 
 import (
@@ -13,17 +13,17 @@
 
 const header = "Retry-After"
 
-// maxDelay keeps sums of times within a time.Duration. No server runs that long.
+// maxDelay limits the result of Read, so that sums of times don't overflow a time.Duration. No
+// server runs that long.
 const maxDelay = 1000 * time.Hour
 
 // ErrInvalid means that a Retry-After header is neither a number of seconds nor a date in a
 // response with a Date header.
 var ErrInvalid = errors.New("Retry-After is neither a number of seconds nor a date in a response with a Date header")
 
-// Read returns how long a server asks the sender of a request to send nothing more, from the
-// status and headers of its response. It returns 0 if the server does not ask. Fractions of
-// a second count. A date is relative to the Date header of the response, since clocks of hosts
-// differ.
+// Read returns how long a server asks its client to send no more requests, from the status and
+// headers of a response. It returns 0 if the server does not ask. Fractions of a second count.
+// A date is relative to the Date header of the response, since clocks of hosts differ.
 func Read(status int, h http.Header) (time.Duration, error) {
 	value := h.Get(header)
 	if value == "" || !appliesToAllRequests(status) {
@@ -44,8 +44,8 @@
 }
 
 // appliesToAllRequests reports whether Retry-After in a response with this status applies to all
-// requests of the sender. It does with 503, and with 429 for a sender that serves many callers.
-// With other statuses the header has another meaning.
+// requests of the client. It does with 503, and also with 429 if the client sends requests for
+// many callers. With other statuses the header has another meaning.
 func appliesToAllRequests(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadState describes what a connection has to read.
+// ReadState describes what can be read from a connection.
 type ReadState int
 
 // The read states of a connection.
 const (
-	Idle     ReadState = iota // open, with nothing to read
-	Readable                  // bytes have arrived
+	Idle     ReadState = iota // open, with no unread bytes
+	Readable                  // unread bytes have arrived
 	Closed                    // closed by the peer, or failed
 )
 
--- a/link/conn.go
+++ b/link/conn.go
@@ -14,7 +14,7 @@
 
 // Errors that end a link.
 var (
-	// ErrNoHello means that the other side is not a croftvale process.
+	// ErrNoHello means that the peer is not a croftvale process.
 	ErrNoHello = errors.New("peer sent no hello; check that the address is a control address")
 	// ErrTooSlow means that the peer does not read its messages fast enough.
 	ErrTooSlow = errors.New("peer does not read its messages; the link is closed and will be dialled again")
@@ -37,8 +37,8 @@
 	err           error
 }
 
-// Dial connects to a control address and runs the link until the link or ctx ends. It
-// returns the reason.
+// Dial connects to a control address and runs the link until it fails or ctx ends. It
+// returns the reason why the link ended.
 func Dial(ctx context.Context, address string, opts Options) error {
 	raw, err := opts.dial()(ctx, "tcp", address)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	_ = c.raw.SetDeadline(time.Now().Add(c.opts.timeout())) // here and below: if the connection is closed, the next use fails
+	_ = c.raw.SetDeadline(time.Now().Add(c.opts.timeout())) // errors ignored here and below: the next use of a closed connection fails
 	if _, err := c.raw.Write(frame); err != nil {
 		return errors.Wrap(err, "send hello")
 	}
@@ -125,13 +125,13 @@
 	}
 }
 
-// HeartbeatDue reports whether the last message was sent so long ago that the peer needs a
-// heartbeat now to receive a message in each interval.
+// HeartbeatDue reports whether no message was sent for so long that a heartbeat must be
+// sent now, so that the peer receives a message in each interval.
 func (c *Conn) HeartbeatDue(interval time.Duration) bool {
 	return time.Now().UnixNano()-c.lastSendNanos.Load() > int64(interval-MinHeartbeatInterval/4)
 }
 
-// Close ends the link for a reason. Later calls do nothing.
+// Close ends the link and records the reason. Later calls do nothing.
 func (c *Conn) Close(reason error) {
 	c.closeOnce.Do(func() {
 		c.err = reason
--- a/link/meter.go
+++ b/link/meter.go
@@ -42,8 +42,8 @@
 	m.types[t].ReadBytes += int64(bytes)
 }
 
-// CountGrant counts the bytes that the remaining queue length adds to the headers of one
-// granted request.
+// CountGrant counts the bytes that the state of the remaining queue adds to the headers of
+// one granted request.
 func (m *Meter) CountGrant(bytes int) { m.sent(wire.TypeGrant, bytes) }
 
 // Snapshot returns the types that have traffic, ordered by their numbers.
--- a/link/rows.go
+++ b/link/rows.go
@@ -7,7 +7,8 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// EncodeCounts converts counts to rows with the name numbers of this link.
+// EncodeCounts converts counts to wire rows. Rows hold the numbers that this link assigned to
+// names, not the names.
 func (c *Conn) EncodeCounts(counts []fleet.QueueCount) []wire.DemandRow {
 	rows := make([]wire.DemandRow, len(counts))
 	for i, n := range counts {
@@ -16,7 +17,7 @@
 	return rows
 }
 
-// EncodeCount converts one count to a row with the name numbers of this link.
+// EncodeCount converts one count to a wire row.
 func (c *Conn) EncodeCount(n fleet.QueueCount) wire.DemandRow {
 	return wire.DemandRow{
 		Work:      c.OutNames.Number(string(n.Key.Work)),
@@ -27,7 +28,7 @@
 	}
 }
 
-// DecodeCounts converts rows from this link to counts. It skips rows with names that were
+// DecodeCounts converts wire rows from this link to counts. It skips rows with names that were
 // never sent.
 func (c *Conn) DecodeCounts(rows []wire.DemandRow) []fleet.QueueCount {
 	counts := make([]fleet.QueueCount, 0, len(rows))
@@ -40,7 +41,7 @@
 	return counts
 }
 
-// DecodeCount converts one row from this link to a count.
+// DecodeCount converts one wire row from this link to a count.
 func (c *Conn) DecodeCount(r wire.DemandRow) fleet.QueueCount {
 	return fleet.QueueCount{
 		Key:       c.DecodeKey(r.Work, r.Team, r.Class),
@@ -49,7 +50,7 @@
 	}
 }
 
-// DecodeKey returns the key of a queue from the name numbers of this link.
+// DecodeKey returns the key of a queue, given the numbers of its names on this link.
 func (c *Conn) DecodeKey(work, team wire.Number, class fleet.Class) fleet.DemandKey {
 	return fleet.DemandKey{
 		Work:  fleet.Work(c.InNames.Text(work)),
@@ -58,7 +59,7 @@
 	}
 }
 
-// EncodeService converts service rows to rows with the name numbers of this link.
+// EncodeService converts service rows to wire rows.
 func (c *Conn) EncodeService(rows []fleet.ServiceRow) []wire.ServiceRow {
 	out := make([]wire.ServiceRow, len(rows))
 	for i, r := range rows {
@@ -71,7 +72,7 @@
 	return out
 }
 
-// DecodeService converts rows from this link to service rows. It skips rows with names that
+// DecodeService converts wire rows from this link to service rows. It skips rows with names that
 // were never sent.
 func (c *Conn) DecodeService(rows []wire.ServiceRow) []fleet.ServiceRow {
 	out := make([]fleet.ServiceRow, 0, len(rows))
--- a/relay/body.go
+++ b/relay/body.go
@@ -6,7 +6,7 @@
 )
 
 // SingleUseBody is a request body that can't be rewound. net/http resends a request on
-// its own if a kept connection turns out to be closed and the body is absent or can be
+// its own if a reused connection turns out to be closed and the body is absent or can be
 // rewound. A request that may run only once must not be resent.
 type SingleUseBody struct{ r io.Reader }
 
--- a/relay/copy.go
+++ b/relay/copy.go
@@ -12,9 +12,9 @@
 const (
 	copyBufferSize = 32 << 10
 	// maxDiscardBytes is the size of the longest response with which an agent refuses a
-	// request.
+	// request. DiscardBody reads no more than that.
 	maxDiscardBytes = 4 << 10
-	// writeTimeout is how long the receiver may take to accept one chunk.
+	// writeTimeout is how long writing one chunk to the receiver may take.
 	writeTimeout = 30 * time.Second
 )
 
@@ -57,8 +57,8 @@
 	return rc.Flush()
 }
 
-// DiscardBody reads the short response with which an agent refuses a request to its end. The
-// connection can be reused only then; if reading fails, another connection is opened.
+// DiscardBody reads the rest of the short response with which an agent refuses a request, since
+// only then the connection can be reused. If reading fails, another connection is opened.
 func DiscardBody(body io.Reader) {
 	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 }
--- a/relay/header.go
+++ b/relay/header.go
@@ -9,7 +9,7 @@
 const (
 	HeaderRequestID      = "X-Request-Id"
 	HeaderRan            = "Croftvale-Ran"        // yes, no or unknown
-	HeaderClaim          = "Croftvale-Claim"      // router to agent: the granted claim, then a blank and what remains in its queue as count/ms
+	HeaderClaim          = "Croftvale-Claim"      // router to agent: the granted claim, a space, and what remains in its queue as count/ms: requests and age of the oldest
 	HeaderTeam           = "Croftvale-Team"       // router to agent
 	HeaderWork           = "Croftvale-Work"       // router to agent
 	HeaderClass          = "Croftvale-Class"      // urgent, ordinary or batch
