--- a/router/router.go
+++ b/router/router.go
@@ -157,7 +157,7 @@
 	readings := []process.Reading{
 		{Name: "generation", Value: float64(s.Generation)},
 		{Name: "waiting", Value: float64(s.Waiting)},
-		{Name: "open", Value: float64(s.Open)},
+		{Name: "open", Value: float64(s.Unfinished)},
 		{Name: "platform_calls", Value: float64(s.PlatformCalls)},
 		{Name: "platform_ok", Value: boolValue(s.PlatformOK)},
 	}
@@ -229,7 +229,7 @@
 		return
 	}
 	state := s.(State)
-	r.log.Error().Int("running", state.Open-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
+	r.log.Error().Int("running", state.Unfinished-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
 }
 
 // drain stops accepting requests and waits for the unfinished ones, up to the
--- a/router/state.go
+++ b/router/state.go
@@ -15,7 +15,7 @@
 	Digest        string             `json:"digest"`
 	Leaving       bool               `json:"leaving"`
 	Waiting       int                `json:"waiting"`
-	Open          int                `json:"open"`
+	Unfinished    int                `json:"open"`
 	HubOf         []fleet.Hall       `json:"hub_of"`
 	PlatformOK    bool               `json:"platform_ok"`
 	PlatformCalls int64              `json:"platform_calls"`
@@ -50,7 +50,7 @@
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
 		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
-		Leaving: c.leaving, Waiting: c.queue.Waiting(), Open: c.queue.Unfinished(),
+		Leaving: c.leaving, Waiting: c.queue.Waiting(), Unfinished: c.queue.Unfinished(),
 		PlatformOK: c.platform.reachable.Load(), PlatformCalls: c.platform.client.Calls(),
 		Queues: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
 	}
--- a/standin/e2e/path_test.go
+++ b/standin/e2e/path_test.go
@@ -154,7 +154,7 @@
 	require.Eventually(t, func() bool { return running() == 0 }, patience, step)
 	require.Eventually(t, func() bool {
 		st, err := s.lab.RouterState(context.Background(), s.lab.Routers()[0])
-		return err == nil && st.Open == 0
+		return err == nil && st.Unfinished == 0
 	}, patience, 10*time.Millisecond)
 }
 
--- a/standin/e2e/stop_test.go
+++ b/standin/e2e/stop_test.go
@@ -91,7 +91,7 @@
 	p := s.lab.Routers()[0]
 	require.Eventually(t, func() bool {
 		st, err := s.lab.RouterState(context.Background(), p)
-		return err == nil && st.Open == 12
+		return err == nil && st.Unfinished == 12
 	}, patience, step)
 	p.Signal(syscall.SIGTERM)
 	wg.Wait()
@@ -111,7 +111,7 @@
 	p := s.lab.Routers()[0]
 	require.Eventually(t, func() bool {
 		st, err := s.lab.RouterState(context.Background(), p)
-		return err == nil && st.Open == 1
+		return err == nil && st.Unfinished == 1
 	}, patience, step)
 	p.Signal(syscall.SIGTERM)
 	require.Eventually(t, func() bool {
