--- a/agent/agent.go
+++ b/agent/agent.go
@@ -65,13 +65,13 @@
 		drained:     make(chan struct{}),
 	}
 	a.proxy = newProxy(a.core, logger)
-	a.core.onBundle = func(f bundle.InForce) { a.proxy.configure(f) }
+	a.core.onBundle = func(active bundle.InForce) { a.proxy.configure(active) }
 	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.onBundleAdopted, a.onBundleRejected)
 	a.admin = admin.New(admin.Source{Ready: a.proxy.ready, State: a.dump})
 	return a, nil
 }
 
-func (a *Agent) onBundleAdopted(f bundle.InForce) { a.core.events <- bundleEvent{f} }
+func (a *Agent) onBundleAdopted(active bundle.InForce) { a.core.events <- bundleEvent{active} }
 
 func (a *Agent) onBundleRejected(err error) {
 	a.log.Warn().Err(err).Msg("bundle rejected")
--- a/agent/config.go
+++ b/agent/config.go
@@ -70,7 +70,7 @@
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "agent",
-		Incarnation: c.incarnation, Generation: c.inForce.Generation(),
+		Incarnation: c.incarnation, Generation: c.active.Generation(),
 		Serving: c.serving, Leaving: c.leaving,
 		Slots: c.scheduler.Slots(), Running: c.scheduler.Running(), Held: c.scheduler.Held(), Keys: c.keys.Len(),
 		Teams: c.scheduler.Teams(), Traffic: c.meter.Snapshot(),
--- a/agent/core.go
+++ b/agent/core.go
@@ -35,7 +35,7 @@
 
 	scheduler *sched.Machine
 	keys      *once.KeyTable
-	inForce   bundle.InForce
+	active    bundle.InForce
 	routers   map[fleet.Name]*routerLink
 	replies   map[uint64]chan<- decision // for requests that wait to start, by sequence number of the claim
 	serving   bool
@@ -119,9 +119,9 @@
 }
 
 // decide sends the decision to a request's goroutine.
-func (c *core) decide(seq uint64, v decision) {
+func (c *core) decide(seq uint64, d decision) {
 	if reply, ok := c.replies[seq]; ok {
-		reply <- v
+		reply <- d
 		delete(c.replies, seq)
 	}
 }
@@ -135,7 +135,7 @@
 	case runEndEvent:
 		c.updateScheduler(sched.EndMsg{Now: c.now(), Seq: e.seq})
 	case bundleEvent:
-		c.applyBundle(e.inForce)
+		c.applyBundle(e.active)
 	case healthEvent:
 		c.setServing(e.serving)
 	case shutdownEvent:
@@ -196,13 +196,13 @@
 }
 
 // applyBundle makes a bundle the one in force for the core and the proxy.
-func (c *core) applyBundle(f bundle.InForce) {
-	c.inForce = f
+func (c *core) applyBundle(active bundle.InForce) {
+	c.active = active
 	c.nextPull = 0
-	b := f.Bundle.WithDefaults()
+	b := active.Bundle.WithDefaults()
 	c.updateScheduler(sched.ConfigMsg{Now: c.now(), Config: schedulerConfig(b, c.settings.Name)})
 	c.setKeyAgents(b)
-	c.onBundle(f)
+	c.onBundle(active)
 	c.broadcastHeartbeat()
-	c.log.Info().Uint64("generation", uint64(f.Generation())).Str("digest", string(f.Order.Digest)).Msg("bundle in force")
+	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle in force")
 }
--- a/agent/event.go
+++ b/agent/event.go
@@ -30,7 +30,7 @@
 type runEndEvent struct{ seq uint64 }
 
 // bundleEvent carries the bundle that is now in force.
-type bundleEvent struct{ inForce bundle.InForce }
+type bundleEvent struct{ active bundle.InForce }
 
 // healthEvent reports whether the backend server accepts requests.
 type healthEvent struct{ serving bool }
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -36,7 +36,7 @@
 
 func (c *core) heartbeatMessage() wire.Heartbeat {
 	return wire.Heartbeat{
-		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: c.serving,
+		Generation: c.active.Generation(), Leaving: c.leaving, Serving: c.serving,
 		Every: c.pulse.Milliseconds(),
 	}
 }
--- a/agent/links.go
+++ b/agent/links.go
@@ -84,9 +84,9 @@
 // pullFrom pulls a router's bundle if that is newer and no pull has been sent
 // within pullTimeout.
 func (c *core) pullFrom(r *routerLink) {
-	if r.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
+	if r.lastHeartbeat.Generation <= c.active.Generation() || c.now() < c.nextPull {
 		return
 	}
 	c.nextPull = c.now() + pullTimeout
-	r.conn.Send(wire.BundlePull{Have: c.inForce.Generation()})
+	r.conn.Send(wire.BundlePull{Have: c.active.Generation()})
 }
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -39,8 +39,8 @@
 }
 
 // configure applies a new bundle and requests a probe.
-func (p *proxy) configure(f bundle.InForce) {
-	b := f.Bundle.WithDefaults()
+func (p *proxy) configure(active bundle.InForce) {
+	b := active.Bundle.WithDefaults()
 	own, ok := findServer(b, p.core.settings.Name)
 	if !ok {
 		p.target.Store(nil)
@@ -95,8 +95,8 @@
 		return false
 	}
 	select {
-	case v := <-reply:
-		return v == decisionStart
+	case d := <-reply:
+		return d == decisionStart
 	case <-ctx.Done():
 		p.core.events <- cancelEvent{seq: seq, reply: reply}
 		if <-reply == decisionStart { // started before the core handled the cancellation
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -34,10 +34,10 @@
 }
 
 // Read implements io.Reader.
-func (m *terminatedStream) Read(p []byte) (int, error) {
-	n, err := m.r.Read(p)
-	m.recordTail(p[:n])
-	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(streamEnd)) {
+func (s *terminatedStream) Read(p []byte) (int, error) {
+	n, err := s.r.Read(p)
+	s.recordTail(p[:n])
+	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(s.tail, "\r\n"), []byte(streamEnd)) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
@@ -45,10 +45,10 @@
 
 // recordTail keeps the last bytes of the stream: the length of streamEnd and its
 // line ends.
-func (m *terminatedStream) recordTail(p []byte) {
+func (s *terminatedStream) recordTail(p []byte) {
 	const maxTail = len(streamEnd) + 8
-	m.tail = append(m.tail, p...)
-	if len(m.tail) > maxTail {
-		m.tail = append(m.tail[:0], m.tail[len(m.tail)-maxTail:]...)
+	s.tail = append(s.tail, p...)
+	if len(s.tail) > maxTail {
+		s.tail = append(s.tail[:0], s.tail[len(s.tail)-maxTail:]...)
 	}
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -25,7 +25,7 @@
 // admission holds an admitted request and what the checks found out about it.
 type admission struct {
 	id          string
-	table       *table
+	table       *routingTable
 	team        *bundle.Team
 	work        bundle.Work
 	class       fleet.Class
@@ -63,8 +63,8 @@
 	if a.team, ok = t.team(r); !ok {
 		return nil, &refusedKey
 	}
-	if f := a.readBody(w, r); f != nil {
-		return nil, f
+	if refused := a.readBody(w, r); refused != nil {
+		return nil, refused
 	}
 	if a.work, ok = t.route(r.Method, r.URL.Path, a.model(r)); !ok {
 		return nil, &refusedRoute
--- a/router/core.go
+++ b/router/core.go
@@ -35,12 +35,12 @@
 	keeper       *adopt.Keeper
 	dialer       *dialer
 	platform     *platformWatcher
-	publishTable func(*table) // makes a table the one that new requests use
+	publishTable func(*routingTable) // makes a table the one that new requests use
 
 	queue      *queue.Machine
 	hub        *ledger.Hub
 	keys       *once.Coordinator
-	inForce    bundle.InForce
+	active     bundle.InForce
 	patches    bundle.Patches
 	policy     bundle.Policy
 	servers    map[fleet.Name]bundle.Server
@@ -49,13 +49,13 @@
 	// linkCache holds, by server, whether shouldLink has chosen this router by
 	// rendezvous hashing. It is valid for assignment.routers and for
 	// linkCachePerServer links to each server.
-	linkCache          map[fleet.Name]bool
-	linkCachePerServer int
-	peers              map[fleet.Name]*peer
-	requests           map[queue.RequestID]*openRequest
-	leaving            bool
-	pulse              process.Pulse
-	nextPull           time.Duration // earliest time of the next bundle pull
+	linkCache            map[fleet.Name]bool
+	cachedLinksPerServer int
+	peers                map[fleet.Name]*peer
+	requests             map[queue.RequestID]*openRequest
+	leaving              bool
+	pulse                process.Pulse
+	nextPull             time.Duration // earliest time of the next bundle pull
 }
 
 // peer holds a link to another process and the last heartbeat received on it.
@@ -167,10 +167,10 @@
 
 // applyBundle makes a bundle the one in force for the core and for new requests.
 func (c *core) applyBundle(p preparedBundle) {
-	f := p.inForce
-	c.inForce = f
+	active := p.active
+	c.active = active
 	c.nextPull = 0
-	c.patches.Adopted(f)
+	c.patches.Adopted(active)
 	c.policy = p.bundle.Policy
 	c.servers = p.servers
 	c.updateQueue(queue.ConfigMsg{Now: c.now(), Config: p.config})
@@ -178,5 +178,5 @@
 	c.updateTopology()
 	c.refreshAgents()
 	c.broadcastHeartbeat()
-	c.log.Info().Uint64("generation", uint64(f.Generation())).Str("digest", string(f.Order.Digest)).Msg("bundle in force")
+	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle in force")
 }
--- a/router/event.go
+++ b/router/event.go
@@ -62,6 +62,6 @@
 type grant struct {
 	claim     string
 	remaining string          // state of the request's queue after the grant, as in relay.HeaderClaim
-	serve     string          // address at which the agent accepts granted requests
+	address   string          // address at which the agent accepts granted requests
 	abort     <-chan struct{} // closed to abort the run; no effect once the response has started
 }
--- a/router/handler.go
+++ b/router/handler.go
@@ -21,11 +21,11 @@
 	log         *log.Logger
 	now         func() time.Duration
 	events      chan<- event
-	table       atomic.Pointer[table]
+	table       atomic.Pointer[routingTable]
 	leaving     atomic.Bool
 	lastID      atomic.Uint64
 	transport   http.RoundTripper
-	secure      bool // calls to agents use TLS
+	useTLS      bool // calls to agents use TLS
 	stats       stats
 	meter       *link.Meter
 }
@@ -39,9 +39,9 @@
 		refusedLeaving.write(w, id)
 		return
 	}
-	a, f := h.admit(w, r, id)
-	if f != nil {
-		h.refuse(w, id, *f)
+	a, refused := h.admit(w, r, id)
+	if refused != nil {
+		h.refuse(w, id, *refused)
 		return
 	}
 	decisions, ok := h.submit(n, a)
@@ -53,10 +53,10 @@
 }
 
 // refuse writes a refusal to the caller, and logs and counts it.
-func (h *handler) refuse(w http.ResponseWriter, id string, f refusal) {
-	h.stats.refused(f.kind)
-	h.log.Debug().Str("request", id).Str("kind", f.kind).Msg("request refused")
-	f.write(w, id)
+func (h *handler) refuse(w http.ResponseWriter, id string, refused refusal) {
+	h.stats.refused(refused.kind)
+	h.log.Debug().Str("request", id).Str("kind", refused.kind).Msg("request refused")
+	refused.write(w, id)
 }
 
 // submit sends a request to the core. It returns false, without blocking, if the
@@ -142,14 +142,14 @@
 	go cancelOnAbort(g.abort, responded, cancel)
 	var sent relay.Sent
 	req := sent.Trace(newAgentRequest(r, a, g).WithContext(ctx))
-	if h.secure {
+	if h.useTLS {
 		req.URL.Scheme = "https"
 	}
 	h.meter.Grant(len(g.remaining) + 1)
 	res, err := h.transport.RoundTrip(req)
 	close(responded)
 	if err != nil {
-		h.log.Warn().Str("request", a.id).Str("agent", g.serve).Err(err).Msg("no response from agent")
+		h.log.Warn().Str("request", a.id).Str("agent", g.address).Err(err).Msg("no response from agent")
 		if sent.MayHaveLeft() {
 			return queue.OutcomeUnknown
 		}
@@ -188,7 +188,7 @@
 // abortResponse aborts the connection to the caller, so that a truncated response
 // can't be taken for a complete one.
 func (h *handler) abortResponse(n queue.RequestID, a *admission, err error) {
-	h.stats.cut()
+	h.stats.aborted()
 	h.log.Warn().Str("request", a.id).Err(err).Msg("response aborted")
 	h.events <- runEndEvent{id: n, outcome: queue.OutcomeCut}
 	panic(http.ErrAbortHandler)
@@ -198,14 +198,14 @@
 func newAgentRequest(r *http.Request, a *admission, g *grant) *http.Request {
 	u := *r.URL
 	u.Scheme = "http"
-	u.Host = g.serve
+	u.Host = g.address
 	req := &http.Request{
 		Method:        r.Method,
 		URL:           &u,
 		Header:        http.Header{},
 		Body:          a.body.open(),
 		ContentLength: a.body.size,
-		Host:          g.serve,
+		Host:          g.address,
 	}
 	relay.CopyHeader(req.Header, r.Header, "Authorization", "Expect")
 	req.Header.Set(relay.HeaderRequestID, a.id)
--- a/router/heartbeat.go
+++ b/router/heartbeat.go
@@ -36,7 +36,7 @@
 
 func (c *core) heartbeatFor(p *peer) wire.Heartbeat {
 	return wire.Heartbeat{
-		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hubFor,
+		Generation: c.active.Generation(), Leaving: c.leaving, Serving: true, Hub: p.hubFor,
 		Every: c.pulse.Milliseconds(),
 	}
 }
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -19,68 +19,68 @@
 	hubs    map[fleet.Hall][]fleet.Name // by hall, best rank first
 }
 
-func (d hubAssignment) isHub(hall fleet.Hall, n fleet.Name) bool {
-	return slices.Contains(d.hubs[hall], n)
+func (ha hubAssignment) isHub(hall fleet.Hall, n fleet.Name) bool {
+	return slices.Contains(ha.hubs[hall], n)
 }
 
 // rank returns a router's index among the hubs of its own hall, or -1 if it is
 // not one of them.
-func (d hubAssignment) rank(n fleet.Name) int {
-	return slices.Index(d.hubs[d.halls[n]], n)
+func (ha hubAssignment) rank(n fleet.Name) int {
+	return slices.Index(ha.hubs[ha.halls[n]], n)
 }
 
 // isPaired reports whether hub a sends its hall's totals to hub b of another
 // hall. Each hub of b's hall is paired with exactly one hub of a's hall.
-func (d hubAssignment) isPaired(a, b fleet.Name) bool {
-	ra, rb := d.rank(a), d.rank(b)
-	if ra < 0 || rb < 0 || d.halls[a] == d.halls[b] {
+func (ha hubAssignment) isPaired(a, b fleet.Name) bool {
+	ra, rb := ha.rank(a), ha.rank(b)
+	if ra < 0 || rb < 0 || ha.halls[a] == ha.halls[b] {
 		return false
 	}
-	hubCount := len(d.hubs[d.halls[a]])
+	hubCount := len(ha.hubs[ha.halls[a]])
 	return rb%hubCount == ra
 }
 
 // assignHubs computes the assignment from the list of hosts. The router itself
 // is always included, even if the list lacks it.
 func (c *core) assignHubs() hubAssignment {
-	d := hubAssignment{halls: map[fleet.Name]fleet.Hall{}, hubs: map[fleet.Hall][]fleet.Name{}}
-	d.addRouter(c.settings.Name, c.settings.Hall)
+	assignment := hubAssignment{halls: map[fleet.Name]fleet.Hall{}, hubs: map[fleet.Hall][]fleet.Name{}}
+	assignment.addRouter(c.settings.Name, c.settings.Hall)
 	for _, h := range c.hosts {
 		if h.Role == string(wire.RoleRouter) && h.State == objectapi.HostLive && h.Name != c.settings.Name {
-			d.addRouter(h.Name, h.Hall)
+			assignment.addRouter(h.Name, h.Hall)
 		}
 	}
-	slices.Sort(d.routers)
-	for _, hall := range c.hallsInUse(d) {
-		d.hubs[hall] = fleet.Rendezvous("hub/"+string(hall), d.hubCandidates(hall), c.policy.HubsPerHall)
+	slices.Sort(assignment.routers)
+	for _, hall := range c.hallsInUse(assignment) {
+		assignment.hubs[hall] = fleet.Rendezvous("hub/"+string(hall), assignment.hubCandidates(hall), c.policy.HubsPerHall)
 	}
-	return d
+	return assignment
 }
 
-func (d *hubAssignment) addRouter(n fleet.Name, hall fleet.Hall) {
-	d.routers = append(d.routers, n)
-	d.halls[n] = hall
+func (ha *hubAssignment) addRouter(n fleet.Name, hall fleet.Hall) {
+	ha.routers = append(ha.routers, n)
+	ha.halls[n] = hall
 }
 
 // hubCandidates returns the routers that may be hubs of a hall: those in the
 // hall, or all routers if the hall has none.
-func (d hubAssignment) hubCandidates(hall fleet.Hall) []fleet.Name {
+func (ha hubAssignment) hubCandidates(hall fleet.Hall) []fleet.Name {
 	var own []fleet.Name
-	for _, n := range d.routers {
-		if d.halls[n] == hall {
+	for _, n := range ha.routers {
+		if ha.halls[n] == hall {
 			own = append(own, n)
 		}
 	}
 	if len(own) == 0 {
-		return d.routers
+		return ha.routers
 	}
 	return own
 }
 
 // hallsInUse returns the halls that have a live router or a backend server.
-func (c *core) hallsInUse(d hubAssignment) []fleet.Hall {
+func (c *core) hallsInUse(a hubAssignment) []fleet.Hall {
 	var halls []fleet.Hall
-	for _, h := range d.halls {
+	for _, h := range a.halls {
 		halls = append(halls, h)
 	}
 	for _, s := range c.servers {
@@ -94,9 +94,9 @@
 func (c *core) updateTopology() {
 	before := c.assignment.routers
 	c.assignment = c.assignHubs()
-	if !slices.Equal(before, c.assignment.routers) || c.linkCachePerServer != c.policy.LinksPerServer {
+	if !slices.Equal(before, c.assignment.routers) || c.cachedLinksPerServer != c.policy.LinksPerServer {
 		c.linkCache = map[fleet.Name]bool{}
-		c.linkCachePerServer = c.policy.LinksPerServer
+		c.cachedLinksPerServer = c.policy.LinksPerServer
 	}
 	c.dialer.setAddresses(c.linkAddresses())
 	for name, p := range c.peers {
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, a := range c.settings.Peers {
-		if c.inForce.Generation() == 0 {
+		if c.active.Generation() == 0 {
 			out[a.String()] = true // needed only to get the first bundle
 		}
 	}
--- a/router/keys.go
+++ b/router/keys.go
@@ -26,7 +26,7 @@
 		Holder:    c.keyHolder(e.request.ID),
 		Key:       e.idempotency.key,
 		CreatedAt: e.idempotency.createdAt,
-		Agents:    c.inForce.Bundle.ServersOf(e.request.Key.Work),
+		Agents:    c.active.Bundle.ServersOf(e.request.Key.Work),
 	})
 }
 
--- a/router/links.go
+++ b/router/links.go
@@ -150,16 +150,16 @@
 // sendBundle sends a peer the bundle in force, as a patch where there is one for
 // the generation that the peer has.
 func (c *core) sendBundle(p *peer, have fleet.Generation) {
-	if c.inForce.Generation() <= have {
+	if c.active.Generation() <= have {
 		return
 	}
-	order := c.inForce.Order.Encode()
+	order := c.active.Order.Encode()
 	if patch, ok := c.patches.From(have); ok {
 		p.conn.Send(wire.BundleData{Order: order, Base: have, Content: patch})
 		return
 	}
-	c.inForce.Content = c.inForce.Packed()
-	p.conn.Send(wire.BundleData{Order: order, Content: c.inForce.Content})
+	c.active.Content = c.active.Packed()
+	p.conn.Send(wire.BundleData{Order: order, Content: c.active.Content})
 }
 
 func sourceOf(p *peer) ledger.Source {
@@ -172,9 +172,9 @@
 	if p.conn.Peer.Role != wire.RoleRouter {
 		return
 	}
-	if p.lastHeartbeat.Generation <= c.inForce.Generation() || c.now() < c.nextPull {
+	if p.lastHeartbeat.Generation <= c.active.Generation() || c.now() < c.nextPull {
 		return
 	}
 	c.nextPull = c.now() + pullTimeout
-	p.conn.Send(wire.BundlePull{Have: c.inForce.Generation()})
+	p.conn.Send(wire.BundlePull{Have: c.active.Generation()})
 }
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -13,21 +13,21 @@
 // computed outside the core's goroutine, because a large bundle takes tens of
 // milliseconds.
 type preparedBundle struct {
-	inForce bundle.InForce
+	active  bundle.InForce
 	bundle  bundle.Bundle // with defaults applied
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
-	table   *table
+	table   *routingTable
 }
 
-func prepareBundle(f bundle.InForce, s settings.Process) preparedBundle {
-	b := f.Bundle.WithDefaults()
+func prepareBundle(active bundle.InForce, s settings.Process) preparedBundle {
+	b := active.Bundle.WithDefaults()
 	p := preparedBundle{
-		inForce: f,
+		active:  active,
 		bundle:  b,
 		servers: map[fleet.Name]bundle.Server{},
 		config:  queueConfig(b, s),
-		table:   newTable(f.Generation(), b),
+		table:   newRoutingTable(active.Generation(), b),
 	}
 	for _, s := range b.Servers {
 		p.servers[s.Name] = s
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -86,28 +86,28 @@
 
 // refusalOf returns the refusal for a command of the queue.
 func refusalOf(c queue.RefuseCmd) refusal {
-	f := refusalsByReason[c.Reason]
-	f.kind = string(c.Reason)
-	f.ran = c.Ran
-	f.retryAfter = c.RetryAfter
-	return f
+	r := refusalsByReason[c.Reason]
+	r.kind = string(c.Reason)
+	r.ran = c.Ran
+	r.retryAfter = c.RetryAfter
+	return r
 }
 
 // write sends the refusal as an HTTP response.
-func (f refusal) write(w http.ResponseWriter, requestID string) {
+func (r refusal) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
-	h.Set(relay.HeaderRan, f.ran.String())
+	h.Set(relay.HeaderRan, r.ran.String())
 	h.Set(relay.HeaderRequestID, requestID)
 	h.Set("Content-Type", "application/json")
-	seconds := int(math.Ceil(f.retryAfter.Seconds()))
+	seconds := int(math.Ceil(r.retryAfter.Seconds()))
 	if seconds > 0 {
 		h.Set("Retry-After", strconv.Itoa(seconds))
 	}
-	body, err := json.Marshal(refusalBody{refusalError{f.kind, f.message, f.remedy, requestID, seconds}})
+	body, err := json.Marshal(refusalBody{refusalError{r.kind, r.message, r.remedy, requestID, seconds}})
 	if err != nil {
 		panic(err) // plain strings always encode
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)+1))
-	w.WriteHeader(f.status)
+	w.WriteHeader(r.status)
 	_, _ = w.Write(append(body, '\n')) // fails only if the caller has closed the connection
 }
--- a/router/requests.go
+++ b/router/requests.go
@@ -68,7 +68,7 @@
 	r.abort = make(chan struct{})
 	c.decide(cmd.ID, decision{run: &grant{
 		claim:     cmd.Claim.String(),
-		serve:     c.servers[cmd.Claim.Agent].Serve.String(),
+		address:   c.servers[cmd.Claim.Agent].Serve.String(),
 		remaining: formatRemaining(cmd.Remaining),
 		abort:     r.abort,
 	}})
--- a/router/router.go
+++ b/router/router.go
@@ -89,7 +89,7 @@
 		meter:       meter,
 		stats:       newStats(r.admin.Scope()),
 		transport:   r.newTransport(),
-		secure:      r.secure != nil,
+		useTLS:      r.secure != nil,
 	}
 	keeper := adopt.NewKeeper(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
 	r.watcher = &platformWatcher{
@@ -124,8 +124,8 @@
 
 // onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
 // core. New requests use it once the core has applied it.
-func (r *Router) onBundleAdopted(f bundle.InForce) {
-	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
+func (r *Router) onBundleAdopted(active bundle.InForce) {
+	r.core.events <- bundleEvent{prepareBundle(active, r.settings.Process)}
 }
 
 func (r *Router) onBundleRejected(err error) {
--- a/router/table.go
+++ b/router/routingtable.go
@@ -11,17 +11,17 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// table holds the parts of a bundle in force that requests need, indexed for
-// lookups. A request uses the table under which it was admitted until it ends.
-type table struct {
+// routingTable holds the parts of a bundle in force that requests need, indexed for
+// lookups. A request uses the routingTable under which it was admitted until it ends.
+type routingTable struct {
 	generation fleet.Generation
 	limits     bundle.Limits
 	teams      map[[sha256.Size]byte]*bundle.Team // by the digest of a bearer key
 	works      []bundle.Work
 }
 
-func newTable(g fleet.Generation, b bundle.Bundle) *table {
-	t := &table{
+func newRoutingTable(g fleet.Generation, b bundle.Bundle) *routingTable {
+	t := &routingTable{
 		generation: g,
 		limits:     b.Limits,
 		teams:      map[[sha256.Size]byte]*bundle.Team{},
@@ -33,7 +33,7 @@
 	return t
 }
 
-func (t *table) addKeys(team *bundle.Team) {
+func (t *routingTable) addKeys(team *bundle.Team) {
 	for _, k := range team.Keys {
 		raw, err := hex.DecodeString(strings.TrimPrefix(k, bundle.KeyHashPrefix))
 		if err != nil || len(raw) != sha256.Size {
@@ -46,7 +46,7 @@
 // team returns the team of a request's bearer key. The map is keyed by digests, so
 // that the time of a lookup reveals nothing about the key. The digests are then
 // compared in constant time.
-func (t *table) team(r *http.Request) (*bundle.Team, bool) {
+func (t *routingTable) team(r *http.Request) (*bundle.Team, bool) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
 		return nil, false
@@ -67,7 +67,7 @@
 
 // route returns the work of a request: the one with the longest matching path and,
 // among equals, the one that names the request's model.
-func (t *table) route(method, path, model string) (bundle.Work, bool) {
+func (t *routingTable) route(method, path, model string) (bundle.Work, bool) {
 	var best bundle.Work
 	bestSpecificity := -1
 	for _, w := range t.works {
@@ -83,7 +83,7 @@
 
 // dependsOnModel reports whether a path's route depends on the model named in the
 // body.
-func (t *table) dependsOnModel(path string) bool {
+func (t *routingTable) dependsOnModel(path string) bool {
 	for _, w := range t.works {
 		if w.Model != "" && pathMatches(w.Path, path) {
 			return true
--- a/router/state.go
+++ b/router/state.go
@@ -49,7 +49,7 @@
 func (c *core) state() State {
 	s := State{
 		Name: c.settings.Name, Hall: c.settings.Hall, Role: "router",
-		Incarnation: c.incarnation, Generation: c.inForce.Generation(), Digest: string(c.inForce.Order.Digest),
+		Incarnation: c.incarnation, Generation: c.active.Generation(), Digest: string(c.active.Order.Digest),
 		Leaving: c.leaving, Waiting: c.queue.Waiting(), Unfinished: c.queue.Unfinished(),
 		PlatformOK: c.platform.reachable.Load(), PlatformCalls: c.platform.client.Calls(),
 		Queues: c.queue.Queues(c.now()), Traffic: c.meter.Snapshot(),
--- a/router/stats.go
+++ b/router/stats.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func (s stats) cut() {
+func (s stats) aborted() {
 	if s.scope != nil {
 		s.scope.Counter("cut").Inc(1)
 	}
