--- a/agent/backoff_test.go
+++ b/agent/backoff_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestBackendAsksForNothing has a backend server reject a request with a Retry-After
-// time. For that time, the agent must accept no requests and neither requests nor probes
-// may reach the server. After it, the agent must accept requests again.
+// time. During that time, the agent must accept no requests, and neither requests nor
+// probes may reach the server. Afterwards, the agent must accept requests again.
 func TestBackendAsksForNothing(t *testing.T) {
 	const backoff = 400 * time.Millisecond
 	var refusedAt atomic.Int64 // time of the rejection in Unix nanoseconds
@@ -67,8 +67,8 @@
 	require.Empty(t, earlyPaths)
 }
 
-// TestProbeStartedBeforeBackoff has a probe succeed that started before the backend
-// server asked for a backoff. It must not end the backoff early.
+// TestProbeStartedBeforeBackoff checks that a successful probe does not end a backoff
+// early if the probe started before the backend server asked for the backoff.
 func TestProbeStartedBeforeBackoff(t *testing.T) {
 	h := health{}
 	now := time.Now()
--- a/agent/core.go
+++ b/agent/core.go
@@ -31,7 +31,7 @@
 	links       chan link.Event
 	meter       *link.Meter
 	keeper      *adopt.Keeper
-	onBundle    func(bundle.InForce) // called with each bundle that comes into force
+	onBundle    func(bundle.InForce) // called with each bundle that becomes active
 
 	scheduler *sched.Machine
 	keys      *once.KeyTable
@@ -145,8 +145,8 @@
 	}
 }
 
-// onRequest passes a request to the scheduler. It rejects a second request with the
-// claim of one that waits, so that the first is not affected.
+// onRequest passes a request to the scheduler. It rejects a request whose claim is
+// already used by a waiting request, so that the waiting one is not affected.
 func (c *core) onRequest(e requestEvent) {
 	if _, duplicate := c.replies[e.seq]; duplicate {
 		e.reply <- decisionReject
@@ -195,7 +195,7 @@
 	}
 }
 
-// applyBundle makes a bundle the one in force for the core and the proxy.
+// applyBundle activates a bundle for the core and the proxy.
 func (c *core) applyBundle(active bundle.InForce) {
 	c.active = active
 	c.nextPull = 0
@@ -204,5 +204,5 @@
 	c.setKeyAgents(b)
 	c.onBundle(active)
 	c.broadcastHeartbeat()
-	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle in force")
+	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle activated")
 }
--- a/agent/event.go
+++ b/agent/event.go
@@ -29,7 +29,7 @@
 // runEndEvent reports that a submitted request is finished.
 type runEndEvent struct{ seq uint64 }
 
-// bundleEvent carries the bundle that is now in force.
+// bundleEvent carries the bundle that the core activates.
 type bundleEvent struct{ active bundle.InForce }
 
 // healthEvent reports whether the backend server accepts requests.
@@ -49,7 +49,7 @@
 func (shutdownEvent) isEvent() {}
 func (stateEvent) isEvent()    {}
 
-// decision tells a request's goroutine to start or to reject the request.
+// decision instructs a request's goroutine to start or to reject the request.
 type decision uint8
 
 const (
--- a/agent/keys.go
+++ b/agent/keys.go
@@ -10,8 +10,8 @@
 	"github.com/croftvale/croftvale/wire"
 )
 
-// setKeyAgents updates the key table with the agents whose servers run each work of
-// this server.
+// setKeyAgents updates the key table with the agents that share the keys of each
+// work of this server: those whose servers run that work.
 func (c *core) setKeyAgents(b bundle.Bundle) {
 	own, ok := findServer(b, c.settings.Name)
 	if !ok {
--- a/agent/links.go
+++ b/agent/links.go
@@ -81,8 +81,8 @@
 	c.pullFrom(r)
 }
 
-// pullFrom pulls a router's bundle if that is newer and no pull has been sent
-// within pullTimeout.
+// pullFrom pulls the bundle of a router if it is newer than the active one. A second
+// pull is sent only after pullTimeout or after a bundle has been applied.
 func (c *core) pullFrom(r *routerLink) {
 	if r.lastHeartbeat.Generation <= c.active.Generation() || c.now() < c.nextPull {
 		return
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -17,7 +17,7 @@
 // ErrNoBundle means that the agent has no bundle that names its server.
 var ErrNoBundle = errors.New("no bundle in force names this backend server; add it to [[servers]] and roll the bundle")
 
-// target holds the backend server and the works that the bundle in force defines.
+// target holds the backend server and the works that the active bundle defines.
 type target struct {
 	server bundle.Server
 	works  map[fleet.Work]bundle.Work
@@ -130,8 +130,8 @@
 
 func (p *proxy) reportEnd(seq uint64) { p.core.events <- runEndEvent{seq} }
 
-// refuse sends the router a response for a request that has not run or may have
-// run, as stated by ran.
+// refuse sends the router a refusal. ran is "no" if the request has not run, and
+// "unknown" if it may have run.
 func refuse(w http.ResponseWriter, ran, message string) {
 	w.Header().Set(relay.HeaderRan, ran)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -14,9 +14,9 @@
 // streamEnd is the line that ends every complete event stream of a model engine.
 const streamEnd = "data: [DONE]"
 
-// checkStreamEnd returns the body of a response. If that is the event stream of a
-// model engine, reading it fails at an end without streamEnd, because such a
-// stream is truncated.
+// checkStreamEnd returns a reader of the response's body. If the body is the event
+// stream of a model engine, the reader fails if the stream ends without streamEnd,
+// because such a stream is truncated.
 func (p *proxy) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
@@ -43,8 +43,8 @@
 	return n, err
 }
 
-// recordTail keeps the last bytes of the stream: the length of streamEnd and its
-// line ends.
+// recordTail keeps the last bytes of the stream, enough for streamEnd and its line
+// ends.
 func (s *terminatedStream) recordTail(p []byte) {
 	const maxTail = len(streamEnd) + 8
 	s.tail = append(s.tail, p...)
--- a/fleet/rendezvous.go
+++ b/fleet/rendezvous.go
@@ -9,7 +9,7 @@
 
 // Rendezvous returns the n names that rank highest for key by rendezvous
 // hashing. Every process computes the same result from the same list, and adding
-// or removing a name moves only the duties of that name.
+// or removing a name changes only the results that contain it.
 func Rendezvous(key string, names []Name, n int) []Name {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b Name) int {
--- a/fleet/rendezvous_test.go
+++ b/fleet/rendezvous_test.go
@@ -25,7 +25,7 @@
 		}
 		if !slices.Equal(top, Rendezvous(key, names[1:], 3)) {
 			moved++
-			require.Contains(t, top, names[0], "only duties of the removed name may move")
+			require.Contains(t, top, names[0], "only results that contain the removed name may change")
 		}
 	}
 	require.Positive(t, moved)
--- a/router/admission.go
+++ b/router/admission.go
@@ -22,7 +22,7 @@
 // buffered head of a large body.
 const bodyTimeout = 30 * time.Second
 
-// admission holds an admitted request and what the checks found out about it.
+// admission holds the properties of an admitted request that the checks determined.
 type admission struct {
 	id          string
 	table       *routingTable
@@ -92,8 +92,8 @@
 	return false
 }
 
-// readBody reads the whole body if its route depends on the model that it
-// names. Otherwise, it leaves a body above maxBufferedBody unread after its head.
+// readBody buffers the whole body if the route depends on the model that the body
+// names. Otherwise it buffers up to maxBufferedBody bytes and leaves the rest unread.
 func (a *admission) readBody(w http.ResponseWriter, r *http.Request) *refusal {
 	limit := int64(a.table.limits.MaxBody)
 	if r.ContentLength > limit {
@@ -169,7 +169,7 @@
 }
 
 // readIdempotencyKey reads the idempotency key of a request that must not be
-// repeated. The key of a repeatable request concerns only the backend server.
+// repeated. The key of a repeatable request is left to the backend server.
 // It reports whether the key's creation time is valid.
 func (a *admission) readIdempotencyKey(h http.Header) bool {
 	text := h.Get(relay.HeaderIdempotent)
--- a/router/core.go
+++ b/router/core.go
@@ -46,11 +46,10 @@
 	servers    map[fleet.Name]bundle.Server
 	hosts      []objectapi.Host
 	assignment hubAssignment
-	// linkCache holds, by server, whether shouldLink has chosen this router by
-	// rendezvous hashing. It is valid for assignment.routers and for
-	// linkCachePerServer links to each server.
+	// linkCache holds, by server, the results of the rendezvous hashing in shouldLink.
+	// It is valid for assignment.routers and cachedLinksPerServer.
 	linkCache            map[fleet.Name]bool
-	cachedLinksPerServer int
+	cachedLinksPerServer int // the policy's LinksPerServer when linkCache was reset
 	peers                map[fleet.Name]*peer
 	requests             map[queue.RequestID]*openRequest
 	leaving              bool
@@ -165,7 +164,7 @@
 	}
 }
 
-// applyBundle makes a bundle the one in force for the core and for new requests.
+// applyBundle activates a bundle for the core and for new requests.
 func (c *core) applyBundle(p preparedBundle) {
 	active := p.active
 	c.active = active
@@ -178,5 +177,5 @@
 	c.updateTopology()
 	c.refreshAgents()
 	c.broadcastHeartbeat()
-	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle in force")
+	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle activated")
 }
--- a/router/dialer.go
+++ b/router/dialer.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// startLink maintains a link to the address until its entry in cancels is called.
+// startLink starts a goroutine that maintains a link to the address until
+// d.cancels[address] is called.
 func (d *dialer) startLink(address string) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.cancels[address] = cancel
--- a/router/event.go
+++ b/router/event.go
@@ -27,10 +27,10 @@
 }
 
 // cancelEvent reports that a caller has closed its connection. The core always
-// sends one decision after it, unless one is already in the channel.
+// sends one decision in response, unless one is already in the channel.
 type cancelEvent struct{ id queue.RequestID }
 
-// bundleEvent carries the bundle that is now in force.
+// bundleEvent carries the bundle that the core activates.
 type bundleEvent struct{ prepared preparedBundle }
 
 // hostsEvent carries the platform's list of hosts.
@@ -51,7 +51,7 @@
 func (shutdownEvent) isEvent()        {}
 func (stateEvent) isEvent()           {}
 
-// decision tells a request's goroutine to run the request or to refuse it. Both
+// decision instructs a request's goroutine to run or to refuse the request. Both
 // fields are nil after a cancellation.
 type decision struct {
 	run    *grant
--- a/router/heartbeat.go
+++ b/router/heartbeat.go
@@ -9,7 +9,7 @@
 	}
 }
 
-// keepAlive sends a keepalive on every link that has been quiet for the heartbeat
+// keepAlive sends wire.Alive on every link that has been idle for the heartbeat
 // interval, or a heartbeat on all links if that interval has changed. It also
 // repeats bundle pulls that have not brought a newer bundle.
 func (c *core) keepAlive() {
--- a/router/hubs.go
+++ b/router/hubs.go
@@ -157,8 +157,8 @@
 	return (a && b) || (sameHall && (a || b))
 }
 
-// updatePeerRole updates the hub with the peer's role under the current
-// assignment: an agent that the hub serves, or a router that it may be paired with.
+// updatePeerRole passes the peer's role under the current assignment to the hub:
+// whether an agent is served by the hub, or whether a router is paired with it.
 func (c *core) updatePeerRole(name fleet.Name, p *peer) {
 	if p.conn.Peer.Role == wire.RoleAgent {
 		c.updateAgentRole(name, p)
--- a/router/keys.go
+++ b/router/keys.go
@@ -92,8 +92,8 @@
 	delete(c.requests, id)
 }
 
-// finishKey releases the key of a finished request that has not run. The owners
-// keep the key of a request that has run or may have run.
+// finishKey releases the idempotency key of a finished request that has not run.
+// If the request has run or may have run, the owners keep the key.
 func (c *core) finishKey(id queue.RequestID, ran queue.Ran) {
 	if r, ok := c.requests[id]; !ok || !r.holdsKey {
 		return
--- a/router/links.go
+++ b/router/links.go
@@ -12,7 +12,7 @@
 
 var (
 	errReplaced     = errors.New("replaced by a newer link of the same process")
-	errUnknownAgent = errors.New("the agent is not in the bundle in force; add its server to the bundle or stop it")
+	errUnknownAgent = errors.New("the agent is not in the active bundle; add its server to the bundle or stop it")
 )
 
 // onLink handles the start, the end or a message of a link.
@@ -129,7 +129,7 @@
 }
 
 // refreshAgents updates the queue with the works of all linked agents under the
-// bundle in force. Agents whose servers the bundle lacks or marks as leaving get
+// active bundle. Agents whose servers the bundle lacks or marks as leaving get
 // no more requests.
 func (c *core) refreshAgents() {
 	for name, p := range c.peers {
@@ -147,8 +147,8 @@
 	}
 }
 
-// sendBundle sends a peer the bundle in force, as a patch where there is one for
-// the generation that the peer has.
+// sendBundle sends a peer the active bundle if that is newer than the peer's
+// generation, and as a patch if there is one for that generation.
 func (c *core) sendBundle(p *peer, have fleet.Generation) {
 	if c.active.Generation() <= have {
 		return
@@ -166,8 +166,9 @@
 	return ledger.Source{Agent: p.conn.Peer.Name, Incarnation: p.conn.Peer.Incarnation}
 }
 
-// pullFrom pulls another router's bundle if that is newer and no pull has been
-// sent within pullTimeout. Agents have bundles, too, but don't send them.
+// pullFrom pulls the bundle of another router if it is newer than the active one.
+// A second pull is sent only after pullTimeout or after a bundle has been applied.
+// Agents have bundles, too, but don't send them.
 func (c *core) pullFrom(p *peer) {
 	if p.conn.Peer.Role != wire.RoleRouter {
 		return
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -9,7 +9,7 @@
 	"github.com/croftvale/croftvale/settings"
 )
 
-// preparedBundle holds a bundle in force and the data derived from it. It is
+// preparedBundle holds a verified bundle and the data derived from it. It is
 // computed outside the core's goroutine, because a large bundle takes tens of
 // milliseconds.
 type preparedBundle struct {
--- a/router/requests.go
+++ b/router/requests.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// runRequest tells a request's goroutine to call the agent that claimed it.
+// runRequest sends a request's goroutine the decision to call the agent that claimed
+// the request.
 func (c *core) runRequest(cmd queue.RunCmd) {
 	r, ok := c.requests[cmd.ID]
 	if !ok {
--- a/router/routingtable.go
+++ b/router/routingtable.go
@@ -11,8 +11,8 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// routingTable holds the parts of a bundle in force that requests need, indexed for
-// lookups. A request uses the routingTable under which it was admitted until it ends.
+// routingTable holds the parts of a bundle that are needed to admit and route
+// requests. A request keeps the table under which it was admitted until it ends.
 type routingTable struct {
 	generation fleet.Generation
 	limits     bundle.Limits
@@ -65,8 +65,8 @@
 	return nil, false
 }
 
-// route returns the work of a request: the one with the longest matching path and,
-// among equals, the one that names the request's model.
+// route returns the matching work with the highest specificity. It returns false if
+// no work matches.
 func (t *routingTable) route(method, path, model string) (bundle.Work, bool) {
 	var best bundle.Work
 	bestSpecificity := -1
--- a/router/state.go
+++ b/router/state.go
@@ -15,7 +15,7 @@
 	Digest        string             `json:"digest"`
 	Leaving       bool               `json:"leaving"`
 	Waiting       int                `json:"waiting"`
-	Unfinished    int                `json:"open"`
+	Unfinished    int                `json:"open"` // requests that wait or run
 	HubOf         []fleet.Hall       `json:"hub_of"`
 	PlatformOK    bool               `json:"platform_ok"`
 	PlatformCalls int64              `json:"platform_calls"`
--- a/router/watcher.go
+++ b/router/watcher.go
@@ -21,8 +21,8 @@
 	maxBackoff          = 5 * time.Second
 )
 
-// platformWatcher reads the list of hosts and the bundle in force from the
-// platform. No request waits for it.
+// platformWatcher reads the list of hosts and new bundles from the platform. No
+// request waits for it.
 type platformWatcher struct {
 	settings  settings.Platform
 	log       *log.Logger
@@ -52,7 +52,7 @@
 	}
 }
 
-// watchBundles reads the bundle in force until ctx ends. A router whose settings
+// watchBundles watches the platform for new bundles until ctx ends. A router whose settings
 // don't enable watching stops after its first bundle; it gets later ones over
 // links.
 func (w *platformWatcher) watchBundles(ctx context.Context, haveBundle func() bool) {
@@ -105,5 +105,5 @@
 		w.log.Info().Msg("platform responds")
 		return
 	}
-	w.log.Warn().Err(err).Str("call", call).Msg("platform does not respond; the bundle in force stays in force")
+	w.log.Warn().Err(err).Str("call", call).Msg("platform does not respond; the active bundle stays active")
 }
--- a/wire/frame_test.go
+++ b/wire/frame_test.go
@@ -48,8 +48,8 @@
 	require.Zero(t, sizes)
 }
 
-// TestReadRejectsInvalidFrames checks that frames that are too large, empty or of
-// an unknown type are rejected, and that Encode makes none that is too large.
+// TestReadRejectsInvalidFrames checks that Read rejects frames that are too large,
+// empty or of an unknown type, and that Encode rejects a message that is too large.
 func TestReadRejectsInvalidFrames(t *testing.T) {
 	_, _, err := Read(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 0x7f, 1}))
 	require.ErrorIs(t, err, ErrFrameTooLarge)
--- a/wire/keys.go
+++ b/wire/keys.go
@@ -1,6 +1,7 @@
 package wire
 
-// KeyReserve asks an owner to reserve the idempotency key of a request.
+// KeyReserve asks one of the agents that own an idempotency key to reserve the key
+// for a request.
 type KeyReserve struct {
 	Request uint64
 	Work    Number
@@ -11,10 +12,11 @@
 // KeyVerdict is an owner's reply to KeyReserve.
 type KeyVerdict struct {
 	Request uint64
-	Verdict uint8
+	Verdict uint8 // a once.Verdict
 }
 
-// KeyRelease informs an owner that the request did not run.
+// KeyRelease informs an owner that the request did not run, so that the owner
+// releases the key.
 type KeyRelease struct {
 	Request uint64
 	Work    Number
