--- a/agent/health.go
+++ b/agent/health.go
@@ -76,8 +76,8 @@
 	return ErrServerDown
 }
 
-// setBackoff marks the server as down until the given time or later. It never shortens a
-// backoff. It reports whether the server was up.
+// setBackoff marks the server as down, at least until the given time. It never
+// shortens a backoff. It reports whether the server was up.
 func (h *health) setBackoff(until time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -50,7 +50,7 @@
 
 // Free reports to a router that an agent has free slots and no known demand.
 // It grants the router one open claim per slot, numbered from First. An open claim
-// names no queue, so the router may use it for any request that the agent runs.
+// names no queue, so the router may use it for any work that the agent's server runs.
 type Free struct {
 	Slots uint32
 	First uint64
