--- a/agent/event.go
+++ b/agent/event.go
@@ -29,8 +29,8 @@
 // runEndEvent reports that a submitted request is finished.
 type runEndEvent struct{ seq uint64 }
 
-// bundleEvent carries the bundle that is now in force.
-type bundleEvent struct{ inForce bundle.Active }
+// bundleEvent carries the bundle that the core activates.
+type bundleEvent struct{ active bundle.Active }
 
 // healthEvent reports whether the backend server accepts requests.
 type healthEvent struct{ serving bool }
@@ -49,7 +49,7 @@
 func (shutdownEvent) isEvent() {}
 func (stateEvent) isEvent()    {}
 
-// decision tells a request's goroutine to start or to reject the request.
+// decision instructs a request's goroutine to start or to reject the request.
 type decision uint8
 
 const (
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -9,7 +9,7 @@
 	}
 }
 
-// keepAlive sends a keepalive on every link that has been quiet for the heartbeat
+// keepAlive sends wire.Alive on every link that has been idle for the heartbeat
 // interval, or a heartbeat on all links if that interval has changed. It also
 // repeats bundle pulls that have not brought a newer bundle.
 func (c *core) keepAlive() {
@@ -36,7 +36,7 @@
 
 func (c *core) heartbeatMessage() wire.Heartbeat {
 	return wire.Heartbeat{
-		Generation: c.inForce.Generation(), Leaving: c.leaving, Serving: c.serving,
+		Generation: c.active.Generation(), Leaving: c.leaving, Serving: c.serving,
 		Every: c.pulse.Milliseconds(),
 	}
 }
--- a/agent/proxy.go
+++ b/agent/proxy.go
@@ -17,7 +17,7 @@
 // ErrNoBundle means that the agent has no bundle that names its server.
 var ErrNoBundle = errors.New("no bundle in force names this backend server; add it to [[servers]] and roll the bundle")
 
-// target holds the backend server and the works that the bundle in force defines.
+// target holds the backend server and the works that the active bundle defines.
 type target struct {
 	server bundle.Server
 	works  map[fleet.Work]bundle.Work
@@ -39,8 +39,8 @@
 }
 
 // configure applies a new bundle and requests a probe.
-func (p *proxy) configure(f bundle.Active) {
-	b := f.Bundle.WithDefaults()
+func (p *proxy) configure(active bundle.Active) {
+	b := active.Bundle.WithDefaults()
 	own, ok := findServer(b, p.core.settings.Name)
 	if !ok {
 		p.target.Store(nil)
@@ -95,8 +95,8 @@
 		return false
 	}
 	select {
-	case v := <-reply:
-		return v == decisionStart
+	case d := <-reply:
+		return d == decisionStart
 	case <-ctx.Done():
 		p.core.events <- cancelEvent{seq: seq, reply: reply}
 		if <-reply == decisionStart { // started before the core handled the cancellation
@@ -130,8 +130,8 @@
 
 func (p *proxy) reportEnd(seq uint64) { p.core.events <- runEndEvent{seq} }
 
-// refuse sends the router a response for a request that has not run or may have
-// run, as stated by ran.
+// refuse sends the router a refusal. ran is "no" if the request has not run, and
+// "unknown" if it may have run.
 func refuse(w http.ResponseWriter, ran, message string) {
 	w.Header().Set(relay.HeaderRan, ran)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
--- a/agent/stream.go
+++ b/agent/stream.go
@@ -14,9 +14,9 @@
 // streamEnd is the line that ends every complete event stream of a model engine.
 const streamEnd = "data: [DONE]"
 
-// checkStreamEnd returns the body of a response. If that is the event stream of a
-// model engine, reading it fails at an end without streamEnd, because such a
-// stream is truncated.
+// checkStreamEnd returns a reader of the response's body. If the body is the event
+// stream of a model engine, the reader fails if the stream ends without streamEnd,
+// because such a stream is truncated.
 func (p *proxy) checkStreamEnd(res *http.Response, t *target, r *http.Request) io.Reader {
 	work := t.works[fleet.Work(r.Header.Get(relay.HeaderWork))]
 	events := strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream")
@@ -34,21 +34,21 @@
 }
 
 // Read implements io.Reader.
-func (m *terminatedStream) Read(p []byte) (int, error) {
-	n, err := m.r.Read(p)
-	m.recordTail(p[:n])
-	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(m.tail, "\r\n"), []byte(streamEnd)) {
+func (s *terminatedStream) Read(p []byte) (int, error) {
+	n, err := s.r.Read(p)
+	s.recordTail(p[:n])
+	if err == io.EOF && !bytes.HasSuffix(bytes.TrimRight(s.tail, "\r\n"), []byte(streamEnd)) {
 		return n, io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// recordTail keeps the last bytes of the stream: the length of streamEnd and its
-// line ends.
-func (m *terminatedStream) recordTail(p []byte) {
+// recordTail keeps the last bytes of the stream, enough for streamEnd and its line
+// ends.
+func (s *terminatedStream) recordTail(p []byte) {
 	const maxTail = len(streamEnd) + 8
-	m.tail = append(m.tail, p...)
-	if len(m.tail) > maxTail {
-		m.tail = append(m.tail[:0], m.tail[len(m.tail)-maxTail:]...)
+	s.tail = append(s.tail, p...)
+	if len(s.tail) > maxTail {
+		s.tail = append(s.tail[:0], s.tail[len(s.tail)-maxTail:]...)
 	}
 }
--- a/router/core.go
+++ b/router/core.go
@@ -35,27 +35,26 @@
 	keeper       *adopt.Keeper
 	dialer       *dialer
 	platform     *platformWatcher
-	publishTable func(*table) // makes a table the one that new requests use
+	publishTable func(*routingTable) // makes a table the one that new requests use
 
 	queue      *queue.Machine
 	hub        *ledger.Hub
 	keys       *once.Coordinator
-	inForce    bundle.Active
+	active     bundle.Active
 	patches    bundle.Patches
 	policy     bundle.Policy
 	servers    map[fleet.Name]bundle.Server
 	hosts      []objectapi.Host
 	assignment hubAssignment
-	// linkCache holds, by server, whether shouldLink has chosen this router by
-	// rendezvous hashing. It is valid for assignment.routers and for
-	// linkCachePerServer links to each server.
-	linkCache          map[fleet.Name]bool
-	linkCachePerServer int
-	peers              map[fleet.Name]*peer
-	requests           map[queue.RequestID]*openRequest
-	leaving            bool
-	pulse              process.Pulse
-	nextPull           time.Duration // earliest time of the next bundle pull
+	// linkCache holds, by server, the results of the rendezvous hashing in shouldLink.
+	// It is valid for assignment.routers and cachedLinksPerServer.
+	linkCache            map[fleet.Name]bool
+	cachedLinksPerServer int // the policy's LinksPerServer when linkCache was reset
+	peers                map[fleet.Name]*peer
+	requests             map[queue.RequestID]*openRequest
+	leaving              bool
+	pulse                process.Pulse
+	nextPull             time.Duration // earliest time of the next bundle pull
 }
 
 // peer holds a link to another process and the last heartbeat received on it.
@@ -165,12 +164,12 @@
 	}
 }
 
-// applyBundle makes a bundle the one in force for the core and for new requests.
+// applyBundle activates a bundle for the core and for new requests.
 func (c *core) applyBundle(p preparedBundle) {
-	f := p.inForce
-	c.inForce = f
+	active := p.active
+	c.active = active
 	c.nextPull = 0
-	c.patches.SetCurrent(f)
+	c.patches.SetCurrent(active)
 	c.policy = p.bundle.Policy
 	c.servers = p.servers
 	c.updateQueue(queue.ConfigMsg{Now: c.now(), Config: p.config})
@@ -178,5 +177,5 @@
 	c.updateTopology()
 	c.refreshAgents()
 	c.broadcastHeartbeat()
-	c.log.Info().Uint64("generation", uint64(f.Generation())).Str("digest", string(f.Order.Digest)).Msg("bundle in force")
+	c.log.Info().Uint64("generation", uint64(active.Generation())).Str("digest", string(active.Order.Digest)).Msg("bundle activated")
 }
--- a/router/prepared.go
+++ b/router/prepared.go
@@ -9,25 +9,25 @@
 	"github.com/croftvale/croftvale/settings"
 )
 
-// preparedBundle holds a bundle in force and the data derived from it. It is
+// preparedBundle holds a verified bundle and the data derived from it. It is
 // computed outside the core's goroutine, because a large bundle takes tens of
 // milliseconds.
 type preparedBundle struct {
-	inForce bundle.Active
+	active  bundle.Active
 	bundle  bundle.Bundle // with defaults applied
 	servers map[fleet.Name]bundle.Server
 	config  queue.Config
-	table   *table
+	table   *routingTable
 }
 
-func prepareBundle(f bundle.Active, s settings.Process) preparedBundle {
-	b := f.Bundle.WithDefaults()
+func prepareBundle(active bundle.Active, s settings.Process) preparedBundle {
+	b := active.Bundle.WithDefaults()
 	p := preparedBundle{
-		inForce: f,
+		active:  active,
 		bundle:  b,
 		servers: map[fleet.Name]bundle.Server{},
 		config:  queueConfig(b, s),
-		table:   newTable(f.Generation(), b),
+		table:   newRoutingTable(active.Generation(), b),
 	}
 	for _, s := range b.Servers {
 		p.servers[s.Name] = s
--- a/router/router.go
+++ b/router/router.go
@@ -89,7 +89,7 @@
 		meter:       meter,
 		stats:       newStats(r.admin.Scope()),
 		transport:   r.newTransport(),
-		secure:      r.secure != nil,
+		useTLS:      r.secure != nil,
 	}
 	keeper := adopt.NewKeeper(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
 	r.watcher = &platformWatcher{
@@ -124,8 +124,8 @@
 
 // onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
 // core. New requests use it once the core has applied it.
-func (r *Router) onBundleAdopted(f bundle.Active) {
-	r.core.events <- bundleEvent{prepareBundle(f, r.settings.Process)}
+func (r *Router) onBundleAdopted(active bundle.Active) {
+	r.core.events <- bundleEvent{prepareBundle(active, r.settings.Process)}
 }
 
 func (r *Router) onBundleRejected(err error) {
@@ -157,7 +157,7 @@
 	readings := []process.Reading{
 		{Name: "generation", Value: float64(s.Generation)},
 		{Name: "waiting", Value: float64(s.Waiting)},
-		{Name: "open", Value: float64(s.Open)},
+		{Name: "open", Value: float64(s.Unfinished)},
 		{Name: "platform_calls", Value: float64(s.PlatformCalls)},
 		{Name: "platform_ok", Value: boolValue(s.PlatformOK)},
 	}
@@ -229,7 +229,7 @@
 		return
 	}
 	state := s.(State)
-	r.log.Error().Int("running", state.Open-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
+	r.log.Error().Int("running", state.Unfinished-state.Waiting).Int("waiting", state.Waiting).Msg("requests are cut")
 }
 
 // drain stops accepting requests and waits for the unfinished ones, up to the
