--- a/agent/agent.go
+++ b/agent/agent.go
@@ -66,7 +66,7 @@
 	}
 	a.proxy = newProxy(a.core, logger)
 	a.core.onBundle = func(f bundle.Active) { a.proxy.configure(f) }
-	a.core.keeper = adopt.NewKeeper(s.Verifier(), a.onBundleAdopted, a.onBundleRejected)
+	a.core.adopter = adopt.NewRunner(s.Verifier(), a.onBundleAdopted, a.onBundleRejected)
 	a.admin = admin.New(admin.Source{Ready: a.proxy.ready, State: a.dump})
 	return a, nil
 }
@@ -124,7 +124,7 @@
 	defer stop()
 	httpServer := &http.Server{Handler: a.proxy, ReadHeaderTimeout: routerIdleTimeout, IdleTimeout: routerIdleTimeout}
 	wg.Go(func() { a.core.run(runCtx) })
-	wg.Go(func() { a.core.keeper.Run(runCtx) })
+	wg.Go(func() { a.core.adopter.Run(runCtx) })
 	wg.Go(func() { a.proxy.runProbes(runCtx) })
 	wg.Go(func() { process.Gauge(runCtx, a.admin.Scope(), a.gauges) })
 	wg.Go(func() { process.Report(a.log, "links", link.Listen(runCtx, linkListener, a.linkOptions())) })
--- a/agent/core.go
+++ b/agent/core.go
@@ -30,7 +30,7 @@
 	events      chan event
 	links       chan link.Event
 	meter       *link.Meter
-	keeper      *adopt.Keeper
+	adopter     *adopt.Runner
 	onBundle    func(bundle.Active) // called with each bundle that comes into force
 
 	scheduler *sched.Machine
--- a/agent/links.go
+++ b/agent/links.go
@@ -68,7 +68,7 @@
 	case wire.KeyRelease:
 		c.releaseKey(r, m)
 	case wire.BundleData:
-		c.keeper.Offer(bundle.OfferMsg{Order: m.Order, Content: m.Content, Base: m.Base})
+		c.adopter.Offer(bundle.OfferMsg{Order: m.Order, Content: m.Content, Base: m.Base})
 	}
 }
 
--- a/bundle/adopt.go
+++ b/bundle/adopt.go
@@ -16,15 +16,15 @@
 // Packed returns the compressed bundle. If the bundle was built by a patch, each
 // call compresses it again, because the result is rarely needed; callers that
 // need it repeatedly should store it in Content.
-func (f Active) Packed() []byte {
-	if f.Content != nil {
-		return f.Content
+func (a Active) Packed() []byte {
+	if a.Content != nil {
+		return a.Content
 	}
-	return compress(Canonical(f.Bundle))
+	return compress(Canonical(a.Bundle))
 }
 
 // Generation returns the active generation, or 0 before the first one.
-func (f Active) Generation() fleet.Generation { return f.Order.Generation }
+func (a Active) Generation() fleet.Generation { return a.Order.Generation }
 
 // Adopter decides which bundle is active in a process. It only moves to a higher
 // generation, and only if the order and the content are valid. An Adopter with
--- a/bundle/patches.go
+++ b/bundle/patches.go
@@ -19,14 +19,14 @@
 }
 
 // SetCurrent records the bundle that has become active.
-func (p *Patches) SetCurrent(f Active) {
+func (p *Patches) SetCurrent(next Active) {
 	if p.current.Generation() > 0 {
 		p.recent = append(p.recent, p.current)
 	}
 	if n := len(p.recent); n > maxPatchBases {
 		p.recent = p.recent[n-maxPatchBases:]
 	}
-	p.current = f
+	p.current = next
 	p.encoded = map[fleet.Generation][]byte{}
 }
 
--- a/router/core.go
+++ b/router/core.go
@@ -32,7 +32,7 @@
 	events       chan event
 	links        chan link.Event
 	meter        *link.Meter
-	keeper       *adopt.Keeper
+	adopter      *adopt.Runner
 	dialer       *dialer
 	platform     *platformWatcher
 	publishTable func(*table) // makes a table the one that new requests use
--- a/router/links.go
+++ b/router/links.go
@@ -95,7 +95,7 @@
 	case wire.BundlePull:
 		c.sendBundle(p, m.Have)
 	case wire.BundleData:
-		c.keeper.Offer(bundle.OfferMsg{Order: m.Order, Content: m.Content, Base: m.Base})
+		c.adopter.Offer(bundle.OfferMsg{Order: m.Order, Content: m.Content, Base: m.Base})
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -91,12 +91,12 @@
 		transport:   r.newTransport(),
 		secure:      r.secure != nil,
 	}
-	keeper := adopt.NewKeeper(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
+	adopter := adopt.NewRunner(s.Verifier(), r.onBundleAdopted, r.onBundleRejected)
 	r.watcher = &platformWatcher{
 		settings: s.Platform,
 		log:      logger,
 		client:   objectapi.NewClient(s.Platform.Address.String()),
-		keeper:   keeper,
+		adopter:  adopter,
 		verifier: s.Verifier(),
 		events:   events,
 	}
@@ -109,7 +109,7 @@
 		events:       events,
 		links:        make(chan link.Event, eventBuffer),
 		meter:        meter,
-		keeper:       keeper,
+		adopter:      adopter,
 		platform:     r.watcher,
 		queue:        queue.New(queue.Config{}),
 		hub:          ledger.NewHub(s.Name, s.Hall),
@@ -203,7 +203,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	wg.Go(func() { r.core.run(runCtx) })
-	wg.Go(func() { r.watcher.keeper.Run(runCtx) })
+	wg.Go(func() { r.watcher.adopter.Run(runCtx) })
 	wg.Go(func() { r.watcher.pollHosts(runCtx) })
 	wg.Go(func() { process.Gauge(runCtx, r.admin.Scope(), r.gauges) })
 	wg.Go(func() { r.watcher.watchBundles(runCtx, func() bool { return r.handler.table.Load() != nil }) })
--- a/router/watcher.go
+++ b/router/watcher.go
@@ -27,7 +27,7 @@
 	settings  settings.Platform
 	log       *log.Logger
 	client    *objectapi.Client
-	keeper    *adopt.Keeper
+	adopter   *adopt.Runner
 	verifier  bundle.Verifier
 	events    chan<- event
 	reachable atomic.Bool
@@ -91,7 +91,7 @@
 	if err != nil {
 		return seen, err
 	}
-	w.keeper.Offer(bundle.OfferMsg{Order: obj.Body, Content: content.Body})
+	w.adopter.Offer(bundle.OfferMsg{Order: obj.Body, Content: content.Body})
 	return obj.Version, nil
 }
 
