--- a/bundle/check.go
+++ b/bundle/check.go
@@ -136,11 +136,11 @@
 	}
 }
 
-func checkName(f *tomlfile.File, key, name string, taken bool) {
+func checkName(f *tomlfile.File, key, name string, duplicate bool) {
 	if name == "" || strings.ContainsAny(name, "/ \t\n") {
 		f.Add(key, `"`+name+`"`, "write a name without blanks or slashes")
 	}
-	if taken {
+	if duplicate {
 		f.Add(key, name, "duplicate name; give each entry its own")
 	}
 }
--- a/bundle/order.go
+++ b/bundle/order.go
@@ -114,10 +114,10 @@
 
 func (v Verifier) countSignoffs(o Order) int {
 	valid := map[string]bool{}
-	text := signoffPayload(o.Digest)
+	payload := signoffPayload(o.Digest)
 	for _, s := range o.Signoffs {
 		key, ok := v.Operators[s.Operator]
-		if ok && ed25519.Verify(key, text, s.Signature) {
+		if ok && ed25519.Verify(key, payload, s.Signature) {
 			valid[s.Operator] = true
 		}
 	}
--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -74,14 +74,14 @@
 				key = eve
 			}
 			o := Order{Generation: drawGeneration(rt), Digest: digest, Operator: operator}.Sign(key)
-			broken := rapid.IntRange(0, 4).Draw(rt, "broken") == 0
-			if broken {
+			truncated := rapid.IntRange(0, 4).Draw(rt, "broken") == 0
+			if truncated {
 				content = content[:len(content)-3]
 			}
 			outcome, err := a.Update(OfferMsg{Order: o.Encode(), Content: content})
 			newer := o.Generation > highest.Generation
 			switch {
-			case forged || (broken && newer):
+			case forged || (truncated && newer):
 				if outcome != Refused || err == nil {
 					rt.Fatalf("adopted a forged or truncated offer: %v", outcome)
 				}
--- a/bundle/patch.go
+++ b/bundle/patch.go
@@ -81,7 +81,7 @@
 		old[name(e)] = encodeJSON(e)
 	}
 	for _, e := range to {
-		if was, ok := old[name(e)]; !ok || was != encodeJSON(e) {
+		if before, ok := old[name(e)]; !ok || before != encodeJSON(e) {
 			changed = append(changed, e)
 		}
 		delete(old, name(e))
@@ -99,16 +99,16 @@
 	if len(changed)+len(removed) == 0 {
 		return list
 	}
-	drop := map[N]bool{}
+	omit := map[N]bool{}
 	for _, n := range removed {
-		drop[n] = true
+		omit[n] = true
 	}
 	for _, e := range changed {
-		drop[name(e)] = true
+		omit[name(e)] = true
 	}
 	out := make([]E, 0, len(list)+len(changed))
 	for _, e := range list {
-		if !drop[name(e)] {
+		if !omit[name(e)] {
 			out = append(out, e)
 		}
 	}
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -25,7 +25,7 @@
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
-	gone := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
@@ -37,15 +37,15 @@
 		{"too many calls", status(429), ErrUnavailable, ErrUnavailable},
 		{"outage", status(503), ErrUnavailable, ErrUnavailable},
 		{"gateway gave up", status(504), ErrOutcomeUnknown, ErrOutcomeUnknown},
-		{"nobody there", gone, ErrUnavailable, ErrOutcomeUnknown},
+		{"nobody there", abort, ErrUnavailable, ErrOutcomeUnknown},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			p := newTestClient(t, c.handler)
-			_, err := p.Get(context.Background(), BundlePointer)
+			client := newTestClient(t, c.handler)
+			_, err := client.Get(context.Background(), BundlePointer)
 			require.True(t, errors.Is(err, c.get), "%v", err)
 			require.ErrorContains(t, err, c.get.Error())
-			_, err = p.Put(context.Background(), BundlePointer, nil, 3)
+			_, err = client.Put(context.Background(), BundlePointer, nil, 3)
 			require.True(t, errors.Is(err, c.put), "%v", err)
 			require.ErrorContains(t, err, c.put.Error())
 		})
@@ -55,16 +55,16 @@
 // TestWritesAreConditional checks the precondition headers of writes.
 func TestWritesAreConditional(t *testing.T) {
 	var got []http.Header
-	p := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
+	client := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		got = append(got, r.Header)
 		w.Header().Set("ETag", `"8"`)
 	})
-	v, err := p.Put(context.Background(), BundlePointer, nil, 0)
+	v, err := client.Put(context.Background(), BundlePointer, nil, 0)
 	require.NoError(t, err)
 	require.EqualValues(t, 8, v)
-	_, err = p.Put(context.Background(), BundlePointer, nil, 7)
+	_, err = client.Put(context.Background(), BundlePointer, nil, 7)
 	require.NoError(t, err)
 	require.Equal(t, "*", got[0].Get("If-None-Match"))
 	require.Equal(t, `"7"`, got[1].Get("If-Match"))
-	require.EqualValues(t, 2, p.Calls())
+	require.EqualValues(t, 2, client.Calls())
 }
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -16,7 +16,7 @@
 // Store holds the methods of objectapi.Client that this package needs.
 type Store interface {
 	Get(ctx context.Context, ref objectapi.Ref) (objectapi.Object, error)
-	Put(ctx context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error)
+	Put(ctx context.Context, ref objectapi.Ref, body []byte, ifVersion objectapi.Version) (objectapi.Version, error)
 }
 
 // maxReadBackTries is the maximum number of attempts to read back a write whose
@@ -49,7 +49,7 @@
 	if err := r.putContent(ctx, s); err != nil {
 		return bundle.Order{}, err
 	}
-	current, at, err := CurrentOrder(ctx, r.Store)
+	current, version, err := CurrentOrder(ctx, r.Store)
 	if err != nil {
 		return bundle.Order{}, err
 	}
@@ -62,7 +62,7 @@
 		RecentRollIDs: current.NextRecentRollIDs(),
 		Signoffs:      s.Signoffs,
 	}.Sign(r.Key)
-	_, err = r.Store.Put(ctx, objectapi.BundlePointer, order.Encode(), at)
+	_, err = r.Store.Put(ctx, objectapi.BundlePointer, order.Encode(), version)
 	if err == nil {
 		return order, nil
 	}
@@ -91,24 +91,24 @@
 	if !conflict && !errors.Is(cause, objectapi.ErrOutcomeUnknown) {
 		return bundle.Order{}, errors.Wrap(cause, "move the bundle pointer; nothing is rolled")
 	}
-	now, err := retry(ctx, func() (bundle.Order, error) {
-		now, _, err := CurrentOrder(ctx, r.Store)
-		return now, err
+	current, err := retry(ctx, func() (bundle.Order, error) {
+		current, _, err := CurrentOrder(ctx, r.Store)
+		return current, err
 	})
 	switch {
 	case err != nil:
 		return bundle.Order{}, errors.Mark(err, ErrOutcomeUnknown)
-	case now.RollID == o.RollID:
+	case current.RollID == o.RollID:
 		return o, nil
-	case slices.Contains(now.RecentRollIDs, o.RollID):
-		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
-	case conflict || now.Generation >= o.Generation:
-		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", now.Generation, now.Operator, now.CreatedAt)
+	case slices.Contains(current.RecentRollIDs, o.RollID):
+		return o, errors.Wrapf(ErrReplaced, "generation %d by %s at %s", current.Generation, current.Operator, current.CreatedAt)
+	case conflict || current.Generation >= o.Generation:
+		return bundle.Order{}, errors.Wrapf(ErrLostRace, "generation %d by %s at %s", current.Generation, current.Operator, current.CreatedAt)
 	}
 	// The pointer has not changed. A delayed write could still take effect, but
 	// not unnoticed: it has the same version condition as the next roll, so only
 	// one of the two can succeed.
-	return bundle.Order{}, errors.Wrapf(ErrOutcomeUnknown, "the pointer is still at generation %d", now.Generation)
+	return bundle.Order{}, errors.Wrapf(ErrOutcomeUnknown, "the pointer is still at generation %d", current.Generation)
 }
 
 // retry calls op with backoff until it succeeds, returns ErrNotFound, or has been
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -29,14 +29,14 @@
 type fault int
 
 const (
-	noFault     fault = iota
-	unavailable       // not written
-	lostReply         // written, but the response is lost
-	lostWrite         // not written, and the response is lost
+	noFault      fault = iota
+	unavailable        // not written
+	lostResponse       // written, but the response is lost
+	lostWrite          // not written, and the response is lost
 )
 
-func newStore(m func() fault) *fakeStore {
-	return &fakeStore{objects: map[objectapi.Ref]objectapi.Object{}, nextFault: m}
+func newFakeStore(nextFault func() fault) *fakeStore {
+	return &fakeStore{objects: map[objectapi.Ref]objectapi.Object{}, nextFault: nextFault}
 }
 
 func (s *fakeStore) Get(_ context.Context, ref objectapi.Ref) (objectapi.Object, error) {
@@ -50,19 +50,19 @@
 	return o, nil
 }
 
-func (s *fakeStore) Put(_ context.Context, ref objectapi.Ref, body []byte, at objectapi.Version) (objectapi.Version, error) {
+func (s *fakeStore) Put(_ context.Context, ref objectapi.Ref, body []byte, ifVersion objectapi.Version) (objectapi.Version, error) {
 	if ref == objectapi.BundlePointer && s.beforePointerPut != nil {
 		hook := s.beforePointerPut
 		s.beforePointerPut = nil
 		hook()
 	}
-	m := s.nextFault()
+	f := s.nextFault()
 	switch {
-	case m == unavailable:
+	case f == unavailable:
 		return 0, objectapi.ErrUnavailable
-	case m == lostWrite:
+	case f == lostWrite:
 		return 0, objectapi.ErrOutcomeUnknown
-	case s.objects[ref].Version != at:
+	case s.objects[ref].Version != ifVersion:
 		return 0, objectapi.ErrConflict
 	}
 	s.version++
@@ -74,7 +74,7 @@
 		}
 		s.history = append(s.history, o)
 	}
-	if m == lostReply {
+	if f == lostResponse {
 		return 0, objectapi.ErrOutcomeUnknown
 	}
 	return s.version, nil
@@ -95,7 +95,7 @@
 	return Roller{Store: s, Operator: name, Key: ed25519.NewKeyFromSeed(seed), RollID: id, Now: time.Unix(0, 0)}
 }
 
-func newSignedBundle(share int) SignedBundle {
+func newTestSignedBundle(share int) SignedBundle {
 	return NewSignedBundle(bundle.Bundle{Teams: []bundle.Team{{Name: "zurich", Share: float64(share)}}})
 }
 
@@ -110,7 +110,7 @@
 }
 
 func raceRolls(rt *rapid.T) {
-	s := newStore(func() fault {
+	s := newFakeStore(func() fault {
 		return fault(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
 	})
 	for i := range rapid.IntRange(1, 6).Draw(rt, "rolls") {
@@ -126,8 +126,8 @@
 	}
 }
 
-func rollOnce(rt *rapid.T, s *fakeStore, who, id string) {
-	_, err := newRoller(s, who, id).Roll(context.Background(), newSignedBundle(1))
+func rollOnce(rt *rapid.T, s *fakeStore, operator, id string) {
+	_, err := newRoller(s, operator, id).Roll(context.Background(), newTestSignedBundle(1))
 	tookEffect := s.accepted(id)
 	switch {
 	case err == nil && !tookEffect:
@@ -144,27 +144,27 @@
 }
 
 func TestLoserIsToldByWhom(t *testing.T) {
-	s := newStore(func() fault { return noFault })
+	s := newFakeStore(func() fault { return noFault })
 	s.beforePointerPut = func() {
-		_, err := newRoller(s, "piet", "p").Roll(context.Background(), newSignedBundle(2))
+		_, err := newRoller(s, "piet", "p").Roll(context.Background(), newTestSignedBundle(2))
 		require.NoError(t, err)
 	}
-	_, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
+	_, err := newRoller(s, "anna", "a").Roll(context.Background(), newTestSignedBundle(1))
 	require.ErrorIs(t, err, ErrLostRace)
 	require.ErrorContains(t, err, "generation 1 by piet")
 }
 
 func TestLostReplyIsResolved(t *testing.T) {
-	faults := []fault{noFault, noFault, lostReply}
-	s := newStore(func() fault {
+	faults := []fault{noFault, noFault, lostResponse}
+	s := newFakeStore(func() fault {
 		if len(faults) == 0 {
 			return noFault
 		}
-		m := faults[0]
+		next := faults[0]
 		faults = faults[1:]
-		return m
+		return next
 	})
-	o, err := newRoller(s, "anna", "a").Roll(context.Background(), newSignedBundle(1))
+	o, err := newRoller(s, "anna", "a").Roll(context.Background(), newTestSignedBundle(1))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, o.Generation)
 	require.Len(t, s.history, 1)
