--- a/adopt/doc.go
+++ b/adopt/doc.go
@@ -1,7 +1,7 @@
-// Package adopt runs a bundle.Adopter in a goroutine of its own, so that
-// checking a large bundle never holds up a process's decisions.
+// Package adopt runs a bundle.Adopter in its own goroutine, so that checking a
+// large bundle does not delay the decisions of a process.
 //
-//	k := adopt.NewKeeper(verifier, func(f bundle.InForce) { events <- bundleEvent{f} })
-//	go k.Run(ctx)
-//	k.Offer(order, content)
+//	r := adopt.NewRunner(verifier, onAdopted, onRefused)
+//	go r.Run(ctx)
+//	r.Offer(bundle.OfferMsg{Order: order, Content: content})
 package adopt
--- a/adopt/runner.go
+++ b/adopt/runner.go
@@ -6,11 +6,12 @@
 	"github.com/croftvale/croftvale/bundle"
 )
 
-// maxPendingOffers is how many offers may wait; one more is dropped, since peers offer
-// again as long as generations differ.
+// maxPendingOffers is the maximum number of offers that wait for Run. Further
+// offers are dropped, because peers repeat them as long as generations differ.
 const maxPendingOffers = 8
 
-// Runner takes offers and reports what came of them.
+// Runner queues bundle offers, handles them one at a time and calls a function
+// for each adopted bundle and each refused offer. Outdated offers are ignored.
 type Runner struct {
 	adopter   bundle.Adopter
 	offers    chan bundle.OfferMsg
@@ -18,7 +19,9 @@
 	onRefused func(error)
 }
 
-// NewRunner returns a keeper. The functions are called from Run's goroutine.
+// NewRunner returns a Runner that verifies orders with v. Run calls onAdopted with
+// each bundle that becomes active and onRefused with the reason for each refusal.
+// Both are called in Run's goroutine.
 func NewRunner(v bundle.Verifier, onAdopted func(bundle.Active), onRefused func(error)) *Runner {
 	return &Runner{
 		adopter:   bundle.Adopter{Verifier: v},
@@ -28,7 +31,8 @@
 	}
 }
 
-// Offer hands a bundle over; it returns false if too many wait.
+// Offer queues an offer without blocking. It returns false if the queue is full
+// and the offer is dropped.
 func (r *Runner) Offer(m bundle.OfferMsg) bool {
 	select {
 	case r.offers <- m:
@@ -38,7 +42,7 @@
 	}
 }
 
-// Run checks offers until ctx ends.
+// Run handles queued offers until ctx is done.
 func (r *Runner) Run(ctx context.Context) {
 	for {
 		select {
--- a/bundle/defaults.go
+++ b/bundle/defaults.go
@@ -10,11 +10,11 @@
 
 // Defaults of the limits, the policy and the health probe.
 const (
-	DefaultMaxWaiting        = 8_000 // requests; they take about 200 MB of a router's memory
-	DefaultMaxWaitingPerTeam = 2_000
-	DefaultMaxBody           = 4 << 20
+	DefaultMaxWaiting        = 8_000   // requests; they take about 200 MB of a router's memory
+	DefaultMaxWaitingPerTeam = 2_000   // requests
+	DefaultMaxBody           = 4 << 20 // bytes
 	DefaultMaxWait           = time.Minute
-	DefaultRetryBudget       = 0.1
+	DefaultRetryBudget       = 0.1 // retries per first attempt
 	DefaultUrgentBorrow      = 2 * time.Second
 	DefaultCatchUp           = time.Minute
 	DefaultClaimAhead        = 1
--- a/bundle/order_test.go
+++ b/bundle/order_test.go
@@ -15,6 +15,7 @@
 	return ed25519.NewKeyFromSeed(seed)
 }
 
+// keysOfAnna returns the keys of a fleet whose only operator is anna.
 func keysOfAnna(anna ed25519.PrivateKey) map[string]ed25519.PrivateKey {
 	return map[string]ed25519.PrivateKey{"anna": anna}
 }
@@ -27,6 +28,8 @@
 	return ops
 }
 
+// TestVerifyRefuses checks that Verify rejects changed orders, unknown operators
+// and orders without enough valid sign-offs.
 func TestVerifyRefuses(t *testing.T) {
 	anna, piet, eve := testKey(1), testKey(2), testKey(3)
 	v := Verifier{Operators: newOperators(map[string]ed25519.PrivateKey{"anna": anna, "piet": piet}), MinSignoffs: 2}
@@ -74,7 +77,7 @@
 				key = eve
 			}
 			o := Order{Generation: drawGeneration(rt), Digest: digest, Operator: operator}.Sign(key)
-			truncated := rapid.IntRange(0, 4).Draw(rt, "broken") == 0
+			truncated := rapid.IntRange(0, 4).Draw(rt, "truncated") == 0
 			if truncated {
 				content = content[:len(content)-3]
 			}
--- a/bundle/pack.go
+++ b/bundle/pack.go
@@ -14,7 +14,7 @@
 	"github.com/croftvale/croftvale/fleet"
 )
 
-// maxUnpackedBytes is the most that Unpack decompresses, in bytes.
+// maxUnpackedBytes is the maximum size of a decompressed bundle, in bytes.
 const maxUnpackedBytes = 64 << 20
 
 // ErrDigest means that the content does not have the digest that its order names.
--- a/bundle/parse_test.go
+++ b/bundle/parse_test.go
@@ -32,6 +32,7 @@
 works = ["report"]
 `
 
+// TestParseGood checks that a valid bundle survives Pack and Unpack.
 func TestParseGood(t *testing.T) {
 	b, err := Parse("fleet.toml", []byte(goodSource))
 	require.NoError(t, err)
--- a/objectapi/object.go
+++ b/objectapi/object.go
@@ -12,7 +12,7 @@
 // increasing order; 0 means that the object does not exist.
 type Version uint64
 
-// Object is an object with the version at which it was read.
+// Object holds the body of an object and the version at which it was read.
 type Object struct {
 	Ref     Ref
 	Version Version
@@ -44,6 +44,6 @@
 	BundlePointer = Ref{Kind: "bundle", Name: "current"}
 )
 
-// BundleContent returns the ref of the bundle content with a digest. Such objects
-// are written once and never change.
+// BundleContent returns the ref of the bundle content that has the given digest.
+// Such objects are written once and never change.
 func BundleContent(digest string) Ref { return Ref{Kind: "content", Name: digest} }
--- a/operate/roll.go
+++ b/operate/roll.go
@@ -39,8 +39,8 @@
 	Store    Store
 	Operator string
 	Key      ed25519.PrivateKey
-	RollID   string // unique to this roll; identifies it after a lost response
-	Now      time.Time
+	RollID   string    // unique to this roll; identifies it after a lost response
+	Now      time.Time // creation time of the order
 }
 
 // Roll writes the content of s, then replaces the order at the bundle pointer with
--- a/operate/roll_test.go
+++ b/operate/roll_test.go
@@ -80,6 +80,7 @@
 	return s.version, nil
 }
 
+// accepted reports whether the roll with the given ID has ever taken effect.
 func (s *fakeStore) accepted(id string) bool {
 	for _, o := range s.history {
 		if o.RollID == id {
@@ -111,7 +112,7 @@
 
 func raceRolls(rt *rapid.T) {
 	s := newFakeStore(func() fault {
-		return fault(max(0, rapid.IntRange(-5, 3).Draw(rt, "mishap")))
+		return fault(max(0, rapid.IntRange(-5, 3).Draw(rt, "fault")))
 	})
 	for i := range rapid.IntRange(1, 6).Draw(rt, "rolls") {
 		if rapid.Bool().Draw(rt, "race") {
@@ -126,6 +127,8 @@
 	}
 }
 
+// rollOnce runs one roll and checks its result against the orders that the store
+// has accepted.
 func rollOnce(rt *rapid.T, s *fakeStore, operator, id string) {
 	_, err := newRoller(s, operator, id).Roll(context.Background(), newTestSignedBundle(1))
 	tookEffect := s.accepted(id)
@@ -143,6 +146,8 @@
 	}
 }
 
+// TestLoserIsToldByWhom checks that a roll that loses a race returns an error with
+// the generation and the operator of the winning roll.
 func TestLoserIsToldByWhom(t *testing.T) {
 	s := newFakeStore(func() fault { return noFault })
 	s.beforePointerPut = func() {
@@ -154,6 +159,8 @@
 	require.ErrorContains(t, err, "generation 1 by piet")
 }
 
+// TestLostReplyIsResolved checks that a roll succeeds, and is written only once,
+// if the response to its pointer write is lost.
 func TestLostReplyIsResolved(t *testing.T) {
 	faults := []fault{noFault, noFault, lostResponse}
 	s := newFakeStore(func() fault {
