--- a/bundle/bundle.go
+++ b/bundle/bundle.go
@@ -70,10 +70,10 @@
 type Work struct {
 	Name       fleet.Work `toml:"name" json:"name"`
 	Kind       Kind       `toml:"kind" json:"kind"`
-	Method     string     `toml:"method" json:"method,omitempty"` // empty matches any method
-	Path       string     `toml:"path" json:"path"`               // exact path, or a prefix that ends in /*
-	Model      string     `toml:"model" json:"model,omitempty"`   // required "model" field of the body; empty matches any
-	Class      string     `toml:"class" json:"class,omitempty"`
+	Method     string     `toml:"method" json:"method,omitempty"`         // empty matches any method
+	Path       string     `toml:"path" json:"path"`                       // exact path, or a prefix that ends in /*
+	Model      string     `toml:"model" json:"model,omitempty"`           // required "model" field of the body; empty matches any
+	Class      string     `toml:"class" json:"class,omitempty"`           // class of requests that do not carry a class header
 	Repeatable bool       `toml:"repeatable" json:"repeatable,omitempty"` // a request may run again if the outcome of a run is unknown
 }
 
