--- a/gateway/cluster/ahead.go
+++ b/gateway/cluster/ahead.go
@@ -8,7 +8,7 @@
 	defer p.mu.Unlock()
 	own := p.deps.Feeds.Revisions()
 	out := feed.NewPeersAheadByFeed(own)
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	timeout := p.peerTimeoutLocked()
 	for address, peer := range p.known {
 		if p.isAlive(peer, now, timeout) {
--- a/gateway/cluster/calls_test.go
+++ b/gateway/cluster/calls_test.go
@@ -39,9 +39,9 @@
 		others = append(others, &peer{address: fmt.Sprint("c", i)})
 	}
 	p := newTestPeers(self, others...)
-	p.deps.Decisions = newTestMachine()
+	p.deps.StateMachine = newTestMachine()
 	p.startupWait = startupWait
-	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	p.deps.Feeds = newTestFeeds(source, p.deps.StateMachine)
 	follow(t, p, p.deps.Feeds.Config)
 	return p
 }
--- a/gateway/cluster/cluster.go
+++ b/gateway/cluster/cluster.go
@@ -13,14 +13,14 @@
 
 // Dependencies are the components that a Cluster uses.
 type Dependencies struct {
-	Decisions Decisions
-	Feeds     *feed.Set
-	Rollouts  Rollouts // nil if rollouts are disabled
-	Pressure  *pressure.Gauge
-	Registry  Registry
-	Log       *eventlog.Log
-	Stats     *stats.Stats
-	Traffic   *traffic.Counter
+	StateMachine StateMachine
+	Feeds        *feed.Set
+	Rollouts     Rollouts // nil if rollouts are disabled
+	Pressure     *pressure.Gauge
+	Registry     Registry
+	Log          *eventlog.Log
+	Stats        *stats.Stats
+	Traffic      *traffic.Counter
 }
 
 // Cluster connects a router to the other routers of the fleet.
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -62,7 +62,7 @@
 	counts := stats.New(tally.NoopScope)
 	for i := range size {
 		m := &memoryMachine{fleet: f}
-		deps := Dependencies{Decisions: m, Pressure: &pressure.Gauge{}, Log: quietLog, Stats: counts, Traffic: traffic.NewCounter(tally.NoopScope)}
+		deps := Dependencies{StateMachine: m, Pressure: &pressure.Gauge{}, Log: quietLog, Stats: counts, Traffic: traffic.NewCounter(tally.NoopScope)}
 		deps.Feeds = newTestFeeds(nil, m)
 		s := Settings{
 			Self: Member{Address: fmt.Sprintf("10.0.%d.%d", i/250, i%250+1)}, Hall: fmt.Sprint("hall-", i%5), Power: 0.144, startNanos: int64(i+1) * int64(time.Second),
--- a/gateway/cluster/followevacuations_test.go
+++ b/gateway/cluster/followevacuations_test.go
@@ -73,8 +73,8 @@
 func startEvacuations(t *testing.T, source feed.Source) *feed.Evacuations {
 	p := newTestPeers("d")
 	p.isSeed = true
-	p.deps.Decisions = newTestMachine()
-	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	p.deps.StateMachine = newTestMachine()
+	p.deps.Feeds = newTestFeeds(source, p.deps.StateMachine)
 	follow(t, p, p.deps.Feeds.Evacuations)
 	return p.deps.Feeds.Evacuations
 }
--- a/gateway/cluster/followservers_test.go
+++ b/gateway/cluster/followservers_test.go
@@ -34,9 +34,9 @@
 // peers.
 func startServers(t *testing.T, source feed.Source) (*feed.Servers, *Peers) {
 	p := newTestPeers("d", &peer{address: "a"}, &peer{address: "b"}, &peer{address: "c"})
-	p.deps.Decisions = newTestMachine()
+	p.deps.StateMachine = newTestMachine()
 	p.startupWait = startupWait
-	p.deps.Feeds = newTestFeeds(source, p.deps.Decisions)
+	p.deps.Feeds = newTestFeeds(source, p.deps.StateMachine)
 	follow(t, p, p.deps.Feeds.Servers)
 	return p.deps.Feeds.Servers, p
 }
--- a/gateway/cluster/halls_test.go
+++ b/gateway/cluster/halls_test.go
@@ -12,7 +12,7 @@
 // may count as silent.
 func TestQuietHalls(t *testing.T) {
 	p := newTestPeers("a1", &peer{address: "a2", place: traffic.Place{Hall: "a"}}, &peer{address: "b1", place: traffic.Place{Hall: "b"}}, &peer{address: "b2", place: traffic.Place{Hall: "b"}}, &peer{address: "c1", place: traffic.Place{Hall: "c"}})
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	require.Empty(t, p.silentHalls(now))
 	p.known["b1"].lastHeard = now - 2*silentAfter
 	require.Empty(t, p.silentHalls(now), "another router of the hall sends heartbeats")
--- a/gateway/cluster/heartbeats.go
+++ b/gateway/cluster/heartbeats.go
@@ -58,7 +58,7 @@
 
 // sendRound sends one heartbeat to some other routers.
 func (h *heartbeats) sendRound() {
-	report := h.deps.Decisions.Report()
+	report := h.deps.StateMachine.Report()
 	targets, members := h.peers.startRound()
 	h.rounds++
 	if h.rounds%membersEveryRounds != 1 {
--- a/gateway/cluster/loads.go
+++ b/gateway/cluster/loads.go
@@ -63,10 +63,10 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			tick := loads.TickMsg{Now: l.deps.Decisions.Now(), Own: l.deps.Decisions.Loads(), Copies: l.deps.Decisions.TakeCopies()}
+			tick := loads.TickMsg{Now: l.deps.StateMachine.Now(), Own: l.deps.StateMachine.Loads(), Copies: l.deps.StateMachine.TakeCopies()}
 			if tick.Now-teamsSentAt >= loads.TeamsInterval-loads.RoundInterval/2 {
 				teamsSentAt = tick.Now
-				tick.HasTeams, tick.Teams = true, l.deps.Decisions.Teams()
+				tick.HasTeams, tick.Teams = true, l.deps.StateMachine.Teams()
 				if l.deps.Rollouts != nil {
 					tick.Rollouts = l.deps.Rollouts.Reports()
 				}
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		l.update(list.unpack(l.deps.Decisions.Now()))
+		l.update(list.unpack(l.deps.StateMachine.Now()))
 		return nil
 	})
 }
@@ -105,17 +105,17 @@
 // deliver passes the totals of the other routers to the state machine, and their rollout reports to
 // the rollouts.
 func (l *loadExchange) deliver(others loads.PeerTotalsCmd) {
-	now := l.deps.Decisions.Now()
+	now := l.deps.StateMachine.Now()
 	if l.lastReceived > 0 {
 		l.deps.Stats.LoadsAge.RecordDuration(now - l.lastReceived)
 	}
 	l.lastReceived = now
-	l.deps.Decisions.Update(direct.PeerLoadsMsg{Now: now, Loads: others.Loads})
+	l.deps.StateMachine.Update(direct.PeerLoadsMsg{Now: now, Loads: others.Loads})
 	if len(others.Copies) > 0 {
-		l.deps.Decisions.Update(direct.PeerCopiesMsg{Now: now, Copies: others.Copies})
+		l.deps.StateMachine.Update(direct.PeerCopiesMsg{Now: now, Copies: others.Copies})
 	}
 	if others.HasTeams {
-		l.deps.Decisions.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
+		l.deps.StateMachine.Update(direct.PeerTeamsMsg{Now: now, Teams: others.Teams})
 		if l.deps.Rollouts != nil {
 			l.deps.Rollouts.Enqueue(rollout.PeerReportsMsg{Now: now, Reports: others.Rollouts})
 		}
--- a/gateway/cluster/loads_test.go
+++ b/gateway/cluster/loads_test.go
@@ -27,7 +27,7 @@
 // newTestLoads returns a loadExchange that receives no datagrams.
 func newTestLoads(t *testing.T, s Settings) (*loadExchange, *copyRecorder) {
 	d := &copyRecorder{testMachine: newTestMachine()}
-	deps := Dependencies{Decisions: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
+	deps := Dependencies{StateMachine: d, Stats: stats.New(tally.NoopScope), Traffic: traffic.NewCounter(tally.NoopScope)}
 	udp, err := openTransport("127.0.0.1:0", traffic.Loads, deps)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = udp.conn.Close() })
--- a/gateway/cluster/peers.go
+++ b/gateway/cluster/peers.go
@@ -27,23 +27,23 @@
 	isSeed bool
 	// startupWait is how long this router waits, as it starts, for its peers to send what it would
 	// otherwise read from the source.
-	startupWait     time.Duration
-	without         direct.DisabledMechanisms
-	mu              sync.Mutex
-	targetRevisions feed.Revisions // newest revisions of live peers at behindSince
-	behindSince     time.Duration  // when this router last had all revisions of its peers
-	known           map[string]*peer
-	newlyLive       []string             // routers that became live since the last round
-	onLive          func([]loads.Router) // receives the live routers
-	power           float64
-	detector        *detector.Detector
-	behind          chan struct{} // signals that a peer has a newer revision
+	startupWait        time.Duration
+	disabledMechanisms direct.DisabledMechanisms
+	mu                 sync.Mutex
+	targetRevisions    feed.Revisions // newest revisions of live peers at behindSince
+	behindSince        time.Duration  // when this router last had all revisions of its peers
+	known              map[string]*peer
+	newlyLive          []string             // routers that became live since the last round
+	onLive             func([]loads.Router) // receives the live routers
+	power              float64
+	detector           *detector.Detector
+	behind             chan struct{} // signals that a peer has a newer revision
 }
 
 func newPeers(s Settings, deps Dependencies) *Peers {
 	return &Peers{
 		self: s.Self.Address, power: s.Power, detector: detector.New(s.Self.Address, incarnationOf(s.startNanos)),
-		place: s.place(), deps: deps, without: s.Without,
+		place: s.place(), deps: deps, disabledMechanisms: s.DisabledMechanisms,
 		seedCount: len(s.Seeds), isSeed: s.isSeed(), startupWait: s.startupWait(), known: make(map[string]*peer),
 		behind: make(chan struct{}, 1),
 	}
@@ -73,7 +73,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.known[address] == nil {
-		p.known[address] = &peer{address: address, added: p.deps.Decisions.Now()}
+		p.known[address] = &peer{address: address, added: p.deps.StateMachine.Now()}
 	}
 }
 
@@ -82,7 +82,7 @@
 func (p *Peers) startRound() (targets, members []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	timeout := p.peerTimeoutLocked()
 	var lost, dead []string
 	var alive []loads.Router
@@ -121,7 +121,7 @@
 	if !p.deps.Pressure.Slow() {
 		p.deps.Pressure.SetHall(hall)
 	}
-	p.deps.Decisions.Update(direct.MembershipMsg{
+	p.deps.StateMachine.Update(direct.MembershipMsg{
 		Now: now, Routers: max(len(alive)+1, p.seedCount), ReportTTL: timeout,
 		Known: len(p.known) + 1, Rank: p.rank(), SilentHalls: p.silentHalls(now),
 	})
@@ -140,7 +140,7 @@
 		p.mu.Unlock()
 		return nil
 	}
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	if peer.lastHeard > 0 {
 		p.deps.Stats.RouterSilence.RecordDuration(now - peer.lastHeard)
 	}
@@ -163,7 +163,7 @@
 		cmds = append(cmds, p.detector.Update(detector.GossipMsg{Now: now, Updates: updates})...)
 	}
 	p.mu.Unlock()
-	p.deps.Decisions.Update(direct.PeerReportMsg{Now: now, Peer: b.Address, Report: b.report()})
+	p.deps.StateMachine.Update(direct.PeerReportMsg{Now: now, Peer: b.Address, Report: b.report()})
 	if !p.deps.Feeds.Revisions().AtLeast(b.Knows) {
 		notify(p.behind)
 	}
@@ -190,14 +190,14 @@
 func (p *Peers) tick() []detector.Cmd {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.detector.Update(detector.TickMsg{Now: p.deps.Decisions.Now(), Late: p.deps.Pressure.Slow()})
+	return p.detector.Update(detector.TickMsg{Now: p.deps.StateMachine.Now(), Late: p.deps.Pressure.Slow()})
 }
 
 // gossip returns the encoded updates for a heartbeat to another router.
 func (p *Peers) gossip(to string) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return packGossip(p.detector.NextUpdates(p.deps.Decisions.Now(), to, maxGossipRows))
+	return packGossip(p.detector.NextUpdates(p.deps.StateMachine.Now(), to, maxGossipRows))
 }
 
 // isAlive reports whether a router counts as alive. p.mu must be held.
--- a/gateway/cluster/peers_test.go
+++ b/gateway/cluster/peers_test.go
@@ -51,7 +51,7 @@
 }
 
 // newTestFeeds returns the feeds of a fleet that allows evacuations of halls.
-func newTestFeeds(source feed.Source, d Decisions) *feed.Set {
+func newTestFeeds(source feed.Source, d StateMachine) *feed.Set {
 	return feed.NewSet(feed.Options{
 		Source: source, StateMachine: d, Log: quietLog, Stats: stats.New(tally.NoopScope), EvacuationDeadline: 5 * time.Second,
 	})
@@ -63,7 +63,7 @@
 	m.start = m.start.Add(-time.Minute)
 	p := &Peers{
 		self: self, known: make(map[string]*peer), detector: detector.New(self, 1),
-		deps: Dependencies{Decisions: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
+		deps: Dependencies{StateMachine: m, Feeds: newTestFeeds(nil, m), Pressure: &pressure.Gauge{}},
 	}
 	for _, o := range others {
 		o.live, o.lastHeard = true, m.Now()
--- a/gateway/cluster/role.go
+++ b/gateway/cluster/role.go
@@ -34,7 +34,7 @@
 // otherwise read from the source. Seeds do not wait, so that of the routers that start together
 // only the seeds read the source.
 func (p *Peers) StartupWait() time.Duration {
-	if p.isSeed || !p.without.Enabled(direct.StoreFollowers) {
+	if p.isSeed || !p.disabledMechanisms.Enabled(direct.StoreFollowers) {
 		return 0
 	}
 	return p.startupWait
@@ -62,10 +62,10 @@
 // Follows reports whether this router is one of the few that follow the source, or has been behind
 // another router for too long.
 func (p *Peers) Follows() bool {
-	if p.stuck() || !p.without.Enabled(direct.StoreFollowers) {
+	if p.stuck() || !p.disabledMechanisms.Enabled(direct.StoreFollowers) {
 		return true
 	}
-	if p.deps.Decisions.Now() < warmUpTime {
+	if p.deps.StateMachine.Now() < warmUpTime {
 		return p.isSeed
 	}
 	p.mu.Lock()
@@ -113,7 +113,7 @@
 // revisions that the other routers had at behindSince: while objects change all the time, some
 // router always has a newer revision.
 func (p *Peers) stuck() bool {
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	own := p.deps.Feeds.Revisions()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/cluster/rollouts.go
+++ b/gateway/cluster/rollouts.go
@@ -14,7 +14,7 @@
 // source. The leader is the first router by address among those that are live and reach the source.
 // A router that has just started does not lead, because it has not received enough heartbeats yet.
 func (p *Peers) Leads() bool {
-	now := p.deps.Decisions.Now()
+	now := p.deps.StateMachine.Now()
 	if now < warmUpTime || p.deps.Feeds.SourceFailing() {
 		return false
 	}
--- a/gateway/cluster/rollouts_test.go
+++ b/gateway/cluster/rollouts_test.go
@@ -20,7 +20,7 @@
 	require.False(t, p.Leads(), "b is live")
 	p.known["b"].sourceLost = true
 	require.True(t, p.Leads())
-	p.deps.Decisions = newTestMachine()
+	p.deps.StateMachine = newTestMachine()
 	require.False(t, p.Leads(), "it has just started")
 	require.True(t, newTestPeers("a", &peer{address: "b"}).Leads())
 }
--- a/gateway/cluster/settings.go
+++ b/gateway/cluster/settings.go
@@ -10,16 +10,16 @@
 
 // Settings are the settings of a Cluster.
 type Settings struct {
-	Self       Member
-	Hall       string
-	Region     string   // empty: unknown
-	Power      float64  // cores that the process may use
-	Peers      string   // address to listen on for heartbeats
-	Loads      string   // address to listen on for loads
-	Seeds      []string // control addresses of some routers
-	FirstStart bool     // the whole fleet starts for the first time
-	Without    direct.DisabledMechanisms
-	startNanos int64 // start of the router, in nanoseconds since 1970
+	Self               Member
+	Hall               string
+	Region             string   // empty: unknown
+	Power              float64  // cores that the process may use
+	Peers              string   // address to listen on for heartbeats
+	Loads              string   // address to listen on for loads
+	Seeds              []string // control addresses of some routers
+	FirstStart         bool     // the whole fleet starts for the first time
+	DisabledMechanisms direct.DisabledMechanisms
+	startNanos         int64 // start of the router, in nanoseconds since 1970
 }
 
 // place returns the location of the router.
--- a/gateway/cluster/decisions.go
+++ b/gateway/cluster/statemachine.go
@@ -6,9 +6,9 @@
 	"github.com/croftvale/croftvale/loads"
 )
 
-// Decisions is the state machine of the router. It receives the state of the other routers and
+// StateMachine is the state machine of the router. It receives the state of the other routers and
 // returns what this one reports to them.
-type Decisions interface {
+type StateMachine interface {
 	feed.StateMachine
 	// Report returns this router's report for one heartbeat. Call it once per heartbeat.
 	Report() direct.Report
--- a/gateway/core.go
+++ b/gateway/core.go
@@ -39,7 +39,7 @@
 		reportNow:      func() {},
 		notifyRollouts: func(rollout.Msg) {},
 		disabled:       o.DisabledMechanisms,
-		pressure:       pressure.Gauge{Without: o.DisabledMechanisms},
+		pressure:       pressure.Gauge{DisabledMechanisms: o.DisabledMechanisms},
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,7 +95,7 @@
 	s := g.settings
 	feeds := feed.Options{Source: g.source, StateMachine: g.core, Log: g.log, Stats: g.stats, EvacuationDeadline: s.MaxEvacuationTime}
 	deps := cluster.Dependencies{
-		Decisions: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
+		StateMachine: g.core, Pressure: &g.core.pressure, Registry: g.source, Log: g.log, Stats: g.stats, Traffic: g.traffic,
 	}
 	if s.RolloutBounds.Enabled() {
 		g.rollouts = rollouts.NewRunner(rollouts.Options{
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -49,8 +49,8 @@
 	yielder yielder
 	yields  atomic.Bool
 	hall    atomic.Pointer[Hall]
-	// Without holds the disabled mechanisms.
-	Without direct.DisabledMechanisms
+	// DisabledMechanisms holds the disabled mechanisms.
+	DisabledMechanisms direct.DisabledMechanisms
 }
 
 // Observe records how late a tick came.
@@ -60,7 +60,7 @@
 	g.lag.Store(int64(lag))
 	g.tickDelay.Store(int64(tickDelay))
 	fraction := 0.0
-	if g.Without.Enabled(direct.LoadShedding) {
+	if g.DisabledMechanisms.Enabled(direct.LoadShedding) {
 		fraction = g.shedder.update(tickDelay)
 	}
 	g.shedFraction.Store(math.Float64bits(fraction))
@@ -68,7 +68,7 @@
 	if h := g.hall.Load(); h != nil {
 		hall = *h
 	}
-	g.yields.Store(g.Without.Enabled(direct.UnreadyUnderLoad) && g.yielder.update(now, fraction, hall))
+	g.yields.Store(g.DisabledMechanisms.Enabled(direct.UnreadyUnderLoad) && g.yielder.update(now, fraction, hall))
 	switch {
 	case lag >= overloadLag:
 		g.score = min(g.score+lateScoreStep*max(1, float64(tickDelay)/float64(direct.TickInterval)), maxScore)
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -48,6 +48,6 @@
 func (s Settings) cluster() cluster.Settings {
 	return cluster.Settings{
 		Self: cluster.Member{Name: s.Name, Address: s.Address}, Hall: s.Zone, Region: s.ownRegion(), Power: s.Cores,
-		Peers: s.PeersAddress, Loads: s.LoadsAddress, Seeds: s.Seeds, FirstStart: s.FirstStart, Without: s.DisabledMechanisms,
+		Peers: s.PeersAddress, Loads: s.LoadsAddress, Seeds: s.Seeds, FirstStart: s.FirstStart, DisabledMechanisms: s.DisabledMechanisms,
 	}
 }
