--- a/direct/copylog.go
+++ b/direct/copylog.go
@@ -37,7 +37,7 @@
 
 // announceCopies queues announcements of the parts that a server reads for a request, up to the
 // first one that it holds already. The known holders of a part are announced with it: a router
-// that knows of none would otherwise take the new copy for the only one.
+// with no recorded holders would otherwise treat the new copy as the only one.
 func (m *Machine) announceCopies(now time.Duration, p *pool, r *requestState, s *server) {
 	for i := len(r.Parts) - 2; i >= 0; i-- {
 		part := r.Parts[i].ID
--- a/gateway/cluster/fleet_test.go
+++ b/gateway/cluster/fleet_test.go
@@ -193,7 +193,7 @@
 	return f.now - began
 }
 
-// peerHasChange reports whether a router knows of a live peer that has the change.
+// peerHasChange reports whether r has recorded a newer revision at a peer that is still running.
 func (f *memoryFleet) peerHasChange(r *memoryRouter) bool {
 	for _, ahead := range r.peers.Ahead() {
 		for _, address := range ahead.All() {
--- a/gateway/pressure/gauge.go
+++ b/gateway/pressure/gauge.go
@@ -49,7 +49,7 @@
 	yielder yielder
 	yields  atomic.Bool
 	hall    atomic.Pointer[Hall]
-	// DisabledMechanisms holds the disabled mechanisms.
+	// DisabledMechanisms lists the mechanisms that are switched off.
 	DisabledMechanisms direct.DisabledMechanisms
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -122,7 +122,7 @@
 	return r, nil
 }
 
-// onBundleAdopted prepares a bundle in the keeper's goroutine and sends it to the
+// onBundleAdopted prepares a bundle in the adopter's goroutine and sends it to the
 // core. New requests use it once the core has applied it.
 func (r *Router) onBundleAdopted(active bundle.Active) {
 	r.core.events <- bundleEvent{prepareBundle(active, r.settings.Process)}
--- a/router/watcher.go
+++ b/router/watcher.go
@@ -73,7 +73,7 @@
 }
 
 // fetchNext waits for a bundle pointer newer than seen and offers its bundle to
-// the keeper. It returns the pointer's version.
+// the adopter. It returns the pointer's version.
 func (w *platformWatcher) fetchNext(ctx context.Context, seen objectapi.Version) (objectapi.Version, error) {
 	obj, err := w.client.Watch(ctx, objectapi.BundlePointer, seen)
 	if errors.Is(err, objectapi.ErrNotFound) {
